--- a/benchmarks/capacity/prefix_probes.py
+++ b/benchmarks/capacity/prefix_probes.py
@@ -42,7 +42,7 @@
     gateways = max(1, size.gateways // size.control_nodes)
     relay = PrefixRelay(0)
     for number in range(gateways):
-        relay.serve(str(number), wanted=True)
+        relay.set_subscribed(str(number), wanted=True)
     relay.take(0)
     now = 0
 
@@ -63,12 +63,12 @@
         for data in encoded:
             message = codec.decode(data)
             assert isinstance(message, PrefixNotices)
-            in_flight.told(now, message.notices)
+            in_flight.apply_notices(now, message.notices)
 
     def kept() -> InFlight:
         made = _in_flight(size)
         for message in messages:
-            made.told(0, message.notices)
+            made.apply_notices(0, message.notices)
         return made
 
     return PrefixCosts(
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -156,7 +156,7 @@
         clients = {name.decode(): Raw(place.bench.port, call("view", name=name)) for name in names}
         await asyncio.sleep(0.2)
         calls = place.bench.pool.host.calls.values()
-        waits = [c.name.decode() for c in calls if c.open and c.out is None]
+        waits = [c.name.decode() for c in calls if c.open and c.current_attempt is None]
         place.left.update(waits)
         place.leave([clients.pop(name) for name in waits])
         await asyncio.sleep(LATE)
--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -9,8 +9,8 @@
 from brackenladder.control.state import Desired
 from brackenladder.interface import State
 from brackenladder.membership.listing import Line
-from brackenladder.routing.pools import PoolSpec, capacity, holds, weight
-from brackenladder.routing.routes import reach, used
+from brackenladder.routing.pools import PoolSpec, capacity, contains, weight
+from brackenladder.routing.routes import reachable_pools, used_pools
 
 LEAST_CAPACITY = 0.5  # of a pool's capacity by weight that a change has to leave while calls are open in it
 MOST_DRAINED = 0.34  # of a pool's servers may be out of it at once, with those that discovery drains
@@ -27,7 +27,7 @@
 
 def serving(spec: PoolSpec, lines: Sequence[Line]) -> list[Line]:
     """Servers of a pool that may get something new."""
-    return [x for x in lines if x.state == State.READY and holds(spec, x) and weight(spec, x) > 0]
+    return [x for x in lines if x.state == State.READY and contains(spec, x) and weight(spec, x) > 0]
 
 
 def judged(
@@ -45,11 +45,11 @@
     """
     found: list[Finding] = []
     # Only pools that something goes to, or that change, are looked at: a node is held while this goes on.
-    reached = {klass: reach(new.routes, klass, tenants) for klass in classes}
+    reached = {klass: reachable_pools(new.routes, klass, tenants) for klass in classes}
     changed = [name for name, spec in new.pools.items() if old.pools.get(name) not in (None, spec)]
-    looked_at = {*used(new.routes), *changed, *(name for pools in reached.values() for name in pools)}
+    looked_at = {*used_pools(new.routes), *changed, *(name for pools in reached.values() for name in pools)}
     able = {name: serving(new.pools[name], lines) for name in looked_at}
-    for name in sorted(used(new.routes)):
+    for name in sorted(used_pools(new.routes)):
         if not able[name] and name not in allow_empty:
             found.append(Finding("empty", name, f"pool {name}: no ready server is left"))
     for klass in classes:
@@ -66,8 +66,8 @@
                 Finding("capacity", name, f"pool {name}: {has:g} of {had:g} by weight, with calls open in it")
             )
         # Those that discovery drains are out already: what counts is all that is out at once.
-        members = [x for x in lines if holds(before, x) and weight(before, x) > 0]
-        out = [x for x in members if x.state != State.READY or not holds(spec, x) or weight(spec, x) == 0]
+        members = [x for x in lines if contains(before, x) and weight(before, x) > 0]
+        out = [x for x in members if x.state != State.READY or not contains(spec, x) or weight(spec, x) == 0]
         leave = [x for x in out if x.state == State.READY]
         most = max(MOST_DRAINED * len(members), 1 if len(members) <= SMALL else 0)
         if leave and len(out) > most:
--- a/brackenladder/control/state.py
+++ b/brackenladder/control/state.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from brackenladder.routing.pools import DEFAULT, Name, PoolSpec, Weight
-from brackenladder.routing.routes import SUM_SLACK, RouteSpec, used
+from brackenladder.routing.routes import SUM_SLACK, RouteSpec, used_pools
 
 LARGEST_FILE = 1 << 20  # bytes
 MOST_POOLS, MOST_ROUTES = 200, 1_000
@@ -103,7 +103,7 @@
 
 def warnings(state: Desired) -> list[str]:
     """What is no error, but hardly meant."""
-    return [f"pools.{name}: no route uses it" for name in sorted(set(state.pools) - used(state.routes))]
+    return [f"pools.{name}: no route uses it" for name in sorted(set(state.pools) - used_pools(state.routes))]
 
 
 def told(text: str) -> str:
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -197,7 +197,7 @@
             del self._subscribers[name]
             self._nodes.pop(name, None)
             self._publisher.lost(name)
-            self._relay.lost(name)
+            self._relay.unsubscribe(name)
 
     # -- changes of the agreed state
 
@@ -219,7 +219,7 @@
 
     def prefixes_remembered(self, notices: tuple[PrefixNotice, ...]) -> None:
         """Takes the prefixes that servers kept before this node's restart."""
-        self._relay.remembered(self._clock(), notices)
+        self._relay.restore(self._clock(), notices)
 
     def prefixes(self) -> tuple[PrefixNotice, ...]:
         """The prefixes that traffic leans on most."""
@@ -302,7 +302,7 @@
         Failure prevented: each of five control nodes tells each other one of every gateway, each second.
         """
         self._publisher.subscribed(name, message)
-        self._relay.serve(name, message.relay)
+        self._relay.set_subscribed(name, message.relay)
         self._nodes[name] = message.node
         self._gateways.presence(self._clock(), message.gateway, tell_peers=message.relay)
         self._count_gateways()
--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -36,10 +36,10 @@
         "deadline",
         "open",
         "attempts",
-        "out",
-        "once",
+        "current_attempt",
+        "single_attempt",
         "in_doubt",
-        "taken",
+        "accepted_at",
         "write_by",
     )
 
@@ -52,13 +52,13 @@
         self.deadline = 0
         self.open = True  # the client waits
         self.attempts = 0
-        self.out: Attempt | None = None
+        self.current_attempt: Attempt | None = None
         self.in_doubt = False  # an attempt may have run
-        self.once = False  # nobody waits for an answer: one attempt, and its end is the call's
-        self.taken = 0  # by the core's clock
+        self.single_attempt = False  # nobody waits for an answer: one attempt, and its end is the call's
+        self.accepted_at = 0  # by the core's clock
         self.write_by = NEVER  # a repeat that is written later may run a second time
 
-    def may_go(self, now: int) -> bool:
+    def may_be_written(self, now: int) -> bool:
         """Whether its first byte may go to a server at this moment of the core's clock.
 
         Failure prevented: it waited, behind others or for a connection, its client has left meanwhile, and
@@ -66,7 +66,7 @@
         """
         if not self.open or now >= self.write_by:
             return False
-        return now - self.taken < FRESH or not self.gone()
+        return now - self.accepted_at < FRESH or not self.gone()
 
     def gone(self) -> bool:
         """Whether the client has left, though nobody has been told: its end waits in the socket.
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -52,13 +52,13 @@
         self.now = clock.now
         self.events: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self.busy = False
-        self.most = settings.max_open
+        self.max_open = settings.max_open
         self.at = 0  # the time of the event that the module handles
         self.calls: dict[int, Call] = {}
         self.last_id = 0
-        self.guarded = 0
+        self.expired_count = 0
         self.guards: dict[int, list[int]] = {}  # calls by the step of time at which they must be over
-        self.ends = 1 << 62  # the time by which all that is taken must be concluded
+        self.conclude_by = 1 << 62  # the time by which all that is taken must be concluded
         self.balancer = module(settings, seed, self)
 
     # ---- events ---------------------------------------------------------------------------------------
@@ -95,38 +95,38 @@
         """The module begins to run."""
         self.post(self.balancer.start)
 
-    def servers(self, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
+    def server_list(self, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         """News of the servers, once the upstream has taken note of them."""
         self.post(self.balancer.server_list, kind, entries)
 
-    def shared(self, number: int) -> None:
+    def set_instances(self, number: int) -> None:
         """So many nodes share the servers: the module's settings say so from now on."""
-        self.post(self.share, number)
+        self.post(self.apply_instances, number)
 
-    def share(self, now: int, number: int) -> None:
+    def apply_instances(self, now: int, number: int) -> None:
         if isinstance(self.balancer, Balancer):
             self.settings = self.balancer.settings = replace(self.balancer.settings, instances=number)
             for tenant, given in zip(self.balancer.tenants, self.settings.tenants, strict=True):
                 tenant.rate = given.quota / number
             self.balancer.refill(now)
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def peer_message(self, peer: int, data: bytes) -> None:
         """A peer's message."""
         self.post(self.balancer.peer_message, peer, data)
 
     def full(self) -> bool:
         """Whether there is no room for a further call."""
-        return len(self.calls) >= self.most
+        return len(self.calls) >= self.max_open
 
     def take(self, call: Call) -> None:
         """A call begins; its conclusion may come before this returns."""
         now = self.now()
         left = call.left
-        if now + left > self.ends:
-            left = max(0, self.ends - now)
+        if now + left > self.conclude_by:
+            left = max(0, self.conclude_by - now)
         self.last_id += 1
         call.id = self.last_id
-        call.taken = now
+        call.accepted_at = now
         call.deadline = now + left
         self.calls[call.id] = call
         self.guard(call, now)
@@ -151,14 +151,14 @@
             if call is not None and call.open:
                 self.expire(call)
 
-    def left(self, call: Call) -> None:
+    def client_left(self, call: Call) -> None:
         """The client has gone: nothing is owed."""
         if self.release(call.id) is not None:
             self.post(self.balancer.client_left, call.id)
 
     def expire(self, call: Call) -> None:
         """The guard: a call still open after its deadline. The module should have concluded it."""
-        self.guarded += 1
+        self.expired_count += 1
         self.log_line(f"guard: request {call.id} was still open at its deadline")
         if self.release(call.id) is not None:
             call.failed(Failure.EXPIRED)
@@ -170,7 +170,7 @@
         if call is None or not call.open:
             return None
         call.open = False
-        if call.out is None:
+        if call.current_attempt is None:
             del self.calls[number]
         call.released()
         return call
@@ -185,8 +185,8 @@
         if call is not None:
             number = call.attempts
             call.attempts += 1
-            most = 1 if call.once else self.settings.max_attempts
-            if call.open and call.out is None and number < most:
+            most = 1 if call.single_attempt else self.settings.max_attempts
+            if call.open and call.current_attempt is None and number < most:
                 began = self.at
                 expires = began + timeout
                 if expires > call.deadline:
@@ -199,7 +199,7 @@
         if call is None or attempt is None:
             self.post(self.balancer.outcome, request, number, server, Outcome.NOT_SENT, 0, False, ())
             return
-        call.out = attempt
+        call.current_attempt = attempt
         attempt.start((expires - began) / 1e6 if expires > began else 0.0)
 
     def ended(
@@ -213,7 +213,7 @@
         report: Sequence[float],
     ) -> None:
         """An attempt's end: an answer goes to the client at once, then the module hears of it."""
-        call.out = None
+        call.current_attempt = None
         if outcome == OK:
             if self.release(call.id) is not None:
                 call.served(answer)
@@ -221,7 +221,7 @@
             if outcome not in NEVER_RAN and not call.in_doubt:
                 call.in_doubt = True
                 self.limit_repeats(call, began)
-            if call.once:
+            if call.single_attempt:
                 self.release(call.id)
         final = not call.open
         if final and call.id in self.calls:
@@ -244,14 +244,14 @@
     def cancel(self, request: int, attempt: int) -> None:
         """Gives an attempt up; its outcome follows after this event."""
         call = self.calls.get(request)
-        if call is not None and call.out is not None and attempt == call.attempts - 1:
-            call.out.stop(Outcome.CANCELLED)
+        if call is not None and call.current_attempt is not None and attempt == call.attempts - 1:
+            call.current_attempt.stop(Outcome.CANCELLED)
 
     def refuse(self, request: int, retry_after: int) -> None:
         """Concludes a call: a retry is harmless."""
         call = self.release(request)
         if call is not None:
-            call.in_doubt = call.in_doubt or call.out is not None
+            call.in_doubt = call.in_doubt or call.current_attempt is not None
             call.refused(retry_after)
 
     def fail(self, request: int) -> None:
--- a/brackenladder/core/roster.py
+++ b/brackenladder/core/roster.py
@@ -21,7 +21,7 @@
     return names.setdefault(name, len(names)) if len(names) < MOST_NAMES else names.get(name, MOST_NAMES - 1)
 
 
-class Listed(Protocol):
+class ServerListConsumer(Protocol):
     """An upstream that is told of its pool's servers."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
@@ -31,20 +31,22 @@
 class Roster:
     """Maps the list's names to the core's numbers, and tells upstream and core of its news."""
 
-    def __init__(self, host: Host, upstream: Listed, zones: Sequence[str], kinds: Sequence[str]) -> None:
+    def __init__(
+        self, host: Host, upstream: ServerListConsumer, zones: Sequence[str], kinds: Sequence[str]
+    ) -> None:
         self.host = host
         self.upstream = upstream
         self.zones = {name: i for i, name in enumerate(zones)}
         self.kinds = {name: i for i, name in enumerate(kinds)}
 
-    def told(self, listing: Listing | None) -> None:
+    def apply_listing(self, listing: Listing | None) -> None:
         """A list or its changes; None if a call to discovery failed."""
         if listing is None:
-            self.host.servers(ListKind.FAILED, ())
+            self.host.server_list(ListKind.FAILED, ())
             return
         latest, entries = self.read(listing)
         self.upstream.update(listing.kind, latest)
-        self.host.servers(listing.kind, entries)
+        self.host.server_list(listing.kind, entries)
 
     def read(self, listing: Listing) -> tuple[Mapping[int, Line], Sequence[ServerEntry]]:
         """A list's lines by their servers' numbers, and as the module has them."""
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -243,7 +243,7 @@
 
     def deliver(self, node: Node, source: int, data: bytes) -> None:
         if node.up:
-            node.turn(node.host.heard, source, data)
+            node.turn(node.host.peer_message, source, data)
 
     # ---- servers --------------------------------------------------------------------------------------
 
@@ -392,7 +392,7 @@
         there = max(there, ceil(LEAST_PART * len(self.nodes)))
         for node in self.nodes.values():
             if node.up and node.host.settings.instances != there:
-                node.host.shared(there)
+                node.host.set_instances(there)
         if now + LIVING_EVERY < BEGIN + self.plan.length:
             self.queue.after(LIVING_EVERY, self.count_living)
 
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -237,7 +237,13 @@
         self.around.note(NodeEnded(self.queue.now, self.name, code, True))
         host = self.host
         calls = [call for call in host.calls.values() if call.open]
-        self.upstream.die([exchange_of(call.out) for call in host.calls.values() if call.out is not None])
+        self.upstream.die(
+            [
+                exchange_of(call.current_attempt)
+                for call in host.calls.values()
+                if call.current_attempt is not None
+            ]
+        )
         self.watch.close()
         host.calls.clear()
         for call in calls:
@@ -250,7 +256,7 @@
             ended()
             return
         self.signal("term")
-        self.host.ends = last_moment(self.queue.now, self.settings.classes)
+        self.host.conclude_by = last_moment(self.queue.now, self.settings.classes)
         by = self.queue.now + kill_after(self.settings.classes)
         closes = self.queue.now + round(handover(self.settings.classes) * MICRO)
 
@@ -302,7 +308,7 @@
     def left(self, call: Call) -> None:
         """A client has gone."""
         if self.up:
-            self.turn(self.host.left, call)
+            self.turn(self.host.client_left, call)
 
     def handed(self, source: int, listing: Listing) -> None:
         """A source has written a list to the node; the highest version holds, as for the checker."""
@@ -314,7 +320,7 @@
         """News from discovery."""
         if self.up:
             cost = self.line_us * len(self.upstream.endpoints) if listing is not None else 0.0
-            self.turn(self.roster.told, listing, cost=cost)
+            self.turn(self.roster.apply_listing, listing, cost=cost)
 
     def tell(self, peer: int, data: bytes) -> None:
         """A message to the others, from the host."""
--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -101,7 +101,7 @@
 
     def abandon(self) -> None:
         """The client has gone: nothing is owed."""
-        self.pool.host.left(self)
+        self.pool.host.client_left(self)
         pending, self._pending = self._pending, None
         if pending is not None:
             pending.drop()
--- a/brackenladder/gateway/metrics.py
+++ b/brackenladder/gateway/metrics.py
@@ -32,7 +32,7 @@
     times = {
         "reading": sums.reading,
         "expected_queue": sums.expected_queue,
-        "way": float(sums.way),
+        "way": float(sums.round_trip),
         "first_event": float(sums.first_event),
     }
     for part, time in times.items():
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -94,7 +94,7 @@
     def prefixes_told(self, now: int, notices: Sequence[PrefixNotice]) -> None:
         """Each pool takes the notices of its own servers; those of unknown ones wait for a moment."""
         for pool in self._pools.values():
-            pool.prefixes_told(now, notices)
+            pool.receive_prefix_notices(now, notices)
         self._early.add(now, [notice for notice in notices if not self._is_known(notice.server)])
 
     def _is_known(self, server: int) -> bool:
@@ -104,7 +104,7 @@
         now = self.now()
         notices = self._early.take(now, self._is_known)
         for pool in self._pools.values():
-            pool.prefixes_told(now, notices)
+            pool.receive_prefix_notices(now, notices)
 
     def counters(self) -> Iterator[tuple[str, DecisionCounters]]:
         """What placements came to, by service."""
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -146,7 +146,7 @@
         """Other gateways have told which prefixes servers have been sent."""
         now = self._clock()
         for notice in message.notices:
-            self._announcer.heard(now, notice)
+            self._announcer.record_received(now, notice)
         self._context.pools.prefixes_told(now, message.notices)
 
     @property
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -249,7 +249,7 @@
         if self._stopped is not None:
             return False
         now = self.upstream.now()
-        if now >= self.expires or not self.call.may_go(now):
+        if now >= self.expires or not self.call.may_be_written(now):
             return False
         return self.upstream.usable(self.number, self.record.id, self.call.current_traits())
 
--- a/brackenladder/http/front.py
+++ b/brackenladder/http/front.py
@@ -183,7 +183,7 @@
         """A client closed its connection with its request open, or nobody owes it that call any more."""
         call = self.by_caller.get(caller)
         if call is not None:
-            call.host.left(call)
+            call.host.client_left(call)
 
 
 def advice(wait: int) -> bytes:
--- a/brackenladder/http/upstream.py
+++ b/brackenladder/http/upstream.py
@@ -87,7 +87,11 @@
 
         def compose() -> Sequence[bytes] | None:
             now = self.now()
-            return head_of(message, (expires - now) // 1000) if now < expires and call.may_go(now) else None
+            return (
+                head_of(message, (expires - now) // 1000)
+                if now < expires and call.may_be_written(now)
+                else None
+            )
 
         return Exchange(self.pool, endpoint, compose, done, self.read_inline, relays=True)
 
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -114,7 +114,7 @@
     def shared(self, number: int) -> None:
         """So many nodes share the tier from now on."""
         for host in self.control.pools.hosts() if self.control is not None else [self.http.host]:
-            host.shared(number)
+            host.set_instances(number)
 
     def add_control(self, table: ControlTable) -> None:
         from brackenladder.node.control import Control
@@ -143,14 +143,14 @@
 
     def ready(self) -> bool:
         """Whether every pool has a server list."""
-        asks = self.recovery is not None and not self.recovery.asking.serves
+        asks = self.recovery is not None and not self.recovery.startup.serves
         return not asks and all(pool.listed for pool in self.pools.values())
 
     def heard(self, peer: int, data: bytes) -> None:
         """A peer's message: it is HTTP's pool that speaks with others."""
         if self.members is not None and self.members.heard(peer, data):
             return
-        self.http.host.heard(peer, data)
+        self.http.host.peer_message(peer, data)
 
     async def start(self) -> None:
         """Begins to serve. An OSError if an address cannot be had."""
@@ -251,6 +251,6 @@
         await asyncio.gather(*(listener.front.drain() for listener in self.listeners.values()))
         for pool in self.pools.values():
             pool.source.close()
-        guarded = sum(pool.host.guarded for pool in self.pools.values())
+        guarded = sum(pool.host.expired_count for pool in self.pools.values())
         if guarded:
             self.log.line(f"{guarded} requests were failed at their deadline by the guard")
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -79,7 +79,7 @@
 
     def changed(self, servers: Sequence[str]) -> None:
         if servers and self.pool.listed:
-            self.pool.roster.told(self.maintenance.news_of(servers, 0))
+            self.pool.roster.apply_listing(self.maintenance.news_of(servers, 0))
 
     def hold(self, call: OperatorCall) -> bytes:
         """Holds a server back or gives it back: noted for the other process before the yes."""
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -17,7 +17,7 @@
 from brackenladder.core.clock import Clock
 from brackenladder.core.ending import last_moment
 from brackenladder.core.host import Host
-from brackenladder.core.roster import Listed, Roster
+from brackenladder.core.roster import Roster, ServerListConsumer
 from brackenladder.interface import Settings
 from brackenladder.membership.listing import Listing
 
@@ -44,7 +44,7 @@
         """Ends all that is out."""
 
 
-class PoolUpstream(Upstream, Listed, Protocol):
+class PoolUpstream(Upstream, ServerListConsumer, Protocol):
     """An upstream that is told of its pool's servers."""
 
 
@@ -95,8 +95,8 @@
         if self.spread is not None and listing is not None:
             self.spread(listing)
         else:
-            self.roster.told(listing)
+            self.roster.apply_listing(listing)
 
     def last_orders(self) -> None:
         """The node is to end: what it takes from now on must be concluded before it is killed."""
-        self.host.ends = last_moment(self.host.now(), self.settings.classes)
+        self.host.conclude_by = last_moment(self.host.now(), self.settings.classes)
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -23,7 +23,7 @@
 from brackenladder.membership.listing import Line, Listing
 from brackenladder.node.config import Config
 from brackenladder.node.pool import NoMessenger, Pool
-from brackenladder.routing.pools import DEFAULT, PoolSpec, holds, of_pool, weight
+from brackenladder.routing.pools import DEFAULT, PoolSpec, contains, pool_listing, weight
 from brackenladder.routing.routes import Router
 
 OBJECT = b"obj="  # in a target's query
@@ -57,7 +57,7 @@
         return replace(entry, share=share or 1.0, pools=self.pools.counts.get(line.id, 1))
 
     def hear(self, listing: Listing) -> None:
-        self.told(of_pool(self.spec, listing))
+        self.apply_listing(pool_listing(self.spec, listing))
 
 
 def selector(spec: PoolSpec) -> PoolSpec:
@@ -106,7 +106,7 @@
             if line.state == State.GONE:
                 self.counts.pop(line.id, None)
             else:
-                self.counts[line.id] = max(1, sum(holds(side.spec, line) for side in self.sides.values()))
+                self.counts[line.id] = max(1, sum(contains(side.spec, line) for side in self.sides.values()))
 
     def spread(self, listing: Listing) -> None:
         """News of the list, to the upstream first and to every pool then."""
@@ -176,7 +176,7 @@
     def limits(self) -> None:
         most = self.config.settings.max_open
         for side in self.sides.values():
-            side.host.most = 0 if self.closed else min(most, side.spec.limit or most)
+            side.host.max_open = 0 if self.closed else min(most, side.spec.limit or most)
 
     def side(self, name: str, spec: PoolSpec) -> Side:
         """A pool that has not begun: its own module, the node's upstream."""
@@ -214,4 +214,4 @@
     def last_orders(self) -> None:
         """The node is to end: what pools beside the first take from now on must be concluded in time."""
         for side in (*self.sides.values(), *self.leaving):
-            side.host.ends = last_moment(side.host.now(), self.config.settings.classes)
+            side.host.conclude_by = last_moment(side.host.now(), self.config.settings.classes)
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -14,9 +14,9 @@
 from brackenladder.control.state import Desired, StateError, canonical, checked, digest, known
 from brackenladder.node.members import Members
 from brackenladder.node.pools import Pools
-from brackenladder.recovery.asking import Asking, Phase
-from brackenladder.recovery.fetch import Fetch, piece_of
-from brackenladder.recovery.generation import Generation, Known, Stand, stand
+from brackenladder.recovery.fetch import StateFetch, piece_of
+from brackenladder.recovery.generation import Comparison, Generation, KnownGenerations, compare
+from brackenladder.recovery.startup import Phase, StartupRecovery
 from brackenladder.storage.store import Kept, Store
 
 EVERY = 0.05  # seconds between two looks
@@ -42,13 +42,13 @@
         self.members = members
         self.store = store
         self.log = log
-        self.known = Known()
+        self.known = KnownGenerations()
         self.random = SystemRandom()
         self.counter = 0
-        self.fetch: Fetch | None = None
+        self.fetch: StateFetch | None = None
         self.refused = ""  # why the newest state is not taken
         self.phases: list[tuple[Phase, int]] = []  # with the moment that each began
-        self.asking = Asking(members.now(), len(members.detector.view) - 1, alone)
+        self.startup = StartupRecovery(members.now(), len(members.detector.view) - 1, alone)
         self.timer: asyncio.TimerHandle | None = None
         self.writing: asyncio.Future[bool] | None = None
         self.unwritten: Kept | None = None
@@ -78,7 +78,7 @@
             self.counter = newest.counter  # the same state, by another count of changes
             self.keep()
         unheard = [n for n in self.members.detector.others if n not in self.known.heard]
-        phase = self.asking.look(now, self.mine, self.known, self.refused, len(unheard))
+        phase = self.startup.update(now, self.mine, self.known, self.refused, len(unheard))
         if phase in ("asking", "alone", "refusing") and now >= self.greet_at:
             self.greet_at = now + GREET
             for number in self.random.sample(unheard, min(len(unheard), GREETED)):
@@ -91,15 +91,15 @@
                 self.log(
                     f"recovery: conflict: nodes {others} have another state under generation {newest.counter}"
                 )
-        self.pools.shut(not self.asking.serves)
-        if phase in ("fetching", "behind") and not self.asking.settled and not self.refused:
+        self.pools.shut(not self.startup.serves)
+        if phase in ("fetching", "behind") and not self.startup.settled and not self.refused:
             self.bring(newest, now)
 
     def bring(self, newest: Generation, now: int) -> None:
         """Asks for what is missing of the newest state."""
         if self.fetch is None or self.fetch.wanted != newest:
-            self.fetch = Fetch(newest, self.random)
-        for want in self.fetch.wants(self.known.holders(newest), now):
+            self.fetch = StateFetch(newest, self.random)
+        for want in self.fetch.due_requests(self.known.holders(newest), now):
             ask = AskPiece(bytes.fromhex(newest.digest), want.offset)
             self.members.detector.tell(want.holder, [ask], now)
         if self.fetch.failed:
@@ -157,7 +157,7 @@
     def heard(self, number: int, message: Message, now: int) -> None:
         match message:
             case Holds(counter, about):
-                self.known.hear(number, Generation(counter, about.hex()))
+                self.known.record(number, Generation(counter, about.hex()))
             case AskPiece(about, offset):
                 state = canonical(self.pools.state)
                 piece = piece_of(state, offset)
@@ -166,14 +166,14 @@
                     self.members.detector.tell(number, [answer], now, spare=True)
             case Piece(about, offset, size, data):
                 fetch = self.fetch
-                whole = fetch.take(about.hex(), offset, size, data) if fetch is not None else None
+                whole = fetch.receive_piece(about.hex(), offset, size, data) if fetch is not None else None
                 if whole is not None and fetch is not None:
                     self.arrived(whole, fetch.wanted)
 
     def arrived(self, whole: bytes, wanted: Generation) -> None:
         """The newest state is here: judged by this node, and taken in one step if it still is the newest."""
         self.fetch = None
-        if stand(self.mine, wanted) != Stand.OLDER:
+        if compare(self.mine, wanted) != Comparison.OLDER:
             return
         self.refused = self.take(whole, wanted.counter, "from others")
         if not self.refused:
@@ -197,10 +197,10 @@
             "digest": mine.digest,
             "phase": self.phases[-1][0] if self.phases else "asking",
             "phases": [{"phase": phase, "ago_ms": (now - at) // 1000} for phase, at in self.phases[-20:]],
-            "settled": self.asking.settled,
+            "settled": self.startup.settled,
             "refused": self.refused,
             "others": {
-                str(n): {"generation": g.counter, "digest": g.digest, "stand": stand(mine, g).value}
+                str(n): {"generation": g.counter, "digest": g.digest, "stand": compare(mine, g).value}
                 for n, g in sorted(self.known.heard.items())
             },
         }
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -28,10 +28,10 @@
 from brackenladder.placement.limit import PlacesController
 from brackenladder.placement.load import PRESSED_TIME
 from brackenladder.placement.regions import RegionTimes
-from brackenladder.placement.silence import MOST_DOUBTED
 from brackenladder.placement.silent_zones import SilentZones
 from brackenladder.placement.site import ServiceSite
 from brackenladder.placement.traits import CallTraits
+from brackenladder.placement.unresponsive import MOST_DOUBTED
 from brackenladder.policy.balancer import Balancer
 from brackenladder.policy.ejection import EJECT_TIME
 from brackenladder.policy.retry import Request
@@ -149,9 +149,9 @@
         """After a first event: the stream is over, its place and memory are free again."""
         self.in_flight.stream_ended(now, request)
 
-    def prefixes_told(self, now: int, notices: Sequence[PrefixNotice]) -> None:
+    def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
         """Other gateways have sent prompts to servers of this service."""
-        self.in_flight.told(now, notices)
+        self.in_flight.apply_notices(now, notices)
 
     # ---- admission ------------------------------------------------------------------------------------
 
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -65,7 +65,7 @@
         self.output = OutputTime()
         self.holders = PrefixHolders()
 
-    def way(self, place: ServerPlace) -> int:
+    def round_trip(self, place: ServerPlace) -> int:
         """Microseconds to a server and back."""
         if place.zone == self.site.zone:
             return IN_ZONE
@@ -137,7 +137,7 @@
         elif place.zone != self.site.zone:
             price += self.parameters.zone_byte * job.bytes
         crowd = self.parameters.stream_cost * streams * job.traits.output_tokens
-        return work * slowness + self.way(place) + price + crowd
+        return work * slowness + self.round_trip(place) + price + crowd
 
     def rereading(self, job: Job) -> float:
         """Microseconds that a server which keeps nothing needs for the prompt."""
--- a/brackenladder/placement/decision_counters.py
+++ b/brackenladder/placement/decision_counters.py
@@ -22,7 +22,7 @@
     READING = "reading"  # the prompt's own tokens that the server did not keep
     EXPECTED_QUEUE = "expected_queue"  # a wait that was known when the server was chosen
     UNEXPECTED = "unexpected"  # a wait, or a slow server, that was not
-    WAY = "way"  # to the server and back
+    ROUND_TRIP = "way"  # to the server and back
     UNANSWERED = "unanswered"  # no first event came
 
 
@@ -33,7 +33,7 @@
     calls: int = 0
     reading: float = 0.0
     expected_queue: float = 0.0
-    way: float = 0.0
+    round_trip: float = 0.0
     first_event: int = 0
     late: dict[LateCause, int] = field(factory=lambda: dict.fromkeys(LateCause, 0))
 
@@ -50,7 +50,7 @@
         sums.calls += 1
         sums.reading += placed.reading_time
         sums.expected_queue += placed.expected_queue
-        sums.way += placed.way
+        sums.round_trip += placed.round_trip
         sums.first_event += latency
         if latency > placed.target:
             sums.late[_cause(placed, latency)] += 1
@@ -75,11 +75,11 @@
 
 
 def _cause(placed: Placed, latency: int) -> LateCause:
-    known = placed.reading_time + placed.expected_queue + placed.way
+    known = placed.reading_time + placed.expected_queue + placed.round_trip
     parts = {
         LateCause.READING: placed.reading_time,
         LateCause.EXPECTED_QUEUE: placed.expected_queue,
         LateCause.UNEXPECTED: latency - known,
-        LateCause.WAY: float(placed.way),
+        LateCause.ROUND_TRIP: float(placed.round_trip),
     }
     return max(parts, key=parts.__getitem__)
--- a/brackenladder/placement/in_flight.py
+++ b/brackenladder/placement/in_flight.py
@@ -10,15 +10,15 @@
 from brackenladder.placement.decision_counters import DecisionCounters
 from brackenladder.placement.load import Placed
 from brackenladder.placement.prefixes import ChainLink
-from brackenladder.placement.silence import (
+from brackenladder.placement.silent_zones import UNANSWERED_CONNECT, SilentZones
+from brackenladder.placement.site import ServiceSite
+from brackenladder.placement.unresponsive import (
     LATE_WEIGHT,
     SILENT_TIMES,
     UNANSWERED_WEIGHT,
     DoubtedServers,
     FirstEventTime,
 )
-from brackenladder.placement.silent_zones import UNANSWERED_CONNECT, SilentZones
-from brackenladder.placement.site import ServiceSite
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
 from brackenladder.prefix_cache.messages import PrefixNotice
 
@@ -56,7 +56,7 @@
             output_tokens=job.traits.output_tokens,
             streams=job.traits.route.kind is RouteKind.STREAMING,
             reading_time=self._costs.prefill.time(unread),
-            way=self._costs.way(place),
+            round_trip=self._costs.round_trip(place),
             target=job.traits.route.target_latency_ms * MICROSECONDS_PER_MILLISECOND,
             expected_queue=waiting,
         )
@@ -80,7 +80,7 @@
             return
         placed.silent = True
         self.doubts.reported(now, placed.server, weight)
-        self._announcer.silent(placed.server, weight)
+        self._announcer.report_unanswered(placed.server, weight)
 
     def over(self, request: int, placed: Placed) -> None:
         """The attempt has ended, or answers; another one may be out for the request by now."""
@@ -115,7 +115,7 @@
             load.rejected_at = now
         if outcome == Outcome.OK:
             if placed.chain and place is not None:
-                self._costs.prefill.add(placed.unread, latency - self._costs.way(place))
+                self._costs.prefill.add(placed.unread, latency - self._costs.round_trip(place))
             self.counters.answered(placed, latency)
             if placed.streams:
                 self.first_event.add(latency - placed.known_cost)
@@ -127,7 +127,7 @@
             self.counters.unanswered(placed)
         loads.end(placed)
 
-    def told(self, now: int, notices: Iterable[PrefixNotice]) -> None:
+    def apply_notices(self, now: int, notices: Iterable[PrefixNotice]) -> None:
         """Other gateways have sent prompts to servers of this service."""
         for notice in notices:
             sent_at = now - notice.age
@@ -157,4 +157,4 @@
             self._costs.holders.used(now, shared[-1].key, placed.server)
         keys = [link.key for link in shared]
         tokens = [link.tokens for link in shared]
-        self._announcer.placed(now, placed.server, keys, tokens, int(placed.unread))
+        self._announcer.record_placement(now, placed.server, keys, tokens, int(placed.unread))
--- a/brackenladder/placement/load.py
+++ b/brackenladder/placement/load.py
@@ -47,7 +47,7 @@
     output_tokens: int
     streams: bool  # it goes on after its first event
     reading_time: float  # microseconds that reading the unread tokens takes
-    way: int  # microseconds there and back
+    round_trip: int  # microseconds there and back
     target: int  # microseconds within which its first event is due
     expected_queue: float  # microseconds that it was expected to wait
     overdue_at: int = 0  # when its first event is late; 0: not known
@@ -59,7 +59,7 @@
     @property
     def known_cost(self) -> float:
         """Microseconds of the first event's time that are no load: reading, and the way."""
-        return self.reading_time + self.way
+        return self.reading_time + self.round_trip
 
 
 class Loads:
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -132,7 +132,7 @@
     def give_up(self) -> None:
         """The gateway ends: every open call is failed."""
         for call in tuple(self.host.calls.values()):
-            self.host.left(call)
+            self.host.client_left(call)
             call.failed(Failure.GIVEN_UP)
 
     def record(self, number: int) -> ServerRecord | None:
@@ -147,11 +147,11 @@
         """After `served`: the call's place and memory are free again."""
         self.host.post(self.balancer.stream_ended, call.id)
 
-    def prefixes_told(self, now: int, notices: Sequence[PrefixNotice]) -> None:
+    def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
         """Other gateways have told which prefixes servers have been sent, of any service."""
         own = [notice for notice in notices if notice.server in self.site.places]
         if own:
-            self.balancer.prefixes_told(now, own)
+            self.balancer.receive_prefix_notices(now, own)
 
     def refresh(self) -> None:
         """The view has changed."""
@@ -189,7 +189,7 @@
         entries = {number: self._entry(number, record) for number, record in sorted(usable.items())}
         if entries != self.listed:
             self.listed = entries
-            self.host.servers(ListKind.FULL, tuple(entries.values()))
+            self.host.server_list(ListKind.FULL, tuple(entries.values()))
 
     def _read_changes(self, server_ids: Iterable[str]) -> None:
         """What a change costs must not grow with the number of servers."""
@@ -197,7 +197,7 @@
         news = [self._read_one(number_of(server_id), known.get(server_id)) for server_id in server_ids]
         entries = tuple([entry for entry in news if entry is not None])
         if entries:
-            self.host.servers(ListKind.CHANGES, entries)
+            self.host.server_list(ListKind.CHANGES, entries)
 
     def _read_one(self, number: int, record: ServerRecord | None) -> ServerEntry | None:
         """Take in one server; what the decision module has to be told, None if it knows."""
@@ -251,7 +251,7 @@
         gateways = max(1, self.view.gateways)
         if gateways != self.site.gateways:
             self.site.gateways = gateways
-            self.host.shared(gateways)
+            self.host.set_instances(gateways)
 
     def _note_returns(self) -> None:
         now = self.clock.now()
--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -25,11 +25,11 @@
 
 from .ejection import CONNECT_FAILED, REJECTED, TIMEOUT, Ejection
 from .limit import AIM_SHARE, WINDOW, GradientController
+from .load_shedding import LoadShedding
 from .retry import Request, Retries, same_group
 from .server import SMOOTH_ALL, Server, Speeds
+from .slow_start import SlowStart
 from .subset import Subset
-from .warming import Warming
-from .worth import Worth
 
 NO_NEWS = (Outcome.CANCELLED, Outcome.NOT_SENT)  # ends that tell nothing of the server
 # Looked up for every request, and an enumeration's members are slow to look up.
@@ -44,7 +44,7 @@
 TOKEN_BITS = 56
 
 
-class Balancer(Speeds, Subset, Ejection, Warming, Worth, Retries):
+class Balancer(Speeds, Subset, Ejection, SlowStart, LoadShedding, Retries):
     """One copy: the decisions of one node, from its own traffic alone.
 
     Each room is a base class that stands by itself: it decides from its own state and what it is given here.
@@ -58,8 +58,8 @@
         Speeds.__init__(self, [c.aim * share / 2 for c in s.classes])
         Subset.__init__(self, s)
         Ejection.__init__(self, self.rng)
-        Warming.__init__(self, s)
-        Worth.__init__(self, s, self.rng)
+        SlowStart.__init__(self, s)
+        LoadShedding.__init__(self, s, self.rng)
         Retries.__init__(self)
         self.controller = GradientController([int(c.aim * share) for c in s.classes], s.max_open, self.rng, 0)
         self.servers: dict[int, Server] = {}
--- a/brackenladder/policy/worth.py
+++ b/brackenladder/policy/load_shedding.py
@@ -33,7 +33,7 @@
         self.at = now
 
 
-class Worth:
+class LoadShedding:
     """Tenants' shares, classes' ranks, and how much of a clear excess is refused."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
--- a/brackenladder/policy/warming.py
+++ b/brackenladder/policy/slow_start.py
@@ -16,7 +16,7 @@
 RATE_TIME = 2_000_000  # microseconds over which what a warm member takes is smoothed
 
 
-class Warming:
+class SlowStart:
     """Slow start, by a bucket for each cold server."""
 
     def __init__(self, settings: Settings) -> None:
--- a/brackenladder/prefix_cache/announcer.py
+++ b/brackenladder/prefix_cache/announcer.py
@@ -24,7 +24,9 @@
         self._pending: list[PrefixNotice] = []
         self._told_at: OrderedDict[tuple[int, int], int] = OrderedDict()  # by server and longest prefix
 
-    def placed(self, now: int, server: int, keys: Sequence[int], tokens: Sequence[int], unread: int) -> None:
+    def record_placement(
+        self, now: int, server: int, keys: Sequence[int], tokens: Sequence[int], unread: int
+    ) -> None:
         """A prompt of this gateway goes to a server. `keys`, `tokens`: of its shared prefixes."""
         shares = bool(keys) and sum(tokens) >= LEAST_SHARED
         news = shares and not self._told_lately(now, server, keys[-1])
@@ -35,7 +37,7 @@
             self._remember(now, server, keys[-1])
         self._add(PrefixNotice(server, *told, unread=unread))
 
-    def silent(self, server: int, weight: int) -> None:
+    def report_unanswered(self, server: int, weight: int) -> None:
         """A call of this gateway was late at a server, or left unanswered."""
         self._add(PrefixNotice(server, silent=weight))
 
@@ -45,7 +47,7 @@
         if first:
             self._on_pending()
 
-    def heard(self, now: int, notice: PrefixNotice) -> None:
+    def record_received(self, now: int, notice: PrefixNotice) -> None:
         """Another gateway has told of a prefix, so that it need not be told again for a while."""
         if notice.keys:
             self._remember(now - notice.age, notice.server, notice.keys[-1])
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -80,7 +80,7 @@
         self._to_gateways = _Queue(INTERVAL, now - INTERVAL)
         self._to_peers = _Queue(PEER_INTERVAL, now - PEER_INTERVAL)
 
-    def remembered(self, now: int, notices: Iterable[PrefixNotice]) -> None:
+    def restore(self, now: int, notices: Iterable[PrefixNotice]) -> None:
         """What was told before this node's restart; servers keep prefixes over it."""
         for notice in notices:
             self._recent.add(now, notice)
@@ -89,15 +89,15 @@
         """The prefixes that traffic leans on most, each with its age."""
         return self._recent.snapshot(now, MOST_SNAPSHOT)
 
-    def serve(self, subscriber: str, wanted: bool) -> None:
+    def set_subscribed(self, subscriber: str, wanted: bool) -> None:
         """A gateway says whether this node is its relay."""
         if not wanted:
-            self.lost(subscriber)
+            self.unsubscribe(subscriber)
         elif subscriber not in self._gateways:
             self._gateways.add(subscriber)
             self._new[subscriber] = None
 
-    def lost(self, subscriber: str) -> None:
+    def unsubscribe(self, subscriber: str) -> None:
         """A gateway's link has gone."""
         self._gateways.discard(subscriber)
         self._new.pop(subscriber, None)
--- a/brackenladder/recovery/fetch.py
+++ b/brackenladder/recovery/fetch.py
@@ -20,14 +20,14 @@
 MOST_TRIES = 40  # of one piece, after which this state cannot be had
 
 
-class Want(NamedTuple):
+class PieceRequest(NamedTuple):
     """Ask that member for the piece at `offset`."""
 
     holder: int
     offset: int
 
 
-class Fetch:
+class StateFetch:
     """One state on its way. `size` is known with the first piece."""
 
     def __init__(self, wanted: Generation, rng: Random) -> None:
@@ -44,7 +44,7 @@
             return [0]
         return [at for at in range(0, max(self.size, 1), PIECE) if at not in self.pieces]
 
-    def wants(self, holders: Sequence[int], now: int) -> list[Want]:
+    def due_requests(self, holders: Sequence[int], now: int) -> list[PieceRequest]:
         """What to ask for now."""
         if not holders or self.failed:
             return []
@@ -56,10 +56,10 @@
             if self.tries[at] > MOST_TRIES:
                 self.failed = f"the piece at {at} never came"
                 return []
-            out.append(Want(self.rng.choice(holders), at))
+            out.append(PieceRequest(self.rng.choice(holders), at))
         return out
 
-    def take(self, digest: str, offset: int, size: int, data: bytes) -> bytes | None:
+    def receive_piece(self, digest: str, offset: int, size: int, data: bytes) -> bytes | None:
         """A piece has come; the whole state, once it is whole and what was wanted.
 
         A piece of another state, another size or a wrong place is dropped; a whole that is not what was
--- a/brackenladder/recovery/generation.py
+++ b/brackenladder/recovery/generation.py
@@ -20,7 +20,7 @@
     digest: str
 
 
-class Stand(Enum):
+class Comparison(Enum):
     """How one's own generation stands to another's."""
 
     SAME = "same"
@@ -29,19 +29,19 @@
     CONFLICT = "conflict"
 
 
-def stand(mine: Generation, theirs: Generation) -> Stand:
+def compare(mine: Generation, theirs: Generation) -> Comparison:
     if mine.counter != theirs.counter:
-        return Stand.NEWER if mine.counter > theirs.counter else Stand.OLDER
-    return Stand.SAME if mine.digest == theirs.digest else Stand.CONFLICT
+        return Comparison.NEWER if mine.counter > theirs.counter else Comparison.OLDER
+    return Comparison.SAME if mine.digest == theirs.digest else Comparison.CONFLICT
 
 
-class Known:
+class KnownGenerations:
     """What one node has heard of the others' generations, by number; the last word of each holds."""
 
     def __init__(self) -> None:
         self.heard: dict[int, Generation] = {}
 
-    def hear(self, number: int, theirs: Generation) -> None:
+    def record(self, number: int, theirs: Generation) -> None:
         self.heard[number] = theirs
 
     def forget(self, number: int) -> None:
@@ -59,5 +59,5 @@
     def conflicts(self, mine: Generation) -> list[int]:
         """Who has another state under the newest counter: named, never decided here."""
         top = self.newest(mine)
-        others = [n for n, theirs in self.heard.items() if stand(top, theirs) == Stand.CONFLICT]
+        others = [n for n, theirs in self.heard.items() if compare(top, theirs) == Comparison.CONFLICT]
         return sorted(others)
--- a/brackenladder/recovery/asking.py
+++ b/brackenladder/recovery/startup.py
@@ -10,7 +10,7 @@
 
 from typing import Literal
 
-from brackenladder.recovery.generation import Generation, Known, Stand, stand
+from brackenladder.recovery.generation import Comparison, Generation, KnownGenerations, compare
 
 PATIENCE = 2_000_000  # microseconds for somebody to be heard
 FETCHING = 5_000_000  # and for a newer state to come, after which the node is behind
@@ -19,7 +19,7 @@
 Phase = Literal["asking", "fetching", "current", "alone", "refusing", "behind", "conflict"]
 
 
-class Asking:
+class StartupRecovery:
     """One start. `alone`: whether to serve without having heard anybody."""
 
     def __init__(self, now: int, peers: int, alone: bool) -> None:
@@ -32,7 +32,9 @@
         self.was_current = False  # requests have been taken on what was known
         self.phase: Phase = "asking" if peers else "current"
 
-    def look(self, now: int, mine: Generation, known: Known, refused: str, unheard: int) -> Phase:
+    def update(
+        self, now: int, mine: Generation, known: KnownGenerations, refused: str, unheard: int
+    ) -> Phase:
         """The phase now.
 
         `refused`: why the newest state cannot be taken; `unheard`: how many others may be there.
@@ -48,7 +50,7 @@
                 self.phase = "alone" if self.alone else "refusing"
             return self.phase
         newest = known.newest(mine)
-        if stand(mine, newest) == Stand.OLDER:
+        if compare(mine, newest) == Comparison.OLDER:
             if self.fetching_since < 0:
                 self.fetching_since = now
             late = now - self.fetching_since >= FETCHING
--- a/brackenladder/routing/pools.py
+++ b/brackenladder/routing/pools.py
@@ -16,7 +16,7 @@
 
 DEFAULT = "default"  # the pool of whatever no route names
 MOST_WEIGHT = 10.0
-PLACES = 20_000  # servers whose places are kept
+MAX_CACHED_POSITIONS = 20_000  # servers whose places are kept
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[a-z0-9][a-z0-9_-]*$")]
 Text = Annotated[str, Meta(min_length=1, max_length=256)]
@@ -41,15 +41,17 @@
     limit: Annotated[int, Meta(ge=0, le=1_000_000)] = 0
 
 
-def place(name: str) -> float:
+def hash_position(name: str) -> float:
     """Where a name lies on the circle: the same at every node, and for every list."""
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big") / 2**64
 
 
-server_place = lru_cache(maxsize=PLACES)(place)  # asked for each pool, at each change
+server_position = lru_cache(maxsize=MAX_CACHED_POSITIONS)(
+    hash_position
+)  # asked for each pool, at each change
 
 
-def holds(spec: PoolSpec, line: Line) -> bool:
+def contains(spec: PoolSpec, line: Line) -> bool:
     """Whether a server is of the pool, in whatever state it is."""
     low, high = spec.part
     return (
@@ -57,7 +59,7 @@
         and (not spec.kinds or line.kind in spec.kinds)
         and (not spec.cells or line.cell in spec.cells)
         and (not spec.servers or line.id in spec.servers)
-        and ((low, high) == (0.0, 1.0) or low <= server_place(line.id) < high)
+        and ((low, high) == (0.0, 1.0) or low <= server_position(line.id) < high)
     )
 
 
@@ -67,7 +69,7 @@
     return weights.get(f"server:{line.id}", weights.get(f"kind:{line.kind}", 1.0)) if weights else 1.0
 
 
-def of_pool(spec: PoolSpec, listing: Listing) -> Listing:
+def pool_listing(spec: PoolSpec, listing: Listing) -> Listing:
     """The list as the pool has it. A weight of 0 is a drain that only this pool sees.
 
     Failure prevented: a server that left the pool by a change of its zone or kind stays in it: what is not of
@@ -75,7 +77,7 @@
     """
     lines = []
     for line in listing.lines:
-        if not holds(spec, line):
+        if not contains(spec, line):
             if listing.kind == ListKind.CHANGES:  # a whole list says so by leaving it out
                 lines.append(replace(line, state=State.GONE))
         elif line.state == State.READY and weight(spec, line) == 0:
@@ -87,4 +89,4 @@
 
 def capacity(spec: PoolSpec, lines: Iterable[Line]) -> float:
     """The sum of the weights of the pool's ready servers."""
-    return sum(weight(spec, line) for line in lines if line.state == State.READY and holds(spec, line))
+    return sum(weight(spec, line) for line in lines if line.state == State.READY and contains(spec, line))
--- a/brackenladder/routing/routes.py
+++ b/brackenladder/routing/routes.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta
 
-from brackenladder.routing.pools import DEFAULT, Name, Part, Text, place
+from brackenladder.routing.pools import DEFAULT, Name, Part, Text, hash_position
 
 SUM_SLACK = 1e-6  # by which the shares of a route may miss 1
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leg:
+class CompiledRoute:
     """A route as it is looked up."""
 
     prefix: bytes
@@ -46,7 +46,9 @@
     """
 
     def __init__(self, routes: Sequence[RouteSpec], classes: Sequence[str], tenants: Sequence[str]) -> None:
-        self.table = [[tuple(legs(routes, klass, tenant)) for tenant in (*tenants, "")] for klass in classes]
+        self.table = [
+            [tuple(compile_routes(routes, klass, tenant)) for tenant in (*tenants, "")] for klass in classes
+        ]
 
     def route(self, klass: int, tenant: int, path: bytes, key: str, draw: float) -> str:
         """The name of a pool. `key`: of what is sticky; `draw`: from 0 up to 1, for what is not."""
@@ -55,7 +57,7 @@
             if path.startswith(leg.prefix):
                 if len(leg.pools) == 1:
                     return leg.pools[0]
-                at = place(key) if leg.sticky else draw
+                at = hash_position(key) if leg.sticky else draw
                 for pool, end in zip(leg.pools, leg.ends, strict=True):
                     if at < end:
                         return pool
@@ -71,30 +73,30 @@
         return ""
 
 
-def legs(routes: Sequence[RouteSpec], klass: str, tenant: str) -> list[Leg]:
+def compile_routes(routes: Sequence[RouteSpec], klass: str, tenant: str) -> list[CompiledRoute]:
     """Those that can fit, up to the first that always does."""
-    found: list[Leg] = []
+    found: list[CompiledRoute] = []
     for route in routes:
         if (not route.classes or klass in route.classes) and (not route.tenants or tenant in route.tenants):
             # The default last: a canary's share begins at 0, and as it grows it takes over from the default.
             order = sorted(route.to, key=lambda name: (name == DEFAULT, name))
             ends = tuple(accumulate(route.to[name] for name in order))
-            found.append(Leg(route.prefix.encode(), tuple(order), ends, route.sticky))
+            found.append(CompiledRoute(route.prefix.encode(), tuple(order), ends, route.sticky))
             if not route.prefix:
                 break
     return found
 
 
-def used(routes: Sequence[RouteSpec]) -> set[str]:
+def used_pools(routes: Sequence[RouteSpec]) -> set[str]:
     """Pools that take anything."""
     return {DEFAULT} | {name for route in routes for name, share in route.to.items() if share > 0}
 
 
-def reach(routes: Sequence[RouteSpec], klass: str, tenants: Sequence[str]) -> Mapping[str, float]:
+def reachable_pools(routes: Sequence[RouteSpec], klass: str, tenants: Sequence[str]) -> Mapping[str, float]:
     """Pools that requests of a class may come to, of any tenant, each with its largest share."""
     found: dict[str, float] = {}
     for tenant in (*tenants, ""):
-        all_legs = legs(routes, klass, tenant)
+        all_legs = compile_routes(routes, klass, tenant)
         for leg in all_legs:
             starts = (0.0, *leg.ends[:-1])
             for pool, start, end in zip(leg.pools, starts, leg.ends, strict=True):
--- a/brackenladder/rpc/call.py
+++ b/brackenladder/rpc/call.py
@@ -46,7 +46,7 @@
         self.name = name
         self.raw = raw
         self.method = method
-        self.once = msgid is None
+        self.single_attempt = msgid is None
         self.given_up: GivenUp | None = None  # its last attempt, if nobody waits for it any more
         self.last_error = b""  # of a failed attempt, which goes to the client if nothing better does
 
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -177,7 +177,7 @@
         self.ending = True
         self.waiting.clear()
         for call in list(self.calls.values()):
-            self.front.host.left(call)
+            self.front.host.client_left(call)
         self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -401,7 +401,7 @@
             if not links:
                 break
             exchange = endpoint.queue.popleft()
-            if exchange.call.may_go(self.now()):
+            if exchange.call.may_be_written(self.now()):
                 min(links, key=lambda link: len(link.out)).write(exchange)
             else:
                 exchange.end(Outcome.NOT_SENT)
--- a/tests/core/test_host.py
+++ b/tests/core/test_host.py
@@ -166,7 +166,7 @@
     stage.host.refuse(call.id, 5)
     stage.host.refuse(call.id, 6)
     stage.host.fail(call.id)
-    stage.host.left(call)
+    stage.host.client_left(call)
     stage.loop.fire()
     assert call.told == ["released", 5]
     assert not stage.host.calls and not stage.log
@@ -219,7 +219,7 @@
     call = stage.take()
     stage.upstream.at_once = Outcome.CONNECT_FAILED
     stage.host.send(call.id, 7, SECOND)
-    assert call.out is None and stage.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
+    assert call.current_attempt is None and stage.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
 def test_an_attempt_has_no_more_time_than_its_call(stage: Stage) -> None:
@@ -246,13 +246,13 @@
     assert (SECOND + GUARD) / 1e6 <= delay <= (SECOND + GUARD + GUARD_STEP) / 1e6
     stage.loop.fire()
     assert call.told == ["released", Failure.EXPIRED]
-    assert stage.host.guarded == 1 and stage.module.events[-1] == ("client_left", call.id)
+    assert stage.host.expired_count == 1 and stage.module.events[-1] == ("client_left", call.id)
 
 
 def test_a_client_that_leaves_is_owed_nothing(stage: Stage) -> None:
     call = stage.take()
     stage.host.send(call.id, 7, SECOND)
-    stage.host.left(call)
+    stage.host.client_left(call)
     assert call.told == ["released"] and stage.module.events[-1] == ("client_left", call.id)
     stage.upstream.attempts[0].stop(Outcome.OK, "answer")
     assert call.told == ["released"] and not stage.host.calls
@@ -290,7 +290,7 @@
 
 
 def test_after_sigterm_calls_have_the_time_that_is_left(stage: Stage) -> None:
-    stage.host.ends = stage.host.now() + SECOND // 10
+    stage.host.conclude_by = stage.host.now() + SECOND // 10
     stage.take()
     left = stage.module.events[-1][4]
     assert 0 <= left <= SECOND // 10
@@ -312,8 +312,8 @@
     stage.upstream.probes[0](True, report)
     name, server, ok, latency, values = stage.module.events[-1]
     assert (name, server, ok, values) == ("probed", 7, True, report) and latency >= 0
-    stage.host.servers(ListKind.FAILED, ())
-    stage.host.heard(2, b"x")
+    stage.host.server_list(ListKind.FAILED, ())
+    stage.host.peer_message(2, b"x")
     stage.host.close(7)
     assert stage.module.events[-2:] == [("server_list", ListKind.FAILED, ()), ("peer_message", 2, b"x")]
     assert stage.upstream.closed == [7]
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -175,11 +175,11 @@
 
             def all_stand(before: int = before) -> bool:
                 """All were taken: refused, held, or read by the server."""
-                out = sum(c.out is not None for c in host.calls.values())
+                out = sum(c.current_attempt is not None for c in host.calls.values())
                 return sum(c.turns for c in callers) == 60 and len(server.requests) == before + out
 
             await until(all_stand)
-            waits = {c.name.decode() for c in host.calls.values() if c.open and c.out is None}
+            waits = {c.name.decode() for c in host.calls.values() if c.open and c.current_attempt is None}
             assert waits
             for name in waits:
                 clients.pop(name).leave(how)
--- a/tests/endings/test_server_ends.py
+++ b/tests/endings/test_server_ends.py
@@ -94,7 +94,7 @@
         held.go.clear()
         await until(lambda: held.up == 2)
         (open_call,) = host.calls.values()
-        assert open_call.write_by - open_call.taken <= window + 100_000
+        assert open_call.write_by - open_call.accepted_at <= window + 100_000
         if late:
             await until(lambda: host.now() >= open_call.write_by)
         else:
--- a/tests/fuzz/targets.py
+++ b/tests/fuzz/targets.py
@@ -166,7 +166,7 @@
     host = Host(config().settings, 1, loop, Upstream(data[1], answer), log.append, Clock())  # type: ignore[arg-type]
     host.directory = host.messenger = _Nothing()  # type: ignore[assignment]
     host.start()
-    host.servers(ListKind.FULL, [ServerEntry(SERVER + i) for i in range(3)])
+    host.server_list(ListKind.FULL, [ServerEntry(SERVER + i) for i in range(3)])
     return host, loop, log
 
 
--- a/tests/node/test_node_answers.py
+++ b/tests/node/test_node_answers.py
@@ -82,7 +82,7 @@
         bench = await Bench(Server()).start()
         bench.pool.host.balancer.request = lambda *args: None
         assert (await bench.once(call(budget=50)))[0] == 504
-        assert bench.pool.host.guarded == 1
+        assert bench.pool.host.expired_count == 1
 
     play(scene)
 
--- a/tests/node/test_node_attempts.py
+++ b/tests/node/test_node_attempts.py
@@ -114,7 +114,11 @@
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
         connection, _ = await asyncio.get_running_loop().sock_accept(listener)
-        await until(lambda: any(r.out and r.out.connection for r in bench.pool.host.calls.values()))
+        await until(
+            lambda: any(
+                r.current_attempt and r.current_attempt.connection for r in bench.pool.host.calls.values()
+            )
+        )
         listener.close()
         connection.close()
         assert (await client.receive())[0] == 503
@@ -145,7 +149,7 @@
         assert (await bench.once(call("invite", budget=1000)))[0] == 502
         assert time.monotonic() - began >= 0.9
         await until(lambda: server.closed == 1)
-        assert bench.pool.host.guarded == 0
+        assert bench.pool.host.expired_count == 0
         assert (await bench.once(call("invite")))[0] == 200 and server.connections == 2
 
     play(scene)
--- a/tests/placement/test_bytes_and_scan.py
+++ b/tests/placement/test_bytes_and_scan.py
@@ -32,7 +32,7 @@
         told = keeping.announcer.take()
         assert told is not None
         stage = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2))
-        stage.module.prefixes_told(stage.now, told.notices)
+        stage.module.receive_prefix_notices(stage.now, told.notices)
         self.assertEqual(stage.send(traits("s", request_bytes=9_000)).server, sent.server)
 
     def test_a_call_without_parts_stays_while_its_zone_is_not_crowded(self) -> None:
--- a/tests/placement/test_decision_counters.py
+++ b/tests/placement/test_decision_counters.py
@@ -28,7 +28,7 @@
         output_tokens=0,
         streams=True,
         reading_time=reading,
-        way=way,
+        round_trip=way,
         target=target,
         expected_queue=queue,
     )
@@ -43,7 +43,7 @@
         return sums
 
     def test_in_time_nothing_is_late(self) -> None:
-        self.counters.answered(placed(reading=100 * MS, way=2 * MS), 300 * MS)
+        self.counters.answered(placed(reading=100 * MS, round_trip=2 * MS), 300 * MS)
         self.assertEqual((self.sums().calls, sum(self.sums().late.values())), (1, 0))
         self.assertEqual((self.sums().reading, self.sums().first_event), (100 * MS, 300 * MS))
 
@@ -52,7 +52,7 @@
             LateCause.READING: placed(reading=700 * MS, queue=100 * MS),
             LateCause.EXPECTED_QUEUE: placed(reading=100 * MS, queue=700 * MS),
             LateCause.UNEXPECTED: placed(reading=100 * MS),
-            LateCause.WAY: placed(way=700 * MS),
+            LateCause.ROUND_TRIP: placed(round_trip=700 * MS),
         }
         for cause, call in cases.items():
             self.counters.answered(call, 900 * MS)
@@ -77,7 +77,7 @@
         self.assertEqual(sums.late[LateCause.UNANSWERED], 1)
 
     def test_the_figures_as_text(self) -> None:
-        self.counters.answered(placed(reading=700 * MS, way=2 * MS), 900 * MS)
+        self.counters.answered(placed(reading=700 * MS, round_trip=2 * MS), 900 * MS)
         text = metrics_text(iter([("llm", self.counters)]), {Invariant.SERVER_KEEPS_HOMES: 2})
         self.assertIn('placement_calls_total{service="llm",target_ms="800"} 1\n', text)
         self.assertIn('placement_seconds_total{service="llm",target_ms="800",part="reading"} 0.700\n', text)
--- a/tests/placement/test_intake.py
+++ b/tests/placement/test_intake.py
@@ -74,7 +74,7 @@
         self.join()
         head = job_of(traits("x"), set()).chain[:2]
         told = PrefixNotice(number_of(NEW), tuple(k.key for k in head), tuple(k.tokens for k in head))
-        self.stage.module.prefixes_told(self.stage.now, [told])
+        self.stage.module.receive_prefix_notices(self.stage.now, [told])
         intake = self.stage.module.intake
         job = job_of(traits("fresh"), set())
         chosen = intake.carrier_for(
--- a/tests/placement/test_prefix_notices.py
+++ b/tests/placement/test_prefix_notices.py
@@ -32,46 +32,46 @@
     def test_a_prompt_goes_to_the_server_that_another_gateway_had_read_it(self) -> None:
         for server in NORTH:
             stage = Stage(NORTH, gateways=3)
-            stage.module.prefixes_told(stage.now, [notice(stage, "s", server)])
+            stage.module.receive_prefix_notices(stage.now, [notice(stage, "s", server)])
             self.assertEqual(stage.send(traits("s")).server, server)
 
     def test_a_prefix_kept_in_another_region_is_worth_the_way(self) -> None:
         server = next(iter(SOUTH))
         stage = Stage(NORTH | SOUTH, gateways=3)
-        stage.module.prefixes_told(stage.now, [notice(stage, "s", server)])
+        stage.module.receive_prefix_notices(stage.now, [notice(stage, "s", server)])
         self.assertEqual(stage.send(traits("s")).server, server)
 
     def test_but_not_once_it_has_rested_for_long(self) -> None:
         server = next(iter(SOUTH))
         stage = Stage(NORTH | SOUTH, gateways=3)
-        stage.module.prefixes_told(stage.now, [notice(stage, "s", server, age=stage.site.again + 1)])
+        stage.module.receive_prefix_notices(stage.now, [notice(stage, "s", server, age=stage.site.again + 1)])
         self.assertIn(stage.send(traits("s")).server, NORTH)
 
     def test_where_every_reading_again_is_priced_it_never_rests_for_too_long(self) -> None:
         server = next(iter(SOUTH))
         stage = Stage(NORTH | SOUTH, gateways=3)
         stage.site.again = None
-        stage.module.prefixes_told(stage.now, [notice(stage, "s", server, age=600 * SECOND)])
+        stage.module.receive_prefix_notices(stage.now, [notice(stage, "s", server, age=600 * SECOND)])
         self.assertEqual(stage.send(traits("s")).server, server)
 
     def test_nor_beside_a_server_of_the_region_that_keeps_it_too(self) -> None:
         stage = Stage(NORTH | SOUTH, gateways=3)
         near, far = next(iter(NORTH)), next(iter(SOUTH))
         told = [notice(stage, "s", far), notice(stage, "s", near)]
-        stage.module.prefixes_told(stage.now, told)
+        stage.module.receive_prefix_notices(stage.now, told)
         self.assertEqual(stage.send(traits("s")).server, near)
 
     def test_nor_where_others_have_much_read(self) -> None:
         stage = Stage(NORTH | SOUTH, gateways=3)
         far = next(iter(SOUTH))
-        stage.module.prefixes_told(stage.now, [notice(stage, "s", far, unread=60_000)])
+        stage.module.receive_prefix_notices(stage.now, [notice(stage, "s", far, unread=60_000)])
         self.assertIn(stage.send(traits("s")).server, NORTH)
 
     def test_a_server_that_reads_for_others_is_avoided_until_it_has(self) -> None:
         stage = Stage(servers_in("north-1", 2), gateways=3)
         busy = next(iter(stage.site.places.values())).id
         load = PrefixNotice(number_of(busy), unread=40_000)  # a second
-        stage.module.prefixes_told(stage.now, [load])
+        stage.module.receive_prefix_notices(stage.now, [load])
         self.assertEqual({stage.serve().server for _ in range(20)} & {busy}, set())
         stage.now += 2 * SECOND
         self.assertIn(busy, {stage.serve().server for _ in range(20)})
@@ -84,7 +84,7 @@
 
     def test_a_notice_of_a_server_that_is_not_listed_does_no_harm(self) -> None:
         stage = Stage(NORTH, gateways=3)
-        stage.module.prefixes_told(stage.now, [notice(stage, "s", "i-unknown")])
+        stage.module.receive_prefix_notices(stage.now, [notice(stage, "s", "i-unknown")])
         self.assertIsInstance(stage.send(traits("s")), Sent)
 
     def test_the_own_placement_is_told_with_its_shared_prefixes_only(self) -> None:
--- a/tests/placement/test_prompt_balancer.py
+++ b/tests/placement/test_prompt_balancer.py
@@ -130,7 +130,7 @@
             here = one.send(traits(f"subject-{subject}", "a"))
             told = one.announcer.take()
             assert told is not None
-            two.module.prefixes_told(two.now, told.notices)
+            two.module.receive_prefix_notices(two.now, told.notices)
             self.assertEqual(two.send(traits(f"subject-{subject}", "b")).server, here.server)
 
     def test_subjects_spread_over_the_servers(self) -> None:
--- a/tests/placement/test_service_pool.py
+++ b/tests/placement/test_service_pool.py
@@ -203,7 +203,7 @@
 
     def test_a_client_that_leaves_gives_its_place_back(self) -> None:
         call = self.take()
-        self.pool.host.left(call)
+        self.pool.host.client_left(call)
         self.assertEqual(self.pool.host.calls, {})
         self.assertEqual(self.pool.balancer.jobs, {})
         self.assertEqual(self.pool.balancer.costs.loads.streams, 0)
--- a/tests/placement/test_silent_servers.py
+++ b/tests/placement/test_silent_servers.py
@@ -9,7 +9,7 @@
 from brackenladder.core.roster import number_of
 from brackenladder.interface import Outcome
 from brackenladder.placement.parameters import PlacementParameters
-from brackenladder.placement.silence import (
+from brackenladder.placement.unresponsive import (
     DOUBT_TIME,
     LATE_WEIGHT,
     LEAST_SAMPLES,
@@ -83,7 +83,7 @@
 class SilentServerTest(unittest.TestCase):
     def test_what_other_gateways_have_found_silent_is_passed_over(self) -> None:
         gateway = stage()
-        gateway.module.prefixes_told(gateway.now, [SILENT, LATE])
+        gateway.module.receive_prefix_notices(gateway.now, [SILENT, LATE])
         for _ in range(40):
             self.assertNotEqual(gateway.serve(latency=60 * MS).server, "north-1-server-0")
             gateway.now -= 60 * MS
@@ -92,20 +92,20 @@
         gateway = stage()
         sent = gateway.send()
         told = PrefixNotice(number_of(sent.server), silent=3)
-        gateway.module.prefixes_told(gateway.now, [told])
+        gateway.module.receive_prefix_notices(gateway.now, [told])
         gateway.end(sent)
         self.assertNotIn(sent.server, {gateway.send().server for _ in range(40)})
 
     def test_a_single_word_of_it_changes_nothing(self) -> None:
         gateway = stage()
-        gateway.module.prefixes_told(gateway.now, [SILENT])
+        gateway.module.receive_prefix_notices(gateway.now, [SILENT])
         self.assertIn("north-1-server-0", {gateway.send().server for _ in range(40)})
 
     def test_where_most_are_silent_nothing_tells_them_apart(self) -> None:
         gateway = stage()
         silent = list(NORTH)[: int(MOST_DOUBTED * len(NORTH)) + 1]
         told = [PrefixNotice(number_of(server), silent=3) for server in silent]
-        gateway.module.prefixes_told(gateway.now, told)
+        gateway.module.receive_prefix_notices(gateway.now, told)
         self.assertTrue(set(silent) & {gateway.send().server for _ in range(40)})
 
     def test_a_call_that_waits_for_too_long_is_told_once(self) -> None:
--- a/tests/policy/test_rooms.py
+++ b/tests/policy/test_rooms.py
@@ -9,11 +9,11 @@
 
 from brackenladder.interface import NEVER_RAN, Effect, Group, Outcome, ServerEntry, TenantSettings
 from brackenladder.policy.ejection import DEAD_SHARE, EJECT_FAILS, EJECT_SHARE, EJECT_TIME, Ejection
+from brackenladder.policy.load_shedding import SHED_LATE, LoadShedding
 from brackenladder.policy.retry import LEAST_TOKENS, RETRY_RATIO, Request, Retries, same_group
 from brackenladder.policy.server import Average, Server, Speeds
+from brackenladder.policy.slow_start import COLD_PART, SlowStart
 from brackenladder.policy.subset import SUBSET_LEAST, SUBSET_MOST, Subset
-from brackenladder.policy.warming import COLD_PART, Warming
-from brackenladder.policy.worth import SHED_LATE, Worth
 
 MS = 1000
 
@@ -26,7 +26,7 @@
 
 
 def test_a_cold_server_warms_by_the_settings_and_gets_its_part_of_what_a_warm_one_takes():
-    room, cold = Warming(BASE), server()
+    room, cold = SlowStart(BASE), server()
     room.warm_rate = 50.0
     room.chill(10 * SEC, cold, 10 * SEC)
     shares = COLD_PART * BASE.fall_multiple
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize(("late", "rate"), [(False, 30.0), (True, 50.0)])
 def test_what_a_warm_one_takes_is_not_measured_down_while_answers_are_late(late, rate):
-    room, members = Warming(BASE), [server(i) for i in range(4)]
+    room, members = SlowStart(BASE), [server(i) for i in range(4)]
     members[3].cold_until = 99 * SEC  # cold: it does not count
     room.warm_rate, room.warm_sent = 50.0, 3 * 20
     room.count_warm(10 * SEC, 2 * SEC, members, late)
@@ -50,7 +50,7 @@
 def test_pools_that_share_a_server_share_its_part_while_it_is_cold():
     taken = []
     for part in (1.0, 0.5):
-        room, cold = Warming(BASE), server()
+        room, cold = SlowStart(BASE), server()
         room.warm_rate, cold.part = 50.0, part
         room.chill(10 * SEC, cold, 10 * SEC)
         taken.append(sum(room.may_send(10 * SEC + i * MS, cold) for i in range(3000)))
@@ -118,7 +118,7 @@
     rates = {"one": (40, 8, 8), "all": (40, 40, 40)}
     clear = {}
     for name, rate in rates.items():
-        room = Worth(settings, Random(1))
+        room = LoadShedding(settings, Random(1))
         found = []
         for step in range(3000):  # 30 s
             for tenant, each in enumerate(rate):
@@ -131,13 +131,13 @@
 
 
 def test_the_shed_part_follows_lateness_and_one_answer_counts_up_to_a_bound():
-    room = Worth(BASE, Random(1))
+    room = LoadShedding(BASE, Random(1))
     for _ in range(200):
         room.press(0.2)
     assert room.shed == 0
     room.press(1.0)
     assert 0 < room.shed < 0.1
-    late, later = Worth(BASE, Random(1)), Worth(BASE, Random(1))
+    late, later = LoadShedding(BASE, Random(1)), LoadShedding(BASE, Random(1))
     late.shed = later.shed = -1.0  # far from both ends
     late.press(SHED_LATE)
     later.press(1e9)
--- a/tests/prefix_cache/test_announcer.py
+++ b/tests/prefix_cache/test_announcer.py
@@ -28,7 +28,7 @@
     def placed(
         self, now: int = AT, server: int = 1, key: int = 7, shared: int = 3_000, unread: int = 0
     ) -> None:
-        self.announcer.placed(now, server, (5, key), (LEAST_SHARED // 2, shared), unread)
+        self.announcer.record_placement(now, server, (5, key), (LEAST_SHARED // 2, shared), unread)
 
     def told(self) -> list[PrefixNotice]:
         message = self.announcer.take()
@@ -49,7 +49,7 @@
         self.assertEqual([(n.server, n.keys[-1]) for n in self.told()], [(1, 7), (2, 7), (1, 8)])
 
     def test_what_another_gateway_told_is_not_told_again(self) -> None:
-        self.announcer.heard(AT, PrefixNotice(1, (5, 7), (500, 3_000), age=1_000_000))
+        self.announcer.record_received(AT, PrefixNotice(1, (5, 7), (500, 3_000), age=1_000_000))
         self.placed(AT + REPEAT_AFTER - 1_000_001)
         self.assertEqual(self.told(), [])
         self.placed(AT + REPEAT_AFTER - 1_000_000)
@@ -57,11 +57,11 @@
 
     def test_a_short_prefix_is_not_worth_a_notice(self) -> None:
         self.placed(shared=LEAST_SHARED // 2 - 1)
-        self.announcer.placed(AT, 1, (), (), LEAST_UNREAD - 1)
+        self.announcer.record_placement(AT, 1, (), (), LEAST_UNREAD - 1)
         self.assertEqual(self.told(), [])
 
     def test_a_long_prompt_is_told_for_its_load_whatever_it_shares(self) -> None:
-        self.announcer.placed(AT, 1, (), (), LEAST_UNREAD)
+        self.announcer.record_placement(AT, 1, (), (), LEAST_UNREAD)
         self.placed(shared=1, unread=LEAST_UNREAD)
         self.placed()
         self.told()
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -9,8 +9,8 @@
 
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
-from brackenladder.routing.pools import PoolSpec, capacity, holds, of_pool, place, weight
-from brackenladder.routing.routes import Router, RouteSpec, reach
+from brackenladder.routing.pools import PoolSpec, capacity, contains, hash_position, pool_listing, weight
+from brackenladder.routing.routes import Router, RouteSpec, reachable_pools
 
 CLASSES, TENANTS = ("view", "offer"), ("acme", "zeta")
 
@@ -30,17 +30,17 @@
     ],
 )
 def test_a_server_fits_every_list_that_is_not_empty(spec, fits, not_of_it):
-    assert holds(spec, fits) and (not_of_it is None or not holds(spec, not_of_it))
+    assert contains(spec, fits) and (not_of_it is None or not contains(spec, not_of_it))
 
 
 def test_parts_of_the_circle_cover_it_once_and_a_grown_part_keeps_what_it_had():
     names = [f"s{i}" for i in range(2000)]
     parts = [PoolSpec(part=part) for part in ((0.0, 0.1), (0.1, 0.6), (0.6, 1.0))]
-    held = [{name for name in names if holds(spec, line(name))} for spec in parts]
+    held = [{name for name in names if contains(spec, line(name))} for spec in parts]
     assert sum(map(len, held)) == len(names) == len(set.union(*held))
     assert len(held[0]) == pytest.approx(200, rel=0.2)
-    assert held[0] < {name for name in names if holds(PoolSpec(part=(0.0, 0.2)), line(name))}
-    assert place("s1") == place("s1") != place("s2")
+    assert held[0] < {name for name in names if contains(PoolSpec(part=(0.0, 0.2)), line(name))}
+    assert hash_position("s1") == hash_position("s1") != hash_position("s2")
 
 
 def test_weights_of_a_server_win_over_its_kind_s_and_nothing_is_a_drain_for_this_pool():
@@ -48,7 +48,7 @@
     lines = (line("s0", kind="big"), line("s1", kind="big"), line("s2"), line("s3", "b"))
     assert [weight(spec, x) for x in lines] == [3.0, 0.0, 1.0, 1.0]
     assert capacity(spec, lines) == 4.0
-    listing = of_pool(spec, Listing(ListKind.CHANGES, 7, lines))
+    listing = pool_listing(spec, Listing(ListKind.CHANGES, 7, lines))
     states = [x.state for x in listing.lines]
     assert states == [State.READY, State.DRAINING, State.READY, State.GONE] and listing.version == 7
 
@@ -93,6 +93,6 @@
         RouteSpec(classes=("view",), prefix="/x", to={"two": 0.3, "three": 0.7}),
         RouteSpec(tenants=("acme", "zeta"), to={"four": 1.0, "five": 0.0}),
     ]
-    assert set(reach(routes, "view", TENANTS)) == {"one", "two", "three", "four", "default"}
-    assert set(reach(routes, "offer", TENANTS)) == {"four", "default"}
-    assert set(reach([RouteSpec(to={"one": 1.0})], "view", TENANTS)) == {"one"}
+    assert set(reachable_pools(routes, "view", TENANTS)) == {"one", "two", "three", "four", "default"}
+    assert set(reachable_pools(routes, "offer", TENANTS)) == {"four", "default"}
+    assert set(reachable_pools([RouteSpec(to={"one": 1.0})], "view", TENANTS)) == {"one"}
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -117,7 +117,7 @@
             silent.port = port
             await stage.say(silent.entry(), full=True)
             asked = asyncio.create_task(stage.ask(klass))
-            await until(lambda: any(call.out for call in stage.pool.host.calls.values()))
+            await until(lambda: any(call.current_attempt for call in stage.pool.host.calls.values()))
             await stage.say(serving.entry())
             assert (await asked).kind == "served" and len(stage.attempts()) == 1
 
@@ -139,7 +139,7 @@
             await stage.say(half.entry(), full=True)
             asked = asyncio.create_task(stage.ask("invite", size=60_000))
             connection, _ = await asyncio.get_running_loop().sock_accept(listener)
-            await until(lambda: any(c.out for c in stage.pool.host.calls.values()))
+            await until(lambda: any(c.current_attempt for c in stage.pool.host.calls.values()))
             await asyncio.sleep(0.05)  # in which the system takes what it can hold of it
             if end == "drain":
                 await stage.say(half.entry("draining"), other.entry())
--- a/tests/test_balance_cold.py
+++ b/tests/test_balance_cold.py
@@ -10,7 +10,7 @@
     ServerEntry,
     State,
 )
-from brackenladder.policy.warming import COLD_PART
+from brackenladder.policy.slow_start import COLD_PART
 
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
