--- a/benchmarks/decision_rows.py
+++ b/benchmarks/decision_rows.py
@@ -37,7 +37,7 @@
 # The ablation: each mechanism by itself off, or a figure of it halved or doubled.
 BALANCER, CHOICE, COST = "placement/balancer.py", "placement/choice.py", "placement/cost.py"
 URGENCY, INTAKE, REGIONS = "placement/urgency.py", "placement/intake.py", "placement/regions.py"
-ADMITTED = "return max(GradientController.allowed(self), self.places, float(MIN_LIMIT))"
+ADMITTED = "return max(GradientController.effective_limit(self), self.places, float(MIN_LIMIT))"
 KEEPER = "self._keeper(now, job, able, base) if job.key is not None else None"
 DRAWN = "drawn = able if self._is_scanned(job) else self._members(able, keeper)"
 HELD = "return self.holders.recent(now, job.prefix, self.site.again)"
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -108,7 +108,7 @@
             self.settings = self.balancer.settings = replace(self.balancer.settings, instances=number)
             for tenant, given in zip(self.balancer.tenants, self.settings.tenants, strict=True):
                 tenant.rate = given.quota / number
-            self.balancer.refill(now)
+            self.balancer.update_members(now)
 
     def peer_message(self, peer: int, data: bytes) -> None:
         """A peer's message."""
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -172,51 +172,51 @@
 
     # ---- attempts -------------------------------------------------------------------------------------
 
-    def attempt(self, now: int, r: Request) -> None:
+    def attempt(self, now: int, req: Request) -> None:
         """Sends the request to the server chosen for it, or answers it when there is none."""
-        job = self.jobs[r.id]
-        job.traits = self.traits_of(r.id) or job.traits
-        harmless = r.ran_on is None or r.effect == Effect.SAFE
-        choice = self.choose(now, r, job)
+        job = self.jobs[req.id]
+        job.traits = self.traits_of(req.id) or job.traits
+        harmless = req.ran_on is None or req.effect == Effect.SAFE
+        choice = self.choose(now, req, job)
         if choice is None and harmless:
-            self.refuse_for_lack(r)
+            self.refuse_for_lack(req)
             return
-        if choice is None or self.gives_way(now, r, choice):
-            self.finish(r, refuse=harmless)
+        if choice is None or self.gives_way(now, req, choice):
+            self.finish(req, refuse=harmless)
             return
         if job.arrived and not self.may_repeat(now):
-            self.finish(r, refuse=harmless)
+            self.finish(req, refuse=harmless)
             return
-        self.go(now, r, job, choice)
+        self.go(now, req, job, choice)
 
-    def refuse_for_lack(self, r: Request) -> None:
+    def refuse_for_lack(self, req: Request) -> None:
         """No server may take the call now: it is to come back when one may, not at once."""
-        del self.requests[r.id]
+        del self.requests[req.id]
         self.blocked += 1
-        aim = self.settings.classes[r.klass].aim
-        self.actions.refuse(r.id, min(self.settings.max_retry_after, int(aim)))
+        aim = self.settings.classes[req.klass].aim
+        self.actions.refuse(req.id, min(self.settings.max_retry_after, int(aim)))
 
-    def go(self, now: int, r: Request, job: Job, choice: Choice) -> None:
+    def go(self, now: int, req: Request, job: Job, choice: Choice) -> None:
         """The attempt begins."""
         server = choice.server
         if choice.adopt:
             self.adopted.add(server)
-            self.refill(now)
+            self.update_members(now)
         if self.is_cold(now, server):
             self.cold.take(now, server.id, self.site.gateways, self.site.gateway_names)
         if server.in_flight == 0:
             server.quiet_since = now
         server.in_flight += 1
-        if not server.aside:
-            self.controller.note(now, 1)
-        r.out = server
-        r.sent_at = now
-        r.attempts += 1
+        if not server.excluded:
+            self.controller.track_in_flight(now, 1)
+        req.current_server = server
+        req.sent_at = now
+        req.attempts += 1
         job.excluded.add(server.id)
-        own = self.own_time(now, r, server)
+        own = self.own_time(now, req, server)
         waiting = self.costs.queue(now, server, job, own)
-        self.in_flight.send(now, r.id, job, server.id, choice.unread, waiting)
-        self.actions.send(r.id, server.id, self.time_for(now, r, job, choice))
+        self.in_flight.send(now, req.id, job, server.id, choice.unread, waiting)
+        self.actions.send(req.id, server.id, self.time_for(now, req, job, choice))
 
     def may_repeat(self, now: int) -> bool:
         """Takes a repeat from this gateway's part of the budget; there is none until the part is known.
@@ -226,53 +226,53 @@
         """
         return self.site.gateways_known and self.budget.spend(now, self.site.gateways)
 
-    def time_for(self, now: int, r: Request, job: Job, choice: Choice) -> int:
+    def time_for(self, now: int, req: Request, job: Job, choice: Choice) -> int:
         """How long an attempt may take. One that may be repeated elsewhere leaves time for that."""
-        left = r.useful_until - now
+        left = req.useful_until - now
         more = job.ran + 1 < job.traits.route.max_attempts and self.site.size() > 1
-        if r.effect == Effect.SAFE and (more or choice.server.aside):
+        if req.effect == Effect.SAFE and (more or choice.server.excluded):
             half = max(self.settings.tick, int(TRY_PART * left))
-            overdue_at = self.in_flight.out[r.id].overdue_at
+            overdue_at = self.in_flight.out[req.id].overdue_at
             if not self.site.parameters.quick_retry or not overdue_at:
                 return half
-            aim = self.settings.classes[r.klass].aim
+            aim = self.settings.classes[req.klass].aim
             return min(half, max(overdue_at - now, int(TRY_PART * aim)))
         return left
 
-    def own_time(self, now: int, r: Request, server: Server) -> float:
+    def own_time(self, now: int, req: Request, server: Server) -> float:
         """What a call takes by itself, in microseconds, in the server's region."""
         region = self.site.places[server.id].region
-        return self.controller.target[r.klass] * self.regions.ratio(now, region)
+        return self.controller.target[req.klass] * self.regions.ratio(now, region)
 
-    def after_failure(self, now: int, r: Request, srv: Server | None, outcome: Outcome) -> None:
+    def after_failure(self, now: int, req: Request, srv: Server | None, outcome: Outcome) -> None:
         """A further attempt where class, time, servers and budget allow it; a final answer otherwise.
 
         A call that may have run is repeated only if it may run again, and on no more servers than its route
         allows. One that was turned away may go to one server more, one that was never sent to any.
         """
-        r.may_have_run(srv, outcome)
-        job = self.jobs[r.id]
+        req.record_failure(srv, outcome)
+        job = self.jobs[req.id]
         most = job.traits.route.max_attempts
         if (
-            r.repeatable(now, self.settings.classes[r.klass])
+            req.repeatable(now, self.settings.classes[req.klass])
             and job.ran < most
             and job.arrived <= most
             and job.unsent <= MOST_UNSENT
-            and r.attempts < self.settings.max_attempts
-            and now + self.mean_rtt[r.klass] < r.useful_until
+            and req.attempts < self.settings.max_attempts
+            and now + self.mean_rtt[req.klass] < req.useful_until
         ):
-            self.attempt(now, r)
+            self.attempt(now, req)
             return
-        self.finish(r, refuse=r.ran_on is None or r.effect == Effect.SAFE)
+        self.finish(req, refuse=req.ran_on is None or req.effect == Effect.SAFE)
 
-    def choose(self, now: int, r: Request, job: Job) -> Choice | None:
+    def choose(self, now: int, req: Request, job: Job) -> Choice | None:
         """The trial of a server that was set aside, or the cheaper of two draws."""
-        trial = self.due_trial(now, r, job)
+        trial = self.due_trial(now, req, job)
         if trial is not None:
             return Choice(trial, 0.0, self.costs.unread(now, trial, job, own_server=False))
 
         def base(server: Server) -> float:
-            return self.own_time(now, r, server)
+            return self.own_time(now, req, server)
 
         def may_send(server: Server) -> bool:
             return self.may_take(now, server)
@@ -309,7 +309,7 @@
         doubted = self.in_flight.doubts.doubted(now, least)
         return doubted if len(doubted) <= MOST_DOUBTED * len(self.site.places) else frozenset()
 
-    def due_trial(self, now: int, r: Request, job: Job) -> Server | None:
+    def due_trial(self, now: int, req: Request, job: Job) -> Server | None:
         """An ejected server whose trial is due.
 
         Failure prevented: a service has no requests that may be repeated, and what was set aside stays
@@ -317,7 +317,7 @@
         """
         if not self.ejected or now < self.next_trial:
             return None
-        patience = 0 if r.effect == Effect.SAFE else EJECT_TIME
+        patience = 0 if req.effect == Effect.SAFE else EJECT_TIME
         near = any(self.chooser.allows(job, server) for server in self.site.local)
 
         def may_try(now: int, server: Server) -> bool:
@@ -326,11 +326,11 @@
             away = self.site.places[server.id].region != self.site.region
             return not (near and away) and not self.is_cold(now, server)
 
-        return self.trial(now, may_try)
+        return self.start_trial(now, may_try)
 
-    def gives_way(self, now: int, r: Request, choice: Choice) -> bool:
+    def gives_way(self, now: int, req: Request, choice: Choice) -> bool:
         """Whether a less urgent call is refused since the best server has just turned calls away."""
-        rank = self.rank[r.klass]
+        rank = self.rank[req.klass]
         load = self.costs.loads.servers.get(choice.server.id)
         if rank == 0 or load is None:
             return False
@@ -345,7 +345,7 @@
 
     def may_take(self, now: int, server: Server) -> bool:
         """Whether the server answers, and whether it is warm or its cold share has room."""
-        if self.is_silent(now, server, min(self.mean_rtt)):
+        if self.eject_if_silent(now, server, min(self.mean_rtt)):
             return False
         if not self.is_cold(now, server):
             return True
@@ -353,7 +353,7 @@
             return False
         return self.cold.allows(now, server.id, self.site.gateways, self.site.gateway_names)
 
-    def is_silent(self, now: int, srv: Server, least: float) -> bool:
+    def eject_if_silent(self, now: int, srv: Server, least: float) -> bool:
         """As the Balancer has it, but what the server still reads is no silence."""
         load = self.costs.loads.servers.get(srv.id)
         reading = self.costs.prefill.time(load.unread) if load is not None else 0.0
@@ -362,24 +362,24 @@
         place = self.site.places.get(srv.id)
         if srv.in_flight and place is not None:
             self.zones.unanswered(now, place.zone, srv.id)
-        return super().is_silent(now, srv, least)
+        return super().eject_if_silent(now, srv, least)
 
-    def take_members(self) -> None:
+    def select_members(self) -> None:
         """This copy's stretch of the shuffle, and the servers that keep its prompts."""
-        super().take_members()
+        super().select_members()
         self.adopted.join(self.members, self.servers)
 
     # ---- ends -----------------------------------------------------------------------------------------
 
-    def settle(self, now: int, srv: Server, r: Request | None, outcome: Outcome, latency: int) -> None:
+    def record_end(self, now: int, srv: Server, req: Request | None, outcome: Outcome, latency: int) -> None:
         """Books an attempt's end with its latency less what is known not to be load."""
-        placed = self.in_flight.out.get(r.id) if r is not None else None
-        if placed is not None and r is not None:
+        placed = self.in_flight.out.get(req.id) if req is not None else None
+        if placed is not None and req is not None:
             latency = max(LEAST_LATENCY, latency - int(placed.known_cost))
             place = self.site.places.get(srv.id)
             if outcome in (Outcome.OK, Outcome.TIMEOUT) and place is not None:
-                self.regions.heard(now, place.region, latency / self.controller.target[r.klass])
-        super().settle(now, srv, r, outcome, latency)
+                self.regions.heard(now, place.region, latency / self.controller.target[req.klass])
+        super().record_end(now, srv, req, outcome, latency)
 
     def book_unsent(self, job: Job) -> None:
         """The attempt never reached its server: what it took of the budget is given back."""
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -128,7 +128,7 @@
         prefill = self.prefill.time(self.charged(now, server, job, own_server))
         work = base + self.queue(now, server, job, base) + prefill
         # What is being read there is in `work` already: only a silence beyond it makes the server slow.
-        slowness = server.slowness(now, work) / server.kind.value
+        slowness = server.slowness(now, work) / server.kind_ratio.value
         load = self.loads.servers.get(server.id)
         streams = load.streams if load is not None else 0
         price = self.reading_again(now, server, job)
--- a/brackenladder/placement/limit.py
+++ b/brackenladder/placement/limit.py
@@ -20,6 +20,6 @@
 
     places: float = float(MIN_LIMIT)
 
-    def allowed(self) -> float:
+    def effective_limit(self) -> float:
         """The limit in force."""
-        return max(GradientController.allowed(self), self.places, float(MIN_LIMIT))
+        return max(GradientController.effective_limit(self), self.places, float(MIN_LIMIT))
--- a/brackenladder/policy/ejection.py
+++ b/brackenladder/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Members set aside: those that fail more than others, answer nothing, or refuse connections; and trials."""
+"""Outlier ejection: members that fail more than others, do not answer or refuse connections; and trials."""
 
 from collections.abc import Callable
 from random import Random
@@ -7,20 +7,20 @@
 
 from .server import SMOOTH, SMOOTH_ALL, Server
 
-# Looked up for every outcome, and an enumeration's members are slow to look up.
+# Module constants, because enum members are slow to look up and these are needed for every outcome.
 TIMEOUT, REJECTED, CONNECT_FAILED = Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED
-EJECT_SHARE = 0.34  # of the members, at most
-DEAD_SHARE = 0.75  # and with those that nothing listens at
-DEAD_DOUBLES = 1  # a trial of one costs nobody work: its time doubles so often only
-DOUBLES = 4  # and any other's
-EJECT_FAILS = 3  # least failures in a row, or of recent calls, before ejection
-EJECT_RATE = 0.3  # failure rate above the subset's own that ejects
-EJECT_TIME = 2_000_000  # microseconds of a first ejection
+EJECT_SHARE = 0.34  # of the members that may be ejected at once
+DEAD_SHARE = 0.75  # the same limit with members that refuse connections included
+UNREACHABLE_DOUBLINGS = 1  # such a server's ejection time doubles only this often: its trials cost no work
+MAX_DOUBLINGS = 4  # how often the ejection time of any other server doubles
+EJECT_FAILS = 3  # consecutive failures, or recent calls, needed for an ejection
+EJECT_RATE = 0.3  # ejected when the failure rate exceeds that of the subset by this much
+EJECT_TIME = 2_000_000  # microseconds of the first ejection
 EJECT_JITTER = 0.1
 
 
 class Ejection:
-    """Who is set aside, until when, and how often members fail."""
+    """Which members are ejected and until when, and the failure rates."""
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
@@ -28,49 +28,49 @@
         self.next_trial = 0
         self.fail_rate = 0.0  # of the whole subset
 
-    def count(self, srv: Server, bad: float) -> None:
-        """Books a call's end; `bad`: 1.0 where the server failed it."""
+    def record_result(self, srv: Server, failure: float) -> None:
+        """Updates the failure rates after a call; `failure`: 1.0 if the server failed it, else 0.0."""
         srv.calls += 1
-        srv.fail_rate += SMOOTH * (bad - srv.fail_rate)
-        self.fail_rate += SMOOTH_ALL * (bad - self.fail_rate)
+        srv.fail_rate += SMOOTH * (failure - srv.fail_rate)
+        self.fail_rate += SMOOTH_ALL * (failure - self.fail_rate)
 
-    def judge(self, srv: Server, outcome: Outcome) -> tuple[bool, bool] | None:
-        """Whether a call that was not served sets the server aside: as silent, as dead. None: it does not."""
+    def ejection_cause(self, srv: Server, outcome: Outcome) -> tuple[bool, bool] | None:
+        """Whether a failed call ejects the server: a pair (silent, unreachable), or None if it does not."""
         if outcome in (TIMEOUT, REJECTED):
-            return (srv.silent, False) if srv.trial_out else None
+            return (srv.silent, False) if srv.trial_in_flight else None
         srv.fails_in_row += 1
         if srv.ejected:
-            return (False, False) if srv.trial_out else None
+            return (False, False) if srv.trial_in_flight else None
         if srv.fails_in_row >= EJECT_FAILS and outcome == CONNECT_FAILED:
-            # Failure prevented: a zone is gone, and as all members fail about as often as the mean of
-            # them, none stands out, until the list tells of it seconds later.
+            # Failure prevented: a zone is lost and most members fail about as often as the mean, so none is
+            # an outlier; calls fail for seconds, until the server list is updated.
             return False, True
         in_row = srv.fails_in_row >= EJECT_FAILS and srv.fail_rate > self.fail_rate * 2
         if in_row or srv.calls >= EJECT_FAILS and srv.fail_rate > EJECT_RATE + self.fail_rate:
-            # Failure prevented: a member that fails quickly holds few calls and wins the draws.
+            # Failure prevented: a member that fails fast has few calls in flight and so is chosen most often.
             return False, False
         return None
 
-    def spare(self, members: int, dead: bool, more: int = 1) -> bool:
-        """Whether so many members can do without so many more, of which few may just fail."""
-        without = len(self.ejected) + more
-        failing = without - sum([e.dead for e in self.ejected]) - (more if dead else 0)
-        return failing <= EJECT_SHARE * members and without <= DEAD_SHARE * members
+    def can_eject(self, members: int, unreachable: bool, more: int = 1) -> bool:
+        """Whether `more` of the members may be ejected. The limit for reachable servers is lower."""
+        ejected = len(self.ejected) + more
+        failing = ejected - sum([e.unreachable for e in self.ejected]) - (more if unreachable else 0)
+        return failing <= EJECT_SHARE * members and ejected <= DEAD_SHARE * members
 
-    def set_aside(self, now: int, srv: Server, silent: bool, dead: bool) -> None:
-        """It gets no more calls until its trial, which is later each time."""
+    def mark_ejected(self, now: int, srv: Server, silent: bool, unreachable: bool) -> None:
+        """Ejects the server until its trial. The ejection time doubles with each ejection."""
         if not srv.ejected:
             srv.ejected = True
-            srv.dead = dead
+            srv.unreachable = unreachable
             self.ejected.append(srv)
         srv.silent = silent
-        doubles = min(srv.ejections, DEAD_DOUBLES if srv.dead else DOUBLES)
-        srv.trial_at = now + int((EJECT_TIME << doubles) * (1 + EJECT_JITTER * self.rng.random()))
+        doublings = min(srv.ejections, UNREACHABLE_DOUBLINGS if srv.unreachable else MAX_DOUBLINGS)
+        srv.trial_at = now + int((EJECT_TIME << doublings) * (1 + EJECT_JITTER * self.rng.random()))
         srv.ejections += 1
         self.next_trial = min(e.trial_at for e in self.ejected)
 
-    def take_back(self, srv: Server) -> None:
-        srv.ejected = srv.dead = srv.silent = False
+    def mark_readmitted(self, srv: Server) -> None:
+        srv.ejected = srv.unreachable = srv.silent = False
         srv.fail_rate = self.fail_rate
         srv.fails_in_row = 0
         srv.ejections = max(0, srv.ejections - 1)
@@ -78,11 +78,11 @@
         if self.ejected:
             self.next_trial = min(e.trial_at for e in self.ejected)
 
-    def trial(self, now: int, may_send: Callable[[int, Server], bool]) -> Server | None:
-        """One whose trial may begin, and does."""
+    def start_trial(self, now: int, may_send: Callable[[int, Server], bool]) -> Server | None:
+        """Starts the trial of an ejected server whose trial is due; None if there is none."""
         for srv in self.ejected:
-            if srv.trial_at <= now and not srv.trial_out and may_send(now, srv):
-                srv.trial_out = True
+            if srv.trial_at <= now and not srv.trial_in_flight and may_send(now, srv):
+                srv.trial_in_flight = True
                 srv.trial_at = now + EJECT_TIME
                 return srv
         return None
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -1,6 +1,6 @@
-"""How many calls this copy keeps in flight: the gradient controller.
+"""How many calls this node keeps in flight: a gradient controller.
 
-The source is the adaptive concurrency filter that docs/design.md names; where it has a figure, it is kept.
+It follows the adaptive concurrency filter that docs/design.md names, with its constants where it has any.
 """
 
 from collections.abc import Sequence
@@ -8,32 +8,32 @@
 from math import ceil, sqrt
 from random import Random
 
-# The source's figures.
+# Constants of the filter. A pass is a period with a low limit in which the minimum round trip is measured.
 WINDOW = 100_000  # microseconds: least length of a sampling window
 PERCENTILE = 0.9  # of a window's samples, and of a pass's
-MIN_LIMIT = 3  # calls a member: the limit during a pass and, over all nodes, its floor; and 3 at the least
+MIN_LIMIT = 3  # calls per member during a pass and, over all nodes, as the floor; least limit of a pass
 PASS_INTERVAL = 60_000_000
 PASS_JITTER = 0.1
-WINDOWS_AT_MIN = 5  # so many windows at the floor start a pass
-PASS_CALLS = 50  # at most so many calls make a pass
-GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # one window moves the limit by this much at most
-
-# What the design leaves open.
-WINDOW_SAMPLES = 80  # a window stays open until it holds so many samples...
-WINDOW_STRETCH = 10  # ...or has lasted so many times its least length
-FULL_WINDOW = 8  # fewer samples move the limit by their part of this only
-LEVEL_TIME = 1_000_000  # over so long at most, calls in flight are averaged where many copies share servers
+WINDOWS_AT_MIN = 5  # consecutive windows at the floor that start a pass
+PASS_CALLS = 50  # most calls that a pass needs
+GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # bounds on the change of the limit by one window
+
+# Constants that the filter leaves open.
+WINDOW_SAMPLES = 80  # a window stays open until it has this many samples...
+WINDOW_STRETCH = 10  # ...or has lasted this many times its least length
+FULL_WINDOW = 8  # a window with fewer samples changes the limit in proportion only
+LEVEL_TIME = 1_000_000  # longest averaging time of calls in flight where many nodes share the servers
 BUFFER = 0.25  # least buffer_pct
-AIM_SHARE = 0.5  # the buffer reaches up to this share of a class's aim
-AIM_MOST = 0.75  # min_rtt + B stays within this share of it
-LOST_MOST = 0.05  # when more of the whole subset's calls are lost, less is kept in flight
-USUAL_TIME = 3_000_000  # over so long the usual number of calls in flight is smoothed
-RAMP_RTTS = 2  # ...and, after a start, over so many mean round-trips
-USUAL_FADE = 12_000_000  # over so long it is given up while calls are lost
-USUAL_MOST = 2.0  # the limit stays within so many times that number
-STRENGTH_POWER = 3  # the limit falls by what servers can do to this power
-PASS_FLOORS = 2  # a pass, and a first limit, is at most so many floors: 6 calls a server from all copies
-CEILING = 1.5  # passes: what the limit may always grow to
+AIM_SHARE = 0.5  # the buffer extends min_rtt up to this share of a class's aim
+MAX_AIM_SHARE = 0.75  # min_rtt + B is never more than this share of it
+MAX_LOSS = 0.05  # when the subset fails a larger share of calls, fewer are kept in flight
+USUAL_TIME = 3_000_000  # smoothing time of the usual number of calls in flight
+RAMP_RTTS = 2  # its smoothing time after a start, in mean round trips
+USUAL_FADE = 12_000_000  # time constant with which it falls while calls fail
+USUAL_MULTIPLE = 2.0  # the limit is at most about this multiple of it
+CAPACITY_POWER = 3  # the limit falls with the servers' capacity to this power
+PASS_FLOORS = 2  # a pass's limit and a first limit, in floors: 6 calls a server from all nodes together
+CEILING = 1.5  # the limit may always grow to this multiple of a pass's limit
 
 
 def percentile(samples: list[float], share: float) -> float:
@@ -44,13 +44,13 @@
 
 @dataclass(slots=True, eq=False)
 class GradientController:
-    """The adaptive limit on this copy's calls in flight, over its whole subset.
+    """The adaptive limit on this node's calls in flight, over its whole subset.
 
-    A sample counts relative to what its class can bear, min_rtt + B. With one class this is the source's
-    gradient (min_rtt + B) / sample_rtt; with several, a shift of their mix no longer looks like overload.
-    B = min_rtt x buffer_pct, where buffer_pct is BUFFER or more: as much as lets min_rtt + B reach
-    `allowance`, the part of the class's aim that a round-trip may use up, since an answer within the aim
-    has its full worth.
+    Each latency is divided by its class's target, min_rtt + B. With one class this gives the filter's
+    gradient (min_rtt + B) / sample_rtt; with several, a change of their mix does not look like overload.
+    B = min_rtt x buffer_pct, where buffer_pct is BUFFER, or as much more as lets min_rtt + B reach
+    `allowance`: the part of the class's aim that a round trip may take, since any answer within the aim has
+    full worth.
     """
 
     allowance: Sequence[int]
@@ -60,23 +60,23 @@
     min_rtt: list[float] = field(init=False)  # by class, microseconds; 0 until measured
     target: list[float] = field(init=False)  # min_rtt + B
     members: int = 1
-    copies: float = 1.0  # that share each member
-    shared: float = 1.0  # copies that share what this one may do
-    strength: float = 0.0  # what the listed servers can do, in warm ones
+    copies: float = 1.0  # nodes that use each member
+    sharing: float = 1.0  # nodes that this node's headroom and floor are divided by
+    capacity: float = 0.0  # of the listed servers, in units of a warm server
     floor: float = float(MIN_LIMIT)
     pass_limit: float = float(MIN_LIMIT)
     limit: float = float(MIN_LIMIT)
     in_flight: int = 0
-    level: float = 0.0  # what the limit is set against
+    level: float = 0.0  # calls in flight, possibly averaged: what is compared with the limit
     level_at: int = field(init=False)
     flight_sum: int = 0
     latency_sum: int = 0
-    ramping: bool = True  # since the start the limit bound, and no window was above target
+    ramping: bool = True  # in all windows since the start the limit was reached and latency within target
     lost: float = 0.0  # share of calls that ended without an answer, smoothed
-    usual: float = 0.0  # calls in flight while latency was good, smoothed
+    usual: float = 0.0  # calls in flight while latency was within target, smoothed
     samples: list[float] = field(default_factory=list)
     window_start: int = field(init=False)
-    sample_rtt: float = 0.0  # relative to min_rtt + B
+    sample_rtt: float = 0.0  # the last window's percentile, relative to min_rtt + B
     gradient: float = 1.0
     at_min: int = 0
     passes: int = 0
@@ -93,68 +93,68 @@
         self.start_pass(now)
 
     def resize(self, members: int, copies: float) -> None:
-        """Takes note of the subset's size and of the number of copies that share each member."""
+        """Sets the size of the subset and the number of nodes that use each member."""
         self.members = members
         self.copies = copies
-        self.share()
-        # Failure prevented: nodes are restarted one after another, and each begins with more than the others
-        # have come down to, until their sum crowds every server.
+        self.update_sharing()
+        # Failure prevented: in a rolling restart each node starts with a higher limit than the others have
+        # adapted to, until the sum of the limits overloads every server.
         self.limit = max(self.limit, PASS_FLOORS * self.floor if self.passes == 0 else self.floor)
 
-    def weigh(self, strength: float) -> None:
-        """Takes note of what the listed servers can do, in warm ones, and lowers the limit where it fell.
+    def set_capacity(self, capacity: float) -> None:
+        """Sets the servers' capacity, in units of a warm server, and lowers the limit if it decreased.
 
-        Failure prevented: servers leave, all copies go on at the limit that the whole tier bore, and by the
-        time the answers tell of it the servers that stayed are crowded and slow. The room above what is usual
-        goes too, and faster: what is in flight on those that leave is still to come back to the others.
+        Failure prevented: servers leave, all nodes keep the limits of the whole tier, and the remaining
+        servers are overloaded before latency shows it. The limit falls faster than the capacity, since the
+        calls in flight at the leaving servers will be sent again to the others.
         """
-        if 0 < strength < self.strength:
-            part = strength / self.strength
+        if 0 < capacity < self.capacity:
+            part = capacity / self.capacity
             self.usual *= part
-            self.limit = max(self.limit * part**STRENGTH_POWER, self.floor)
-        self.strength = strength
+            self.limit = max(self.limit * part**CAPACITY_POWER, self.floor)
+        self.capacity = capacity
 
-    def share(self) -> None:
-        """How many copies share what this one may do: fewer, the more calls it carries itself.
+    def update_sharing(self) -> None:
+        """Updates how many nodes share the headroom, and the floor and pass limit that follow from it.
 
-        A copy that carries many calls feels the crowding it makes, as the source has it. Where each carries
-        hardly one, the headroom is that of all together, as the floor is, and so, by the root of their
-        number, is the pass's limit. All copies' passes together are no more than PASS_FLOORS floors.
+        A node that carries many calls sees the load that it causes and uses the filter's formulas. Where each
+        carries hardly a call, the headroom is divided by the number of nodes, as the floor always is, and the
+        pass limit by the root of it. A pass limit is at most PASS_FLOORS floors, or MIN_LIMIT.
         """
-        self.shared = max(1.0, self.copies / (1 + self.usual))
+        self.sharing = max(1.0, self.copies / (1 + self.usual))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.copies)
-        limit = min(MIN_LIMIT * self.members / sqrt(self.shared), PASS_FLOORS * self.floor)
+        limit = min(MIN_LIMIT * self.members / sqrt(self.sharing), PASS_FLOORS * self.floor)
         self.pass_limit = max(float(MIN_LIMIT), limit)
 
     def headroom(self) -> float:
-        """The square root of the limit, for all copies that share the servers: each adds its part."""
-        return sqrt(self.limit / self.shared)
+        """By how much the limit grows in a window: its square root, for all sharing nodes together."""
+        return sqrt(self.limit / self.sharing)
 
-    def note(self, now: int, change: int = 0) -> None:
-        """Brings the level up to date and books calls that start (or end).
+    def track_in_flight(self, now: int, change: int = 0) -> None:
+        """Updates the level, and adds `change` to the calls in flight.
 
-        The level is what the limit is set against. For a copy that has its servers to itself it is its
-        calls in flight. Where many copies share them, it is their mean over a time, up to LEVEL_TIME.
-        Failure prevented: a copy with less than one call in flight on average has two at times by chance
-        alone; all copies together have not, and refusing the second call gives no server any rest.
+        The level is what is compared with the limit. It is the number of calls in flight if this node shares
+        the servers with no other one, and else their mean over a time of up to LEVEL_TIME.
+        Failure prevented: a node with less than one call in flight on average sometimes has two by chance.
+        That says nothing of the total over all nodes, and refusing the second call relieves no server.
         """
-        if self.shared == 1:
+        if self.sharing == 1:
             self.in_flight += change
             self.level = float(self.in_flight)
         else:
-            span = LEVEL_TIME * (1 - 1 / self.shared) * min(1.0, (MIN_LIMIT / self.limit) ** 2)
+            span = LEVEL_TIME * (1 - 1 / self.sharing) * min(1.0, (MIN_LIMIT / self.limit) ** 2)
             part = (now - self.level_at) / span
             self.level += (part if part < 1 else 1.0) * (self.in_flight - self.level)
             self.in_flight += change
         self.level_at = now
 
     def admits(self, now: int, spare: float) -> bool:
-        """Whether a call may start, `spare` headrooms below the limit."""
-        self.note(now)
-        return self.level + spare * self.headroom() < self.allowed()
+        """Whether a call may start with `spare` headrooms left unused below the limit."""
+        self.track_in_flight(now)
+        return self.level + spare * self.headroom() < self.effective_limit()
 
-    def allowed(self) -> float:
-        """The limit in force: the gradient's, or the pass's while one is on."""
+    def effective_limit(self) -> float:
+        """The limit in force: during a pass, at most that of the pass."""
         return min(self.limit, self.pass_limit) if self.in_pass else self.limit
 
     def start_pass(self, now: int) -> None:
@@ -168,8 +168,8 @@
         for klass, samples in enumerate(self.pass_samples):
             if len(samples) >= MIN_LIMIT:
                 self.min_rtt[klass] = percentile(samples, PERCENTILE)
-                # Failure prevented: a min_rtt measured under load lets queues grow past the aim.
-                most = AIM_MOST / AIM_SHARE * self.allowance[klass]
+                # Failure prevented: with a min_rtt measured under load, queues grow beyond the aim.
+                most = MAX_AIM_SHARE / AIM_SHARE * self.allowance[klass]
                 self.target[klass] = min(max(self.min_rtt[klass] * (1 + BUFFER), self.allowance[klass]), most)
         self.in_pass = False
         self.passes += 1
@@ -179,28 +179,28 @@
         self.window_start = now
 
     def sample(self, now: int, klass: int, latency: int) -> None:
-        """A served call's latency, or the time-out of one that timed out."""
+        """Records the latency of a served call, or the timeout of one that timed out."""
         if self.in_pass:
             self.pass_samples[klass].append(latency)
             self.pass_count -= 1
-            # Failure prevented: a pass that ends at its last answer has seen only the short calls.
+            # Failure prevented: a pass that ends with its last needed answer has seen only the short calls.
             if now >= self.pass_until + (0 if self.pass_count <= 0 else 2 * WINDOW * WINDOW_STRETCH):
                 self.end_pass(now)
             return
         self.samples.append(latency / self.target[klass])
         self.flight_sum += self.in_flight
         self.latency_sum += latency
-        self.roll(now)
+        self.close_window(now)
 
     def failure(self, now: int, klass: int) -> None:
-        """A failed call while the whole subset fails: overload in a window, no measure of min_rtt."""
+        """Records a failed call while the whole subset fails: a sign of overload, no sample of min_rtt."""
         if not self.in_pass:
             self.sample(now, klass, int(2 * self.target[klass]))
         elif now >= self.pass_until:
             self.end_pass(now)
 
-    def roll(self, now: int) -> None:
-        """Closes the window when it has lasted and holds enough; an empty window changes nothing."""
+    def close_window(self, now: int) -> None:
+        """Adapts the limit if the window is long enough and has enough samples."""
         age = now - self.window_start
         count = len(self.samples)
         if age < WINDOW or count == 0 or (count < WINDOW_SAMPLES and age < WINDOW * WINDOW_STRETCH):
@@ -210,22 +210,22 @@
         self.window_start = now
         self.gradient = min(GRADIENT_HIGH, max(GRADIENT_LOW, 1.0 / max(self.sample_rtt, 1e-9)))
         limit = self.gradient * self.limit + self.headroom()
-        # Failure prevented: at thin traffic a window's percentile is one call's luck, and halves the limit.
+        # Failure prevented: with few calls a window's percentile is one random latency, and halves the limit.
         limit = self.limit + min(1.0, count / FULL_WINDOW) * (limit - self.limit)
-        self.follow_usual(age, count)
-        self.share()
-        self.limit = max(min(limit, self.most(), self.ceiling), self.least(age))
-        # Failure prevented: "usual" is met in any overload, and a pass each few seconds closes a busy copy.
+        self.update_usual(age, count)
+        self.update_sharing()
+        self.limit = max(min(limit, self.max_limit(), self.ceiling), self.min_limit(age))
+        # Failure prevented: overload lowers the limit to `usual`; a pass each time would stop a busy node.
         self.at_min = self.at_min + 1 if self.limit <= self.floor else 0
         if self.at_min >= WINDOWS_AT_MIN or now >= self.next_pass:
             self.start_pass(now)
 
-    def follow_usual(self, age: int, count: int) -> None:
-        """Smooths the calls this copy carries while latency is good.
+    def update_usual(self, age: int, count: int) -> None:
+        """Smooths the number of calls in flight while latency is within target.
 
-        Failure prevented: a copy that starts into full traffic refuses half of it for five seconds, since
-        "usual" starts at nothing. It follows within RAMP_RTTS, up to the first window that is above target
-        or in which the limit does not bind.
+        Failure prevented: a node that starts under full traffic refuses half of it for five seconds, since
+        `usual` starts at 0. It is therefore smoothed over RAMP_RTTS until the first window that is above
+        target or does not reach the limit.
         """
         carried = self.flight_sum / count
         span = USUAL_TIME
@@ -238,24 +238,24 @@
         if self.sample_rtt <= 1 and (carried > self.usual or carried < 0.8 * self.limit):
             self.usual += min(1.0, age / max(span, 1)) * (carried - self.usual)
 
-    def most(self) -> float:
-        """How far the limit may grow.
+    def max_limit(self) -> float:
+        """The highest value that the limit may grow to.
 
-        Failure prevented: a limit that calls never reach is not measured by their latency; it grows without
-        end in quiet times, and a burst then meets no limit. Where many copies share servers, each with a lone
-        copy's room, their sum is several times what crowds the servers before the answers tell of it.
+        Failure prevented: a limit that is never reached grows without bound while traffic is low, and then
+        stops no burst. If each of many nodes had the headroom of a single one, the sum of their limits would
+        overload the servers several times over before latency shows it.
         """
-        return max(CEILING * self.pass_limit, USUAL_MOST * self.usual + MIN_LIMIT)
+        return max(CEILING * self.pass_limit, USUAL_MULTIPLE * self.usual + MIN_LIMIT)
 
-    def least(self, age: int) -> float:
-        """How far the limit may fall: to what this copy carried while latency was good.
+    def min_limit(self, age: int) -> float:
+        """The lowest value that the limit may fall to: the calls in flight while latency was within target.
 
-        Failure prevented: when everything is slow at once no lower limit makes it faster, and the gradient
-        would close the fleet.
+        Failure prevented: if all servers are slow for another reason than load, no limit makes them faster,
+        and the gradient would have all nodes refuse nearly everything.
         """
-        kept = (1 - self.lost) ** 2 if self.lost > LOST_MOST else 1.0
-        if self.sample_rtt > 1 and self.lost > LOST_MOST:
-            # Failure prevented: servers that slow down when crowded stay crowded, and slow, at what they
-            # carried before. Where calls are not only late but lost, less in flight gives them rest.
+        kept = (1 - self.lost) ** 2 if self.lost > MAX_LOSS else 1.0
+        if self.sample_rtt > 1 and self.lost > MAX_LOSS:
+            # Failure prevented: servers that slow down under load stay overloaded by the calls that they
+            # carried before. If calls also fail, fewer calls in flight let them recover.
             self.usual -= min(1.0, age / USUAL_FADE) * self.usual
         return max(self.floor, self.usual * kept)
--- a/brackenladder/policy/retry.py
+++ b/brackenladder/policy/retry.py
@@ -1,4 +1,4 @@
-"""What may be repeated, and how much of it: an open request, and the budget of further attempts."""
+"""Which requests may be retried, and the budget of retries."""
 
 from dataclasses import dataclass
 from math import sqrt
@@ -7,63 +7,63 @@
 
 from .server import Server
 
-RETRY_RATIO = 0.1  # further attempts allowed for each first attempt
-LEAST_TOKENS = 3.0  # so many may be saved up, or the root of the limit
+RETRY_RATIO = 0.1  # retries allowed for each first attempt
+LEAST_TOKENS = 3.0  # retry tokens that may be saved up, or the square root of the limit if that is more
 CONNECT_FAILED = Outcome.CONNECT_FAILED
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """An open request. At most one attempt is out at a time."""
+    """An open request. It has at most one attempt in flight."""
 
     id: int
     klass: int
     effect: Effect
     useful_until: int
     attempts: int = 0
-    out: Server | None = None
+    current_server: Server | None = None  # that the attempt in flight was sent to
     ran_on: Server | None = None  # the first server that may have run it
     ran_at: int = 0
-    begun: bool = False  # the answer
-    held: bool = False
+    answering: bool = False  # the answer has started
+    queued: bool = False
     sent_at: int = 0
 
-    def may_have_run(self, srv: Server | None, outcome: Outcome) -> None:
-        """Takes note of an attempt that failed."""
+    def record_failure(self, srv: Server | None, outcome: Outcome) -> None:
+        """Remembers the server and time of the first failed attempt that may have run."""
         if outcome not in NEVER_RAN and self.ran_on is None:
             self.ran_on = srv
             self.ran_at = self.sent_at
 
-    def repeatable(self, now: int, c: ClassSettings) -> bool:
-        """Whether a further attempt can do no harm: a keyed one only while its first is remembered."""
+    def repeatable(self, now: int, settings: ClassSettings) -> bool:
+        """Whether a retry is safe: for a keyed request, only while the servers remember its first attempt."""
         if self.ran_on is None or self.effect == Effect.SAFE:
             return True
-        return self.effect == Effect.KEYED and now < self.ran_at + c.window
+        return self.effect == Effect.KEYED and now < self.ran_at + settings.window
 
 
 def same_group(group: Group, one: Server, other: Server) -> bool:
-    """Whether each of two servers would discard a repeat of what the other has run."""
+    """Whether each of two servers discards a repeat of a request that the other one has run."""
     if group == Group.CELL:
         return one.cell == other.cell
     return group == Group.ALL or group == Group.ZONE and one.zone == other.zone
 
 
 class Retries:
-    """The budget: as retries multiply through tiers, each copy spends a part of its first attempts only."""
+    """A token bucket that limits retries to a share of first attempts, since retries multiply over tiers."""
 
     def __init__(self) -> None:
         self.retry_tokens = LEAST_TOKENS
 
     def earn(self, limit: float) -> None:
-        """A first attempt; `limit`: calls that this copy may have in flight."""
+        """Adds the tokens for a first attempt; `limit`: calls that this node may have in flight."""
         tokens, most = self.retry_tokens + RETRY_RATIO, sqrt(limit)
         if most < LEAST_TOKENS:
             most = LEAST_TOKENS
         self.retry_tokens = tokens if tokens < most else most
 
     def spend(self, outcome: Outcome) -> bool:
-        """Whether there is one left for a repeat after this end, which is then taken."""
-        if outcome == CONNECT_FAILED:  # which cost no server any work
+        """Takes a token for a retry after this outcome; False if there is none."""
+        if outcome == CONNECT_FAILED:  # free: it cost no server any work
             return True
         if self.retry_tokens < 1:
             return False
--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -1,6 +1,6 @@
-"""The cold rule: what a server that has just started, or just got warm, may be sent.
+"""Slow start: limits what a server is sent while it warms up after a start, and just after.
 
-The bound over all nodes stands in docs/design.md.
+A server that gets over `fall_multiple` times its present capacity for `fall_time` fails (docs/design.md).
 """
 
 from collections.abc import Sequence
@@ -10,57 +10,57 @@
 
 from .server import Server
 
-COLD_PART = 0.6  # of the multiple allowed; a cold server gets it of what it can do at the least
-JUST_WARM = 0.5  # of the rule's time that a server which has got warm may take at once, beside its share
-GOLDEN = (sqrt(5) - 1) / 2  # multiples of it, less their whole parts, lie evenly spread
-RATE_TIME = 2_000_000  # microseconds over which what a warm member takes is smoothed
+COLD_PART = 0.6  # a cold server gets this part of `fall_multiple` times its least present capacity
+JUST_WARM = 0.5  # a server that has just warmed up may take its share of this part of `fall_time` at once
+GOLDEN = (sqrt(5) - 1) / 2  # the fractional parts of its multiples are evenly distributed
+RATE_TIME = 2_000_000  # microseconds over which the rate of a warm member is smoothed
 
 
 class SlowStart:
-    """Slow start, by a bucket for each cold server."""
+    """Limits the calls to each cold server by a token bucket."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.warm_rate = 0.0  # sends a second that a warm member takes, smoothed
-        self.warm_sent = 0  # in this window, to all warm members
+        self.warm_rate = 0.0  # calls a second that a warm member takes, smoothed
+        self.warm_sent = 0  # calls to all warm members in this window
 
-    def chill(self, now: int, srv: Server, ready_at: int) -> None:
-        """The list has the server as ready since then: it is cold for some time."""
-        # Failure prevented: the one server that has just got warm takes what no other may, and falls:
-        # what it is sent counts over a time that may begin up to its last cold moment.
+    def start_warming(self, now: int, srv: Server, ready_at: int) -> None:
+        """Marks the server as cold if it became ready at `ready_at` and cannot be warm yet."""
+        # Failure prevented: the first server that is warm takes what the cold ones may not, and fails. The
+        # load on it is measured over `fall_time`, which may still include its last cold moments.
         cold_until = ready_at + self.settings.cold_time + self.settings.fall_time
         if ready_at > 0 and now < cold_until:
-            # Failure prevented: a restarted server looks idle and draws a flood that pushes it over.
+            # Failure prevented: a restarted server looks idle, and all nodes together overload it.
             if srv.cold_until == 0:
                 srv.tokens_at = now
-                srv.tokens = self.stagger(srv)
+                srv.tokens = self.initial_tokens(srv)
             srv.cold_until = cold_until
 
-    def stagger(self, srv: Server) -> float:
-        """The part of its first call's token that this copy begins with: spread evenly over all copies.
+    def initial_tokens(self, srv: Server) -> float:
+        """This node's first fill of the bucket: evenly distributed over the nodes.
 
-        Failure prevented: where many copies send little each, their empty buckets fill together, the cold
-        server stands idle for most of its warming, and then all of them send at once.
+        Failure prevented: where many nodes send little each, their empty buckets fill up at the same moment:
+        the cold server is idle for most of its warm-up, and then all nodes send at once.
         """
-        place = (self.settings.index + srv.id % 65536) * GOLDEN % 1.0
-        return place * (1 - 1 / self.settings.instances)
+        position = (self.settings.index + srv.id % 65536) * GOLDEN % 1.0
+        return position * (1 - 1 / self.settings.instances)
 
     def warmth(self, now: int, srv: Server) -> float:
-        """The part of its capacity that a server has at least."""
+        """The part of its full capacity that the server has at least now."""
         s = self.settings
         left = srv.cold_until - s.fall_time - now
         if left <= 0:
             return 1.0
-        # Failure prevented: a start that lies in the future, by the list, makes a server less than nothing.
+        # Failure prevented: a start time in the future, as listed, would give a negative capacity.
         return 1 - (1 - s.cold_share) * left / s.cold_time if left < s.cold_time else s.cold_share
 
     def may_send(self, now: int, srv: Server) -> bool:
-        """Slow start: a cold server takes its present share of what a warm member gets from this copy.
+        """Takes a token for a call to the server; False if it is cold and its bucket is empty.
 
-        The share is more than it can do at least, by the settings: most can do more. Where one cannot, its
-        calls take longer, and it loses the draws.
-        Failure prevented: all nodes together push a cold server over. A bucket of one call keeps this
-        copy's part within any window.
+        A cold server gets a warm member's rate times its own present capacity times COLD_PART of the allowed
+        multiple. Most servers can do more than the settings say; one that cannot is slow and drawn less.
+        The bucket holds one call, which bounds this node's part in any window.
+        Failure prevented: all nodes together overload a cold server.
         """
         if srv.cold_until <= now:
             return True
@@ -70,28 +70,28 @@
         most = 1.0
         shares = max(1.0, COLD_PART * s.fall_multiple) if now < warm_at else 1.0
         if now >= warm_at:
-            # Warm, with a bucket that begins half full: in the rule's window as many shares as before it.
+            # Warm: the bucket starts half full, so that no window of `fall_time` has more calls than before.
             most = 1.0 + self.warm_rate * s.fall_time / 1e6
             if srv.tokens_at < warm_at:
                 srv.tokens_at = warm_at - int(s.fall_time * JUST_WARM)
         gain = shares * self.warm_rate * warmth * (now - srv.tokens_at) / 1e6
-        srv.tokens = min(most, srv.tokens + gain * srv.part)
+        srv.tokens = min(most, srv.tokens + gain * srv.pool_fraction)
         srv.tokens_at = now
         if srv.tokens < 1:
             return False
         srv.tokens -= 1
         return True
 
-    def count_warm(self, now: int, span: int, members: Sequence[Server], late: bool) -> None:
-        """What a warm member takes, at a window's end. `late`: latency is above target."""
+    def update_warm_rate(self, now: int, span: int, members: Sequence[Server], late: bool) -> None:
+        """Measures a warm member's rate at the end of a window. `late`: latency is above target."""
         warm = 0
         for m in members:
             warm += m.cold_until <= now and not m.ejected
         if warm:
             rate = self.warm_sent * 1e6 / span / warm
             if late:
-                # Failure prevented: the warm ones slow down under what the missing ones carried, take less,
-                # and the cold ones, whose share is of that, are left idle for as long as it lasts.
+                # Failure prevented: the warm members are overloaded, slow down and take fewer calls, which
+                # lowers the share of the cold ones, so that these stay idle while the overload lasts.
                 rate = max(rate, self.warm_rate)
             self.warm_rate = max(0.0, self.warm_rate + min(1.0, span / RATE_TIME) * (rate - self.warm_rate))
         self.warm_sent = 0
--- a/brackenladder/policy/subset.py
+++ b/brackenladder/policy/subset.py
@@ -1,4 +1,4 @@
-"""Which servers this copy sends to: its stretch of a shuffle that all share, and what leaves the zone."""
+"""Which servers this node sends to: its slice of a shuffled order, and the calls that leave the zone."""
 
 from bisect import bisect_left, insort
 from collections.abc import Iterator
@@ -11,182 +11,182 @@
 
 from .server import SMOOTH, SMOOTH_ALL, Server
 
-SUBSET_LEAST = 4  # members of a copy that has hardly any call in flight
-SUBSET_MOST = 24  # and of any other
-SUBSET_FLIGHT = 2  # in between: so many for each call in flight
+SUBSET_LEAST = 4  # members of a node with hardly any calls in flight
+SUBSET_MOST = 24  # most members of any node
+SUBSET_FLIGHT = 2  # in between: members per call in flight
 SMOOTH_FLIGHT = 0.05  # weight of the newest sample in the mean number of calls in flight
-ZONE_PRICE = 0.01  # calls keep to their zone only where a crossing costs this share of a request's worth
-CROSSING = 10  # a call twice as slow is taken to lose a tenth of its worth, set against a crossing's price
-SPILL_GAIN = 0.1  # a window moves the share of calls that may leave the zone by this part of the imbalance
-SPILL_STEP = 0.04  # and by so much at most
-UNVISITED = 0.05  # a spill below which the other zones are too little seen to be judged
-FORGET = 1.001  # a window makes the zone's best this much worse
+ZONE_PRICE = 0.01  # calls stay in their zone only if crossing costs at least this share of a request's worth
+CROSSING = 10  # weight of that cost: twice the latency is taken to cost a tenth of the worth
+SPILL_GAIN = 0.1  # change per window of the share of calls that may leave the zone, per unit of imbalance
+SPILL_STEP = 0.04  # largest change per window
+UNVISITED = 0.05  # with a smaller spill the other zones get too few calls to be measured
+BEST_DECAY = 1.001  # each window raises the remembered best latency of the zone by this factor
 
-PLACE = attrgetter("place", "id")
+SHUFFLE_ORDER = attrgetter("shuffle_key", "id")
 
 
-def mix(number: int, turn: int) -> int:
-    """A shuffle of the servers' numbers that is the same in every copy, another one for each turn."""
-    x = (number + turn * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
+def mix(number: int, seed: int) -> int:
+    """A 64-bit hash of a server's number, the same on every node; each seed gives another order."""
+    x = (number + seed * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
     x = (x ^ (x >> 27)) * 0x94D049BB133111EB & 0xFFFFFFFFFFFFFFFF
     return x ^ (x >> 31)
 
 
-def places(order: list[Server], shift: float, first: int) -> Iterator[tuple[float, int, Server]]:
-    """The servers of one kind from `first` on, evenly spread over a circle of length 1."""
+def positions(order: list[Server], shift: float, first: int) -> Iterator[tuple[float, int, Server]]:
+    """The servers of one kind from `first` on, evenly distributed over a circle of length 1."""
     for i in range(first, len(order)):
         yield (i + shift) / len(order), order[i].id, order[i]
 
 
 class Subset:
-    """The shuffle of the listed servers, this copy's members, and how many calls may leave the zone."""
+    """The listed servers in shuffled order, this node's members, and the share of calls leaving the zone."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.zoned = settings.cross_zone_price >= ZONE_PRICE
         self.spill = 0.0 if self.zoned else 1.0  # share of calls that may leave the zone
         self.spill_least = self.spill
-        self.near_ratio = 0.5  # mean latency over what the class can bear, for servers of this zone...
-        self.far_ratio = 0.5  # ...and of the others
+        self.near_ratio = 0.5  # mean of latency / target for servers of this zone...
+        self.far_ratio = 0.5  # ...and of the other zones
         self.best_ratio = 0.0
         self.shuffles: dict[
             int, dict[int, list[Server]]
-        ] = {}  # by zone, where calls keep to theirs, and kind
-        self.turns: dict[int, int] = {}  # which shuffle
+        ] = {}  # by zone (0 for all if calls need not stay in theirs) and kind
+        self.rounds: dict[int, int] = {}  # by zone: seed of the shuffle
         self.members: list[Server] = []
-        self.near: list[Server] = []  # members in this zone that may be drawn
-        self.able: list[Server] = []  # all members that may be drawn
+        self.eligible_near: list[Server] = []  # members in this zone that are not ejected
+        self.eligible: list[Server] = []  # all members that are not ejected
         self.weighted = False  # an operator has set a weight
-        self.listed = 0  # servers that are ready, by the list
-        self.flight = 0.0  # calls in flight, smoothed
-        self.size = SUBSET_LEAST  # wanted when the members were last taken
+        self.listed = 0  # number of ready servers in the list
+        self.mean_in_flight = 0.0  # calls in flight, smoothed
+        self.size = SUBSET_LEAST  # wanted size when the members were last selected
 
-    def heard(self, zone: int, aimed: float) -> None:
-        """A call to a server of that zone took so many times its target."""
+    def record_zone_ratio(self, zone: int, ratio: float) -> None:
+        """Records latency / target of a call to a server of that zone."""
         if zone == self.settings.zone:
-            self.near_ratio += SMOOTH_ALL * (aimed - self.near_ratio)
+            self.near_ratio += SMOOTH_ALL * (ratio - self.near_ratio)
         else:
-            self.far_ratio += SMOOTH_ALL * (aimed - self.far_ratio)
+            self.far_ratio += SMOOTH_ALL * (ratio - self.far_ratio)
 
-    def lean(self) -> None:
-        """A window is over: more calls leave the zone, or fewer.
+    def adjust_spill(self) -> None:
+        """Adapts the share of calls that may leave the zone, at the end of a window.
 
-        Failure prevented: one zone's servers drown while another's stand idle. Unvisited, the other zones are
-        taken to do as well as this one did at its best.
+        Failure prevented: one zone's servers are overloaded while another's are idle. Without measurements,
+        the other zones are assumed to be as fast as this one was at its best.
         """
         if self.near_ratio < self.best_ratio or self.best_ratio == 0:
             self.best_ratio = self.near_ratio
         if self.spill < UNVISITED:
             self.far_ratio += SMOOTH * (self.best_ratio - self.far_ratio)
-        self.best_ratio *= FORGET
-        patience = 1 + CROSSING * self.settings.cross_zone_price
-        step = SPILL_GAIN * (self.near_ratio / max(self.far_ratio, 1e-9) - patience)
+        self.best_ratio *= BEST_DECAY
+        tolerated = 1 + CROSSING * self.settings.cross_zone_price
+        step = SPILL_GAIN * (self.near_ratio / max(self.far_ratio, 1e-9) - tolerated)
         self.spill += min(SPILL_STEP, max(-SPILL_STEP, step))
         self.spill = min(1.0, max(self.spill_least, self.spill))
 
-    def crowd(self, in_flight: int) -> bool:
-        """Takes note of the calls in flight; whether the subset's size is far from what they want.
+    def resize_needed(self, in_flight: int) -> bool:
+        """Records the calls in flight; whether the subset is much too small or too large for them.
 
-        Failure prevented: a node that suddenly gets a large part of the traffic swamps a few servers.
+        Failure prevented: a node that suddenly gets a large part of the traffic overloads a few servers.
         """
-        self.flight += SMOOTH_FLIGHT * (in_flight - self.flight)
+        self.mean_in_flight += SMOOTH_FLIGHT * (in_flight - self.mean_in_flight)
         return not self.size / 2 <= self.wanted_size() <= self.size * 1.25
 
     def wanted_size(self) -> int:
-        size = ceil(SUBSET_FLIGHT * self.flight)
+        size = ceil(SUBSET_FLIGHT * self.mean_in_flight)
         return SUBSET_LEAST if size < SUBSET_LEAST else SUBSET_MOST if size > SUBSET_MOST else size
 
-    def enlist(self, srv: Server) -> None:
-        """The server is ready: it takes its place in the shuffle of its zone, or of all."""
+    def insert(self, srv: Server) -> None:
+        """Adds a ready server to the shuffled order of its zone, or of all servers."""
         srv.in_list = True
         zone = srv.zone if self.zoned else 0
-        srv.place = mix(srv.id, self.turns.setdefault(zone, 0))
-        insort(self.shuffles.setdefault(zone, {}).setdefault(srv.kind_id, []), srv, key=PLACE)
+        srv.shuffle_key = mix(srv.id, self.rounds.setdefault(zone, 0))
+        insort(self.shuffles.setdefault(zone, {}).setdefault(srv.kind_id, []), srv, key=SHUFFLE_ORDER)
 
-    def unlist(self, srv: Server) -> None:
+    def remove(self, srv: Server) -> None:
         srv.in_list = False
         order = self.shuffles[srv.zone if self.zoned else 0][srv.kind_id]
-        del order[bisect_left(order, PLACE(srv), key=PLACE)]
+        del order[bisect_left(order, SHUFFLE_ORDER(srv), key=SHUFFLE_ORDER)]
 
-    def stretch(self, zone: int) -> list[Server]:
-        """This copy's part of a shuffle in which the machines of each kind lie evenly spread.
+    def shuffle_slice(self, zone: int) -> list[Server]:
+        """This node's slice of a shuffled order in which the servers of each kind are evenly distributed.
 
-        Failure prevented: by chance a copy's few members are all of a slow kind, and it keeps them crowded
-        while others' fast ones stand idle.
+        Failure prevented: by chance all few members of a node are of a slow kind and overloaded, while the
+        fast members of other nodes are idle.
         """
         kinds = self.shuffles.get(zone, {})
         n = sum(map(len, kinds.values()))
         parts = max(1, n // SUBSET_LEAST)
-        turn, part = divmod(self.settings.index, parts)
-        if turn != self.turns.get(zone, 0):
-            self.turns[zone] = turn
+        seed, part = divmod(self.settings.index, parts)
+        if seed != self.rounds.get(zone, 0):
+            self.rounds[zone] = seed
             for order in kinds.values():
                 for srv in order:
-                    srv.place = mix(srv.id, turn)
-                order.sort(key=PLACE)
+                    srv.shuffle_key = mix(srv.id, seed)
+                order.sort(key=SHUFFLE_ORDER)
         start, end = part * n // parts, (part + 1) * n // parts
         count = min(max(end - start, self.size), n)
-        # Once round from `start` on, and of it no more is looked at than is taken.
-        runs = (self.spread(kinds, turn, n, first) for first in (start, 0))
+        # From `start` on and around the end; lazily, so that only the servers taken are looked at.
+        runs = (self.interleave(kinds, seed, n, first) for first in (start, 0))
         return [srv for _, _, srv in islice(chain.from_iterable(runs), count)]
 
-    def spread(
-        self, kinds: dict[int, list[Server]], turn: int, n: int, start: int
+    def interleave(
+        self, kinds: dict[int, list[Server]], seed: int, n: int, start: int
     ) -> Iterator[tuple[float, int, Server]]:
-        """All `n` servers in the order of their places, each kind's evenly spread, without the first `start`.
+        """All `n` servers in the order of their positions on the circle, without the first `start`.
 
-        Before a share x of the circle lie fewer than x n and one of each kind.
+        Fewer than x * n + len(kinds) of them lie before a position x; those are skipped without a merge.
         """
         runs, skipped = [], 0
         share = (start - len(kinds) - 1) / n if n else 0.0
         for kind, order in sorted(kinds.items()):
-            shift = mix(kind, turn) / 2**64
+            shift = mix(kind, seed) / 2**64
             first = min(len(order), max(0, ceil(share * len(order) - shift)))
             skipped += first
-            runs.append(places(order, shift, first))
+            runs.append(positions(order, shift, first))
         return islice(merge(*runs, key=itemgetter(0, 1)), start - skipped, None)
 
-    def take_members(self) -> None:
-        """This copy's stretch of an order of the servers that all copies share.
+    def select_members(self) -> None:
+        """Selects this node's slice of an order of the servers that all nodes compute alike.
 
-        Copies with numbers in a row take stretches in a row; once round, the next go by another shuffle. So
-        each server belongs to equally many copies, without a message, and a change of the list moves few.
+        Nodes with consecutive indexes take consecutive slices; each round uses another shuffle. So a server
+        belongs to equally many nodes without communication, and a change of the list moves few members.
         """
         self.listed = sum(len(o) for kinds in self.shuffles.values() for o in kinds.values())
         self.size = self.wanted_size()
         for srv in self.members:
             srv.member = False
         self.members = []
-        # Failure prevented: a subset over all zones has one member or none where calls should stay.
+        # Failure prevented: a subset over all zones has one member or none in the zone of this node.
         for zone in sorted(self.shuffles) if self.zoned else [0]:
-            self.members += self.stretch(zone)
+            self.members += self.shuffle_slice(zone)
         for srv in self.members:
             srv.member = True
 
-    def sort_able(self) -> int:
-        """Who may be drawn; by how much the calls in flight that count for the limit change with it.
+    def update_eligible_members(self) -> int:
+        """Recomputes the eligible members; returns the change of the calls that count against the limit.
 
-        Failure prevented: calls stuck on a silent member fill the limit for all the others.
+        Failure prevented: calls that hang at a silent member use up the limit for all the others.
         """
         change = 0
-        self.able = []
+        self.eligible = []
         for m in self.members:
-            aside = m.ejected
-            if not aside:
-                self.able.append(m)
-            if aside != m.aside:
-                change += -m.in_flight if aside else m.in_flight
-                m.aside = aside
+            excluded = m.ejected
+            if not excluded:
+                self.eligible.append(m)
+            if excluded != m.excluded:
+                change += -m.in_flight if excluded else m.in_flight
+                m.excluded = excluded
         if self.weighted:
-            most = max([m.share for m in self.able], default=1.0)
-            for m in self.able:
-                m.lack = most / m.share
-        self.near = [m for m in self.able if m.zone == self.settings.zone]
-        if self.zoned and self.able:
-            # Failure prevented: a zone with few servers, or few that are well, takes all calls of the one
-            # node beside it. At least what exceeds the zone's part of all leaves it, were all nodes alike.
-            part = len(self.near) * self.settings.instances / len(self.able)
+            most = max([m.share for m in self.eligible], default=1.0)
+            for m in self.eligible:
+                m.weight_penalty = most / m.share
+        self.eligible_near = [m for m in self.eligible if m.zone == self.settings.zone]
+        if self.zoned and self.eligible:
+            # Failure prevented: a zone with few eligible servers takes all calls of the one node in it. What
+            # this node has above its zone's part of all servers, if all nodes send alike, leaves the zone.
+            part = len(self.eligible_near) * self.settings.instances / len(self.eligible)
             self.spill_least = max(0.0, 1 - part)
             self.spill = max(self.spill, self.spill_least)
         return change
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""A recording host for tests."""
+"""Helpers for tests of the Balancer: a host that records all actions, and functions to send events."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         return lambda *args: self.calls.append((name, *args))
 
     def take(self, *names: str) -> list[tuple]:
-        """The calls since the last take, of these names if any are given."""
+        """The actions since the last call, or only those with the given names."""
         calls, self.calls = self.calls, []
         return [c for c in calls if not names or c[0] in names]
 
@@ -53,7 +53,7 @@
 def ask(
     node: Balancer, recorder: Recorder, now: int, request: int, klass: int = 0, left: int = 3 * SEC
 ) -> tuple:
-    """Sends a request in and returns the one action it leads to."""
+    """Sends a request to the Balancer and returns the one action that follows."""
     node.request(now, request, klass, 0, left, False)
     (action,) = recorder.take("send", "refuse", "fail")
     return action
@@ -75,5 +75,5 @@
 
 
 def load(server: Server, now: int, mean: float) -> float:
-    """What the draw compares."""
+    """What is compared when two members are drawn: expected time for the calls in flight."""
     return (server.in_flight + 1) * server.slowness(now, mean)
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire codec both ways, and each malformed case."""
+"""Encoding and decoding of the simulator's wire format, and malformed input."""
 
 import io
 import json
@@ -63,7 +63,7 @@
     assert size == 19 and reply[4 + size :] == b"\0\0\0\0"
 
 
-def test_an_outcome_with_a_report_is_read_to_its_end():
+def test_an_outcome_with_a_report_is_decoded_completely():
     verdict = struct.pack("<BHQBIIBHB2f", 8, 3, 1, 0, 900, 11, 0, 502, 2, 1.0, 2.0)
     host = Host()
     host.batch(3, create() + members(servers=(11,)), 0)
@@ -71,7 +71,7 @@
     assert host.batch(1, verdict, 900)[4] == 67  # an unknown effect counts as unsafe: failed
 
 
-def test_every_other_event_is_read():
+def test_every_other_event_is_decoded():
     records = [
         struct.pack("<BHQ", 2, 3, 77),
         struct.pack("<BHQ", 11, 3, 5),
@@ -87,7 +87,7 @@
     assert b"\x41\x03\x00" not in reply[4:7]  # the instance was stopped before the request came
 
 
-def test_every_action_is_written_in_the_wire_s_layout():
+def test_every_action_is_encoded_in_the_wire_format():
     out = bytearray()
     actions = WireActions(out, 3)
     expected = b""
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("name", MALFORMED)
-def test_malformed_input_is_named(name):
+def test_malformed_input_is_reported(name):
     data, message = MALFORMED[name]
     with pytest.raises((WireError, ValueError), match=message):
         run(data)
@@ -190,7 +190,7 @@
     assert read_settings(json.dumps(env).encode()).tenants == ()
 
 
-def test_the_process_exits_plainly():
+def test_the_exit_status_and_output_of_the_process():
     def start(data):
         command = [sys.executable, "-m", "brackenladder.adapter"]
         return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=60)
@@ -201,14 +201,14 @@
     assert good.returncode == 0 and good.stderr == b"" and good.stdout[4] == 65
 
 
-def test_settings_are_read_with_their_own_names():
+def test_settings_are_read_under_their_names_on_the_wire():
     s = read_settings(json.dumps(ENV).encode())
     assert s.report_fields == ("inflight", "odd") and s.instances == 2 and s.tiers == 2
     assert [int(c.effect) for c in s.classes] == [1, 2]
 
 
-def day(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
-    """The replies of one process that hosts these instances, over some requests and outcomes."""
+def replies_of_a_run(env: dict, nodes: tuple[int, ...]) -> list[bytes]:
+    """The replies of one process that hosts these instances, for a series of requests and outcomes."""
     host = Host()
     replies = []
     for node in nodes:
@@ -232,14 +232,14 @@
         names = {"kinds": [prefix], "dcs": [prefix + "z"], "layers": [prefix + "a", prefix + "b"]}
         return {**ENV, **names, "classes": classes, "tenants": tenants}
 
-    replies = day(named("alpha"), (3,))
-    assert replies == day(named("other"), (3,))
+    replies = replies_of_a_run(named("alpha"), (3,))
+    assert replies == replies_of_a_run(named("other"), (3,))
     assert sum(r[4:5] == b"\x41" for r in replies) > 20
 
 
-def test_instances_act_alike_in_one_process_and_in_several():
-    together = day(ENV, (3, 4))
-    apart = {node: day(ENV, (node,)) for node in (3, 4)}
+def test_instances_act_the_same_in_one_process_and_in_several():
+    together = replies_of_a_run(ENV, (3, 4))
+    apart = {node: replies_of_a_run(ENV, (node,)) for node in (3, 4)}
     by_node = {3: [], 4: []}
     for reply in together:
         if len(reply) > 4:
--- a/tests/test_balance.py
+++ b/tests/test_balance.py
@@ -1,4 +1,4 @@
-"""The four rules for each effect, and each failure that the module answers."""
+"""The Balancer's reaction to each outcome for each effect, and to overload, lists and odd events."""
 
 import pytest
 from support import BASE, KEYED, SAFE, SEC, UNSAFE, ask, balancer, end
@@ -21,7 +21,7 @@
 
 def test_refused_at_the_limit_at_once_with_back_off():
     node, rec = balancer(1)
-    limit = int(node.controller.allowed())
+    limit = int(node.controller.effective_limit())
     answers = [ask(node, rec, 0, i)[0] for i in range(limit + 1)]
     assert answers == ["send"] * limit + ["refuse"]
     node.request(0, 99, 0, 0, 3 * SEC, False)
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("outcome", sorted(NEVER_RAN))
 @pytest.mark.parametrize("klass", [0, 1, 2])
-def test_an_attempt_that_never_ran_goes_to_another_try(outcome, klass):
+def test_an_attempt_that_never_ran_is_retried(outcome, klass):
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1, klass)
     ((action, *_),) = end(node, rec, 1000, 1, 0, server, outcome)
@@ -40,14 +40,14 @@
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_unsafe_is_failed_once_it_may_have_run(outcome):
+def test_an_unsafe_request_is_failed_once_it_may_have_run(outcome):
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1, 2)
     assert end(node, rec, 1000, 1, 0, server, outcome) == [("fail", 1)]
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
-def test_safe_is_tried_again_then_refused_at_the_attempt_cap(outcome):
+def test_a_safe_request_is_retried_up_to_the_attempt_limit_then_refused(outcome):
     node, rec = balancer(max_attempts=2)
     _, _, server, _ = ask(node, rec, 0, 1, 0)
     ((action, _, other, _),) = end(node, rec, 1000, 1, 0, server, outcome)
@@ -56,7 +56,7 @@
     assert action == "refuse"
 
 
-def test_keyed_repeats_stay_in_the_group_and_window():
+def test_a_keyed_request_is_retried_only_in_its_group_and_window():
     for group, field in ((Group.CELL, "cell"), (Group.ZONE, "zone")):
         entries = [ServerEntry(i + 1, **{field: i % 2}) for i in range(8)]
         klass = ClassSettings(
@@ -70,14 +70,14 @@
             assert end(node, rec, SEC + 1, 1, 1, other, Outcome.ERROR) == [("fail", 1)]
 
 
-def test_keyed_is_failed_when_its_group_has_no_other_server():
+def test_a_keyed_request_is_failed_if_its_group_has_no_other_server():
     node, rec = balancer([ServerEntry(1, cell=1), ServerEntry(2, cell=2)])
     _, _, server, _ = ask(node, rec, 0, 1, 1)
     assert end(node, rec, 1000, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_retries_are_capped_by_a_budget():
-    """Retries multiply through tiers: a subset that fails everything gets few further attempts."""
+def test_retries_are_limited_by_a_budget():
+    """Failure prevented: if a whole subset fails, unlimited retries multiply the load over the tiers."""
     node, rec = balancer(4)
     sends = 0
     for i in range(100):
@@ -90,7 +90,7 @@
     assert 100 < sends <= 100 + 100 * 0.1 + 4
 
 
-def test_time_out_at_the_deadline_gets_the_final_answer():
+def test_a_timeout_at_the_deadline_leads_to_the_final_answer():
     for klass, answer in ((0, "refuse"), (1, "fail"), (2, "fail")):
         node, rec = balancer()
         _, _, server, timeout = ask(node, rec, 0, 1, klass)
@@ -100,14 +100,14 @@
         assert not node.requests
 
 
-def test_a_class_without_late_worth_is_not_waited_for_beyond_its_aim():
-    """Late work is waste."""
+def test_an_attempt_of_a_class_without_late_worth_ends_at_its_aim():
+    """Failure prevented: servers work on answers that are too late to be worth anything."""
     klass = ClassSettings(Effect.SAFE, aim=SEC, deadline=3 * SEC, worth=1)
     node, rec = balancer(classes=(klass,))
     assert ask(node, rec, 0, 1)[3] < SEC
 
 
-def test_no_eligible_server_is_an_answer_at_once():
+def test_a_request_is_refused_at_once_if_there_is_no_server():
     for klass in (0, 1, 2):
         node, rec = balancer(0)
         assert ask(node, rec, 0, 1, klass)[0] == "refuse"
@@ -128,7 +128,7 @@
         assert servers == {1, 3, 4}
 
 
-def test_a_full_list_removes_what_it_does_not_name():
+def test_a_full_list_removes_servers_that_are_not_in_it():
     node, rec = balancer(4)
     node.server_list(10, ListKind.FULL, [ServerEntry(1), ServerEntry(1, zone=3), ServerEntry(4)])
     assert sorted(m.id for m in node.members) == [1, 4]
@@ -138,7 +138,7 @@
 
 
 def test_a_drained_server_that_fails_gets_no_trial():
-    """A drained server's last calls fail; ejected after its removal it would get a half-open trial."""
+    """Failure prevented: a drained server's last calls fail, it is ejected, and later gets a trial call."""
     node, rec = balancer(4)
     held = []
     for i in range(12):
@@ -155,7 +155,7 @@
         end(node, rec, i * SEC, i, 0, server, Outcome.OK)
 
 
-def test_the_subset_is_bounded_and_refilled():
+def test_the_subset_is_bounded_and_replaces_a_member_that_is_gone():
     node, rec = balancer(60)
     size = len(node.members)
     assert size < 60
@@ -164,8 +164,8 @@
     assert len(node.members) == size and first not in {m.id for m in node.members}
 
 
-def test_a_member_that_fails_quickly_is_ejected_and_tried_again():
-    """Quick errors hold few calls and would win every draw."""
+def test_a_member_that_fails_fast_is_ejected_and_later_readmitted():
+    """Failure prevented: a member that fails fast has few calls in flight and is chosen almost every time."""
     node, rec = balancer(6)
     now, bad = 0, 0
     for i in range(300):
@@ -184,8 +184,8 @@
     assert not node.servers[3].ejected and node.servers[3].calls > before
 
 
-def test_a_silent_member_is_ejected_and_frees_the_limit():
-    """Calls stuck on a silent member must not fill the limit for all the others."""
+def test_a_silent_member_is_ejected_and_its_calls_do_not_count_against_the_limit():
+    """Failure prevented: calls that hang at a silent member use up the limit for all the others."""
     node, rec = balancer(6)
     now, out = 0, []
     for i in range(600):
@@ -201,7 +201,7 @@
 
 
 def test_a_cold_server_gets_no_more_than_its_share():
-    """A restarted server looks idle and draws a flood that pushes it over."""
+    """Failure prevented: a restarted server looks idle and is overloaded by new calls."""
     node, rec = balancer(4)
     now, cold = 0, 0
     for i in range(400):
@@ -212,12 +212,12 @@
         action = ask(node, rec, now, i)
         cold += i >= 200 and action[2] == 2
         end(node, rec, now, i, 0, action[2], Outcome.OK, 250_000)
-    # two seconds at up to 0.4 + 0.6 x 0.5 of a warm member's 25 to 33 a second
+    # Two seconds at up to 0.4 + 0.6 x 0.5 of a warm member's rate of 25 to 33 calls a second.
     assert 5 <= cold <= 40
 
 
-def test_lower_tier_holds_at_the_limit_instead_of_refusing():
-    """A refusal below the first tier throws away the work already done above."""
+def test_a_lower_tier_queues_at_the_limit_instead_of_refusing():
+    """Failure prevented: a refusal below the first tier wastes the work that the tiers above have done."""
     node, rec = balancer(1, tier=1, tiers=2)
     sent = []
     for i in range(4):
@@ -233,7 +233,7 @@
 
 
 def tenants_served(shed: float, sent: tuple[int, ...]) -> list[float]:
-    """Shares served of tenants that each have 10 requests a second and send so many times 10."""
+    """The share of each tenant's requests that is served: quotas are 10 a second, `sent` multiples of 10."""
     tenants = tuple(TenantSettings(quota=10 * 50) for _ in sent)
     node, rec = balancer(8, tenants=tenants, instances=50)
     served = [0] * len(sent)
@@ -250,16 +250,16 @@
     return [n / (600 * count) for n, count in zip(served, sent, strict=True)]
 
 
-def test_a_tenant_far_beyond_its_share_is_shed_while_the_fleet_is_pressed():
-    """One tenant's excess takes the servers from the others, and no copy's limit ever binds."""
+def test_a_tenant_far_over_quota_is_shed_under_load():
+    """Failure prevented: one tenant's excess slows all others, while no node reaches its limit."""
     greedy, *others = tenants_served(1.0, (3, 1, 1))
     assert greedy < 0.45 and min(others) > 0.95
     assert min(tenants_served(0.0, (3, 1, 1))) > 0.95
 
 
 @pytest.mark.parametrize("latency, answers", [(2.0, 3), (0.8, 53), (0.5, 0)])
-def test_shedding_hurries_where_answers_are_late(latency, answers):
-    """A burst of what is worth little has crowded the servers before 20 late answers are in."""
+def test_shedding_rises_faster_for_later_answers(latency, answers):
+    """Failure prevented: a burst of low-value calls overloads the servers before 20 late answers are seen."""
     node, rec = balancer(1)
     node.shed = 0.0
     target = node.controller.target[0]
@@ -270,12 +270,12 @@
     assert (node.shed == 1) == (answers > 0)
 
 
-def test_a_copy_with_much_more_than_its_part_of_the_traffic_sheds_no_tenant_for_it():
-    """The quotas' equal parts say that all tenants of a node in favour are in excess."""
+def test_a_node_with_most_of_the_traffic_does_not_shed_tenants_for_it():
+    """Failure prevented: on a node with more than its part of all traffic every tenant looks over quota."""
     assert min(tenants_served(1.0, (9, 10, 9))) > 0.85
 
 
-def test_a_class_of_lesser_worth_leaves_room():
+def test_a_class_of_low_worth_leaves_room_below_the_limit():
     rich = ClassSettings(Effect.UNSAFE, aim=SEC, deadline=3 * SEC, worth=10)
     node, rec = balancer(8, classes=(SAFE, rich))
     answers = [ask(node, rec, 0, i)[0] for i in range(23)]
@@ -283,7 +283,7 @@
     assert ask(node, rec, 0, 99, 1)[0] == "send"
 
 
-def test_a_client_that_left_is_cancelled_and_gets_no_answer():
+def test_the_attempt_of_a_client_that_left_is_cancelled_without_an_answer():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
     node.client_left(10, 1)
@@ -296,14 +296,14 @@
     assert rec.take() == []
 
 
-def test_a_begun_stream_is_never_tried_again():
+def test_a_stream_that_has_started_is_never_retried():
     node, rec = balancer()
     _, _, server, _ = ask(node, rec, 0, 1)
     node.response_started(10, 1, 0, server, 10)
     assert end(node, rec, 20, 1, 0, server, Outcome.RESET) == [("fail", 1)]
 
 
-def test_odd_events_are_ignored():
+def test_events_about_unknown_requests_and_servers_are_ignored():
     node, rec = balancer()
     node.client_left(0, 5)
     node.outcome(0, 5, 0, 77, Outcome.OK, 1, True, ())
@@ -318,7 +318,7 @@
     assert node.controller.in_flight == 0
 
 
-def test_an_asked_for_list_is_watched_and_asked_again_with_back_off():
+def test_a_failed_list_request_is_repeated_with_back_off():
     node, rec = balancer(list_on_request=True, list_ask_within=10 * SEC)
     node.start(0)
     assert rec.take("watch") == [("watch", True)]
--- a/tests/test_balance_cold.py
+++ b/tests/test_balance_cold.py
@@ -1,4 +1,4 @@
-"""Cold servers: their share, its bucket, and what it is measured against."""
+"""Slow start: the share of calls that a cold server gets, its token bucket and the rate it derives from."""
 
 import pytest
 from support import SEC, ask, balancer, end
@@ -15,30 +15,30 @@
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
 
-def test_a_server_that_has_just_got_warm_takes_one_and_a_half_shares_while_the_window_reaches_back():
-    """Failure prevented: the only warm one of a fleet in deploy is flooded in its first warm second."""
+def test_a_server_that_has_just_warmed_up_gets_at_most_one_and_a_half_shares_per_window():
+    """Failure prevented: in a rolling restart the only warm server is overloaded in its first warm second."""
     node, rec = balancer(2)
     node.warm_rate = 10.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
     warm, server = SEC + 4 * SEC, node.servers[1]
-    taken = sum(node.may_send(warm + i * 1000, server) for i in range(999))  # the rule's window: a second
+    taken = sum(node.may_send(warm + i * 1000, server) for i in range(999))  # one window of fall_time
     assert 12 <= taken <= 16
     assert all(node.may_send(warm + SEC, server) for _ in range(100))
 
 
-@pytest.mark.parametrize("copies", [1, 4, 60])
-def test_a_cold_server_gets_its_share_from_all_copies_from_the_first_moment_and_no_more(copies):
-    """Failure prevented: it stands idle until the buckets of all copies are full, then each sends a call."""
-    nodes = [balancer(2, instances=copies, index=i)[0] for i in range(copies)]
+@pytest.mark.parametrize("nodes_total", [1, 4, 60])
+def test_a_cold_server_gets_its_share_from_all_nodes_together_from_the_start(nodes_total):
+    """Failure prevented: a cold server is idle until the buckets of all nodes fill and all send at once."""
+    nodes = [balancer(2, instances=nodes_total, index=i)[0] for i in range(nodes_total)]
     sent = []
     for node in nodes:
-        node.warm_rate = 20 / copies  # a warm server takes 20 calls a second from all
+        node.warm_rate = 20 / nodes_total  # a warm server takes 20 calls a second from all
         node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
-    for step in range(200):  # for 4 s, in which it gets warm, each has work for it all the time
+    for step in range(200):  # for the 4 s of its warm-up, every node sends whenever it may
         now = SEC + step * SEC // 50
         sent += [now for node in nodes if node.may_send(now, node.servers[1])]
     share = 20 * COLD_PART * nodes[0].settings.fall_multiple
-    first = share * nodes[0].settings.cold_share  # calls in the first second, when it does not warm yet
+    first = share * nodes[0].settings.cold_share  # calls in the first second, at the cold share
     assert 0.7 * first - 1 <= sum(t < 2 * SEC for t in sent) <= 1.4 * first + 1
     windows = [(t, sum(t <= other < t + SEC for other in sent)) for t in sent]
     for t, calls in windows:
@@ -57,32 +57,32 @@
         (Outcome.CONNECT_FAILED, False),
     ],
 )
-def test_a_cold_servers_share_is_of_what_warm_ones_took(outcome, counts):
+def test_only_calls_that_a_warm_server_accepted_count_for_the_warm_rate(outcome, counts):
     node, rec = balancer(1, max_attempts=1)
     for i in range(3):
         assert ask(node, rec, 1000, i)[0] == "send"
         end(node, rec, 2000, i, 0, 1, outcome)
-    node.each_window(100_000)
+    node.end_window(100_000)
     assert (node.warm_rate > 0) == counts
 
 
-def test_what_is_turned_away_in_a_later_window_is_taken_off_in_full():
-    """Failure prevented: bursts that a full queue turns away a window later raise a cold server's share."""
+def test_calls_rejected_in_a_later_window_are_subtracted_in_full():
+    """Failure prevented: bursts that are rejected one window after sending raise a cold server's share."""
     node, rec = balancer(1, max_attempts=1)
     rates = []
     for turn in range(1, 40, 2):
         for i in range(3):
             assert ask(node, rec, turn * 100_000 - 1000, 3 * turn + i)[0] == "send"
-        node.each_window(turn * 100_000)
+        node.end_window(turn * 100_000)
         for i in range(3):
             end(node, rec, turn * 100_000 + 1000, 3 * turn + i, 0, 1, Outcome.REJECTED)
-        node.each_window((turn + 1) * 100_000)
+        node.end_window((turn + 1) * 100_000)
         rates.append(node.warm_rate)
-    assert max(rates) < 1.0  # of 15 calls a second that were sent
+    assert max(rates) < 1.0  # 15 calls a second were sent
 
 
 def test_the_bucket_of_a_cold_server_starts_empty():
-    """A call saved up while nobody watched would come on top of every other node's."""
+    """Failure prevented: every node sends a saved-up call to the cold server at once."""
     node, rec = balancer(2)
     node.warm_rate = 10.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
@@ -92,17 +92,17 @@
 
 
 @pytest.mark.parametrize("multiple, shares", [(0.0, 1.0), (1.2, 1.0), (2.5, 1.5), (3.0, 1.8)])
-def test_a_cold_server_gets_a_stated_part_of_what_the_rule_allows(multiple, shares):
+def test_a_cold_server_gets_a_fixed_part_of_the_allowed_multiple(multiple, shares):
     node, _ = balancer(2, fall_multiple=multiple)
     node.warm_rate = 100.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
     sent = sum(node.may_send(SEC + i * 1000, node.servers[1]) for i in range(1000))
-    least = 100 * (0.4 + 0.6 / 4 / 2)  # from 0.4 on, for one second of the four that it takes to get warm
-    assert sent == pytest.approx(shares * least, rel=0.08)  # a little runs over between two looks
+    least = 100 * (0.4 + 0.6 / 4 / 2)  # from 0.4 up, for one of four seconds
+    assert sent == pytest.approx(shares * least, rel=0.08)  # the bucket overflows a little between two calls
 
 
-def test_a_cold_servers_share_is_of_what_warm_ones_take():
-    """A server that turned most calls away restarts, and gets its share of all that was sent to it."""
+def test_rejected_calls_do_not_count_for_the_warm_rate():
+    """Failure prevented: a server that rejected most calls gets, after a restart, a share of all of them."""
     node, rec = balancer(4, max_attempts=1)
     for i in range(20):
         server = ask(node, rec, i, i)[2]
@@ -115,13 +115,13 @@
     node, _ = balancer(entries)
     node.controller.limit = 30.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(8 + i, ready_at=SEC) for i in range(4)])
-    assert node.controller.limit == 30.0  # more servers, whatever they can do
+    assert node.controller.limit == 30.0  # more servers never lower the limit
     gone = [ServerEntry(i, State.GONE) for i in range(4)]
     node.server_list(SEC, ListKind.CHANGES, gone)
-    # Members are four of eight, cold at a share of 0.4 or warm: what all can do is estimated from them.
+    # Four of eight servers are members, each warm or at a cold share of 0.4; they give the total capacity.
     cold = sum(m.cold_until > SEC for m in node.members)
-    can = 8 * (len(node.members) - 0.6 * cold) / len(node.members)
-    assert cold > 0 and node.controller.strength == pytest.approx(can)
+    capacity = 8 * (len(node.members) - 0.6 * cold) / len(node.members)
+    assert cold > 0 and node.controller.capacity == pytest.approx(capacity)
     assert node.controller.limit < 30.0
 
 
@@ -142,20 +142,20 @@
 
 
 @pytest.mark.parametrize("ratio, falls", [(0.9, True), (1.1, False)])
-def test_a_cold_servers_share_does_not_fall_with_what_slowed_warm_ones_take(ratio, falls):
-    """Six of ten servers are cold, the others slow down under the load, and nobody uses the cold ones."""
+def test_late_answers_of_warm_members_do_not_lower_a_cold_server_s_share(ratio, falls):
+    """Failure prevented: the warm servers slow down under load, and the cold ones are left idle."""
     node, _ = balancer(2)
     node.warm_rate = 10.0
     node.controller.sample_rtt = ratio
     for i in range(1, 20):
-        node.each_window(i * 100_000)  # hardly anything is sent
+        node.end_window(i * 100_000)  # hardly anything is sent
     assert (node.warm_rate < 5) == falls and node.warm_rate <= 10
-    node.warm_sent = 10  # 50 a second at each of two
-    node.each_window(2 * SEC)
-    assert node.warm_rate > (10 if not falls else 0)  # what they take in good time still counts
+    node.warm_sent = 10  # 50 calls a second at each of two members
+    node.end_window(2 * SEC)
+    assert node.warm_rate > (10 if not falls else 0)  # a higher rate still counts
 
 
-def test_a_trial_costs_the_request_little_and_is_never_an_unsafe_one():
+def test_a_trial_has_a_short_timeout_and_is_never_an_unsafe_request():
     node, rec = balancer(4)
     node.eject(0, node.servers[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1, klass=2)[2] != 1
@@ -164,8 +164,8 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.NOT_SENT])
-def test_a_trial_that_came_to_nothing_is_followed_by_another(outcome):
-    """Failure prevented: a client leaves during a trial, and the server stays ejected for good."""
+def test_a_trial_without_a_result_is_followed_by_another(outcome):
+    """Failure prevented: a client disconnects during a trial, and the server stays ejected forever."""
     node, rec = balancer(4)
     node.eject(0, node.servers[1], silent=True)
     assert ask(node, rec, 5 * SEC, 1)[2] == 1
@@ -174,17 +174,17 @@
     assert ask(node, rec, 10 * SEC, 2)[2] == 1
 
 
-def test_unvisited_zones_are_taken_to_do_as_well_as_this_one_at_its_best():
+def test_zones_without_calls_are_assumed_to_be_as_fast_as_this_one_at_its_best():
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_price=0.04, instances=12)
     node.far_ratio, node.best_ratio, node.near_ratio = 5.0, 0.2, 0.6
     for i in range(1, 60):
-        node.each_window(i * 100_000)
+        node.end_window(i * 100_000)
     assert node.far_ratio < 3.0 and node.spill > 0
 
 
 @pytest.mark.usefixtures("wide")
-def test_when_the_drawn_are_all_cold_another_member_serves():
+def test_another_member_serves_if_all_drawn_ones_are_cold():
     entries = [ServerEntry(i + 1, ready_at=SEC) for i in range(11)] + [ServerEntry(12)]
     node, rec = balancer(entries)
     assert {ask(node, rec, SEC + 1000 * i, i)[2] for i in range(20)} == {12}
--- a/tests/test_balance_failures.py
+++ b/tests/test_balance_failures.py
@@ -1,4 +1,4 @@
-"""Servers and zones that fail, fall silent, slow down or are lost: ejection, spill, the limit."""
+"""Servers and zones that fail, stop answering, slow down or are lost: ejection, spill and the limit."""
 
 from random import Random
 
@@ -16,9 +16,9 @@
 
 
 def calls(node, rec, steps: int, failing: float, now: int = 0, gap: int = 10_000) -> tuple[int, float]:
-    """Plays calls of 100 ms, up to ten in flight, of which such a share fails by chance.
+    """Plays calls of 100 ms, up to ten in flight, of which a random share `failing` fails.
 
-    Gives the time at the end and the least limit on the way.
+    Returns the time at the end and the lowest limit seen.
     """
     chance = Random(7)
     out: list = []
@@ -36,30 +36,30 @@
     return now, least
 
 
-def test_a_tenth_of_failing_calls_is_no_overload():
-    """Failure prevented: answers that come spoilt, from any server alike, halve the limit over and over.
+def test_a_tenth_of_failing_calls_does_not_close_the_limit():
+    """Failure prevented: errors that occur at any server alike halve the limit again and again.
 
-    Where calls are few, two failures among a window's dozen are its p90.
+    With few calls, two failures among a window's dozen set its p90.
     """
     node, rec = balancer(6, instances=6)
     now, _ = calls(node, rec, 1500, 0.0)
     limit = node.controller.limit
     _, least = calls(node, rec, 1400, 0.1, now, 70_000)
-    assert least > 0.6 * limit  # the ceiling moves with what is usual
+    assert least > 0.6 * limit  # the ceiling follows the usual calls in flight
 
 
-def test_failures_of_the_whole_subset_close_the_limit():
-    """With servers lost below, most calls come back as errors; without samples the limit would stay."""
+def test_failures_of_the_whole_subset_lower_the_limit():
+    """Failure prevented: a lower tier fails most calls, and the limit stays since errors add no samples."""
     node, rec = balancer(6, instances=6)
     now, _ = calls(node, rec, 1500, 0.0)
     usual = node.controller.usual
-    assert usual > 8 and node.controller.allowed() > 12
+    assert usual > 8 and node.controller.effective_limit() > 12
     calls(node, rec, 1500, 1.0, now)
     assert node.controller.floor < usual and node.controller.limit < 0.7 * usual
 
 
-def test_a_member_that_has_just_turned_slow_loses_draws_before_its_calls_return():
-    """Its averages still look good: what tells is that its calls have been out for longer than the mean."""
+def test_a_member_that_has_just_become_slow_is_chosen_less_before_its_calls_return():
+    """Its averages still look good, but its calls have been in flight for longer than the mean."""
     node, rec = balancer(2)
     slow, quick = node.members
     slow.in_flight, slow.quiet_since = 1, 0
@@ -69,8 +69,8 @@
 
 
 @pytest.mark.usefixtures("wide")
-def test_calls_keep_to_their_zone_only_where_a_crossing_costs():
-    """Own calls in flight decide alone where crossings are cheap; keeping to a zone crowds its servers."""
+def test_calls_stay_in_their_zone_only_if_crossing_has_a_cost():
+    """Failure prevented: calls that stay in a zone for no reason overload its servers."""
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
 
     def near_share(price: float) -> float:
@@ -87,8 +87,8 @@
     assert 0.35 < near_share(0.005) < 0.65
 
 
-def test_a_crowded_zone_spills():
-    """One zone's servers drown while another's stand idle."""
+def test_calls_leave_an_overloaded_zone():
+    """Failure prevented: one zone's servers are overloaded while another's are idle."""
     entries = [ServerEntry(i + 1, zone=i % 2) for i in range(12)]
     node, rec = balancer(entries, cross_zone_price=0.04)
     now, far = 0, 0
@@ -102,8 +102,8 @@
 
 
 @pytest.mark.parametrize(("nodes", "least"), [(1, 5 / 6), (3, 0.5), (6, 0.0)])
-def test_a_node_leaves_its_zone_with_what_exceeds_the_zones_part(nodes, least):
-    """A zone's one server would take all calls of the one node beside it."""
+def test_traffic_above_a_zone_s_part_of_the_servers_leaves_the_zone(nodes, least):
+    """Failure prevented: a zone's only server gets all calls of the only node in the zone."""
     entries = [ServerEntry(i + 1, zone=min(i, 1)) for i in range(6)]
     node, rec = balancer(entries, cross_zone_price=0.04, instances=nodes)
     assert node.spill == pytest.approx(least)
@@ -117,8 +117,8 @@
     assert node.spill >= least
 
 
-def test_a_slow_member_is_drawn_less_often():
-    """Equal calls in flight hide a slow machine where a copy has hardly any in flight."""
+def test_a_slow_member_is_chosen_less_often():
+    """Failure prevented: with hardly any calls in flight a slow server gets as many calls as a fast one."""
     node, rec = balancer(4)
     now, hits = 0, 0
     for i in range(400):
@@ -129,17 +129,17 @@
     assert hits < 60
 
 
-def test_a_failing_member_loses_draws_before_it_is_ejected():
+def test_a_failing_member_is_chosen_less_before_it_is_ejected():
     node, rec = balancer(4)
     node.servers[1].fail_rate = 0.25
     node.servers[1].quiet_since = 0
     assert load(node.servers[1], 0, 100_000.0) == pytest.approx(3 * load(node.servers[2], 0, 100_000.0))
 
 
-def test_a_slow_member_does_not_speak_for_the_subset():
+def test_the_latency_of_an_outlier_is_not_used_for_the_limit():
     node, rec = balancer(4)
     node.controller.end_pass(0)
-    node.servers[1].deviation.value = 3.0
+    node.servers[1].latency_ratio.value = 3.0
     counts = []
     for i, server in enumerate((1, 2)):
         while ask(node, rec, 1000, 100 * server + i, 2)[2] != server:
@@ -149,12 +149,12 @@
     assert counts == [0, 1]
 
 
-def test_what_is_ejected_counts_no_more_as_its_zones_part():
-    """Failure prevented: of a zone's two servers one fails, and the other drowns beside an idle zone."""
+def test_an_ejected_server_does_not_count_for_its_zone_s_part():
+    """Failure prevented: one of a zone's two servers fails, the other is overloaded beside an idle zone."""
     entries = [ServerEntry(i, zone=i % 2) for i in range(1, 5)]
     node, rec = balancer(entries, cross_zone_price=0.04, instances=2)
     assert node.spill == 0
-    near = node.near[0]
+    near = node.eligible_near[0]
     node.eject(0, near, silent=False)
     assert node.spill == pytest.approx(1 / 3)
     node.readmit(near)
@@ -162,13 +162,13 @@
 
 
 def test_a_shrinking_list_leaves_no_more_than_a_third_ejected():
-    """Failure prevented: the one member left that is not ejected takes all calls."""
+    """Failure prevented: the only member that is not ejected gets all calls."""
     node, rec = balancer(4)
     node.eject(0, node.servers[1], silent=False)
     node.server_list(1, ListKind.FULL, [ServerEntry(i) for i in (1, 2, 3)])
     assert [srv.id for srv in node.ejected] == [1]
     node.server_list(2, ListKind.FULL, [ServerEntry(i) for i in (1, 2)])
-    assert node.ejected == [] and len(node.able) == 2
+    assert node.ejected == [] and len(node.eligible) == 2
 
 
 @pytest.mark.usefixtures("wide")
@@ -179,16 +179,16 @@
     assert len(node.ejected) == 3
 
 
-def test_a_lost_zone_is_left_at_once_and_closes_no_limit():
-    """Half of the members refuse connections: none of them stands out, and their failures are no load."""
+def test_a_lost_zone_gets_no_calls_and_does_not_lower_the_limit():
+    """Half of the members refuse connections: none is an outlier, and their failures are no sign of load."""
     node, rec = balancer(4, max_attempts=4)
     lost = [m for m in node.members if m.id % 2]
-    before = node.controller.strength
+    before = node.controller.capacity
     for i in range(800):
         now = 10_000 * i
         action = ask(node, rec, now, i)
         attempt = 0
-        while action[0] == "send" and action[2] % 2:  # an attempt that cost nobody work takes no token
+        while action[0] == "send" and action[2] % 2:  # a failed connection takes no retry token
             node.retry_tokens = 0.0
             ((*action,),) = end(node, rec, now, i, attempt, action[2], Outcome.CONNECT_FAILED)
             attempt += 1
@@ -196,24 +196,24 @@
             assert action[0] == "send" or attempt == 4
         if action[0] == "send":
             end(node, rec, now + 1000, i, attempt, action[2], Outcome.OK)
-    assert all(m.dead for m in lost) and node.controller.strength == pytest.approx(before / 2)
+    assert all(m.unreachable for m in lost) and node.controller.capacity == pytest.approx(before / 2)
     node.server_list(9 * SEC, ListKind.CHANGES, [ServerEntry(2)])
-    assert all(m.dead for m in lost)
+    assert all(m.unreachable for m in lost)
     node.server_list(9 * SEC, ListKind.CHANGES, [ServerEntry(lost[0].id, ready_at=9 * SEC)])
-    assert not lost[0].dead and lost[1].dead  # a change of the list brings none back but the one that started
+    assert not lost[0].unreachable and lost[1].unreachable  # only the restarted server is readmitted
 
 
-def test_not_all_members_are_taken_for_dead():
+def test_not_all_members_are_ejected_as_unreachable():
     node, _ = balancer(4)
     for m in list(node.members):
-        node.eject(0, m, silent=False, dead=True)
-    assert sum(m.dead for m in node.members) == 3
+        node.eject(0, m, silent=False, unreachable=True)
+    assert sum(m.unreachable for m in node.members) == 3
 
 
-def test_a_restarted_server_is_judged_anew():
+def test_a_restarted_server_starts_without_old_measurements():
     node, rec = balancer(4)
     node.eject(0, node.servers[1], silent=False)
-    node.servers[1].deviation.value = 5.0
+    node.servers[1].latency_ratio.value = 5.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC - 1)])
-    assert not node.servers[1].ejected and node.servers[1].deviation.value == 1.0
-    assert node.servers[1].cold_until == SEC - 1 + 4 * SEC + SEC  # and the rule's window
+    assert not node.servers[1].ejected and node.servers[1].latency_ratio.value == 1.0
+    assert node.servers[1].cold_until == SEC - 1 + 4 * SEC + SEC  # plus fall_time
--- a/tests/test_balance_subset.py
+++ b/tests/test_balance_subset.py
@@ -1,4 +1,4 @@
-"""The subset of servers of one copy: who belongs to it, how it moves, widens and finds its members."""
+"""The subset of servers that one node uses: which servers belong to it, how it changes and how it grows."""
 
 from collections import Counter
 
@@ -20,19 +20,19 @@
 MAY_HAVE_RUN = [o for o in Outcome if o not in NEVER_RAN and o != Outcome.OK]
 
 
-def copies(count: int, servers: int, **changes) -> list[Balancer]:
+def nodes_with_shared_servers(count: int, servers: int, **changes) -> list[Balancer]:
     return [balancer(servers, seed=i, instances=count, index=i, **changes)[0] for i in range(count)]
 
 
-def test_each_server_belongs_to_equally_many_copies():
-    """Subsets drawn apart leave some servers to many copies and some to few."""
-    belongs = Counter(m.id for node in copies(70, 60) for m in node.members)
+def test_each_server_is_a_member_for_equally_many_nodes():
+    """Failure prevented: with independent random subsets some servers belong to many nodes, some to few."""
+    belongs = Counter(m.id for node in nodes_with_shared_servers(70, 60) for m in node.members)
     assert len(belongs) == 60 and max(belongs.values()) - min(belongs.values()) <= 1
 
 
-def test_a_change_of_the_list_moves_few_members_and_new_servers_get_their_part():
-    """A full subset that takes in nobody leaves the machines of a grown fleet idle."""
-    nodes = copies(70, 60)
+def test_a_change_of_the_list_moves_few_members_and_new_servers_are_used():
+    """Failure prevented: full subsets take in no new server, and those added to a fleet stay idle."""
+    nodes = nodes_with_shared_servers(70, 60)
     before = [{m.id for m in node.members} for node in nodes]
     for node in nodes:
         node.server_list(1, ListKind.CHANGES, [ServerEntry(61)])
@@ -49,8 +49,8 @@
     st.booleans(),
 )
 @settings(max_examples=150, deadline=None, derandomize=True)
-def test_members_kept_change_by_change_are_those_of_the_whole_list(changes, index, zoned):
-    """Failure prevented: a change is booked into an order that has drifted from the list; copies differ."""
+def test_members_updated_by_changes_equal_those_of_a_full_list(changes, index, zoned):
+    """Failure prevented: the order kept by changes differs from that of the list, so that nodes disagree."""
     node, rec = balancer([], instances=200, index=index, cross_zone_price=0.05 if zoned else 0.0)
     listed: dict[int, ServerEntry] = {}
     for server, zone, kind, ready in changes:
@@ -65,11 +65,11 @@
     for zone in zones:
         mine = [e for e in listed.values() if zone in (None, e.zone)]
         parts = max(1, len(mine) // SUBSET_LEAST)
-        turn, part = divmod(index, parts)
+        seed, part = divmod(index, parts)
         spread = []
         for kind in {e.kind for e in mine}:
-            alike = sorted((e.server for e in mine if e.kind == kind), key=lambda s: (mix(s, turn), s))
-            spread += [((i + mix(kind, turn) / 2**64) / len(alike), s) for i, s in enumerate(alike)]
+            alike = sorted((e.server for e in mine if e.kind == kind), key=lambda s: (mix(s, seed), s))
+            spread += [((i + mix(kind, seed) / 2**64) / len(alike), s) for i, s in enumerate(alike)]
         order = [server for _, server in sorted(spread)]
         start, end = part * len(order) // parts, (part + 1) * len(order) // parts
         stop = min(max(end, start + SUBSET_LEAST), start + len(order))
@@ -77,20 +77,20 @@
     assert [m.id for m in node.members] == expected
 
 
-def test_the_subset_widens_with_the_calls_in_flight():
-    """A node that suddenly gets a large part of all traffic would send it to a few servers."""
+def test_the_subset_grows_with_the_calls_in_flight():
+    """Failure prevented: a node that suddenly gets a large part of the traffic overloads a few servers."""
     node, rec = balancer(60, instances=300)
     small = len(node.members)
     for i in range(60):
         ask(node, rec, i, i)
-    node.flight = 40.0
+    node.mean_in_flight = 40.0
     ask(node, rec, 100, 100)
     assert small < 12 and len(node.members) == 24
 
 
 @pytest.mark.usefixtures("wide")
-def test_a_server_is_known_by_its_kind_before_it_is_called():
-    """At a call a second a copy would take a minute to find out each slow machine by itself."""
+def test_a_new_server_starts_with_the_latency_of_its_kind():
+    """Failure prevented: at a call a second a node takes a minute to measure each slow server by itself."""
     node, rec = balancer([ServerEntry(i + 1, kind=i % 2) for i in range(8)])
     now = 0
     for i in range(60):
@@ -101,7 +101,7 @@
     assert load(node.servers[10], now, 1e6) > 1.5 * load(node.servers[9], now, 1e6)
 
 
-def test_a_keyed_repeat_finds_its_group_beyond_the_subset():
+def test_a_keyed_retry_may_go_to_its_group_outside_the_subset():
     entries = [ServerEntry(i + 1, cell=i % 30) for i in range(60)]
     node, rec = balancer(entries, instances=50)
     first = ask(node, rec, 0, 1, 1)[2]
@@ -110,8 +110,8 @@
 
 
 @pytest.mark.usefixtures("wide")
-def test_slow_members_together_get_little_of_the_traffic():
-    """Of few members two slow ones are drawn together each few calls, which keeps them crowded."""
+def test_slow_members_get_little_of_the_traffic():
+    """Failure prevented: among few members two slow ones are often drawn together and stay overloaded."""
     node, rec = balancer(4)
     now, slow = 0, 0
     for i in range(600):
@@ -122,21 +122,21 @@
     assert slow < 500 / 10
 
 
-def test_the_kinds_lie_evenly_in_every_copy_s_part():
+def test_the_members_of_every_node_are_of_all_kinds_in_proportion():
     entries = [ServerEntry(i + 1, kind=i % 4 // 3) for i in range(64)]  # a quarter of kind 1
     for index in range(32):
         node, _ = balancer(entries, instances=32, index=index)
         assert sum(node.servers[m.id].kind_id == 1 for m in node.members) in (1, 2)
 
 
-def test_an_unknown_class_gets_no_right_to_a_repeat():
-    """It was treated as the last class of the settings, whatever that one may."""
+def test_a_request_of_an_unknown_class_is_not_retried():
+    """Failure prevented: it is treated like the last class of the settings, which may allow retries."""
     node, rec = balancer(classes=(UNSAFE, SAFE))
     server = ask(node, rec, 0, 1, klass=9)[2]
     assert [a[0] for a in end(node, rec, 10_000, 1, 0, server, Outcome.ERROR)] == ["fail"]
 
 
-def test_the_end_of_a_request_already_gone_is_passed_over():
+def test_an_outcome_of_a_finished_request_is_ignored():
     node, rec = balancer()
     server = ask(node, rec, 0, 1)[2]
     end(node, rec, 10_000, 1, 0, server, Outcome.OK)
@@ -145,8 +145,8 @@
 
 
 @pytest.mark.parametrize("shares", [(1, 1, 1, 1), (2, 1, 1, 1), (1, 0.25, 0.5, 1), (0.1, 0.1, 0.1, 0.4)])
-def test_what_arrives_follows_an_operator_s_weights(shares):
-    """40,000 calls at equal speed, six in flight."""
+def test_calls_follow_the_weights_set_by_an_operator(shares):
+    """40,000 calls of equal duration, six in flight."""
     entries = [ServerEntry(i + 1, share=share) for i, share in enumerate(shares)]
     node, rec = balancer(entries)
     node.controller.end_pass(0)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The gradient controller against windows computed by hand."""
+"""The gradient controller, compared with windows computed by hand."""
 
 from math import sqrt
 from random import Random
@@ -24,7 +24,7 @@
 
 
 def run_pass(c: GradientController, rtt: int, now: int) -> None:
-    """Answers of one latency until the pass is over, the last of them at its time."""
+    """Adds samples of one latency until the pass is over, the last one at the end of its time."""
     for _ in range(c.pass_count):
         c.sample(now, 0, rtt)
     c.sample(c.pass_until, 0, rtt)
@@ -50,10 +50,10 @@
     assert percentile([3.0], 0.9) == 3.0
 
 
-def test_starts_with_a_pass_at_its_low_limit():
+def test_the_controller_starts_with_a_pass_at_a_low_limit():
     c = controller(members=5)
-    assert c.in_pass and c.allowed() == 5 * MIN_LIMIT
-    assert controller(members=1).allowed() == MIN_LIMIT
+    assert c.in_pass and c.effective_limit() == 5 * MIN_LIMIT
+    assert controller(members=1).effective_limit() == MIN_LIMIT
 
 
 def test_pass_sets_min_rtt_to_the_p90_of_its_calls():
@@ -67,7 +67,7 @@
 
 
 def test_a_pass_waits_for_long_calls():
-    """Ended at its last answer a pass has seen short calls only, and min_rtt comes out too low."""
+    """Failure prevented: a pass that ends too early has seen only short calls, and min_rtt is too low."""
     c = controller(members=5)
     for _ in range(200):
         c.sample(c.pass_until - 1, 0, 1000)
@@ -97,92 +97,90 @@
     assert c.limit == pytest.approx(42.0)
 
 
-def test_limit_does_not_outgrow_what_is_in_flight():
+def test_limit_is_bounded_by_the_calls_in_flight():
     c = after_pass(limit=100.0, in_flight=10, usual=10.0)
     fill(c, 125_000)
     assert c.limit == pytest.approx(2 * 10 + MIN_LIMIT)
 
 
-def test_copies_that_share_servers_share_floor_and_headroom():
-    """A floor of three calls a copy lets hundreds of copies keep every server crowded."""
+def test_nodes_that_share_servers_share_floor_and_headroom():
+    """Failure prevented: with a floor of three calls a node, hundreds of nodes overload every server."""
     c = after_pass(limit=4.0)
     c.resize(4, 36.0)
     assert c.floor == pytest.approx(4 * MIN_LIMIT / 36) and c.headroom() == pytest.approx(2 / 6)
     c.resize(24, 9.0)
-    assert (
-        c.pass_limit == 2 * 24 * MIN_LIMIT / 9 < 24 * MIN_LIMIT / 3
-    )  # two floors, where the root allows more
+    assert c.pass_limit == 2 * 24 * MIN_LIMIT / 9 < 24 * MIN_LIMIT / 3  # two floors, below the root rule
 
 
 @pytest.mark.parametrize(
     "copies, members, usual", [(1.0, 24, 0.0), (9.5, 24, 0.0), (9.5, 24, 15.0), (40.0, 24, 2.0)]
 )
-def test_all_copies_together_begin_and_may_grow_to_a_bounded_number_of_calls_a_server(copies, members, usual):
-    """Each of ten nodes had a lone copy's room: 28 calls a server in sum, where a dozen turn one slow."""
+def test_the_limits_of_all_nodes_together_are_bounded_per_server(copies, members, usual):
+    """Failure prevented: ten nodes with a single one's headroom: 28 calls a server, where 12 make it slow."""
     c = controller(members=members, usual=usual)
     c.limit = 0.0
     c.resize(members, copies)
-    least = copies / members  # of a copy's own bounds, MIN_LIMIT calls each
+    least = copies / members  # the least bounds of a node are MIN_LIMIT calls each
     assert c.limit * copies / members <= 2 * MIN_LIMIT
     assert c.pass_limit * copies / members <= max(2 * MIN_LIMIT, MIN_LIMIT * least)
     within = (2 * usual + MIN_LIMIT) * least
-    assert c.most() * copies / members <= max(
+    assert c.max_limit() * copies / members <= max(
         within, 4.5 * MIN_LIMIT if copies == 1 else 3 * MIN_LIMIT, 4.5 * least
     )
 
 
-def test_a_copy_that_carries_many_calls_shares_less():
-    """Some busy copies on one fleet each feel the crowding; a shared headroom let them grow too slowly."""
+def test_a_node_that_carries_many_calls_shares_its_headroom_with_fewer():
+    """Failure prevented: busy nodes, which see their own load, grow too slowly with a shared headroom."""
     c = after_pass(limit=16.0, usual=8.0)
     c.resize(4, 9.0)
-    assert c.shared == 1 and c.headroom() == 4.0
+    assert c.sharing == 1 and c.headroom() == 4.0
 
 
 @pytest.mark.parametrize(
-    "strength, limit, usual", [(8.0, 51.2, 32.0), (10.0, 100.0, 40.0), (12.0, 100.0, 40.0)]
+    "capacity, limit, usual", [(8.0, 51.2, 32.0), (10.0, 100.0, 40.0), (12.0, 100.0, 40.0)]
 )
-def test_the_limit_falls_at_once_with_what_the_servers_can_do(strength, limit, usual):
-    """Half of a tier leaves, and the other half is crowded before its answers tell of it."""
+def test_the_limit_falls_at_once_with_the_capacity_of_the_servers(capacity, limit, usual):
+    """Failure prevented: half of a tier leaves, and the rest is overloaded before latency shows it."""
     c = after_pass(limit=100.0, usual=40.0)
-    c.weigh(10.0)
+    c.set_capacity(10.0)
     assert (c.limit, c.usual) == (100.0, 40.0)  # the first list is no change
-    c.weigh(strength)
+    c.set_capacity(capacity)
     assert (c.limit, c.usual) == (pytest.approx(limit), pytest.approx(usual))
 
 
-def test_a_small_shared_limit_is_set_against_the_mean_of_calls_in_flight():
-    """Two calls at once by chance are no overload where half a call is in flight on average."""
+def test_a_small_shared_limit_is_compared_with_the_mean_of_calls_in_flight():
+    """Two calls at once by chance are no overload if half a call is in flight on average."""
     c = after_pass(limit=1.5, in_flight=0)
     c.resize(4, 1000.0)
     for i in range(40):  # two calls at once for 100 ms of each 400 ms: a mean of a half
-        c.note(i * 400_000, 2)
+        c.track_in_flight(i * 400_000, 2)
         assert c.admits(i * 400_000 + 50_000, 0)
-        c.note(i * 400_000 + 100_000, -2)
-    c.note(20_000_000, 2)
+        c.track_in_flight(i * 400_000 + 100_000, -2)
+    c.track_in_flight(20_000_000, 2)
     assert not c.admits(23_000_000, 0)
     alone = after_pass(limit=1.5, in_flight=0)
-    alone.note(0, 2)
-    assert not alone.admits(50_000, 0)  # its servers are its own: the source's rule
+    alone.track_in_flight(0, 2)
+    assert not alone.admits(50_000, 0)  # servers not shared: no averaging
 
 
-def test_a_thin_window_moves_the_limit_by_its_part():
-    """At a call a second a window's percentile is one call's luck, and would halve the limit."""
+def test_a_window_with_few_samples_changes_the_limit_in_proportion():
+    """Failure prevented: at a call a second a window's percentile is one latency, which halves the limit."""
     c = after_pass(limit=16.0, in_flight=16, usual=8.0)
     c.sample(1000 + 10 * WINDOW, 0, 250_000)
     full = 0.5 * 16 + 4
     assert c.limit == pytest.approx(16 + (full - 16) / 8)
 
 
-def test_buffer_reaches_to_the_part_of_the_aim():
+def test_the_buffer_extends_to_the_share_of_the_aim():
     # min_rtt + B = 500 ms: a p90 of 400 ms does not shrink the limit
     c = after_pass(allowance=500_000, limit=36.0, in_flight=30, usual=20.0)
     fill(c, 400_000)
     assert c.gradient == pytest.approx(1.25)
 
 
-def test_empty_window_changes_nothing_and_a_thin_one_waits():
+def test_an_empty_window_changes_nothing_and_one_with_few_samples_stays_open():
     c = after_pass(limit=36.0, in_flight=30, usual=20.0)
-    c.roll(50 * WINDOW)
+    c.close_window(50 * WINDOW)
     assert c.limit == 36.0
     c.sample(WINDOW // 2, 0, 250_000)
     assert c.limit == 36.0
@@ -201,8 +199,8 @@
     assert c.in_pass and c.limit == c.floor
 
 
-def test_windows_held_up_by_the_usual_calls_start_no_pass():
-    """Any overload brings the limit down to the usual calls; a pass each few seconds would close the copy."""
+def test_windows_at_the_usual_calls_start_no_pass():
+    """Failure prevented: overload lowers the limit to the usual calls, and a pass follows every time."""
     c = after_pass(limit=50.0, in_flight=40, usual=40.0)
     for i in range(20):
         fill(c, 1_000_000, 1000 + i * WINDOW)
@@ -213,9 +211,9 @@
     c = after_pass(limit=36.0, in_flight=30, usual=20.0)
     assert 60_000_000 <= c.next_pass - 1000 <= 66_000_000
     fill(c, 125_000, c.next_pass)
-    assert c.in_pass and c.allowed() == 5 * MIN_LIMIT
+    assert c.in_pass and c.effective_limit() == 5 * MIN_LIMIT
     run_pass(c, 100_000, c.next_pass + 1)
-    assert c.allowed() == pytest.approx(36 + (42 - 36) / 8)  # closed by one sample
+    assert c.effective_limit() == pytest.approx(36 + (42 - 36) / 8)  # closed by one sample
 
 
 def test_classes_count_relative_to_their_own_min_rtt():
@@ -231,8 +229,8 @@
     assert c.gradient == pytest.approx(1.0)
 
 
-def test_limit_keeps_what_was_carried_while_latency_was_good():
-    """Shared slowness: no lower limit makes everything faster again."""
+def test_the_limit_does_not_fall_below_the_calls_carried_within_target():
+    """Failure prevented: all servers are slow for another reason than load, and the limit falls in vain."""
     c = after_pass(limit=36.0, in_flight=30, usual=20.0)
     start = 1000
     for _ in range(300):
@@ -249,44 +247,44 @@
     assert c.limit == pytest.approx(c.usual)
 
 
-def test_a_min_rtt_measured_under_load_does_not_let_queues_grow_past_the_aim():
+def test_a_min_rtt_measured_under_load_does_not_raise_the_target_beyond_the_aim():
     c = after_pass(rtt=900_000, allowance=500_000)
     assert c.target[0] == 750_000
 
 
-def test_after_a_start_usual_follows_within_two_round_trips_until_a_window_above_target():
-    """A copy started into full traffic would refuse half of it for seconds."""
+def test_after_a_start_usual_is_smoothed_over_two_round_trips_until_a_window_is_above_target():
+    """Failure prevented: a node that starts under full traffic refuses half of it for seconds."""
     c = after_pass(allowance=200_000, limit=100.0, in_flight=80)
-    fill(c, 100_000)  # a window of 100 ms against round-trips of 100 ms: half the way
+    fill(c, 100_000)  # 100 ms window, 2 x 100 ms: half the way
     assert c.usual == pytest.approx(40.0)
     fill(c, 300_000, start=1000 + WINDOW)
     c.in_flight = 80
-    fill(c, 100_000, start=1000 + 2 * WINDOW)  # from here over 3 s
+    fill(c, 100_000, start=1000 + 2 * WINDOW)  # now smoothed over 3 s
     assert c.usual == pytest.approx(40 + 40 / 30, rel=0.01)
 
 
-def test_the_quick_start_ends_when_the_limit_does_not_bind():
+def test_the_fast_smoothing_ends_when_the_limit_is_not_reached():
     c = after_pass(allowance=200_000, limit=100.0, in_flight=20)
     fill(c, 100_000)
     assert not c.ramping and c.usual == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize(("lost", "usual"), [(0.0, 40.0), (0.2, 40 * (1 - 1 / 120))])
-def test_usual_is_given_up_only_while_calls_are_lost(lost, usual):
-    """Servers that slow down when crowded need rest; if calls are only late, a lower limit helps nobody."""
+def test_usual_falls_under_overload_only_while_calls_fail(lost, usual):
+    """Servers that slow down under load recover with fewer calls; if calls are only late, that is no help."""
     c = after_pass(limit=40.0, in_flight=39, usual=40.0, lost=lost)
     fill(c, 1_000_000)
     assert c.usual == pytest.approx(usual)
 
 
 def test_the_floor_falls_with_the_share_of_calls_that_succeed():
-    """With servers lost below, what was carried before is far too much from one moment to the next."""
+    """Failure prevented: a lower tier loses servers, and the calls carried before are far too many."""
     c = after_pass(limit=40.0, in_flight=39, usual=40.0, lost=0.5)
     fill(c, 1_000_000)
     assert c.limit == pytest.approx(0.5 * 40 + sqrt(40))
 
 
-def test_usual_is_not_lowered_while_the_limit_binds():
+def test_usual_is_not_lowered_while_the_limit_is_reached():
     c = after_pass(limit=20.0, in_flight=19, usual=50.0)
     fill(c, 50_000)
     assert c.usual == 50.0
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences: the four rules hold on the action stream. Also determinism and size."""
+"""Random legal event sequences and the rules that the actions must keep; determinism; size of the module."""
 
 import re
 import subprocess
@@ -59,7 +59,11 @@
 
 
 class World:
-    """A host that plays legal events and checks every action against the four rules."""
+    """A host that plays legal events and checks every action.
+
+    The rules: 1. each request gets one final answer in time. 2. What may have run is repeated only where that
+    is harmless. 3. Nothing is sent to a server that drains or is gone. 4. A cold server is not overloaded.
+    """
 
     def __init__(self, seed: int, steps: int) -> None:
         self.rng = rng = Random(seed)
@@ -68,7 +72,7 @@
         self.node = Balancer(self.s, seed, self.rec)
         self.now = 0
         self.listed: dict[int, State] = {}
-        self.unsent_after: dict[int, int] = {}  # server -> when it was told not ready
+        self.unsent_after: dict[int, int] = {}  # by server: when it was listed as not ready
         self.entries: dict[int, ServerEntry] = {}
         self.open: dict[int, dict] = {}
         self.closed: set[int] = set()
@@ -189,7 +193,7 @@
         assert not any(a["request"] == request for a in self.out)
 
     def sent(self, request: int, server: int, timeout: int) -> None:
-        r = self.open[request]  # rule 1: nothing is sent after the end
+        r = self.open[request]  # rule 1: nothing is sent after the final answer
         c = self.s.classes[r["klass"]]
         assert timeout > 0 and self.now + timeout <= r["until"]
         assert len(r["attempts"]) < self.s.max_attempts
@@ -206,7 +210,7 @@
                     assert server % 2 == first["server"] % 2
         ready_at = self.entries[server].ready_at
         if ready_at and self.now < ready_at + self.s.cold_time:
-            # Rule 4, from one copy: no more in any window than a warm member has had at the most.
+            # Rule 4, for one node: no more calls in any window than a warm member had at most.
             sends = self.cold_sends.setdefault(server, [])
             sends.append(self.now)
             recent = [t for t in sends if t > self.now - self.s.fall_time]
@@ -247,11 +251,11 @@
 
 
 def repeats_outside_the_group(monkeypatch):
-    monkeypatch.setattr(Balancer, "draw_in_group", lambda self, now, r: self.draw_two(now, self.able))
+    monkeypatch.setattr(Balancer, "draw_in_group", lambda self, now, r: self.draw_two(now, self.eligible))
 
 
 def ignores_drains(monkeypatch):
-    monkeypatch.setattr(Balancer, "drop", lambda self, srv: None)
+    monkeypatch.setattr(Balancer, "remove_server", lambda self, srv: None)
 
 
 def floods_cold_servers(monkeypatch):
@@ -271,7 +275,7 @@
     ],
 )
 def test_a_broken_rule_is_caught(breach, monkeypatch):
-    """The host's books notice each breach: a check that could not fail would prove nothing."""
+    """The checks of World detect each kind of violation, so they are able to fail."""
     breach(monkeypatch)
     caught = 0
     for seed in range(40):
@@ -302,7 +306,7 @@
     assert len(outputs) == 1 and len(outputs.pop()) > 10_000
 
 
-def test_instances_do_not_touch_each_other():
+def test_instances_are_independent_of_each_other():
     alone = [World(seed, 120).log for seed in range(6)]
     again = [World(seed, 120).log for seed in reversed(range(6))]
     assert alone == again[::-1]
@@ -314,7 +318,7 @@
 @pytest.mark.parametrize(
     "part", [*POLICY, ROOT / "brackenladder" / "interface.py"], ids=lambda path: path.stem
 )
-def test_names_and_wire_words_stay_out_of_the_decisions(part):
+def test_the_policy_has_no_names_of_the_wire_format(part):
     text = part.read_text()
     for word in ("guarded", "single_shot", "policy_limits", "RELAY", "BOUNCE", "import os", "hash("):
         assert word not in text
@@ -348,7 +352,7 @@
 
 
 def test_state_is_given_up_when_its_cause_is_gone():
-    """A long life with churning servers: nothing of ended requests, gone servers or old timers stays."""
+    """Failure prevented: memory grows with finished requests, removed servers or old timers."""
     node, rec = World(3, 0).node, Recorder()
     node.actions = rec
     for i in range(3000):
