--- a/brackenladder/catalog/taken.py
+++ b/brackenladder/catalog/accepted_orders.py
@@ -7,7 +7,7 @@
 
 from brackenladder.catalog.orders import ConfigurationOrder, ReplaceConfiguration
 
-MOST_TAKEN = 4096  # orders that are remembered; the oldest are forgotten first
+MAX_REMEMBERED_ORDERS = 4096  # orders that are remembered; the oldest are forgotten first
 DIGEST_BYTES = 16
 
 
@@ -20,7 +20,7 @@
     return digest.digest()
 
 
-class TakenOrders:
+class AcceptedOrders:
     """The digests of the newest orders, oldest first."""
 
     def __init__(self, packed: bytes = b"") -> None:
@@ -33,7 +33,7 @@
     def add(self, digest: bytes) -> None:
         """Remembers one, and forgets the oldest if there are too many."""
         self._digests[digest] = None
-        surplus = len(self._digests) - MOST_TAKEN
+        surplus = len(self._digests) - MAX_REMEMBERED_ORDERS
         for oldest in list(islice(self._digests, max(surplus, 0))):
             del self._digests[oldest]
 
--- a/brackenladder/catalog/catalog.py
+++ b/brackenladder/catalog/catalog.py
@@ -10,6 +10,7 @@
 from attrs import evolve, frozen
 from returns.result import Failure
 
+from brackenladder.catalog.accepted_orders import AcceptedOrders, order_digest
 from brackenladder.catalog.configuration import Configuration, ConfigurationParser
 from brackenladder.catalog.faults import ConfigurationFault, FaultKind
 from brackenladder.catalog.orders import (
@@ -29,7 +30,6 @@
     decode_order,
 )
 from brackenladder.catalog.strict_json import canonical, compact, read_object
-from brackenladder.catalog.taken import TakenOrders, order_digest
 from brackenladder.catalog.update import VERSION, Document, empty_document, merge_update
 
 NO_VERSION = 0
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         self._state = _State()
-        self._taken = TakenOrders()
+        self._taken = AcceptedOrders()
         self._parser = ConfigurationParser()
 
     @property
@@ -219,7 +219,7 @@
             zone_revisions=_read_zone_revisions(zone_revisions),
         )
         self._state = self._with_document(state, document)
-        self._taken = TakenOrders(taken)
+        self._taken = AcceptedOrders(taken)
 
     def _with_document(self, state: _State, document: bytes) -> _State:
         """The state with the configuration that a document holds."""
--- a/brackenladder/catalog/configuration.py
+++ b/brackenladder/catalog/configuration.py
@@ -94,12 +94,12 @@
         return tuple(entries)
 
 
-def _read_route(item: object, place: str) -> Result[RouteEntry, Faults]:
-    structured = structure(RouteDocument, item, place)
+def _read_route(item: object, location: str) -> Result[RouteEntry, Faults]:
+    structured = structure(RouteDocument, item, location)
     if isinstance(structured, Failure):
         return structured
     document = structured.unwrap()
-    faults = tuple(route_faults(place, document))
+    faults = tuple(route_faults(location, document))
     return Failure(faults) if faults else Success(RouteEntry(document, new_route(document)))
 
 
--- a/brackenladder/catalog/faults.py
+++ b/brackenladder/catalog/faults.py
@@ -26,12 +26,12 @@
 class ConfigurationFault:
     """One fault of a configuration and its place, as `Routes[3].TimeoutMs`; an empty place: the whole."""
 
-    place: str
+    location: str
     kind: FaultKind
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.place or 'document'}: {self.detail}"
+        return f"{self.location or 'document'}: {self.detail}"
 
 
 Faults = tuple[ConfigurationFault, ...]
--- a/brackenladder/catalog/structuring.py
+++ b/brackenladder/catalog/structuring.py
@@ -28,10 +28,10 @@
 LARGEST_NUMBER = 1e15  # as microseconds it still fits 64 bits
 DOCUMENT_NAME = "document_name"
 
-Name = Annotated[str, "not empty"]
-Whole = Annotated[int, "0 or above"]
-Number = Annotated[float, "0 or above"]
-PositiveNumber = Annotated[float, "above 0"]
+NonEmptyStr = Annotated[str, "not empty"]
+NonNegativeInt = Annotated[int, "0 or above"]
+NonNegativeFloat = Annotated[float, "0 or above"]
+PositiveFloat = Annotated[float, "above 0"]
 
 
 class ValueFault(ValueError):
@@ -181,7 +181,12 @@
     plain: tuple[tuple[type, Hook], ...] = ((str, _text), (bool, _flag), (int, _integer), (float, _signed))
     for type_, hook in plain:
         converter.register_structure_hook(type_, hook)
-    annotated = ((Name, _name), (Whole, _whole), (Number, _number), (PositiveNumber, _positive))
+    annotated = (
+        (NonEmptyStr, _name),
+        (NonNegativeInt, _whole),
+        (NonNegativeFloat, _number),
+        (PositiveFloat, _positive),
+    )
     for form, hook in annotated:
         converter.register_structure_hook_func(partial(eq, form), hook)
     converter.register_structure_hook_factory(_is_optional, _optional_hook)
@@ -194,40 +199,40 @@
 _CONVERTER = _new_converter()
 
 
-def structure(type_: type[T], value: object, place: str = "") -> Result[T, Faults]:
+def structure(type_: type[T], value: object, location: str = "") -> Result[T, Faults]:
     """`value` as a `type_`, or all that keeps it from being one. `place` is where the value stands."""
     try:
         return Success(_CONVERTER.structure(value, type_))
     except (BaseValidationError, ValueFault) as error:
-        return Failure(tuple(_faults(error, place)))
+        return Failure(tuple(_faults(error, location)))
 
 
-def _faults(error: BaseException, place: str) -> Iterator[ConfigurationFault]:
+def _faults(error: BaseException, location: str) -> Iterator[ConfigurationFault]:
     if not isinstance(error, BaseValidationError):
-        yield _fault(error, place)
+        yield _fault(error, location)
         return
     for inner in error.exceptions:
-        yield from _faults(inner, _inner_place(error, inner, place))
+        yield from _faults(inner, _inner_place(error, inner, location))
 
 
-def _fault(error: BaseException, place: str) -> ConfigurationFault:
+def _fault(error: BaseException, location: str) -> ConfigurationFault:
     if isinstance(error, ValueFault):
-        return ConfigurationFault(place, error.kind, str(error))
+        return ConfigurationFault(location, error.kind, str(error))
     if isinstance(error, KeyError):
-        return ConfigurationFault(place, FaultKind.MISSING, "is missing")
-    return ConfigurationFault(place, FaultKind.WRONG_TYPE, f"cannot be read ({type(error).__name__})")
+        return ConfigurationFault(location, FaultKind.MISSING, "is missing")
+    return ConfigurationFault(location, FaultKind.WRONG_TYPE, f"cannot be read ({type(error).__name__})")
 
 
-def _inner_place(outer: BaseValidationError, inner: BaseException, place: str) -> str:
+def _inner_place(outer: BaseValidationError, inner: BaseException, location: str) -> str:
     for note in getattr(inner, "__notes__", ()):
         if isinstance(note, IterableValidationNote):
-            return _item_place(place, note.index)
+            return _item_place(location, note.index)
         if isinstance(note, AttributeValidationNote) and isinstance(outer, ClassValidationError):
-            return _item_place(place, _document_name(getattr(attrs.fields(outer.cl), note.name)))
-    return place
+            return _item_place(location, _document_name(getattr(attrs.fields(outer.cl), note.name)))
+    return location
 
 
-def _item_place(place: str, key: int | str) -> str:
+def _item_place(location: str, key: int | str) -> str:
     if isinstance(key, int):
-        return f"{place}[{key}]"
-    return f"{place}.{key}" if place else key
+        return f"{location}[{key}]"
+    return f"{location}.{key}" if location else key
--- a/brackenladder/catalog/update.py
+++ b/brackenladder/catalog/update.py
@@ -75,8 +75,8 @@
     return (*_upsert_faults(update.get(UPSERT)), *_remove_faults(update.get(REMOVE)))
 
 
-def _wrong_type(place: str, wanted: str) -> ConfigurationFault:
-    return ConfigurationFault(place, FaultKind.WRONG_TYPE, f"{wanted} is needed")
+def _wrong_type(location: str, wanted: str) -> ConfigurationFault:
+    return ConfigurationFault(location, FaultKind.WRONG_TYPE, f"{wanted} is needed")
 
 
 def _upsert_faults(upsert: Any) -> Iterator[ConfigurationFault]:
@@ -86,23 +86,23 @@
         yield _wrong_type(UPSERT, "an object")
         return
     for key, value in upsert.items():
-        place = f"{UPSERT}.{key}"
+        location = f"{UPSERT}.{key}"
         if key == VERSION:
-            yield ConfigurationFault(place, FaultKind.WRONG_TYPE, "stands beside Upsert, not in it")
+            yield ConfigurationFault(location, FaultKind.WRONG_TYPE, "stands beside Upsert, not in it")
         elif _is_named_list(value):
-            yield from name_faults(place, (item[NAME] for item in value))
+            yield from name_faults(location, (item[NAME] for item in value))
         elif key in NAMED_LISTS:
-            yield from _unnamed_faults(place, value)
+            yield from _unnamed_faults(location, value)
 
 
-def _unnamed_faults(place: str, value: Any) -> Iterator[ConfigurationFault]:
+def _unnamed_faults(location: str, value: Any) -> Iterator[ConfigurationFault]:
     if type(value) is not list:
-        yield _wrong_type(place, "a list")
+        yield _wrong_type(location, "a list")
         return
     for index, item in enumerate(value):
         if type(_name(item)) is not str:
             detail = "an object with a Name is needed"
-            yield ConfigurationFault(f"{place}[{index}]", FaultKind.MISSING, detail)
+            yield ConfigurationFault(f"{location}[{index}]", FaultKind.MISSING, detail)
 
 
 def _remove_faults(remove: Any) -> Iterator[ConfigurationFault]:
--- a/brackenladder/catalog/validation.py
+++ b/brackenladder/catalog/validation.py
@@ -19,17 +19,19 @@
     route: Route
 
 
-def route_faults(place: str, document: RouteDocument) -> Iterator[ConfigurationFault]:
+def route_faults(location: str, document: RouteDocument) -> Iterator[ConfigurationFault]:
     """What is wrong with a route whatever else the configuration holds."""
     prefix = document.path_prefix
     if not (prefix[0] == "/" == prefix[-1]):
         detail = "must begin and end with a slash"
-        yield ConfigurationFault(f"{place}.PathPrefix", FaultKind.OUT_OF_RANGE, detail)
+        yield ConfigurationFault(f"{location}.PathPrefix", FaultKind.OUT_OF_RANGE, detail)
     if not document.traffic_split and not document.backend:
-        yield ConfigurationFault(f"{place}.Backend", FaultKind.MISSING, "has no Backend and no TrafficSplit")
+        yield ConfigurationFault(
+            f"{location}.Backend", FaultKind.MISSING, "has no Backend and no TrafficSplit"
+        )
     if document.traffic_split and not any(target.weight for target in document.traffic_split):
         detail = "the weights add up to 0"
-        yield ConfigurationFault(f"{place}.TrafficSplit", FaultKind.NO_WEIGHT, detail)
+        yield ConfigurationFault(f"{location}.TrafficSplit", FaultKind.NO_WEIGHT, detail)
 
 
 def configuration_faults(
@@ -45,13 +47,13 @@
     yield from _location_faults(routes)
 
 
-def name_faults(place: str, names: Iterable[str]) -> Iterator[ConfigurationFault]:
+def name_faults(location: str, names: Iterable[str]) -> Iterator[ConfigurationFault]:
     """The items of one list whose name an earlier item has."""
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
             detail = f"an earlier item is named {name!r}"
-            yield ConfigurationFault(f"{place}[{index}].Name", FaultKind.DUPLICATE_NAME, detail)
+            yield ConfigurationFault(f"{location}[{index}].Name", FaultKind.DUPLICATE_NAME, detail)
         seen.add(name)
 
 
@@ -61,16 +63,16 @@
     return all(target.backend in names for target in document.traffic_split or ())
 
 
-def _service_faults(place: str, document: RouteDocument, names: set[str]) -> Iterator[ConfigurationFault]:
+def _service_faults(location: str, document: RouteDocument, names: set[str]) -> Iterator[ConfigurationFault]:
     if document.backend and document.backend not in names:
-        yield _unknown_service(f"{place}.Backend", document.backend)
+        yield _unknown_service(f"{location}.Backend", document.backend)
     for index, target in enumerate(document.traffic_split or ()):
         if target.backend not in names:
-            yield _unknown_service(f"{place}.TrafficSplit[{index}].Backend", target.backend)
+            yield _unknown_service(f"{location}.TrafficSplit[{index}].Backend", target.backend)
 
 
-def _unknown_service(place: str, name: str) -> ConfigurationFault:
-    return ConfigurationFault(place, FaultKind.UNKNOWN_SERVICE, f"there is no service {name!r}")
+def _unknown_service(location: str, name: str) -> ConfigurationFault:
+    return ConfigurationFault(location, FaultKind.UNKNOWN_SERVICE, f"there is no service {name!r}")
 
 
 def _location_faults(routes: tuple[RouteEntry, ...]) -> Iterator[ConfigurationFault]:
--- a/brackenladder/control_plane/consensus_host.py
+++ b/brackenladder/control_plane/consensus_host.py
@@ -69,7 +69,7 @@
         self._output_due = False
         self._timer: asyncio.TimerHandle | None = None
         self._leader_id = ""
-        self._leadership: asyncio.Event = asyncio.Event()
+        self._leader_changed: asyncio.Event = asyncio.Event()
         self._changed: asyncio.Event = asyncio.Event()  # of the catalog; each change makes a new one
         self._assembler = CommandAssembler()
         self._unreadable: SnapshotError | None = None  # why the catalog is not what the log says
@@ -118,11 +118,11 @@
         return self.replica.lacks_committed or self.applied_index < self.replica.commit_index
 
     @property
-    def leadership(self) -> asyncio.Event:
+    def leader_changed(self) -> asyncio.Event:
         """Is set, once, when the known leader changes; each change makes a new event."""
-        return self._leadership
+        return self._leader_changed
 
-    async def leadership_changed(self, timeout: float) -> None:
+    async def wait_for_leader_change(self, timeout: float) -> None:
         """Waits until another leader is known, at most `timeout` seconds.
 
         Failure prevented: `asyncio.wait_for` (before Python 3.12) drops a cancellation that comes in the turn
@@ -130,7 +130,7 @@
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout):
-                await self._leadership.wait()
+                await self._leader_changed.wait()
 
     def step(self, sender: str, message: object) -> None:
         """A message of another replica has arrived."""
@@ -157,7 +157,7 @@
         self.replica.transfer_leadership(self._clock())
         self._schedule_output()
 
-    async def catalog_at(self, revision: int) -> None:
+    async def wait_for_revision(self, revision: int) -> None:
         """Returns once the catalog here is as new as `revision`."""
         while self.catalog.revision < revision:
             await self._changed.wait()
@@ -296,8 +296,8 @@
             return
         log.info("term {}: leader {} ({})", self.replica.term, leader_id or "none", self.replica.role.name)
         self._leader_id = leader_id
-        self._leadership.set()
-        self._leadership = asyncio.Event()
+        self._leader_changed.set()
+        self._leader_changed = asyncio.Event()
 
     def _drop_pending(self) -> None:
         """Leadership is gone: whether these will be committed is not known here."""
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -16,6 +16,7 @@
 from brackenladder.consensus.types import DurableState, Member, Members
 from brackenladder.control_plane.consensus_host import ConsensusHost
 from brackenladder.control_plane.directory_api import DirectoryApi
+from brackenladder.control_plane.environment import NodeEnvironment, host_environment
 from brackenladder.control_plane.membership import Membership, max_voters
 from brackenladder.control_plane.messages import Hello
 from brackenladder.control_plane.node_status import node_status
@@ -26,7 +27,6 @@
 from brackenladder.control_plane.server_calls import ServerCalls
 from brackenladder.control_plane.soft_state import TICK_SECONDS, SoftState
 from brackenladder.control_plane.status import ControlStatus
-from brackenladder.control_plane.surroundings import Surroundings, host_surroundings
 from brackenladder.platform_settings import Platform
 from brackenladder.registry.records import ServerRecord
 from brackenladder.storage.writer import LogWriter
@@ -64,9 +64,9 @@
         clock: Callable[[], int],
         random: Random,
         timing: Timing | None = None,
-        surroundings: Surroundings | None = None,
+        environment: NodeEnvironment | None = None,
     ) -> None:
-        surroundings = surroundings or host_surroundings(platform)
+        environment = environment or host_environment(platform)
         self.platform = platform
         self.member = Member(start.replica_id, platform.inner_address, platform.zone, platform.region)
         self.catalog = Catalog()
@@ -82,7 +82,7 @@
         heartbeat = int(platform.heartbeat_ms * MICROSECONDS_PER_MILLISECOND)
         self.soft_state = SoftState(clock, self.host, self.peers, heartbeat, platform.region)
         self.recovery = RestartRecovery(
-            surroundings,
+            environment,
             self.host,
             self.soft_state,
             clock,
@@ -94,9 +94,9 @@
         self._membership = Membership(self.member, self.host, self.peers, self.soft_state, clock, seeds)
         self.server_calls = ServerCalls(self.soft_state, self.orders)
         operator_api = OperatorApi(self.orders, self.server_calls, self._zones, self.status)
-        self._control_listener = surroundings.listener(operator_api.handle)
+        self._control_listener = environment.listener(operator_api.handle)
         directory_api = DirectoryApi(self.soft_state.resolve, platform.bounds)
-        self._directory_listener = surroundings.listener(directory_api.handle)
+        self._directory_listener = environment.listener(directory_api.handle)
         self._clock = clock
         self._writer = writer
         self._transport = transport
@@ -212,4 +212,4 @@
         self.host.transfer_leadership()
         deadline = self._loop.time() + HANDOVER_SECONDS
         while self.host.leads and self._loop.time() < deadline:
-            await self.host.leadership_changed(deadline - self._loop.time())
+            await self.host.wait_for_leader_change(deadline - self._loop.time())
--- a/brackenladder/control_plane/surroundings.py
+++ b/brackenladder/control_plane/environment.py
@@ -13,7 +13,7 @@
 
 
 @frozen
-class Surroundings:
+class NodeEnvironment:
     """Where a node listens for calls, keeps its restart file and asks servers for their health.
 
     `restart_file` is None where nothing is kept over a restart.
@@ -24,7 +24,7 @@
     health_checks: Callable[[], HealthChecks]
 
 
-def host_surroundings(platform: Platform) -> Surroundings:
+def host_environment(platform: Platform) -> NodeEnvironment:
     """HTTP over sockets, the folder of the settings as disk."""
     restart_file = DiskRestartFile(platform.data_dir) if platform.data_dir else None
-    return Surroundings(HttpListener, restart_file, HttpHealthChecks)
+    return NodeEnvironment(HttpListener, restart_file, HttpHealthChecks)
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -22,7 +22,7 @@
 class HealthChecks(Protocol):
     """Asks servers for their health."""
 
-    async def ask_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
+    async def check_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
         """What each server answers, in the same order; `UNKNOWN` where it does not, or is not well."""
 
 
@@ -33,7 +33,7 @@
         self._limit = asyncio.Semaphore(MOST_AT_ONCE)
         self._session: aiohttp.ClientSession
 
-    async def ask_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
+    async def check_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
         """See `HealthChecks`."""
         timeout = aiohttp.ClientTimeout(total=CHECK_SECONDS)
         connector = aiohttp.TCPConnector(force_close=True)
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -91,7 +91,7 @@
         To be cancelled once the caller is gone: each attempt reads the newest revision first, and the order
         counts only for as long as the zone is not changed after that.
         """
-        result = await self._insist(lambda: self._submit_seen(order))
+        result = await self._insist(lambda: self._submit_fenced(order))
         return result.value_or(NO_CLEAR_ANSWER)
 
     async def fetch(self) -> Result[Document, Unavailable]:
@@ -136,11 +136,11 @@
                         result = await attempt()
                         if isinstance(result, Success):
                             return result
-                        await self._host.leadership_changed(RETRY_SECONDS)
+                        await self._host.wait_for_leader_change(RETRY_SECONDS)
             except TimeoutError:
                 return result
 
-    async def _submit_seen(self, order: EvacuationOrder) -> Result[OrderReply, Unavailable]:
+    async def _submit_fenced(self, order: EvacuationOrder) -> Result[OrderReply, Unavailable]:
         seen = await self._newest_revision()
         if isinstance(seen, Failure):
             return seen
@@ -169,7 +169,7 @@
             return self._replies.drop(request)
         patience = ATTEMPT_SECONDS + len(order) / SLOWEST_BYTES_PER_SECOND
         try:
-            reply = await self._replies.wait(request, OrderReply, self._host.leadership, patience)
+            reply = await self._replies.wait(request, OrderReply, self._host.leader_changed, patience)
         finally:
             self._sending.pop(request, None)
         return reply.bind(_clear_only)
@@ -219,7 +219,7 @@
         revision = await self._newest_revision()
         if isinstance(revision, Failure):
             return revision
-        await self._host.catalog_at(revision.unwrap())
+        await self._host.wait_for_revision(revision.unwrap())
         catalog = self._host.catalog
         return Success(Document(catalog.revision, catalog.document))
 
@@ -230,7 +230,7 @@
         request = self._replies.open(leader)
         if not leader.send(ForwardRead(request, self._host.catalog.revision, document=False)):
             return self._replies.drop(request)
-        return await self._replies.wait(request, ReadReply, self._host.leadership, ATTEMPT_SECONDS)
+        return await self._replies.wait(request, ReadReply, self._host.leader_changed, ATTEMPT_SECONDS)
 
     def _leader_link(self) -> Link | None:
         leader = self._host.leader
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -139,7 +139,7 @@
             return
         self._listener.prefixes_remembered(state.prefixes)
         self._listener.catalog_remembered(state.catalog)
-        answers = await self._health_checks().ask_all(state.servers)
+        answers = await self._health_checks().check_all(state.servers)
         found = [verified(server, answer) for server, answer in zip(state.servers, answers, strict=True)]
         alive = [record for record in found if record is not None]
         for record in alive:
--- a/brackenladder/control_plane/restart_recovery.py
+++ b/brackenladder/control_plane/restart_recovery.py
@@ -7,10 +7,10 @@
 import logbook
 
 from brackenladder.control_plane.consensus_host import ConsensusHost
+from brackenladder.control_plane.environment import NodeEnvironment
 from brackenladder.control_plane.restart_cache import RememberedCatalog, RestartCache
 from brackenladder.control_plane.restart_gate import RestartGate
 from brackenladder.control_plane.soft_state import SoftState
-from brackenladder.control_plane.surroundings import Surroundings
 from brackenladder.prefix_cache.messages import PrefixNotice
 from brackenladder.registry.records import ServerRecord
 
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        environment: NodeEnvironment,
         host: ConsensusHost,
         soft_state: SoftState,
         clock: Callable[[], int],
@@ -40,7 +40,7 @@
         self._gate = RestartGate()
         self._remembered: RememberedCatalog | None = None  # until it is confirmed
         self._cache = RestartCache(
-            surroundings.restart_file, surroundings.health_checks, replica_id, clock, self
+            environment.restart_file, environment.health_checks, replica_id, clock, self
         )
 
     def start(self) -> None:
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -111,7 +111,7 @@
             return NO_OFFER
         for name, node in self._nodes.items():
             self._gateways.linked(node, now - self._subscribers[name].silence)
-        current = self._tells_catalog(now) and not self._agreed.lacks_committed()
+        current = self._may_publish_catalog(now) and not self._agreed.lacks_committed()
         return self._directory.resolve(now, client, current)
 
     # -- what operators ask
@@ -122,9 +122,9 @@
         return self._in_touch()
 
     @property
-    def tells_catalog(self) -> bool:
+    def may_publish_catalog(self) -> bool:
         """Whether gateways are told the catalog: it was the newest a moment ago."""
-        return self._tells_catalog(self._clock())
+        return self._may_publish_catalog(self._clock())
 
     def servers_in(self, region: str, regions: Mapping[str, str]) -> tuple[ServerRecord, ...]:
         """The living servers of a region; `regions` gives the region by zone."""
@@ -256,7 +256,9 @@
             link = self._informed.get(told.peer)
             if link is None or not link.send(told.message):
                 self._forget_peer(told.peer)
-        for delivery in self._publisher.take(now, self._told_contact_age(now), self._tells_catalog(now)):
+        for delivery in self._publisher.take(
+            now, self._told_contact_age(now), self._may_publish_catalog(now)
+        ):
             subscriber = self._subscribers.get(delivery.subscriber)
             if subscriber is not None and not subscriber.send(delivery.message):
                 subscriber.close()
@@ -274,7 +276,7 @@
     def _in_touch(self) -> bool:
         return self._agreed.contact_age() <= IN_TOUCH_AGE
 
-    def _tells_catalog(self, now: int) -> bool:
+    def _may_publish_catalog(self, now: int) -> bool:
         """Whether the catalog here is known to have been the newest a moment ago.
 
         Failure prevented: a node that is cut off, has restarted alone or is still taking in what it missed
--- a/brackenladder/platform_settings.py
+++ b/brackenladder/platform_settings.py
@@ -15,7 +15,14 @@
 from returns.result import Failure, Result, Success
 
 from brackenladder.catalog.faults import ConfigurationFault, FaultKind
-from brackenladder.catalog.structuring import Name, Number, PositiveNumber, Whole, named, structure
+from brackenladder.catalog.structuring import (
+    NonEmptyStr,
+    NonNegativeFloat,
+    NonNegativeInt,
+    PositiveFloat,
+    named,
+    structure,
+)
 
 FRONT, CONTROL, DIRECTORY = "front", "control", "directory"  # what a role may serve
 READY = "ready"  # the address of the platform's own checks
@@ -24,10 +31,10 @@
 
 @frozen
 class SettingsFault(ConfigurationFault):
-    """One fault of the settings file and its place, as `Limits.MaxFds`; an empty place: the whole file."""
+    """A fault of the settings file and its location, such as `Limits.MaxFds`; empty for the whole file."""
 
     def __str__(self) -> str:
-        return f"settings: {self.place or 'file'}: {self.detail}"
+        return f"settings: {self.location or 'file'}: {self.detail}"
 
 
 Faults = tuple[SettingsFault, ...]
@@ -55,48 +62,48 @@
 class ProcessLimits:
     """What the process may use."""
 
-    cpu_share: PositiveNumber = named("CpuShare", 1.0)  # of one core
-    cores: PositiveNumber = named("Cores", 1)  # how many times as fast that core runs
-    memory_mb: Whole = named("MemoryMb", 256)
-    max_fds: Whole = named("MaxFds", 1024)
-    link_mbps: Number = named("LinkMbps", 1000.0)
-    disk_mb: Whole = named("DiskMb", 0)
+    cpu_share: PositiveFloat = named("CpuShare", 1.0)  # of one core
+    cores: PositiveFloat = named("Cores", 1)  # how many times as fast that core runs
+    memory_mb: NonNegativeInt = named("MemoryMb", 256)
+    max_fds: NonNegativeInt = named("MaxFds", 1024)
+    link_mbps: NonNegativeFloat = named("LinkMbps", 1000.0)
+    disk_mb: NonNegativeInt = named("DiskMb", 0)
 
 
 @frozen
 class Tolerate:
     """How much may be lost at one time: machines that count for the quorum, or zones, or regions."""
 
-    machines: Whole = named("Machines", 1)
-    zones: Whole = named("Zones", 1)
-    regions: Whole = named("Regions", 1)
+    machines: NonNegativeInt = named("Machines", 1)
+    zones: NonNegativeInt = named("Zones", 1)
+    regions: NonNegativeInt = named("Regions", 1)
 
 
 @frozen
 class Bounds:
     """The figures of the rules in force, in the unit of each name. A missing one has its usual value."""
 
-    seed_lag_s: Number = named("SeedLagS", 3)
-    reuse_after_s: Number = named("ReuseAfterS", 2)
-    contact_ms: Number = named("ContactMs", 4000)
-    ack_ms: Number = named("AckMs", 5000)
-    catch_up_s: Number = named("CatchUpS", 4)
-    drain_ms: Number = named("DrainMs", 3000)
-    grace_s: Number = named("GraceS", 8)
-    loss_slack_ms: Number = named("LossSlackMs", 200)
-    config_ms: Number = named("ConfigMs", 3000)
-    rollback_slack_ms: Number = named("RollbackSlackMs", 250)
-    outer_ms: Number = named("OuterMs", 6000)
-    retry_budget_ratio: Number = named("RetryBudgetRatio", 0.2)
-    budget_window_s: Number = named("BudgetWindowS", 10)
-    budget_slack: Number = named("BudgetSlack", 54)
-    cold_overshoot: Number = named("ColdOvershoot", 1.5)
-    cold_slack: Number = named("ColdSlack", 5)
-    evacuate_ms: Number = named("EvacuateMs", 5000)
-    recovery_s: Number = named("RecoveryS", 12)
-    pass_ms: Number = named("pass_ms", 400)
-    again_s: Number = named("again_s", 10)
-    ttl_max_s: Number = named("ttl_max_s", 5)
+    seed_lag_s: NonNegativeFloat = named("SeedLagS", 3)
+    reuse_after_s: NonNegativeFloat = named("ReuseAfterS", 2)
+    contact_ms: NonNegativeFloat = named("ContactMs", 4000)
+    ack_ms: NonNegativeFloat = named("AckMs", 5000)
+    catch_up_s: NonNegativeFloat = named("CatchUpS", 4)
+    drain_ms: NonNegativeFloat = named("DrainMs", 3000)
+    grace_s: NonNegativeFloat = named("GraceS", 8)
+    loss_slack_ms: NonNegativeFloat = named("LossSlackMs", 200)
+    config_ms: NonNegativeFloat = named("ConfigMs", 3000)
+    rollback_slack_ms: NonNegativeFloat = named("RollbackSlackMs", 250)
+    outer_ms: NonNegativeFloat = named("OuterMs", 6000)
+    retry_budget_ratio: NonNegativeFloat = named("RetryBudgetRatio", 0.2)
+    budget_window_s: NonNegativeFloat = named("BudgetWindowS", 10)
+    budget_slack: NonNegativeFloat = named("BudgetSlack", 54)
+    cold_overshoot: NonNegativeFloat = named("ColdOvershoot", 1.5)
+    cold_slack: NonNegativeFloat = named("ColdSlack", 5)
+    evacuate_ms: NonNegativeFloat = named("EvacuateMs", 5000)
+    recovery_s: NonNegativeFloat = named("RecoveryS", 12)
+    pass_ms: NonNegativeFloat = named("pass_ms", 400)
+    again_s: NonNegativeFloat = named("again_s", 10)
+    ttl_max_s: NonNegativeFloat = named("ttl_max_s", 5)
 
 
 DEFAULT_HEARTBEAT_MS = 1200
@@ -152,19 +159,19 @@
 class _Settings:
     """The file as it is written."""
 
-    node_name: Name = named("NodeName")
-    role: Name = named("Role")
-    ip: Name = named("Ip")
-    zone: Name = named("Zone")
-    region: Name = named("Region")
-    port_range: tuple[Whole, ...] = named("PortRange")
+    node_name: NonEmptyStr = named("NodeName")
+    role: NonEmptyStr = named("Role")
+    ip: NonEmptyStr = named("Ip")
+    zone: NonEmptyStr = named("Zone")
+    region: NonEmptyStr = named("Region")
+    port_range: tuple[NonNegativeInt, ...] = named("PortRange")
     machine_class: str = named("MachineClass", "")
     serves: tuple[str, ...] = named("Serves", ())
     seeds: tuple[str, ...] = named("Seeds", ())
     bootstrap: bool = named("Bootstrap", False)
     counts_for_quorum: bool = named("CountsForQuorum", False)
     data_dir: str = named("DataDir", "")
-    heartbeat_ms: PositiveNumber = named("HeartbeatMs", DEFAULT_HEARTBEAT_MS)
+    heartbeat_ms: PositiveFloat = named("HeartbeatMs", DEFAULT_HEARTBEAT_MS)
     contracts: tuple[str, ...] = named("Contracts", ())
     zones: dict[str, str] = named("Zones", Factory(dict))
     listen: Listen = named("Listen", DEFAULT_LISTEN)
@@ -193,7 +200,7 @@
     structured = structure(_Settings, _without_empty(table))
     if isinstance(structured, Failure):
         return Failure(
-            tuple(SettingsFault(fault.place, fault.kind, fault.detail) for fault in structured.failure())
+            tuple(SettingsFault(fault.location, fault.kind, fault.detail) for fault in structured.failure())
         )
     settings = structured.unwrap()
     faults = tuple(_settings_faults(settings))
@@ -239,11 +246,11 @@
         "ready": listen.ready,
     }
     for word, address in addresses.items():
-        place = f"Listen.{word.capitalize()}"
+        location = f"Listen.{word.capitalize()}"
         if not address and word in settings.serves:
-            yield SettingsFault(place, FaultKind.MISSING, f"is missing, though the role serves {word!r}")
+            yield SettingsFault(location, FaultKind.MISSING, f"is missing, though the role serves {word!r}")
         if address and not _is_address(address):
-            yield SettingsFault(place, FaultKind.OUT_OF_RANGE, "not of the form ip:port")
+            yield SettingsFault(location, FaultKind.OUT_OF_RANGE, "not of the form ip:port")
 
 
 def _is_ip(text: str) -> bool:
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -11,8 +11,8 @@
 from brackenladder.consensus.timing import Timing
 from brackenladder.consensus.types import Members
 from brackenladder.control_plane.control_node import ControlNode, ReplicaStart
+from brackenladder.control_plane.environment import NodeEnvironment
 from brackenladder.control_plane.http_server import Handler
-from brackenladder.control_plane.surroundings import Surroundings
 from brackenladder.control_plane.wire import control_codec, gateway_codec
 from brackenladder.delivery.presence import Presence
 from brackenladder.delivery.subscriber import Subscriber
@@ -53,7 +53,7 @@
 class UnansweredChecks:
     """Health checks that no server answers."""
 
-    async def ask_all(self, servers: object) -> list[HealthAnswer]:
+    async def check_all(self, servers: object) -> list[HealthAnswer]:
         """See `HealthChecks`."""
         assert isinstance(servers, tuple)
         return [HealthAnswer("") for server in servers if isinstance(server, RememberedServer)]
@@ -140,7 +140,7 @@
 
     def _start(self, genesis: Members | None, process: Process) -> None:
         self._writer = SimulatedWriter(self.disk, process)
-        surroundings = Surroundings(UnusedListener, SimulatedRestartFile(self.disk), UnansweredChecks)
+        environment = NodeEnvironment(UnusedListener, SimulatedRestartFile(self.disk), UnansweredChecks)
         node = self.node_type(
             self._platform(),
             ReplicaStart(self.disk.replica_id, self.disk.load(), genesis),
@@ -149,7 +149,7 @@
             lambda: self._loop.microseconds,
             Random(self._random.getrandbits(64)),
             timing=self._timing,
-            surroundings=surroundings,
+            environment=environment,
         )
         self.node = node
         self._loop.create_task(node.start())
--- a/brackenladder/simulation/mutants/contact.py
+++ b/brackenladder/simulation/mutants/contact.py
@@ -21,7 +21,7 @@
 
 
 def _catalog_told_alone() -> Fault:
-    return replaced(SoftState, _tells_catalog=lambda self, now: True)
+    return replaced(SoftState, _may_publish_catalog=lambda self, now: True)
 
 
 def _remembered_told_alone() -> Fault:
--- a/brackenladder/simulation/mutants/orders.py
+++ b/brackenladder/simulation/mutants/orders.py
@@ -9,9 +9,9 @@
 from returns.result import Success
 
 from brackenladder.catalog import catalog as catalog_module
+from brackenladder.catalog.accepted_orders import AcceptedOrders
 from brackenladder.catalog.catalog import Catalog
 from brackenladder.catalog.orders import Accepted, decode_order, encode_order
-from brackenladder.catalog.taken import TakenOrders
 from brackenladder.control_plane.consensus_host import ConsensusHost
 from brackenladder.control_plane.forwarding import ReplyTable
 from brackenladder.control_plane.orders import OrderService, _reply
@@ -54,7 +54,7 @@
     async def hasty(self: ConsensusHost, revision: int) -> None:
         return None
 
-    return replaced(ConsensusHost, catalog_at=hasty)
+    return replaced(ConsensusHost, wait_for_revision=hasty)
 
 
 def _reply_of_another_order() -> Fault:
@@ -85,14 +85,14 @@
 
 
 def _taken_missing_from_snapshot() -> Fault:
-    return replaced(TakenOrders, pack=lambda self: b"")
+    return replaced(AcceptedOrders, pack=lambda self: b"")
 
 
 def _evacuation_not_fenced() -> Fault:
     async def unseen(self: OrderService, order: Any) -> Any:
         return await self._submit_once(encode_order(order))
 
-    return replaced(OrderService, _submit_seen=unseen)
+    return replaced(OrderService, _submit_fenced=unseen)
 
 
 ORDERS_MUTANTS = (
--- a/brackenladder/simulation/mutants/waits.py
+++ b/brackenladder/simulation/mutants/waits.py
@@ -10,11 +10,11 @@
 
 
 def _cancellation_dropped() -> Fault:
-    async def leadership_changed(self: ConsensusHost, timeout: float) -> None:
+    async def wait_for_leader_change(self: ConsensusHost, timeout: float) -> None:
         with suppress(TimeoutError):
-            await asyncio.wait_for(self._leadership.wait(), timeout)
+            await asyncio.wait_for(self._leader_changed.wait(), timeout)
 
-    return replaced(ConsensusHost, leadership_changed=leadership_changed)
+    return replaced(ConsensusHost, wait_for_leader_change=wait_for_leader_change)
 
 
 WAITS_MUTANTS = (
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -9,6 +9,7 @@
 import msgpack
 from catalog_samples import Document, replace, route, text, update, whole
 
+from brackenladder.catalog.accepted_orders import MAX_REMEMBERED_ORDERS
 from brackenladder.catalog.catalog import Catalog, SnapshotError
 from brackenladder.catalog.configuration import parse_configuration
 from brackenladder.catalog.faults import FaultKind
@@ -25,7 +26,6 @@
     UpdateConfiguration,
     encode_order,
 )
-from brackenladder.catalog.taken import MOST_TAKEN
 
 
 class CatalogTest(unittest.TestCase):
@@ -281,14 +281,16 @@
     def test_the_oldest_are_forgotten(self) -> None:
         first = update(0, 1)
         self.catalog.apply(1, encode_order(first))
-        for version in range(1, MOST_TAKEN):
+        for version in range(1, MAX_REMEMBERED_ORDERS):
             outcome = self.catalog.apply(version + 1, encode_order(update(version, version + 1)))
             self.assertEqual(outcome, Accepted(version + 1))
         self.assert_accepted(first, 1)
-        self.assert_accepted(update(MOST_TAKEN, MOST_TAKEN + 1), MOST_TAKEN + 1)
-        self.assert_conflict(first, MOST_TAKEN + 1)
+        self.assert_accepted(
+            update(MAX_REMEMBERED_ORDERS, MAX_REMEMBERED_ORDERS + 1), MAX_REMEMBERED_ORDERS + 1
+        )
+        self.assert_conflict(first, MAX_REMEMBERED_ORDERS + 1)
         self.assert_accepted(update(1, 2), 2)
-        self.assertLess(len(self.catalog.snapshot()), MOST_TAKEN * 17)
+        self.assertLess(len(self.catalog.snapshot()), MAX_REMEMBERED_ORDERS * 17)
 
 
 class Evacuations(CatalogTest):
--- a/tests/catalog/test_catalog_update.py
+++ b/tests/catalog/test_catalog_update.py
@@ -20,7 +20,7 @@
 
 
 def places(update: Document) -> dict[str, FaultKind]:
-    return {fault.place: fault.kind for fault in merge_update(whole(), update).failure()}
+    return {fault.location: fault.kind for fault in merge_update(whole(), update).failure()}
 
 
 def names(document: Document, part: str = "Routes") -> list[str]:
@@ -95,8 +95,8 @@
             ({"Remove": {"Routes": "r-chat"}}, "Remove.Routes", wrong),
             ({"Remove": {"Routes": [{"Name": "r-chat"}]}}, "Remove.Routes", wrong),
         )
-        for update, place, kind in cases:
-            self.assertEqual(places({"Version": 9} | update), {place: kind}, update)
+        for update, location, kind in cases:
+            self.assertEqual(places({"Version": 9} | update), {location: kind}, update)
 
     def test_every_fault_is_told(self) -> None:
         update = {"Upsert": {"Routes": [3, route("a"), None]}, "Remove": {"Services": {}}}
--- a/tests/catalog/test_configuration.py
+++ b/tests/catalog/test_configuration.py
@@ -35,7 +35,7 @@
 
 
 def places(document: object) -> dict[str, FaultKind]:
-    return {fault.place: fault.kind for fault in faults(document)}
+    return {fault.location: fault.kind for fault in faults(document)}
 
 
 def with_route(**changes: Any) -> Document:
@@ -151,14 +151,14 @@
 
 
 class NamedDefects(unittest.TestCase):
-    def assert_fault(self, document: object, place: str, kind: FaultKind) -> None:
-        self.assertEqual(places(document), {place: kind})
+    def assert_fault(self, document: object, location: str, kind: FaultKind) -> None:
+        self.assertEqual(places(document), {location: kind})
 
     def test_cut_short(self) -> None:
         body = text(whole())
         for length in range(len(body)):
             (fault,) = parse_configuration(body[:length]).failure()
-            self.assertEqual((fault.place, fault.kind), ("", FaultKind.MALFORMED))
+            self.assertEqual((fault.location, fault.kind), ("", FaultKind.MALFORMED))
 
     def test_no_object(self) -> None:
         for value in ([], [whole()], "x", 7, None, True):
@@ -166,12 +166,12 @@
 
     def test_unknown_service(self) -> None:
         split = [{"Backend": "model", "Weight": 1}, {"Backend": "gone", "Weight": 0}]
-        place = "Routes[1].TrafficSplit[1].Backend"
-        self.assert_fault(with_route(TrafficSplit=split), place, FaultKind.UNKNOWN_SERVICE)
+        location = "Routes[1].TrafficSplit[1].Backend"
+        self.assert_fault(with_route(TrafficSplit=split), location, FaultKind.UNKNOWN_SERVICE)
         backend = with_route(TrafficSplit=None, Backend="gone")
         self.assert_fault(backend, "Routes[1].Backend", FaultKind.UNKNOWN_SERVICE)
         services = whole()["Services"][:1]
-        self.assert_fault(whole(Services=services), place, FaultKind.UNKNOWN_SERVICE)
+        self.assert_fault(whole(Services=services), location, FaultKind.UNKNOWN_SERVICE)
 
     def test_same_place(self) -> None:
         for host in ("ficu95.example", "FICU95.example", "ficu95.example:80"):
@@ -200,8 +200,8 @@
 
     def test_negative_weights_do_not_make_up_for_others(self) -> None:
         split = [{"Backend": "model", "Weight": 5}, {"Backend": "cards", "Weight": -5}]
-        place = "Routes[1].TrafficSplit[1].Weight"
-        self.assert_fault(with_route(TrafficSplit=split), place, FaultKind.OUT_OF_RANGE)
+        location = "Routes[1].TrafficSplit[1].Weight"
+        self.assert_fault(with_route(TrafficSplit=split), location, FaultKind.OUT_OF_RANGE)
 
     def test_no_timeout(self) -> None:
         for value, kind in ((0, FaultKind.OUT_OF_RANGE), (0.0, FaultKind.OUT_OF_RANGE)):
--- a/tests/control_plane/test_consensus_host.py
+++ b/tests/control_plane/test_consensus_host.py
@@ -82,7 +82,7 @@
         """The answer to an order once there is a leader; a slow store may have cost this one its term."""
         async with asyncio.timeout(PATIENCE):
             while (answer := await self.host.propose(order)) == Failure(Unavailable.NO_LEADER):
-                await self.host.leadership_changed(POLL_SECONDS)
+                await self.host.wait_for_leader_change(POLL_SECONDS)
             return answer
 
     async def test_a_proposal_gets_the_answer_of_the_catalog(self) -> None:
@@ -122,7 +122,7 @@
         self.assertIn(zone, self.catalog.evacuated)
 
     async def test_a_read_of_a_revision_waits_for_it(self) -> None:
-        waiting = asyncio.create_task(self.host.catalog_at(1))
+        waiting = asyncio.create_task(self.host.wait_for_revision(1))
         await asyncio.sleep(0)
         self.assertFalse(waiting.done())
         await self.propose()
@@ -132,15 +132,15 @@
     async def test_a_wait_for_another_leader_that_is_given_up_ends_whenever_that_comes(self) -> None:
         """A caller's time limit may pass in the turn in which the leader changes, or in one of the next."""
         for turns in range(5):
-            waiting = asyncio.create_task(self.host.leadership_changed(PATIENCE))
+            waiting = asyncio.create_task(self.host.wait_for_leader_change(PATIENCE))
             await asyncio.sleep(0)
-            self.host.leadership.set()
+            self.host.leader_changed.set()
             for _ in range(turns):
                 await asyncio.sleep(0)
             given_up = waiting.cancel()
             await asyncio.wait([waiting])
             self.assertEqual(waiting.cancelled(), given_up, turns)
-            self.host.leadership.clear()
+            self.host.leader_changed.clear()
 
     async def test_closing_ends_all_waits(self) -> None:
         self.store.answers.clear()
--- a/tests/control_plane/test_contact_first.py
+++ b/tests/control_plane/test_contact_first.py
@@ -113,12 +113,12 @@
             world.network.heal_all()
             old_in_contact = 0
             while late.node.catalog.revision < newest:
-                self.assertFalse(late.node.soft_state.tells_catalog)
+                self.assertFalse(late.node.soft_state.may_publish_catalog)
                 old_in_contact += late.node.soft_state.in_touch
                 await asyncio.sleep(0.01)
             self.assertGreater(old_in_contact, 0)  # else the test shows nothing
             await asyncio.sleep(1)
-            self.assertTrue(late.node.soft_state.tells_catalog)
+            self.assertTrue(late.node.soft_state.may_publish_catalog)
 
         in_a_world(play)
 
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -99,7 +99,7 @@
 
 
 def places(text: str) -> dict[str, FaultKind]:
-    return {fault.place: fault.kind for fault in parse_platform(text.encode()).failure()}
+    return {fault.location: fault.kind for fault in parse_platform(text.encode()).failure()}
 
 
 class ProperSettings(unittest.TestCase):
@@ -203,8 +203,8 @@
             "Bounds": "3",
         }
         for field, value in wrong.items():
-            (place,) = places(f"{LEAST}{field} = {value}\n")
-            self.assertEqual(place.partition("[")[0], field)
+            (location,) = places(f"{LEAST}{field} = {value}\n")
+            self.assertEqual(location.partition("[")[0], field)
 
     def test_wrong_types_inside_tables(self) -> None:
         text = LEAST + "Zones = {a = 3}\nLimits = {MemoryMb = 1.5, CpuShare = true, Cores = 0, MaxFds = -1}\n"
--- a/tests/waits/test_each_turn.py
+++ b/tests/waits/test_each_turn.py
@@ -75,7 +75,7 @@
 
 async def leader_change() -> Wait:
     host = await leading_host(HeldWriter())
-    return Wait(lambda: host.leadership_changed(PATIENCE), lambda: host.leadership.set())
+    return Wait(lambda: host.wait_for_leader_change(PATIENCE), lambda: host.leader_changed.set())
 
 
 async def proposal() -> Wait:
@@ -110,7 +110,7 @@
         host.catalog = SimpleNamespace(revision=9)  # type: ignore[assignment]
         host._changed.set()
 
-    return Wait(lambda: host.catalog_at(9), end)
+    return Wait(lambda: host.wait_for_revision(9), end)
 
 
 def reply_of_a_leader(by_change: bool) -> Callable[[], object]:
@@ -175,9 +175,9 @@
     def test_a_cancellation_that_is_dropped(self) -> None:
         async def dropping(self: ConsensusHost, timeout: float) -> None:
             with suppress(TimeoutError):
-                await asyncio.wait_for(self._leadership.wait(), timeout)
+                await asyncio.wait_for(self._leader_changed.wait(), timeout)
 
-        with patch.object(ConsensusHost, "leadership_changed", dropping), self.assertRaises(WaitLost):
+        with patch.object(ConsensusHost, "wait_for_leader_change", dropping), self.assertRaises(WaitLost):
             play_each_turn(leader_change)
 
     def test_a_connection_that_never_hears_of_its_end(self) -> None:
