--- a/brackenladder/catalog/catalog.py
+++ b/brackenladder/catalog/catalog.py
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         self._state = _State()
-        self._taken = AcceptedOrders()
+        self._accepted = AcceptedOrders()
         self._parser = ConfigurationParser()
 
     @property
@@ -132,14 +132,14 @@
     def _is_outdated(self, order: EvacuationOrder) -> bool:
         """Whether it would change a zone that was changed after the order had been seen to be wanted."""
         changed_at = dict(self._state.zone_revisions).get(order.zone, 0)
-        return changed_at > order.seen and self._evacuated_by(order) != self._state.evacuated
+        return changed_at > order.seen_revision and self._evacuated_by(order) != self._state.evacuated
 
     def _evacuated_by(self, order: EvacuationOrder) -> frozenset[str]:
         zones = self._state.evacuated
         return zones | {order.zone} if isinstance(order, BeginEvacuation) else zones - {order.zone}
 
     def _change(self, index: int, change: _Change) -> Accepted:
-        self._taken.add(change.digest)
+        self._accepted.add(change.digest)
         self._state = _State(
             revision=index,
             configuration=change.configuration,
@@ -156,7 +156,7 @@
             return Invalid((read.failure(),))
         body = read.unwrap()
         digest = order_digest(order, canonical(body))
-        if digest in self._taken:
+        if digest in self._accepted:
             return Accepted(int(body[VERSION]))
         if order.base != self._state.version:
             return Conflict(self._state.version)
@@ -191,7 +191,7 @@
             state.revision,
             state.document,
             zones,
-            self._taken.pack(),
+            self._accepted.pack(),
             state.zone_revisions,
         )
         return msgpack.packb(fields)  # type: ignore[no-any-return]
@@ -203,11 +203,11 @@
         except (ValueError, RecursionError, msgpack.UnpackException) as error:
             raise SnapshotError(str(error)) from None
         match fields:
-            case [form, int(revision), bytes(document), list(zones), bytes(taken)] if (
+            case [form, int(revision), bytes(document), list(zones), bytes(accepted)] if (
                 form == UNFENCED_SNAPSHOT_FORMAT
             ):
                 zone_revisions: object = []
-            case [form, int(revision), bytes(document), list(zones), bytes(taken), zone_revisions] if (
+            case [form, int(revision), bytes(document), list(zones), bytes(accepted), zone_revisions] if (
                 form == SNAPSHOT_FORMAT
             ):
                 pass
@@ -219,7 +219,7 @@
             zone_revisions=_read_zone_revisions(zone_revisions),
         )
         self._state = self._with_document(state, document)
-        self._taken = AcceptedOrders(taken)
+        self._accepted = AcceptedOrders(accepted)
 
     def _with_document(self, state: _State, document: bytes) -> _State:
         """The state with the configuration that a document holds."""
--- a/brackenladder/catalog/configuration.py
+++ b/brackenladder/catalog/configuration.py
@@ -46,7 +46,7 @@
 
 
 @frozen
-class _KnownRoute:
+class _ParsedRoute:
     """A route that was read. It keeps the item it was read from, so that no other object takes that id."""
 
     item: dict[str, Any]
@@ -60,7 +60,7 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[int, _KnownRoute] = {}
+        self._parsed_routes: dict[int, _ParsedRoute] = {}
 
     def parse(self, document: dict[str, Any]) -> Result[Configuration, Faults]:
         """The configuration of a decoded JSON object, or everything that is wrong with it."""
@@ -79,18 +79,18 @@
     def _routes(self, items: list[Any], faults: list[ConfigurationFault]) -> tuple[RouteEntry, ...]:
         """The routes that have no fault of their own; the others' faults are added to `faults`."""
         entries: list[RouteEntry] = []
-        known: dict[int, _KnownRoute] = {}
+        parsed_routes: dict[int, _ParsedRoute] = {}
         for index, item in enumerate(items):
-            earlier = self._known.get(id(item))
+            earlier = self._parsed_routes.get(id(item))
             if earlier is None:
                 read = _read_route(item, f"{ROUTES}[{index}]")
                 if isinstance(read, Failure):
                     faults += read.failure()
                     continue
-                earlier = _KnownRoute(item, read.unwrap())
-            known[id(item)] = earlier
+                earlier = _ParsedRoute(item, read.unwrap())
+            parsed_routes[id(item)] = earlier
             entries.append(earlier.entry)
-        self._known = known
+        self._parsed_routes = parsed_routes
         return tuple(entries)
 
 
--- a/brackenladder/catalog/conversion.py
+++ b/brackenladder/catalog/conversion.py
@@ -5,7 +5,7 @@
 import math
 
 from brackenladder.catalog.documents import EngineDocument, LimitsDocument, RouteDocument, ServiceDocument
-from brackenladder.catalog.hosts import normal_host
+from brackenladder.catalog.hosts import normalize_host
 from brackenladder.catalog.model import (
     DEFAULT_HEALTH_PATH,
     DEFAULT_LIMITS,
@@ -45,7 +45,7 @@
     timeout = _milliseconds(item.timeout_ms)
     return Route(
         name=item.name,
-        host=normal_host(item.hostname),
+        host=normalize_host(item.hostname),
         prefix=item.path_prefix,
         kind=_kind(item.kind),
         timeout_ms=timeout,
--- a/brackenladder/catalog/homes.py
+++ b/brackenladder/catalog/homes.py
@@ -7,7 +7,7 @@
 from attrs import frozen
 
 from brackenladder.catalog.configuration import Configuration
-from brackenladder.catalog.hosts import normal_host
+from brackenladder.catalog.hosts import normalize_host
 
 Homes = frozenset[str]  # region names
 
@@ -24,13 +24,13 @@
     known: bool = False  # whether a route names the host
     bindings: tuple[Homes, ...] = ()  # of the routes that have homes, each set once
 
-    def permit(self, region: str) -> bool:
+    def permits(self, region: str) -> bool:
         """Whether a client of another region may be led to gateways of this one."""
         return self.known and all(region in homes for homes in self.bindings)
 
-    def breached(self, client_region: str, regions: Iterable[str]) -> list[str]:
+    def forbidden(self, client_region: str, regions: Iterable[str]) -> list[str]:
         """Which of the regions that a client is led to it must not be led to."""
-        return sorted(region for region in regions if region != client_region and not self.permit(region))
+        return sorted(region for region in regions if region != client_region and not self.permits(region))
 
 
 UNKNOWN_HOST = HostHomes()
@@ -55,7 +55,7 @@
         """What binds a host, as a client names it."""
         if self._hosts is None:
             self._hosts = _by_host(self._read())
-        return self._hosts.get(normal_host(host), UNKNOWN_HOST)
+        return self._hosts.get(normalize_host(host), UNKNOWN_HOST)
 
 
 def _by_host(configuration: Configuration | None) -> Mapping[str, HostHomes]:
--- a/brackenladder/catalog/hosts.py
+++ b/brackenladder/catalog/hosts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-def normal_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Lower case and without a port; an IPv6 address keeps its brackets."""
     name, colon, port = host.rpartition(":")
     if colon and not port.strip("0123456789") and (":" not in name or name.endswith("]")):
--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -10,7 +10,7 @@
 
 from brackenladder.catalog.faults import Faults
 
-LARGEST_BASE = 2**63 - 1
+MAX_BASE_VERSION = 2**63 - 1
 UNFENCED = 2**62  # revision: no evacuation is newer, so the order takes effect in any case
 
 
@@ -29,7 +29,7 @@
 
 def _bounded(base: int) -> int:
     """No configuration has a version outside of these bounds, so the order meets a conflict all the same."""
-    return min(max(base, -1), LARGEST_BASE)
+    return min(max(base, -1), MAX_BASE_VERSION)
 
 
 @frozen
@@ -57,7 +57,7 @@
     """
 
     zone: str
-    seen: int = UNFENCED
+    seen_revision: int = UNFENCED
 
 
 @frozen
@@ -65,7 +65,7 @@
     """Servers of a zone may be sent to again; `seen` as in `BeginEvacuation`."""
 
     zone: str
-    seen: int = UNFENCED
+    seen_revision: int = UNFENCED
 
 
 ConfigurationOrder = ReplaceConfiguration | UpdateConfiguration
@@ -118,14 +118,14 @@
             return (_Tag.REPLACE.value, base, body)
         case UpdateConfiguration(base, body):
             return (_Tag.UPDATE.value, base, body)
-        case BeginEvacuation(zone, seen) if seen == UNFENCED:
+        case BeginEvacuation(zone, seen_revision) if seen_revision == UNFENCED:
             return (_Tag.BEGIN_EVACUATION.value, zone)
-        case FinishEvacuation(zone, seen) if seen == UNFENCED:
+        case FinishEvacuation(zone, seen_revision) if seen_revision == UNFENCED:
             return (_Tag.FINISH_EVACUATION.value, zone)
-        case BeginEvacuation(zone, seen):
-            return (_Tag.BEGIN_EVACUATION_FENCED.value, zone, seen)
-        case FinishEvacuation(zone, seen):
-            return (_Tag.FINISH_EVACUATION_FENCED.value, zone, seen)
+        case BeginEvacuation(zone, seen_revision):
+            return (_Tag.BEGIN_EVACUATION_FENCED.value, zone, seen_revision)
+        case FinishEvacuation(zone, seen_revision):
+            return (_Tag.FINISH_EVACUATION_FENCED.value, zone, seen_revision)
 
 
 def decode_order(data: bytes) -> Order:
@@ -147,8 +147,8 @@
             return BeginEvacuation(zone)
         case (_Tag.FINISH_EVACUATION, str(zone)):
             return FinishEvacuation(zone)
-        case (_Tag.BEGIN_EVACUATION_FENCED, str(zone), int(seen)):
-            return BeginEvacuation(zone, seen)
-        case (_Tag.FINISH_EVACUATION_FENCED, str(zone), int(seen)):
-            return FinishEvacuation(zone, seen)
+        case (_Tag.BEGIN_EVACUATION_FENCED, str(zone), int(seen_revision)):
+            return BeginEvacuation(zone, seen_revision)
+        case (_Tag.FINISH_EVACUATION_FENCED, str(zone), int(seen_revision)):
+            return FinishEvacuation(zone, seen_revision)
     raise OrderDecodeError("no known order")
--- a/brackenladder/catalog/routes.py
+++ b/brackenladder/catalog/routes.py
@@ -5,7 +5,7 @@
 from attrs import Factory, define
 
 from brackenladder.catalog.configuration import Configuration, Route
-from brackenladder.catalog.hosts import normal_host
+from brackenladder.catalog.hosts import normalize_host
 
 
 @define
@@ -41,7 +41,7 @@
         `host` is a `Host` header: any case, with or without a port. `path` is the raw request target; it is
         compared as it is, without its query.
         """
-        routes = self._hosts.get(host) or self._hosts.get(normal_host(host))
+        routes = self._hosts.get(host) or self._hosts.get(normalize_host(host))
         if routes is None:
             return None
         return routes.find(path.partition("?")[0])
--- a/brackenladder/catalog/strict_json.py
+++ b/brackenladder/catalog/strict_json.py
@@ -11,23 +11,23 @@
 
 from brackenladder.catalog.faults import ConfigurationFault, FaultKind
 
-DEEPEST = 64  # levels of nesting; far below the interpreter's limit, so that every replica decides alike
+MAX_NESTING = 64  # levels of nesting; far below the interpreter's limit, so that every replica decides alike
 
-LONGEST_SHOWN = 40  # characters of a text in a message
+MAX_QUOTED_CHARS = 40  # characters of a text in a message
 
 
-class _Refused(ValueError):
+class _InvalidJson(ValueError):
     """The text is JSON to the decoder, but not to this project."""
 
 
-def _distinct(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     item = dict(pairs)
     if len(item) == len(pairs):
         return item
     seen: set[str] = set()
     for key, _ in pairs:
         if key in seen:
-            raise _Refused(f"the key {key[:LONGEST_SHOWN]!r} stands twice in one object")
+            raise _InvalidJson(f"the key {key[:MAX_QUOTED_CHARS]!r} stands twice in one object")
         seen.add(key)
     return item
 
@@ -35,15 +35,17 @@
 def _finite(text: str) -> float:
     number = float(text)
     if not math.isfinite(number):
-        raise _Refused(f"the number {text[:LONGEST_SHOWN]} is too large")
+        raise _InvalidJson(f"the number {text[:MAX_QUOTED_CHARS]} is too large")
     return number
 
 
-def _no_constant(text: str) -> float:
-    raise _Refused(f"{text} is not a JSON value")
+def _reject_constant(text: str) -> float:
+    raise _InvalidJson(f"{text} is not a JSON value")
 
 
-_DECODER = json.JSONDecoder(object_pairs_hook=_distinct, parse_float=_finite, parse_constant=_no_constant)
+_DECODER = json.JSONDecoder(
+    object_pairs_hook=_unique_keys, parse_float=_finite, parse_constant=_reject_constant
+)
 _CANONICAL = json.JSONEncoder(ensure_ascii=False, sort_keys=True, separators=(",", ":"), allow_nan=False)
 _COMPACT = json.JSONEncoder(ensure_ascii=False, separators=(",", ":"), allow_nan=False)
 
@@ -71,15 +73,15 @@
         if b"\\u" in body:
             canonical(value)  # a lone surrogate, which only an escape can write, has no UTF-8 form
     except RecursionError:
-        return Failure(_malformed(f"nested deeper than {DEEPEST} levels"))
+        return Failure(_malformed(f"nested deeper than {MAX_NESTING} levels"))
     except UnicodeError:
         return Failure(_malformed("not UTF-8"))
     except ValueError as error:
         return Failure(_malformed(f"not whole JSON: {error}"))
     if type(value) is not dict:
         return Failure(_malformed("not a JSON object"))
-    if _is_deeper_than(DEEPEST, value):
-        return Failure(_malformed(f"nested deeper than {DEEPEST} levels"))
+    if _is_deeper_than(MAX_NESTING, value):
+        return Failure(_malformed(f"nested deeper than {MAX_NESTING} levels"))
     return Success(value)
 
 
--- a/brackenladder/catalog/structuring.py
+++ b/brackenladder/catalog/structuring.py
@@ -24,8 +24,8 @@
 T = TypeVar("T")
 Hook = Callable[[Any, Any], Any]
 
-LARGEST_WHOLE = 2**63 - 1
-LARGEST_NUMBER = 1e15  # as microseconds it still fits 64 bits
+MAX_INTEGER = 2**63 - 1
+MAX_FLOAT = 1e15  # as microseconds it still fits 64 bits
 DOCUMENT_NAME = "document_name"
 
 NonEmptyStr = Annotated[str, "not empty"]
@@ -57,7 +57,7 @@
     return value
 
 
-def _name(value: Any, _: Any) -> str:
+def _non_empty_text(value: Any, _: Any) -> str:
     if not _text(value, _):
         raise ValueFault(FaultKind.OUT_OF_RANGE, "must not be empty")
     return str(value)
@@ -69,23 +69,23 @@
     return value
 
 
-def _signed(value: Any, _: Any) -> float:
+def _any_number(value: Any, _: Any) -> float:
     if type(value) is not int and type(value) is not float:
         raise _wrong_type("a number", value)
-    if not abs(value) <= LARGEST_NUMBER:  # no NaN either
+    if not abs(value) <= MAX_FLOAT:  # no NaN either
         raise ValueFault(FaultKind.OUT_OF_RANGE, "the number is too large")
     return value
 
 
-def _number(value: Any, _: Any) -> float:
-    number = _signed(value, _)
+def _non_negative_number(value: Any, _: Any) -> float:
+    number = _any_number(value, _)
     if number < 0:
         raise ValueFault(FaultKind.OUT_OF_RANGE, "must not be negative")
     return number
 
 
 def _positive(value: Any, _: Any) -> float:
-    number = _signed(value, _)
+    number = _any_number(value, _)
     if number <= 0:
         raise ValueFault(FaultKind.OUT_OF_RANGE, "must be above 0")
     return number
@@ -96,16 +96,16 @@
         value = int(value)
     if type(value) is not int:
         raise _wrong_type("a whole number", value)
-    if abs(value) > LARGEST_WHOLE:
+    if abs(value) > MAX_INTEGER:
         raise ValueFault(FaultKind.OUT_OF_RANGE, "the number is too large")
     return value
 
 
-def _whole(value: Any, _: Any) -> int:
-    whole = _integer(value, _)
-    if whole < 0:
+def _non_negative_integer(value: Any, _: Any) -> int:
+    integer = _integer(value, _)
+    if integer < 0:
         raise ValueFault(FaultKind.OUT_OF_RANGE, "must not be negative")
-    return whole
+    return integer
 
 
 def _is_tuple(type_: Any) -> bool:
@@ -178,13 +178,18 @@
 
 def _new_converter() -> Converter:
     converter = Converter()
-    plain: tuple[tuple[type, Hook], ...] = ((str, _text), (bool, _flag), (int, _integer), (float, _signed))
+    plain: tuple[tuple[type, Hook], ...] = (
+        (str, _text),
+        (bool, _flag),
+        (int, _integer),
+        (float, _any_number),
+    )
     for type_, hook in plain:
         converter.register_structure_hook(type_, hook)
     annotated = (
-        (NonEmptyStr, _name),
-        (NonNegativeInt, _whole),
-        (NonNegativeFloat, _number),
+        (NonEmptyStr, _non_empty_text),
+        (NonNegativeInt, _non_negative_integer),
+        (NonNegativeFloat, _non_negative_number),
         (PositiveFloat, _positive),
     )
     for form, hook in annotated:
--- a/brackenladder/control_plane/consensus_host.py
+++ b/brackenladder/control_plane/consensus_host.py
@@ -23,8 +23,8 @@
 LEADER_TICK_SECONDS = 0.03
 FOLLOWER_TICK_SECONDS = 0.05
 
-Answer = Result[Outcome, Unavailable]
-Confirmation = Result[None, Unavailable]
+OrderResult = Result[Outcome, Unavailable]
+ReadResult = Result[None, Unavailable]
 
 log = logbook.Logger("consensus")
 
@@ -34,7 +34,7 @@
     """A proposal of this leader that is not committed yet."""
 
     term: int
-    answer: asyncio.Future[Answer]
+    answer: asyncio.Future[OrderResult]
 
 
 class ConsensusHost:
@@ -51,7 +51,7 @@
         catalog: Catalog,
         clock: Callable[[], int],
         send: Callable[[str, object], None],
-        catalog_changed: Callable[[], None],
+        on_catalog_changed: Callable[[], None],
     ) -> None:
         self.replica = replica
         self.catalog = catalog
@@ -59,20 +59,20 @@
         self._writer = writer
         self._clock = clock
         self._send = send
-        self._catalog_changed = catalog_changed
+        self._on_catalog_changed = on_catalog_changed
         self._loop = asyncio.get_running_loop()
         self._proposals: dict[int, PendingProposal] = {}
-        self._reads: dict[int, asyncio.Future[Confirmation]] = {}
-        self._last_read = 0
+        self._reads: dict[int, asyncio.Future[ReadResult]] = {}
+        self._last_read_token = 0
         self._compacted_index = 0
         self._bytes_since_compaction = 0
-        self._output_due = False
+        self._output_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
         self._leader_id = ""
         self._leader_changed: asyncio.Event = asyncio.Event()
-        self._changed: asyncio.Event = asyncio.Event()  # of the catalog; each change makes a new one
+        self._revision_changed: asyncio.Event = asyncio.Event()  # of the catalog; each change makes a new one
         self._assembler = CommandAssembler()
-        self._unreadable: SnapshotError | None = None  # why the catalog is not what the log says
+        self._snapshot_error: SnapshotError | None = None  # why the catalog is not what the log says
         self._closed = False
 
     def start(self) -> None:
@@ -85,7 +85,7 @@
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
-        self._drop_pending()
+        self._fail_pending()
 
     @property
     def leads(self) -> bool:
@@ -99,7 +99,7 @@
 
     def contact_age(self) -> int:
         """Microseconds since the last contact with a quorum, as the leader or by way of it."""
-        if self._unreadable is not None:
+        if self._snapshot_error is not None:
             return UNKNOWN_AGE
         return self._clock() - self.replica.heard_leader_at
 
@@ -109,7 +109,7 @@
         Failure prevented: this node hears its leader, but entries or a snapshot are still on their way, and
         what it tells by its catalog has been replaced.
         """
-        if self._unreadable is not None:
+        if self._snapshot_error is not None:
             return UNKNOWN_AGE
         return self._clock() - self.replica.current_at
 
@@ -139,7 +139,7 @@
         self.replica.step(self._clock(), sender, message)
         self._schedule_output()
 
-    def reached(self, replica_id: str) -> None:
+    def peer_connected(self, replica_id: str) -> None:
         """A link to another replica has come up."""
         if not self._closed:
             self.replica.reached(self._clock(), replica_id)
@@ -160,11 +160,11 @@
     async def wait_for_revision(self, revision: int) -> None:
         """Returns once the catalog here is as new as `revision`."""
         while self.catalog.revision < revision:
-            await self._changed.wait()
+            await self._revision_changed.wait()
 
-    async def propose(self, data: bytes) -> Answer:
+    async def propose(self, data: bytes) -> OrderResult:
         """The catalog's answer once the command is committed; a failure leaves its fate open."""
-        if self._closed or self._unreadable is not None:
+        if self._closed or self._snapshot_error is not None:
             return Failure(Unavailable.NO_LEADER)
         match self.replica.propose(self._clock(), data):
             case Success(place):
@@ -179,15 +179,15 @@
             if self._proposals.get(place.index) is pending:
                 del self._proposals[place.index]
 
-    async def confirm_read(self) -> Confirmation:
+    async def confirm_read(self) -> ReadResult:
         """Success once the catalog here holds all that was acknowledged before the call; leaders only."""
-        if self._closed or self._unreadable is not None:
+        if self._closed or self._snapshot_error is not None:
             return Failure(Unavailable.NO_LEADER)
-        self._last_read += 1
-        token = self._last_read
+        self._last_read_token += 1
+        token = self._last_read_token
         match self.replica.read(self._clock(), token):
             case Success(_):
-                confirmed: asyncio.Future[Confirmation] = self._loop.create_future()
+                confirmed: asyncio.Future[ReadResult] = self._loop.create_future()
                 self._reads[token] = confirmed
                 self._schedule_output()
             case _:
@@ -199,33 +199,33 @@
 
     def _tick(self) -> None:
         self.replica.tick(self._clock())
-        if self._unreadable is not None and self.leads:
+        if self._snapshot_error is not None and self.leads:
             self.replica.transfer_leadership(self._clock())
         self._take_output()
         pause = FOLLOWER_TICK_SECONDS if self.replica.role is Role.FOLLOWER else LEADER_TICK_SECONDS
         self._timer = self._loop.call_later(pause, self._tick)
 
     def _schedule_output(self) -> None:
-        if not self._output_due:
-            self._output_due = True
+        if not self._output_scheduled:
+            self._output_scheduled = True
             self._loop.call_soon(self._take_output)
 
     def _take_output(self) -> None:
-        self._output_due = False
+        self._output_scheduled = False
         if self._closed:
             return
         output = self.replica.take_output()
         for outgoing in output.messages:
             self._send(outgoing.to, outgoing.message)
         for write in output.writes:
-            self._writer.submit(write, self._written)
+            self._writer.submit(write, self._write_finished)
         self._apply(output)
-        self._answer_reads(output)
-        self._watch_leader()
+        self._resolve_reads(output)
+        self._check_leader()
         if output.committed:
             self._compact_if_due()
 
-    def _written(self, write: Write, result: Result[None, StoreError]) -> None:
+    def _write_finished(self, write: Write, result: Result[None, StoreError]) -> None:
         if self._closed:
             return
         match result:
@@ -243,9 +243,9 @@
         for entry in output.committed:
             self._apply_entry(entry)
         if self.catalog.revision != revision:
-            self._changed.set()
-            self._changed = asyncio.Event()
-            self._catalog_changed()
+            self._revision_changed.set()
+            self._revision_changed = asyncio.Event()
+            self._on_catalog_changed()
 
     def _restore(self, snapshot: Snapshot) -> None:
         """Takes a snapshot's state. One that this program can't read leaves the node without a say.
@@ -260,38 +260,38 @@
             self.catalog.restore(snapshot.data)
         except SnapshotError as error:
             log.error("snapshot at {} can't be read, this node answers nothing: {}", snapshot.index, error)
-            self._unreadable = error
+            self._snapshot_error = error
         else:
-            self._unreadable = None
+            self._snapshot_error = None
 
     def _apply_entry(self, entry: Entry) -> None:
         self.applied_index = entry.index
         self._bytes_since_compaction += len(entry.data)
-        answer: Answer = Failure(Unavailable.LOST)
+        answer: OrderResult = Failure(Unavailable.LOST)
         command = self._assembler.take(entry)
-        if command is not None and self._unreadable is None:
+        if command is not None and self._snapshot_error is None:
             answer = Success(self.catalog.apply(entry.index, command))
         pending = self._proposals.pop(entry.index, None)
         if pending is None or pending.answer.done():
             return
         pending.answer.set_result(answer if pending.term == entry.term else Failure(Unavailable.LOST))
 
-    def _answer_reads(self, output: Output) -> None:
+    def _resolve_reads(self, output: Output) -> None:
         for ready in output.reads:
-            self._conclude_read(ready.token, Success(None))
+            self._resolve_read(ready.token, Success(None))
         for token in output.reads_failed:
-            self._conclude_read(token, Failure(Unavailable.LOST))
+            self._resolve_read(token, Failure(Unavailable.LOST))
 
-    def _conclude_read(self, token: int, result: Confirmation) -> None:
+    def _resolve_read(self, token: int, result: ReadResult) -> None:
         confirmed = self._reads.pop(token, None)
         if confirmed is not None and not confirmed.done():
             confirmed.set_result(result)
 
-    def _watch_leader(self) -> None:
+    def _check_leader(self) -> None:
         leader = self.replica.leader
         leader_id = leader.replica_id if leader is not None else ""
         if not self.leads:
-            self._drop_pending()
+            self._fail_pending()
         if leader_id == self._leader_id:
             return
         log.info("term {}: leader {} ({})", self.replica.term, leader_id or "none", self.replica.role.name)
@@ -299,7 +299,7 @@
         self._leader_changed.set()
         self._leader_changed = asyncio.Event()
 
-    def _drop_pending(self) -> None:
+    def _fail_pending(self) -> None:
         """Leadership is gone: whether these will be committed is not known here."""
         proposals = list(self._proposals.values())
         self._proposals.clear()
@@ -307,14 +307,14 @@
             if not pending.answer.done():
                 pending.answer.set_result(Failure(Unavailable.LOST))
         for token in list(self._reads):
-            self._conclude_read(token, Failure(Unavailable.LOST))
+            self._resolve_read(token, Failure(Unavailable.LOST))
 
     def _compact_if_due(self) -> None:
         entries = self.applied_index - self._compacted_index
         timing = self.replica.timing
         if entries < timing.compact_entries and self._bytes_since_compaction < timing.compact_bytes:
             return
-        if self._unreadable is not None or not self._assembler.between_commands:
+        if self._snapshot_error is not None or not self._assembler.between_commands:
             return
         self._compacted_index = self.applied_index
         self._bytes_since_compaction = 0
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -72,9 +72,9 @@
         self.catalog = Catalog()
         self.peers = PeerLinks(transport, self, self._hello)
         # where there is a leader already, the pre-vote keeps an early candidate from disturbing it
-        began = clock() - ELECTION_HEAD_START
+        created_at = clock() - ELECTION_HEAD_START
         timing = evolve(timing or Timing(), max_voters=max_voters(platform.tolerate.machines))
-        replica = Replica(self.member, start.state, timing, random, began, start.genesis)
+        replica = Replica(self.member, start.state, timing, random, created_at, start.genesis)
         self.host = ConsensusHost(
             replica, writer, self.catalog, clock, self._send_consensus, self._catalog_changed
         )
@@ -87,7 +87,7 @@
             self.soft_state,
             clock,
             start.replica_id,
-            self._newest_order,
+            self._newest_order_index,
             self._local_servers,
         )
         seeds = platform.seed_inner_addresses
@@ -146,9 +146,9 @@
     def peer_connected(self, peer: Hello, link: Link) -> None:
         """See `peers.PeerListener`."""
         self._membership.peer_connected(peer)
-        self.recovery.peer_told(peer.replica_id, peer.newest_order)
+        self.recovery.peer_reported(peer.replica_id, peer.newest_order)
         self._membership.dial()
-        self.host.reached(peer.replica_id)
+        self.host.peer_connected(peer.replica_id)
         self.soft_state.peer_connected(peer.replica_id)
 
     def peer_received(self, peer: Hello, link: Link, message: object) -> None:
@@ -160,7 +160,7 @@
         elif not self.orders.received(link, message):
             self.soft_state.peer_received(peer.replica_id, message)
 
-    def stranger_received(self, link: Link, message: object) -> None:
+    def gateway_received(self, link: Link, message: object) -> None:
         """See `peers.PeerListener`."""
         self.soft_state.gateway_received(link, message)
 
@@ -175,10 +175,15 @@
         member = self.member
         neighbours = self.peers.connected_addresses()
         return Hello(
-            member.replica_id, member.address, member.zone, member.region, neighbours, self._newest_order()
+            member.replica_id,
+            member.address,
+            member.zone,
+            member.region,
+            neighbours,
+            self._newest_order_index(),
         )
 
-    def _newest_order(self) -> int:
+    def _newest_order_index(self) -> int:
         """Index of the newest order in this node's log; what a snapshot covers counts by its last change."""
         return max(self.catalog.revision, self.host.replica.newest_command)
 
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -11,14 +11,14 @@
 import logbook
 
 from brackenladder.catalog.homes import ConfigurationHomes, ReadConfiguration
-from brackenladder.catalog.hosts import normal_host
+from brackenladder.catalog.hosts import normalize_host
 from brackenladder.invariants import VIOLATIONS, Invariant
 from brackenladder.registry.directory import NEAR_REACHES, ClientPlace, Offer, Reach, resolve
 from brackenladder.registry.gateways import GatewayRegistry, HeardGateway
 
 MICROSECONDS_PER_MILLISECOND = 1000
-MOST_PLACES = 4096  # hosts and regions whose last reach is remembered and whose changes are logged
-LONGEST_NAME = 64  # characters of a client's word in the log
+MAX_TRACKED_GROUPS = 4096  # hosts and regions whose last reach is remembered and whose changes are logged
+MAX_NAME_CHARS = 64  # characters of a client's word in the log
 OTHER_HOSTS = "(no route's host)"
 
 log = logbook.Logger("directory")
@@ -32,9 +32,9 @@
         self._homes = ConfigurationHomes()
         self._revision = 0  # of the catalog that the homes are of
         self._answers: Counter[Reach] = Counter()
-        self._reaches: dict[tuple[str, str], Reach] = {}  # the last one by host and the clients' region
+        self._last_reaches: dict[tuple[str, str], Reach] = {}  # the last one by host and the clients' region
 
-    def configured(self, revision: int, read: ReadConfiguration) -> None:
+    def set_configuration(self, revision: int, read: ReadConfiguration) -> None:
         """Take the configuration as of a revision of the catalog; an older one is ignored."""
         if revision <= self._revision:
             return
@@ -48,16 +48,16 @@
         client is led out of its region.
         """
         homes = self._homes.of(client.host)
-        permitted = homes.permit if current else _nowhere
+        permitted = homes.permits if current else _permit_none
         offer = resolve(self._gateways.ready(now), client, permitted, offset=self._answers.total())
-        breached = homes.breached(client.region, offer.regions)
+        forbidden = homes.forbidden(client.region, offer.regions)
         VIOLATIONS.check(
             Invariant.DIRECTORY_KEEPS_HOMES,
-            not breached,
-            f"a client of {client.region} is led to {breached} for {client.host}",
+            not forbidden,
+            f"a client of {client.region} is led to {forbidden} for {client.host}",
         )
-        host = normal_host(client.host) if homes.known else OTHER_HOSTS
-        self._note(now, host, client.region[:LONGEST_NAME], offer.reach)
+        host = normalize_host(client.host) if homes.known else OTHER_HOSTS
+        self._record_answer(now, host, client.region[:MAX_NAME_CHARS], offer.reach)
         return offer
 
     @property
@@ -65,7 +65,7 @@
         """How many answers reached how far."""
         return dict(self._answers)
 
-    def _note(self, now: int, host: str, region: str, reach: Reach) -> None:
+    def _record_answer(self, now: int, host: str, region: str, reach: Reach) -> None:
         """Count an answer, and log where clients are led no longer as before.
 
         Names are the clients' own: whatever they send, the lines and the memory that they take are bounded.
@@ -73,10 +73,10 @@
         """
         self._answers[reach] += 1
         place = (host, region)
-        before = self._reaches.get(place)
-        if before is None and len(self._reaches) >= MOST_PLACES:
+        before = self._last_reaches.get(place)
+        if before is None and len(self._last_reaches) >= MAX_TRACKED_GROUPS:
             return
-        self._reaches[place] = reach
+        self._last_reaches[place] = reach
         if before is reach or before in NEAR_REACHES and reach in NEAR_REACHES:
             return
         log.info(
@@ -85,19 +85,19 @@
             region,
             reach.value,
             before.value if before is not None else "not asked",
-            self._known_of(now, region),
+            self._describe_region(now, region),
         )
 
-    def _known_of(self, now: int, region: str) -> str:
+    def _describe_region(self, now: int, region: str) -> str:
         """The gateways of a region, as this node knows them."""
         known = [one for one in self._gateways.heard(now) if one.gateway.region == region]
-        return ", ".join(map(_described, known)) or "none known"
+        return ", ".join(map(_describe, known)) or "none known"
 
 
-def _nowhere(_region: str) -> bool:
+def _permit_none(_region: str) -> bool:
     return False
 
 
-def _described(known: HeardGateway) -> str:
+def _describe(known: HeardGateway) -> str:
     silent = known.age // MICROSECONDS_PER_MILLISECOND
     return f"{known.gateway.node} {known.gateway.state.name.lower()}, heard {silent} ms ago"
--- a/brackenladder/control_plane/forwarding.py
+++ b/brackenladder/control_plane/forwarding.py
@@ -16,7 +16,7 @@
 
 
 @frozen
-class _Waiting:
+class _PendingCall:
     """A call over a link: only its answer over the same link counts."""
 
     link: Link
@@ -28,15 +28,15 @@
 
     def __init__(self) -> None:
         self._last = 0
-        self._waiting: dict[int, _Waiting] = {}
+        self._waiting: dict[int, _PendingCall] = {}
 
     def open(self, link: Link) -> int:
         """A new request number, for a call over a link."""
         self._last += 1
-        self._waiting[self._last] = _Waiting(link, asyncio.get_running_loop().create_future())
+        self._waiting[self._last] = _PendingCall(link, asyncio.get_running_loop().create_future())
         return self._last
 
-    def drop(self, request: int) -> Failure[Unavailable]:
+    def abort(self, request: int) -> Failure[Unavailable]:
         """The call could not be sent."""
         del self._waiting[request]
         return Failure(Unavailable.LOST)
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -13,8 +13,8 @@
 
 INSTANCE_ID = "X-Brackenladder-Instance-Id"
 COLD_REMAINING = "X-Brackenladder-Cold-Remaining-Ms"
-CHECK_SECONDS = 1.0  # longest check; a server's heartbeat comes about as soon
-MOST_AT_ONCE = 32
+CHECK_TIMEOUT_SECONDS = 1.0  # longest check; a server's heartbeat comes about as soon
+MAX_CONCURRENT_CHECKS = 32
 MICROSECONDS_PER_MILLISECOND = 1000
 UNKNOWN = HealthAnswer("")
 
@@ -30,32 +30,32 @@
     """`HealthChecks` with one HTTP client for the checks of one start."""
 
     def __init__(self) -> None:
-        self._limit = asyncio.Semaphore(MOST_AT_ONCE)
+        self._limit = asyncio.Semaphore(MAX_CONCURRENT_CHECKS)
         self._session: aiohttp.ClientSession
 
     async def check_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
         """See `HealthChecks`."""
-        timeout = aiohttp.ClientTimeout(total=CHECK_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=CHECK_TIMEOUT_SECONDS)
         connector = aiohttp.TCPConnector(force_close=True)
         async with aiohttp.ClientSession(timeout=timeout, connector=connector) as self._session:
-            return await asyncio.gather(*[self._ask(server) for server in servers])
+            return await asyncio.gather(*[self._check(server) for server in servers])
 
-    async def _ask(self, server: RememberedServer) -> HealthAnswer:
+    async def _check(self, server: RememberedServer) -> HealthAnswer:
         url = f"http://{server.record.address}{server.health_path}"
         async with self._limit:
             try:
                 async with self._session.get(url, allow_redirects=False) as response:
-                    return _answer(response)
+                    return _parse_answer(response)
             except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
                 return UNKNOWN
 
 
-def _answer(response: aiohttp.ClientResponse) -> HealthAnswer:
+def _parse_answer(response: aiohttp.ClientResponse) -> HealthAnswer:
     if response.status != HTTPStatus.OK:
         return UNKNOWN
-    told = response.headers.get(COLD_REMAINING, "0").strip()
+    cold_remaining = response.headers.get(COLD_REMAINING, "0").strip()
     try:
-        cold_for = int(float(told) * MICROSECONDS_PER_MILLISECOND)
+        cold_for = int(float(cold_remaining) * MICROSECONDS_PER_MILLISECOND)
     except (ValueError, OverflowError):
         return UNKNOWN
     return HealthAnswer(response.headers.get(INSTANCE_ID, ""), max(0, cold_for))
--- a/brackenladder/control_plane/http_server.py
+++ b/brackenladder/control_plane/http_server.py
@@ -22,9 +22,9 @@
 BACKLOG = 512
 KEEPALIVE_SECONDS = 30.0  # between requests, until the first one, and for a body to come whole
 RETRY_AFTER_SECONDS = "0.2"
-LISTEN_PATIENCE_SECONDS = 10.0  # how long an address is tried that a killed predecessor still holds
-LISTEN_RETRY_SECONDS = 0.1  # pause between these tries
-SHORTEST_GRACE_SECONDS = 0.02  # aiohttp takes 0 as no bound at all
+BIND_TIMEOUT_SECONDS = 10.0  # how long an address is tried that a killed predecessor still holds
+BIND_RETRY_SECONDS = 0.1  # pause between these tries
+MIN_GRACE_SECONDS = 0.02  # aiohttp takes 0 as no bound at all
 SHUTDOWN_STEPS = 2  # for the answer, then for the cancelled handler; aiohttp bounds each
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -49,7 +49,7 @@
     return json_response(HTTPStatus.NOT_FOUND, {"Error": f"unknown: {what}"})
 
 
-async def _body_arrives(request: web.BaseRequest) -> bool:
+async def _read_body(request: web.BaseRequest) -> bool:
     """Reads the body, which the request keeps; False if it does not come whole in time.
 
     Failure prevented: a caller that stops in the middle of its body is waited for as long as it stays.
@@ -62,7 +62,7 @@
     return True
 
 
-def _too_slow() -> web.Response:
+def _body_timeout() -> web.Response:
     response = json_response(HTTPStatus.REQUEST_TIMEOUT, {"Error": "the body did not come in time"})
     response.force_close()
     return response
@@ -103,26 +103,26 @@
             self._server.close()
         if self._protocols is not None:
             self._protocols.pre_shutdown()
-            await self._protocols.shutdown(max(grace_seconds, SHORTEST_GRACE_SECONDS) / SHUTDOWN_STEPS)
+            await self._protocols.shutdown(max(grace_seconds, MIN_GRACE_SECONDS) / SHUTDOWN_STEPS)
 
     async def _bind(self, address: str, protocols: web.Server) -> asyncio.Server:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        until = loop.time() + LISTEN_PATIENCE_SECONDS
+        deadline = loop.time() + BIND_TIMEOUT_SECONDS
         while True:
             try:
                 return await loop.create_server(
                     protocols, host, int(port), reuse_address=True, backlog=BACKLOG
                 )
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or loop.time() >= until:
+                if error.errno != errno.EADDRINUSE or loop.time() >= deadline:
                     raise
-            await asyncio.sleep(LISTEN_RETRY_SECONDS)
+            await asyncio.sleep(BIND_RETRY_SECONDS)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
-            if not await _body_arrives(request):
-                return _too_slow()
+            if not await _read_body(request):
+                return _body_timeout()
             return await self._handler(request)
         except web.HTTPRequestEntityTooLarge:
             return json_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, {"Error": "body too large"})
--- a/brackenladder/control_plane/instances.py
+++ b/brackenladder/control_plane/instances.py
@@ -12,8 +12,8 @@
 from brackenladder.transport.errors import AddressError
 
 MICROSECONDS_PER_MILLISECOND = 1000
-NOT_TOLD = -1
-LARGEST_NUMBER = 1 << 50  # stays exact in JSON, and below 64 bits in microseconds
+NOT_REPORTED = -1
+MAX_NUMBER = 1 << 50  # stays exact in JSON, and below 64 bits in microseconds
 STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING}
 
 
@@ -39,25 +39,25 @@
     fields = _Fields(document)
     try:
         return Success(_record(server_id, fields))
-    except _BadField as error:
+    except _InvalidField as error:
         return Failure(error.fault)
 
 
 def _record(server_id: str, fields: _Fields) -> ServerRecord:
     state = STATES.get(fields.text("State"))
     if state is None:
-        raise _BadField("State", "neither ready nor draining")
+        raise _InvalidField("State", "neither ready nor draining")
     return ServerRecord(
         id=server_id,
         service=fields.text("Backend"),
         address=_checked_address(fields.text("Address")),
         zone=fields.text("Zone"),
-        slots=fields.whole("Slots", 1),
+        slots=fields.integer("Slots", 1),
         state=state,
-        seq=fields.whole("Seq"),
+        seq=fields.integer("Seq"),
         software=fields.text("Version", ""),
         cold_for=fields.milliseconds("ColdRemainingMs", 0),
-        remaining=fields.milliseconds("RemainingMs", NOT_TOLD),
+        remaining=fields.milliseconds("RemainingMs", NOT_REPORTED),
         models=fields.names("Models"),
     )
 
@@ -66,10 +66,10 @@
     try:
         return str(parse_address(address))
     except AddressError:
-        raise _BadField("Address", "not ip:port") from None
+        raise _InvalidField("Address", "not ip:port") from None
 
 
-class _BadField(Exception):
+class _InvalidField(Exception):
     def __init__(self, field: str, problem: str) -> None:
         super().__init__(field, problem)
         self.fault = HeartbeatFault(field, problem)
@@ -84,10 +84,10 @@
     def text(self, name: str, default: str | None = None) -> str:
         return _checked_text(name, self._document.get(name, default))
 
-    def whole(self, name: str, default: int | None = None) -> int:
+    def integer(self, name: str, default: int | None = None) -> int:
         value = _checked_number(name, self._document.get(name, default))
         if value != int(value):
-            raise _BadField(name, "not a whole number")
+            raise _InvalidField(name, "not a whole number")
         return int(value)
 
     def milliseconds(self, name: str, default: int) -> int:
@@ -101,7 +101,7 @@
         """The names of a list of objects."""
         value = self._document.get(name, [])
         if not isinstance(value, list):
-            raise _BadField(name, "not a list")
+            raise _InvalidField(name, "not a list")
         return tuple(
             _checked_text(name, item["Name"]) for item in value if isinstance(item, dict) and "Name" in item
         )
@@ -110,16 +110,16 @@
 def _checked_number(name: str, value: object) -> int | float:
     """A number that every node can pass on."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise _BadField(name, "not a number")
-    if not 0 <= value <= LARGEST_NUMBER:
-        raise _BadField(name, "out of range")
+        raise _InvalidField(name, "not a number")
+    if not 0 <= value <= MAX_NUMBER:
+        raise _InvalidField(name, "out of range")
     return value
 
 
 def _checked_text(name: str, value: object) -> str:
     """A text that every node can pass on."""
     if not isinstance(value, str):
-        raise _BadField(name, "not a text")
+        raise _InvalidField(name, "not a text")
     if not value.isascii() and any("\ud800" <= character <= "\udfff" for character in value):
-        raise _BadField(name, "not Unicode")
+        raise _InvalidField(name, "not Unicode")
     return value
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -17,7 +17,7 @@
 
 JOIN_INTERVAL = 300_000  # microseconds between two requests to join
 DIAL_INTERVAL = 5_000_000  # microseconds between two looks at who is to be dialled, without an event
-UNHEARD_LEADER = 2_000_000  # microseconds without a leader after which a member asks to join again
+LEADER_SILENCE = 2_000_000  # microseconds without a leader after which a member asks to join again
 NEIGHBOUR_LIFETIME = 20_000_000  # microseconds after which an address that only others told of is forgotten
 
 log = logbook.Logger("control")
@@ -82,12 +82,12 @@
         oldest = now - NEIGHBOUR_LIFETIME
         connected = set(self._peers.connected_addresses())
         self._neighbours = {
-            address: told
-            for address, told in self._neighbours.items()
-            if told >= oldest or address in connected
+            address: reported_at
+            for address, reported_at in self._neighbours.items()
+            if reported_at >= oldest or address in connected
         }
         members = (member.address for member in all_members(self._members))
-        self._peers.keep((*self._seeds, *members, *self._neighbours))
+        self._peers.set_addresses((*self._seeds, *members, *self._neighbours))
 
     def join_requested(self, request: JoinRequest) -> None:
         """Another node asks to join: the leader decides, any other node passes it on once."""
@@ -116,8 +116,8 @@
         zones = {member.address: member.zone for member in all_members(members)}
         addresses = tuple(sorted(zones))
         # members of a later entry are always first seen at a higher last index, on whichever node
-        told_zones = tuple(zones[address] for address in addresses)
-        self._soft_state.control_nodes_changed(self._host.replica.last_index, addresses, told_zones)
+        ordered_zones = tuple(zones[address] for address in addresses)
+        self._soft_state.control_nodes_changed(self._host.replica.last_index, addresses, ordered_zones)
 
     def _join_if_due(self) -> None:
         """Asks all peers to be taken in while no leader counts this replica among the members."""
@@ -127,7 +127,7 @@
         self._join_due = now + JOIN_INTERVAL
         members = all_members(self._host.replica.members)
         is_member = any(member.replica_id == self._member.replica_id for member in members)
-        if not is_member or self._host.contact_age() > UNHEARD_LEADER:
+        if not is_member or self._host.contact_age() > LEADER_SILENCE:
             self._peers.broadcast(JoinRequest(self._member))
 
 
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -59,7 +59,7 @@
 
 
 @frozen
-class OrderPartTaken:
+class OrderPartReceived:
     """The leader's node has the first `received` bytes of an order and waits for the rest."""
 
     request: int
@@ -92,5 +92,5 @@
     ForwardRead,
     ReadReply,
     OrderPart,
-    OrderPartTaken,
+    OrderPartReceived,
 )
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -21,7 +21,7 @@
     decode_order,
     encode_order,
 )
-from brackenladder.control_plane.consensus_host import Answer, ConsensusHost
+from brackenladder.control_plane.consensus_host import ConsensusHost, OrderResult
 from brackenladder.control_plane.errors import Unavailable
 from brackenladder.control_plane.forwarding import ReplyTable
 from brackenladder.control_plane.messages import (
@@ -29,7 +29,7 @@
     ForwardRead,
     OrderOutcome,
     OrderPart,
-    OrderPartTaken,
+    OrderPartReceived,
     OrderReply,
     ReadReply,
 )
@@ -41,10 +41,12 @@
 CALL_SECONDS = 2.5  # longest that a caller is held without a clear answer
 ATTEMPT_SECONDS = 1.5  # a leader that has said nothing for so long is asked again
 RETRY_SECONDS = 0.1
-LEAVING_SECONDS = 0.7  # for the quorum that a server's drain or end waits for; the server waits a second
+DEPARTURE_TIMEOUT_SECONDS = (
+    0.7  # for the quorum that a server's drain or end waits for; the server waits a second
+)
 SLOWEST_BYTES_PER_SECOND = 500_000  # at which a large order is expected to travel
 MICROSECONDS_PER_SECOND = 1_000_000
-NO_CLEAR_ANSWER = OrderReply(0, OrderOutcome.UNAVAILABLE)
+NO_DEFINITE_REPLY = OrderReply(0, OrderOutcome.UNAVAILABLE)
 
 Clear = TypeVar("Clear")
 
@@ -72,8 +74,8 @@
         self._peers = peers
         self._clock = clock
         self._replies = ReplyTable()
-        self._sending: dict[int, OrderSender] = {}  # by request
-        self._arriving: dict[Link, OrderReceiver] = {}
+        self._senders: dict[int, OrderSender] = {}  # by request
+        self._receivers: dict[Link, OrderReceiver] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def submit(self, order: bytes) -> OrderReply:
@@ -82,8 +84,8 @@
         That comes after `CALL_SECONDS`, and later for a large order, by the time that it takes to travel.
         """
         seconds = CALL_SECONDS + len(order) / SLOWEST_BYTES_PER_SECOND
-        result = await self._insist(lambda: self._submit_once(order), seconds)
-        return result.value_or(NO_CLEAR_ANSWER)
+        result = await self._retry(lambda: self._submit_once(order), seconds)
+        return result.value_or(NO_DEFINITE_REPLY)
 
     async def submit_evacuation(self, order: EvacuationOrder) -> OrderReply:
         """The same for an order that is no configuration, and so has no base that would tell it is late.
@@ -91,12 +93,12 @@
         To be cancelled once the caller is gone: each attempt reads the newest revision first, and the order
         counts only for as long as the zone is not changed after that.
         """
-        result = await self._insist(lambda: self._submit_fenced(order))
-        return result.value_or(NO_CLEAR_ANSWER)
+        result = await self._retry(lambda: self._submit_fenced(order))
+        return result.value_or(NO_DEFINITE_REPLY)
 
     async def fetch(self) -> Result[Document, Unavailable]:
         """The newest configuration, confirmed by a quorum."""
-        return await self._insist(self._fetch_once)
+        return await self._retry(self._fetch_once)
 
     async def reaches_quorum(self) -> bool:
         """Whether a leader with a quorum has had all that this node wrote to its links before the call.
@@ -104,7 +106,7 @@
         What is told to other nodes goes over the links that consensus uses, in sequence: the leader that
         confirms a read has taken it, or a quorum has that answered this leader.
         """
-        return isinstance(await self._insist(self._newest_revision, LEAVING_SECONDS), Success)
+        return isinstance(await self._retry(self._newest_revision, DEPARTURE_TIMEOUT_SECONDS), Success)
 
     def received(self, link: Link, message: object) -> bool:
         """A message of another control node; False if it isn't of this kind."""
@@ -114,16 +116,16 @@
             case ForwardRead():
                 self._spawn(self._serve_read(link, message))
             case OrderPart():
-                self._part_arrived(link, message)
-            case OrderPartTaken():
-                self._part_taken(link, message)
+                self._part_received(link, message)
+            case OrderPartReceived():
+                self._part_acknowledged(link, message)
             case OrderReply() | ReadReply():
                 self._replies.resolve(link, message)
             case _:
                 return False
         return True
 
-    async def _insist(
+    async def _retry(
         self, attempt: Callable[[], Awaitable[Result[Clear, Unavailable]]], seconds: float = CALL_SECONDS
     ) -> Result[Clear, Unavailable]:
         """Repeats an attempt until it has a clear answer or the time is up."""
@@ -141,10 +143,10 @@
                 return result
 
     async def _submit_fenced(self, order: EvacuationOrder) -> Result[OrderReply, Unavailable]:
-        seen = await self._newest_revision()
-        if isinstance(seen, Failure):
-            return seen
-        return await self._submit_once(encode_order(evolve(order, seen=seen.unwrap())))
+        revision = await self._newest_revision()
+        if isinstance(revision, Failure):
+            return revision
+        return await self._submit_once(encode_order(evolve(order, seen_revision=revision.unwrap())))
 
     async def _newest_revision(self) -> Result[int, Unavailable]:
         if self._host.leads:
@@ -166,39 +168,39 @@
         else:
             sent = self._begin_parts(leader, request, order)
         if not sent:
-            return self._replies.drop(request)
-        patience = ATTEMPT_SECONDS + len(order) / SLOWEST_BYTES_PER_SECOND
+            return self._replies.abort(request)
+        timeout = ATTEMPT_SECONDS + len(order) / SLOWEST_BYTES_PER_SECOND
         try:
-            reply = await self._replies.wait(request, OrderReply, self._host.leader_changed, patience)
+            reply = await self._replies.wait(request, OrderReply, self._host.leader_changed, timeout)
         finally:
-            self._sending.pop(request, None)
-        return reply.bind(_clear_only)
+            self._senders.pop(request, None)
+        return reply.bind(_definite_only)
 
     def _begin_parts(self, leader: Link, request: int, order: bytes) -> bool:
-        sender = self._sending[request] = OrderSender(request, order)
-        return all(leader.send(part) for part in sender.due())
+        sender = self._senders[request] = OrderSender(request, order)
+        return all(leader.send(part) for part in sender.next_parts())
 
-    def _part_taken(self, link: Link, message: OrderPartTaken) -> None:
-        sender = self._sending.get(message.request)
+    def _part_acknowledged(self, link: Link, message: OrderPartReceived) -> None:
+        sender = self._senders.get(message.request)
         if sender is None:
             return
-        sender.taken(message.received)
-        for part in sender.due():
+        sender.acknowledged(message.received)
+        for part in sender.next_parts():
             link.send(part)
 
-    def _part_arrived(self, link: Link, part: OrderPart) -> None:
-        receiver = self._arriving.setdefault(link, OrderReceiver())
-        taken = receiver.take(part)
-        if isinstance(taken, OrderPartTaken):
+    def _part_received(self, link: Link, part: OrderPart) -> None:
+        receiver = self._receivers.setdefault(link, OrderReceiver())
+        taken = receiver.receive(part)
+        if isinstance(taken, OrderPartReceived):
             link.send(taken)
         elif taken is not None:
             self._spawn(self._serve_order(link, ForwardOrder(part.request, taken)))
 
     def link_closed(self, link: Link) -> None:
         """A link has gone, and with it the parts that have come over it."""
-        self._arriving.pop(link, None)
+        self._receivers.pop(link, None)
 
-    async def _decide(self, order: bytes) -> Answer:
+    async def _decide(self, order: bytes) -> OrderResult:
         """Decides an order as the leader.
 
         What looks like a refusal is confirmed against the newest state first; it then needs no log entry.
@@ -229,7 +231,7 @@
             return Failure(Unavailable.NO_LEADER)
         request = self._replies.open(leader)
         if not leader.send(ForwardRead(request, self._host.catalog.revision, document=False)):
-            return self._replies.drop(request)
+            return self._replies.abort(request)
         return await self._replies.wait(request, ReadReply, self._host.leader_changed, ATTEMPT_SECONDS)
 
     def _leader_link(self) -> Link | None:
@@ -275,7 +277,7 @@
             return OrderReply(request, OrderOutcome.UNAVAILABLE)
 
 
-def _clear_only(reply: OrderReply) -> Result[OrderReply, Unavailable]:
+def _definite_only(reply: OrderReply) -> Result[OrderReply, Unavailable]:
     if reply.outcome is OrderOutcome.UNAVAILABLE:
         return Failure(Unavailable.LOST)
     return Success(reply)
--- a/brackenladder/control_plane/peers.py
+++ b/brackenladder/control_plane/peers.py
@@ -11,7 +11,7 @@
 from brackenladder.transport.errors import LinkClosed
 from brackenladder.transport.link import Dialer, Link, Transport
 
-MOST_ADDRESSES = 16  # a bound on what other nodes can make this one dial
+MAX_DIALLED_ADDRESSES = 16  # a bound on what other nodes can make this one dial
 
 log = logbook.Logger("peers")
 
@@ -25,7 +25,7 @@
     def peer_received(self, peer: Hello, link: Link, message: object) -> None:
         """A message of a control node."""
 
-    def stranger_received(self, link: Link, message: object) -> None:
+    def gateway_received(self, link: Link, message: object) -> None:
         """A message on a link whose other end isn't a control node: a gateway."""
 
     def link_closed(self, link: Link) -> None:
@@ -52,12 +52,12 @@
         """Accepts links at the node's inner address."""
         await self._transport.listen(address, _AcceptedLinks(self))
 
-    def keep(self, addresses: Iterable[str]) -> None:
+    def set_addresses(self, addresses: Iterable[str]) -> None:
         """Dials exactly these nodes from now on; links that exist to other ones are closed."""
         wanted = set(addresses)
         wanted.discard(self._hello().address)
         for address in sorted(wanted - self._dialers.keys()):
-            if len(self._dialers) < MOST_ADDRESSES:
+            if len(self._dialers) < MAX_DIALLED_ADDRESSES:
                 self._dialers[address] = self._transport.dial(address, _DialledLink(self))
         for address in sorted(self._dialers.keys() - wanted):
             self._dialers.pop(address).close()
@@ -85,7 +85,7 @@
         for _, link in self.peers():
             link.send(message)
 
-    def greeted(self, link: Link, peer: Hello, table: dict[str, Link]) -> None:
+    def register(self, link: Link, peer: Hello, table: dict[str, Link]) -> None:
         """The other end has said who it is."""
         self._peers[link] = peer
         table[peer.replica_id] = link
@@ -93,19 +93,19 @@
     def dialled_received(self, link: Link, message: object) -> None:
         """A message on a link that this node dialled."""
         if isinstance(message, Hello):
-            self.greeted(link, message, self._dialled)
+            self.register(link, message, self._dialled)
             self._listener.peer_connected(message, link)
             return
-        self._pass_on(link, message)
+        self._dispatch(link, message)
 
     def accepted_received(self, link: Link, message: object) -> None:
         """A message on a link that another node dialled."""
         if isinstance(message, Hello):
             link.send(self._hello())
-            self.greeted(link, message, self._accepted)
+            self.register(link, message, self._accepted)
             self._listener.peer_connected(message, link)
             return
-        self._pass_on(link, message)
+        self._dispatch(link, message)
 
     def dialled_connected(self, link: Link) -> None:
         """A link that this node dialled is up."""
@@ -127,10 +127,10 @@
             dialer.close()
         self._dialers.clear()
 
-    def _pass_on(self, link: Link, message: object) -> None:
+    def _dispatch(self, link: Link, message: object) -> None:
         peer = self._peers.get(link)
         if peer is None:
-            self._listener.stranger_received(link, message)
+            self._listener.gateway_received(link, message)
         else:
             self._listener.peer_received(peer, link, message)
 
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -90,21 +90,21 @@
         self._written_revision = 0
         self._codec = Codec()
         self._codec.register(STATE_TAG, RestartState)
-        self._recalling: asyncio.Task[None] | None = None
-        self._writing: asyncio.Task[None] | None = None
+        self._restore_task: asyncio.Task[None] | None = None
+        self._write_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Begins to read, and to ask the remembered servers."""
         if self._file is not None:
-            self._recalling = asyncio.get_running_loop().create_task(self._recall(self._file))
+            self._restore_task = asyncio.get_running_loop().create_task(self._restore(self._file))
 
     @property
-    def due(self) -> bool:
+    def is_due(self) -> bool:
         """Whether `note` is to be called: it is time, and the last write has ended."""
-        busy = self._writing is not None and not self._writing.done()
+        busy = self._write_task is not None and not self._write_task.done()
         return self._file is not None and not busy and self._clock() - self._written_at >= WRITE_INTERVAL
 
-    def note(
+    def save_if_changed(
         self,
         catalog: RememberedCatalog,
         servers: tuple[ServerRecord, ...],
@@ -114,26 +114,26 @@
         """Writes what is of use after a restart, if catalog or servers have changed, or it is time."""
         if self._file is None:
             return
-        lasting = self._memory.lasting(servers, health_paths)
-        changed = catalog.revision != self._written_revision or self._memory.changed(lasting)
+        servers_to_save = self._memory.lasting(servers, health_paths)
+        changed = catalog.revision != self._written_revision or self._memory.changed(servers_to_save)
         if not changed and self._clock() - self._written_at < PREFIX_INTERVAL:
             return
-        kept = prefixes()
-        if not changed and not kept:
+        prefixes_to_save = prefixes()
+        if not changed and not prefixes_to_save:
             return
-        self._memory.written(lasting)
+        self._memory.written(servers_to_save)
         self._written_revision = catalog.revision
         self._written_at = self._clock()
-        data = self._codec.encode(RestartState(self._replica_id, catalog, lasting, kept))
-        self._writing = asyncio.get_running_loop().create_task(self._write(self._file, data))
+        data = self._codec.encode(RestartState(self._replica_id, catalog, servers_to_save, prefixes_to_save))
+        self._write_task = asyncio.get_running_loop().create_task(self._write(self._file, data))
 
     def close(self) -> None:
         """Asks nobody any more. A write that hangs does not keep the process."""
-        for task in (self._recalling, self._writing):
+        for task in (self._restore_task, self._write_task):
             if task is not None:
                 task.cancel()
 
-    async def _recall(self, file: RestartFile) -> None:
+    async def _restore(self, file: RestartFile) -> None:
         state = await self._read(file)
         if state is None:
             return
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -11,11 +11,13 @@
 from brackenladder.consensus.members import quorum_value
 from brackenladder.consensus.types import Members
 
-WORD_AGE = 1_500_000  # microseconds for which a word counts; as contact does (`soft_state.IN_TOUCH_AGE`)
+MAX_REPORT_AGE = (
+    1_500_000  # microseconds for which a word counts; as contact does (`soft_state.IN_TOUCH_AGE`)
+)
 
 
 @frozen
-class _Word:
+class _Report:
     newest_order: int
     at: int
 
@@ -24,11 +26,11 @@
     """Takes what the members say of their logs; this node is one of them. Times are this host's."""
 
     def __init__(self) -> None:
-        self._words: dict[str, _Word] = {}  # by replica id
+        self._reports: dict[str, _Report] = {}  # by replica id
 
-    def told(self, now: int, replica_id: str, newest_order: int) -> None:
+    def record(self, now: int, replica_id: str, newest_order: int) -> None:
         """A replica's log holds orders up to this index, committed or not."""
-        self._words[replica_id] = _Word(newest_order, now)
+        self._reports[replica_id] = _Report(newest_order, now)
 
     def confirms(self, now: int, members: Members, revision: int) -> bool:
         """Whether no order after `revision` can have been committed before the members spoke, just now.
@@ -39,10 +41,10 @@
         Failure prevented: a node's disk answers long after its peers have greeted it, it is cut off
         meanwhile, and tells what was the newest when they spoke.
         """
-        if any(word.newest_order > revision for word in self._words.values()):
+        if any(report.newest_order > revision for report in self._reports.values()):
             return False
-        return quorum_value(members, lambda replica_id: int(self._spoke(now, replica_id))) >= 1
+        return quorum_value(members, lambda replica_id: int(self._reported_recently(now, replica_id))) >= 1
 
-    def _spoke(self, now: int, replica_id: str) -> bool:
-        word = self._words.get(replica_id)
-        return word is not None and now - word.at <= WORD_AGE
+    def _reported_recently(self, now: int, replica_id: str) -> bool:
+        report = self._reports.get(replica_id)
+        return report is not None and now - report.at <= MAX_REPORT_AGE
--- a/brackenladder/control_plane/restart_recovery.py
+++ b/brackenladder/control_plane/restart_recovery.py
@@ -53,12 +53,12 @@
 
     def tick(self) -> None:
         """Writes what has changed, if it is time."""
-        if self._cache.due:
+        if self._cache.is_due:
             self.write()
 
-    def peer_told(self, replica_id: str, newest_order: int) -> None:
+    def peer_reported(self, replica_id: str, newest_order: int) -> None:
         """A peer's log holds orders up to this index."""
-        self._gate.told(self._clock(), replica_id, newest_order)
+        self._gate.record(self._clock(), replica_id, newest_order)
         self._publish_if_confirmed()
 
     def write(self) -> None:
@@ -68,7 +68,7 @@
             return
         remembered = RememberedCatalog(catalog.revision, catalog.document, tuple(sorted(catalog.evacuated)))
         paths = {service.name: service.health_path for service in catalog.configuration.services}
-        self._cache.note(remembered, self._local_servers(), paths, self._soft_state.prefixes)
+        self._cache.save_if_changed(remembered, self._local_servers(), paths, self._soft_state.prefixes)
 
     # -- RestartListener
 
@@ -91,7 +91,7 @@
         if remembered is None:
             return
         now = self._clock()
-        self._gate.told(now, self._replica_id, self._newest_order())
+        self._gate.record(now, self._replica_id, self._newest_order())
         if not self._gate.confirms(now, self._host.replica.members, remembered.revision):
             return
         self._remembered = None
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -32,13 +32,13 @@
 TICK_SECONDS = 0.1
 SILENT_HEARTBEATS = 4  # heartbeats without a word after which a server counts as gone
 SETTLE_HEARTBEATS = 1.1  # heartbeats after the start in which every living server has called some node
-STANDSTILL = 1_000_000  # microseconds between two ticks after which this process must have been frozen
+FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks after which this process must have been frozen
 IN_TOUCH_AGE = 1_500_000  # contact with the leader up to which servers' and gateways' word is acknowledged
 
 log = logbook.Logger("registry")
 
 
-class AgreedState(Protocol):
+class ReplicatedStateAge(Protocol):
     """How new what this node has of the agreed state is. Ages are in microseconds."""
 
     def contact_age(self) -> int:
@@ -60,7 +60,7 @@
     def __init__(
         self,
         clock: Callable[[], int],
-        agreed: AgreedState,
+        state_age: ReplicatedStateAge,
         peers: PeerLinks,
         heartbeat: int,
         region: str = "",
@@ -70,7 +70,7 @@
         """
         now = clock()
         self._clock = clock
-        self._agreed = agreed
+        self._state_age = state_age
         self._peers = peers
         self._region = region
         self._servers = ServerRegistry(SILENT_HEARTBEATS * heartbeat)
@@ -81,10 +81,10 @@
         self._publisher = Publisher(self._servers)
         self._relay = PrefixRelay(now)
         self._subscribers: dict[str, Link] = {}
-        self._names: dict[Link, str] = {}
-        self._nodes: dict[str, str] = {}  # subscribed gateways: subscriber -> node
-        self._informed: dict[str, Link] = {}  # the link over which a peer is told, by replica id
-        self._last_name = 0
+        self._subscriber_names: dict[Link, str] = {}
+        self._gateway_nodes: dict[str, str] = {}  # subscribed gateways: subscriber -> node
+        self._update_links: dict[str, Link] = {}  # the link over which a peer is told, by replica id
+        self._last_subscriber = 0
         self._confirmed_at: int | None = None  # when a majority confirmed a remembered catalog
         self._ticked_at = now
 
@@ -109,9 +109,9 @@
         now = self._clock()
         if not self._gateways.settled(now):
             return NO_OFFER
-        for name, node in self._nodes.items():
+        for name, node in self._gateway_nodes.items():
             self._gateways.linked(node, now - self._subscribers[name].silence)
-        current = self._may_publish_catalog(now) and not self._agreed.lacks_committed()
+        current = self._may_publish_catalog(now) and not self._state_age.lacks_committed()
         return self._directory.resolve(now, client, current)
 
     # -- what operators ask
@@ -137,7 +137,7 @@
 
     def gateways(self) -> tuple[GatewayStatus, ...]:
         """The gateways that were heard lately, with what they have acknowledged here."""
-        revisions = {node: self._publisher.revision_of(name) for name, node in self._nodes.items()}
+        revisions = {node: self._publisher.revision_of(name) for name, node in self._gateway_nodes.items()}
         return gateway_statuses(self._gateways.heard(self._clock()), revisions)
 
     # -- events of links
@@ -148,15 +148,15 @@
         What a node is told goes over the link that consensus uses: `OrderService.reaches_quorum` rests on the
         sequence of both.
         """
-        if replica_id not in self._informed:
-            self._begin_informing(replica_id)
-        elif self._informed[replica_id] is not self._peers.link(replica_id):
-            self._forget_peer(replica_id)
+        if replica_id not in self._update_links:
+            self._start_updates(replica_id)
+        elif self._update_links[replica_id] is not self._peers.link(replica_id):
+            self._restart_updates(replica_id)
         self.flush()
 
-    def informed(self, replica_id: str) -> Link | None:
+    def update_link(self, replica_id: str) -> Link | None:
         """The link over which a control node is told."""
-        return self._informed.get(replica_id)
+        return self._update_links.get(replica_id)
 
     def peer_received(self, replica_id: str, message: object) -> bool:
         """A message of a control node; False if it isn't of this kind."""
@@ -166,17 +166,17 @@
             return True
         if not self._exchange.told(self._clock(), replica_id, message):
             return False
-        self._count_gateways()
+        self._publish_gateway_count()
         self.flush()
         return True
 
     def gateway_received(self, link: Link, message: object) -> None:
         """A message of a gateway."""
-        name = self._names.get(link)
+        name = self._subscriber_names.get(link)
         match message:
             case Subscribe():
-                self._greet(link, name, message)
-                self._subscribed(link, name or self._name(link), message)
+                self._send_known_prefixes(link, name, message)
+                self._subscribed(link, name or self._new_subscriber(link), message)
             case Ack() if name is not None:
                 self._publisher.acknowledged(name, message)
             case PrefixNotices() if name is not None:
@@ -189,13 +189,13 @@
 
     def link_closed(self, link: Link) -> None:
         """A link has gone: a peer is told all again over the next one, a gateway subscribes anew."""
-        for replica_id, used in list(self._informed.items()):
+        for replica_id, used in list(self._update_links.items()):
             if used is link:
-                self._forget_peer(replica_id)
-        name = self._names.pop(link, None)
+                self._restart_updates(replica_id)
+        name = self._subscriber_names.pop(link, None)
         if name is not None:
             del self._subscribers[name]
-            self._nodes.pop(name, None)
+            self._gateway_nodes.pop(name, None)
             self._publisher.lost(name)
             self._relay.lost(name)
 
@@ -205,14 +205,14 @@
         """Publishes the newest catalog at once."""
         self._publisher.set_catalog(catalog.revision, catalog.document, catalog.evacuated)
         configuration = catalog.configuration
-        self._directory.configured(catalog.revision, lambda: configuration)
+        self._directory.set_configuration(catalog.revision, lambda: configuration)
         self.flush()
 
     def catalog_confirmed(self, catalog: RememberedCatalog) -> None:
         """Publishes what was committed before this node's restart; a majority knows of nothing later."""
         self._confirmed_at = self._clock()
         self._publisher.set_catalog(catalog.revision, catalog.document, frozenset(catalog.evacuated))
-        self._directory.configured(
+        self._directory.set_configuration(
             catalog.revision, lambda: parse_configuration(catalog.document).value_or(None)
         )
         self.flush()
@@ -238,14 +238,14 @@
         now = self._clock()
         gap = now - self._ticked_at
         self._ticked_at = now
-        if gap > STANDSTILL:
+        if gap > FREEZE_THRESHOLD:
             log.info("stood still for {} ms", gap // 1000)
             self._servers.resumed(now, gap)
             self._gateways.resumed(now, gap)
         for record in self._servers.expire(now, trusted=self._in_touch()):
             log.info("server {} silent, gone", record.id)
         self._gateways.forget(now)
-        self._count_gateways()
+        self._publish_gateway_count()
         self.flush()
         self._relay_notices()
 
@@ -253,11 +253,11 @@
         """Writes all that is due to the links."""
         now = self._clock()
         for told in self._exchange.take(now):
-            link = self._informed.get(told.peer)
+            link = self._update_links.get(told.peer)
             if link is None or not link.send(told.message):
-                self._forget_peer(told.peer)
+                self._restart_updates(told.peer)
         for delivery in self._publisher.take(
-            now, self._told_contact_age(now), self._may_publish_catalog(now)
+            now, self._published_contact_age(now), self._may_publish_catalog(now)
         ):
             subscriber = self._subscribers.get(delivery.subscriber)
             if subscriber is not None and not subscriber.send(delivery.message):
@@ -274,7 +274,7 @@
                 subscriber.send(due.message)
 
     def _in_touch(self) -> bool:
-        return self._agreed.contact_age() <= IN_TOUCH_AGE
+        return self._state_age.contact_age() <= IN_TOUCH_AGE
 
     def _may_publish_catalog(self, now: int) -> bool:
         """Whether the catalog here is known to have been the newest a moment ago.
@@ -283,12 +283,12 @@
         hands an old configuration to gateways that have none, and leads clients by homes of the past.
         """
         confirmed = self._confirmed_at is not None and now - self._confirmed_at <= IN_TOUCH_AGE
-        return confirmed or self._agreed.catalog_age() <= IN_TOUCH_AGE
+        return confirmed or self._state_age.catalog_age() <= IN_TOUCH_AGE
 
-    def _told_contact_age(self, now: int) -> int:
-        return self._agreed.catalog_age() if self._exchange.settled(now) else UNKNOWN_AGE
+    def _published_contact_age(self, now: int) -> int:
+        return self._state_age.catalog_age() if self._exchange.settled(now) else UNKNOWN_AGE
 
-    def _greet(self, link: Link, name: str | None, message: Subscribe) -> None:
+    def _send_known_prefixes(self, link: Link, name: str | None, message: Subscribe) -> None:
         """A gateway's first word: it needs to know what servers keep before it has requests to place.
 
         Failure prevented: after a restart of all the requests that were held go out before the relay is
@@ -305,30 +305,30 @@
         """
         self._publisher.subscribed(name, message)
         self._relay.serve(name, message.relay)
-        self._nodes[name] = message.node
+        self._gateway_nodes[name] = message.node
         self._gateways.presence(self._clock(), message.gateway, tell_peers=message.relay)
-        self._count_gateways()
+        self._publish_gateway_count()
 
-    def _name(self, link: Link) -> str:
-        self._last_name += 1
-        name = str(self._last_name)
-        self._names[link] = name
+    def _new_subscriber(self, link: Link) -> str:
+        self._last_subscriber += 1
+        name = str(self._last_subscriber)
+        self._subscriber_names[link] = name
         self._subscribers[name] = link
         return name
 
-    def _begin_informing(self, replica_id: str) -> None:
+    def _start_updates(self, replica_id: str) -> None:
         link = self._peers.link(replica_id)
         if link is not None:
-            self._informed[replica_id] = link
+            self._update_links[replica_id] = link
             self._exchange.connected(replica_id)
 
-    def _forget_peer(self, replica_id: str) -> None:
+    def _restart_updates(self, replica_id: str) -> None:
         """Begins anew over another link, if there is one."""
-        if self._informed.pop(replica_id, None) is None:
+        if self._update_links.pop(replica_id, None) is None:
             return
         self._exchange.lost(replica_id)
-        self._begin_informing(replica_id)
+        self._start_updates(replica_id)
 
-    def _count_gateways(self) -> None:
+    def _publish_gateway_count(self) -> None:
         now = self._clock()
         self._publisher.set_gateways(self._gateways.living(now), self._gateways.settled(now))
--- a/brackenladder/control_plane/status.py
+++ b/brackenladder/control_plane/status.py
@@ -16,7 +16,7 @@
 from brackenladder.registry.records import ServerRecord, ServerState
 
 MICROSECONDS_PER_MILLISECOND = 1000
-LONGEST_AGE = 1 << 50  # microseconds; an age above was never measured
+MAX_AGE = 1 << 50  # microseconds; an age above was never measured
 
 
 @frozen
@@ -137,7 +137,7 @@
 
 def age_ms(age: int) -> int | None:
     """Microseconds as milliseconds; None for an age that was never measured."""
-    return max(0, age) // MICROSECONDS_PER_MILLISECOND if age < LONGEST_AGE else None
+    return max(0, age) // MICROSECONDS_PER_MILLISECOND if age < MAX_AGE else None
 
 
 def status_document(item: Any) -> Any:
--- a/brackenladder/control_plane/threads.py
+++ b/brackenladder/control_plane/threads.py
@@ -16,7 +16,7 @@
     loop = asyncio.get_running_loop()
     done: asyncio.Future[T] = loop.create_future()
 
-    def conclude(result: T | None, error: Exception | None) -> None:
+    def resolve(result: T | None, error: Exception | None) -> None:
         if done.done():
             return
         if error is not None:
@@ -32,7 +32,7 @@
         except Exception as raised:  # whoever waits gets it, whatever it is
             error = raised
         with suppress(RuntimeError):  # the loop is closed: nobody waits any longer
-            loop.call_soon_threadsafe(conclude, result, error)
+            loop.call_soon_threadsafe(resolve, result, error)
 
     threading.Thread(target=run, name="disk", daemon=True).start()
     return await done
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -315,19 +315,19 @@
         self.assertEqual(self.read_back(), whole())
 
     def test_one_that_is_late_changes_nothing(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assert_accepted(FinishEvacuation("a", seen=1), 0)
-        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen=1)), Outdated())
-        self.assertEqual(self.catalog.check(BeginEvacuation("a", seen=1)), Outdated())
-        self.assert_accepted(BeginEvacuation("a", seen=2), 0)
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assert_accepted(FinishEvacuation("a", seen_revision=1), 0)
+        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen_revision=1)), Outdated())
+        self.assertEqual(self.catalog.check(BeginEvacuation("a", seen_revision=1)), Outdated())
+        self.assert_accepted(BeginEvacuation("a", seen_revision=2), 0)
 
     def test_one_that_is_late_and_says_what_holds_is_accepted(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen=0)), Accepted(0))
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen_revision=0)), Accepted(0))
 
     def test_a_change_of_another_zone_makes_none_late(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assert_accepted(BeginEvacuation("b", seen=0), 0)
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assert_accepted(BeginEvacuation("b", seen_revision=0), 0)
         self.assertEqual(self.catalog.evacuated, {"a", "b"})
 
     def test_they_count_as_changes(self) -> None:
@@ -377,12 +377,12 @@
     def test_one_of_an_earlier_version(self) -> None:
         self.catalog.restore(msgpack.packb([1, 5, b"", ["a"], b""]))
         self.assertEqual((self.catalog.evacuated, self.catalog.revision), ({"a"}, 5))
-        self.assert_accepted(FinishEvacuation("a", seen=5), 0)
+        self.assert_accepted(FinishEvacuation("a", seen_revision=5), 0)
 
     def test_late_evacuations_are_known_after_a_snapshot(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assert_accepted(FinishEvacuation("a", seen=1), 0)
-        self.assertEqual(self.restored().check(BeginEvacuation("a", seen=0)), Outdated())
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assert_accepted(FinishEvacuation("a", seen_revision=1), 0)
+        self.assertEqual(self.restored().check(BeginEvacuation("a", seen_revision=0)), Outdated())
 
     def test_it_takes_the_place_of_what_was(self) -> None:
         snapshot = Catalog().snapshot()
--- a/tests/catalog/test_catalog_routes.py
+++ b/tests/catalog/test_catalog_routes.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from brackenladder.catalog.configuration import Configuration, Route, RouteKind, Target
-from brackenladder.catalog.hosts import normal_host
+from brackenladder.catalog.hosts import normalize_host
 from brackenladder.catalog.routes import RouteTable
 
 
@@ -83,9 +83,9 @@
             "": "",
         }
         for host, normal in cases.items():
-            self.assertEqual(normal_host(host), normal)
+            self.assertEqual(normalize_host(host), normal)
 
     @given(st.text(max_size=10))
     def test_a_port_changes_nothing(self, host: str) -> None:
         if ":" not in host:
-            self.assertEqual(normal_host(f"{host}:8080"), normal_host(host))
+            self.assertEqual(normalize_host(f"{host}:8080"), normalize_host(host))
--- a/tests/catalog/test_homes.py
+++ b/tests/catalog/test_homes.py
@@ -19,27 +19,29 @@
 
 class HomesTest(TestCase):
     def test_a_host_without_homes_is_open_to_all_regions(self) -> None:
-        self.assertTrue(homes_of("a", route("a"), route("b", "north")).permit("south"))
+        self.assertTrue(homes_of("a", route("a"), route("b", "north")).permits("south"))
 
     def test_homes_bind_a_host_that_also_has_routes_without(self) -> None:
         homes = homes_of("a", route("a"), route("a", "north", "south"))
-        self.assertEqual([homes.permit(region) for region in ("north", "south", "east")], [True, True, False])
+        self.assertEqual(
+            [homes.permits(region) for region in ("north", "south", "east")], [True, True, False]
+        )
 
     def test_the_homes_of_all_routes_bind_together(self) -> None:
         homes = homes_of("a", route("a", "north", "east"), route("a", "east", "south"))
         self.assertEqual(
-            [homes.permit(region) for region in ("north", "south", "east")], [False, False, True]
+            [homes.permits(region) for region in ("north", "south", "east")], [False, False, True]
         )
         nothing_in_common = homes_of("a", route("a", "north"), route("a", "east"))
-        self.assertFalse(any(nothing_in_common.permit(region) for region in ("north", "east")))
+        self.assertFalse(any(nothing_in_common.permits(region) for region in ("north", "east")))
 
     def test_a_host_that_no_route_names(self) -> None:
-        self.assertFalse(homes_of("new", route("a")).permit("north"))
-        self.assertFalse(ConfigurationHomes().of("a").permit("north"))
+        self.assertFalse(homes_of("new", route("a")).permits("north"))
+        self.assertFalse(ConfigurationHomes().of("a").permits("north"))
 
     def test_hosts_are_compared_as_requests_are(self) -> None:
-        self.assertTrue(homes_of("A:80", route("a")).permit("north"))
+        self.assertTrue(homes_of("A:80", route("a")).permits("north"))
 
     def test_what_is_breached(self) -> None:
         homes = homes_of("a", route("a", "north"))
-        self.assertEqual(homes.breached("east", ["north", "south", "east"]), ["south"])
+        self.assertEqual(homes.forbidden("east", ["north", "south", "east"]), ["south"])
--- a/tests/catalog/test_strict_json.py
+++ b/tests/catalog/test_strict_json.py
@@ -11,7 +11,7 @@
 from returns.result import Failure
 
 from brackenladder.catalog.faults import FaultKind
-from brackenladder.catalog.strict_json import DEEPEST, canonical, compact, read_object
+from brackenladder.catalog.strict_json import MAX_NESTING, canonical, compact, read_object
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False, allow_infinity=False) | st.text(),
@@ -68,8 +68,8 @@
             self.assert_refused(body)
 
     def test_nesting_is_bounded(self) -> None:
-        self.assertIn("a", read_object(nested(DEEPEST)).unwrap())
-        for levels in (DEEPEST + 1, 500, 100_000):
+        self.assertIn("a", read_object(nested(MAX_NESTING)).unwrap())
+        for levels in (MAX_NESTING + 1, 500, 100_000):
             self.assert_refused(nested(levels))
 
 
--- a/tests/control_plane/test_consensus_host.py
+++ b/tests/control_plane/test_consensus_host.py
@@ -16,7 +16,7 @@
 from brackenladder.consensus.messages import UNKNOWN_AGE
 from brackenladder.consensus.replica import Replica, Timing
 from brackenladder.consensus.types import DurableState, Member, Members, Snapshot, Write
-from brackenladder.control_plane.consensus_host import Answer, ConsensusHost
+from brackenladder.control_plane.consensus_host import ConsensusHost, OrderResult
 from brackenladder.control_plane.errors import Unavailable
 from brackenladder.node.role_runner import monotonic_microseconds
 from brackenladder.storage.log_store import StoreError, StoreFailed
@@ -73,12 +73,12 @@
             while not condition():
                 await asyncio.sleep(POLL_SECONDS)
 
-    async def propose_once(self) -> Answer:
+    async def propose_once(self) -> OrderResult:
         """The answer to an order."""
         async with asyncio.timeout(PATIENCE):
             return await self.host.propose(ORDER)
 
-    async def propose(self, order: bytes = ORDER) -> Answer:
+    async def propose(self, order: bytes = ORDER) -> OrderResult:
         """The answer to an order once there is a leader; a slow store may have cost this one its term."""
         async with asyncio.timeout(PATIENCE):
             while (answer := await self.host.propose(order)) == Failure(Unavailable.NO_LEADER):
--- a/tests/control_plane/test_contact_first.py
+++ b/tests/control_plane/test_contact_first.py
@@ -144,7 +144,7 @@
             orders = leader.node.orders
             begun = await orders.submit_evacuation(BeginEvacuation(ZONE))
             self.assertEqual(begun.outcome, OrderOutcome.ACCEPTED)
-            late = await orders.submit(encode_order(FinishEvacuation(ZONE, seen=0)))
+            late = await orders.submit(encode_order(FinishEvacuation(ZONE, seen_revision=0)))
             self.assertEqual(late.outcome, OrderOutcome.UNAVAILABLE)
             self.assertEqual(leader.node.catalog.evacuated, {ZONE})
             finished = await orders.submit_evacuation(FinishEvacuation(ZONE))
--- a/tests/control_plane/test_control_restart.py
+++ b/tests/control_plane/test_control_restart.py
@@ -95,7 +95,7 @@
         self.taken = socket.create_server((ADDRESS, 0))
         self.addCleanup(self.taken.close)
         self.address = f"{ADDRESS}:{self.taken.getsockname()[1]}"
-        self.enterContext(patch.object(http_server, "LISTEN_RETRY_SECONDS", 0.01))
+        self.enterContext(patch.object(http_server, "BIND_RETRY_SECONDS", 0.01))
 
     async def handle(self, _request: web.BaseRequest) -> web.Response:
         return web.Response()
@@ -111,7 +111,7 @@
 
     async def test_one_that_stays_in_use_is_an_error(self) -> None:
         with (
-            patch.object(http_server, "LISTEN_PATIENCE_SECONDS", 0.05),
+            patch.object(http_server, "BIND_TIMEOUT_SECONDS", 0.05),
             self.assertRaises(OSError) as caught,
         ):
             await HttpListener(self.handle).listen(self.address)
--- a/tests/control_plane/test_control_servers.py
+++ b/tests/control_plane/test_control_servers.py
@@ -103,7 +103,7 @@
         for number in range(3):
             node = self.cluster.node(number)
             for peer, link in node.peers.peers():
-                self.assertIs(node.soft_state.informed(peer.replica_id), link)
+                self.assertIs(node.soft_state.update_link(peer.replica_id), link)
 
     async def test_a_prefix_notice_reaches_the_other_gateways_and_those_that_come_later(self) -> None:
         other = FollowingGateway(self.cluster, "gateway-2")
--- a/tests/control_plane/test_directory.py
+++ b/tests/control_plane/test_directory.py
@@ -38,29 +38,29 @@
         self.assertEqual(self.nodes(), ["e1"])
 
     def test_homes_that_may_have_been_replaced_lead_nobody_out_of_its_region(self) -> None:
-        self.directory.configured(1, configuration)
+        self.directory.set_configuration(1, configuration)
         self.assertEqual(self.nodes(), ["n1", "s1"])
         self.assertEqual(self.directory.resolve(0, CLIENT, current=False), NO_OFFER)
 
     def test_an_older_revision_changes_nothing(self) -> None:
-        self.directory.configured(2, lambda: configuration("south"))
-        self.directory.configured(1, configuration)
+        self.directory.set_configuration(2, lambda: configuration("south"))
+        self.directory.set_configuration(1, configuration)
         self.assertEqual(self.nodes(), ["s1"])
 
     def test_a_region_whose_gateways_leave_start_or_fall_silent_keeps_the_homes(self) -> None:
-        self.directory.configured(1, lambda: configuration("south"))
+        self.directory.set_configuration(1, lambda: configuration("south"))
         for seq, state in enumerate((GatewayState.STARTING, GatewayState.READY, GatewayState.LEAVING)):
             own = gateway("e1", seq=seq, state=state, zone="hall-e", region="east")
             self.gateways.presence(0, own)
             self.assertEqual(self.nodes(), ["e1"] if state is GatewayState.READY else ["s1"])
 
     def test_a_breach_is_counted(self) -> None:
-        self.directory.configured(1, lambda: configuration("south"))
+        self.directory.set_configuration(1, lambda: configuration("south"))
         with VIOLATIONS.apart():
             before = VIOLATIONS.violations().get(Invariant.DIRECTORY_KEEPS_HOMES, 0)
-            real, answers = HostHomes.permit, iter((True, True))  # the choice errs, the check does not
+            real, answers = HostHomes.permits, iter((True, True))  # the choice errs, the check does not
             erring = mock.patch.object(
-                HostHomes, "permit", lambda homes, region: next(answers, None) or real(homes, region)
+                HostHomes, "permits", lambda homes, region: next(answers, None) or real(homes, region)
             )
             with erring:
                 self.assertEqual(self.nodes(), ["n1", "s1"])
--- a/tests/control_plane/test_directory_api.py
+++ b/tests/control_plane/test_directory_api.py
@@ -11,7 +11,7 @@
 
 from brackenladder.control_plane.directory_api import (
     FAR_TIME_TO_LIVE,
-    LONGEST_HOLD,
+    MAX_HOLD_FACTOR,
     NEAR_TIME_TO_LIVE,
     RESOLVE_PATH,
     DirectoryApi,
@@ -50,7 +50,7 @@
 
     async def test_far_ones_are_not_held_for_longer_than_a_change_takes(self) -> None:
         told = await self.told(Offer(("10.1.0.1:80",), Reach.ELSEWHERE), bounds=Bounds(config_ms=3000))
-        self.assertEqual(told["TtlS"], 3.0 / LONGEST_HOLD)
+        self.assertEqual(told["TtlS"], 3.0 / MAX_HOLD_FACTOR)
 
     async def test_never_for_longer_than_counts(self) -> None:
         told = await self.told(
--- a/tests/control_plane/test_directory_oracle.py
+++ b/tests/control_plane/test_directory_oracle.py
@@ -56,7 +56,7 @@
             registry.presence(0, record(number, of_region, state))
         directory = Directory(registry)
         parts = tuple(route(number, *part) for number, part in enumerate(of_hosts))
-        directory.configured(1, lambda: Configuration(1, parts, ()))
+        directory.set_configuration(1, lambda: Configuration(1, parts, ()))
         offer = directory.resolve(0, ClientPlace(asked, region, f"hall-{region}-{zone}"), current)
 
         named = {known[int(address.removeprefix("g").split(":")[0])][0] for address in offer.addresses}
@@ -80,6 +80,6 @@
         directory = Directory(registry)
         configuration = Configuration(1, (route(0, "a.example", ("north",)),), ())
         for revision in range(1, 4):  # each evacuation is a revision of its own
-            directory.configured(revision, partial(evolve, configuration, version=revision))
+            directory.set_configuration(revision, partial(evolve, configuration, version=revision))
             offer = directory.resolve(0, ClientPlace("a.example", "east", "hall-east-0"), True)
             self.assertEqual(offer.regions, {"north"})
--- a/tests/control_plane/test_links_reach_consensus.py
+++ b/tests/control_plane/test_links_reach_consensus.py
@@ -16,7 +16,7 @@
         def note(host: ConsensusHost, replica_id: str) -> None:
             reached.add((host.replica.member.replica_id, replica_id))
 
-        with mock.patch.object(ConsensusHost, "reached", note):
+        with mock.patch.object(ConsensusHost, "peer_connected", note):
             async with ControlCluster() as cluster:
                 ids = {cluster.node(number).member.replica_id for number in cluster.roles}
                 pairs = {(one, other) for one in ids for other in ids if one != other}
--- a/tests/control_plane/test_order_parts.py
+++ b/tests/control_plane/test_order_parts.py
@@ -9,11 +9,11 @@
 
 from brackenladder.control_plane.errors import Unavailable
 from brackenladder.control_plane.forwarding import ReplyTable
-from brackenladder.control_plane.messages import OrderOutcome, OrderPart, OrderPartTaken, OrderReply
+from brackenladder.control_plane.messages import OrderOutcome, OrderPart, OrderPartReceived, OrderReply
 from brackenladder.control_plane.order_parts import (
-    LARGEST_ORDER,
-    MOST_ARRIVING,
-    MOST_ARRIVING_BYTES,
+    MAX_ORDER_BYTES,
+    MAX_PARTIAL_BYTES,
+    MAX_PARTIAL_ORDERS,
     PART_BYTES,
     WINDOW_BYTES,
     OrderReceiver,
@@ -31,51 +31,51 @@
     def test_an_order_arrives_whole(self) -> None:
         sender = OrderSender(1, ORDER)
         whole = None
-        while (parts := sender.due()) and whole is None:
+        while (parts := sender.next_parts()) and whole is None:
             for part in parts:
-                taken = self.receiver.take(part)
-                if isinstance(taken, OrderPartTaken):
-                    sender.taken(taken.received)
+                reply = self.receiver.receive(part)
+                if isinstance(reply, OrderPartReceived):
+                    sender.acknowledged(reply.received)
                 else:
-                    whole = taken
+                    whole = reply
         self.assertEqual(whole, ORDER)
 
     def test_no_more_than_the_window_is_on_the_way(self) -> None:
         sender = OrderSender(1, ORDER)
-        self.assertEqual(sum(len(part.data) for part in sender.due()), WINDOW_BYTES)
-        self.assertEqual(sender.due(), [])
-        sender.taken(PART_BYTES)
-        self.assertEqual(len(sender.due()), 1)
+        self.assertEqual(sum(len(part.data) for part in sender.next_parts()), WINDOW_BYTES)
+        self.assertEqual(sender.next_parts(), [])
+        sender.acknowledged(PART_BYTES)
+        self.assertEqual(len(sender.next_parts()), 1)
 
     def test_a_part_out_of_place_ends_its_order(self) -> None:
-        first, second, third, *_ = OrderSender(1, ORDER).due()
-        self.receiver.take(first)
-        self.assertIsNone(self.receiver.take(third))
-        self.assertIsNone(self.receiver.take(second))
+        first, second, third, *_ = OrderSender(1, ORDER).next_parts()
+        self.receiver.receive(first)
+        self.assertIsNone(self.receiver.receive(third))
+        self.assertIsNone(self.receiver.receive(second))
 
     def test_an_order_that_is_too_large_is_not_begun(self) -> None:
-        self.assertIsNone(self.receiver.take(OrderPart(1, 0, LARGEST_ORDER + 1, b"x")))
+        self.assertIsNone(self.receiver.receive(OrderPart(1, 0, MAX_ORDER_BYTES + 1, b"x")))
 
     def test_orders_that_are_never_finished_are_bounded(self) -> None:
-        for request in range(MOST_ARRIVING + 5):
-            self.receiver.take(OrderPart(request, 0, 100, b"x"))
-        self.assertEqual(len(self.receiver._arriving), MOST_ARRIVING)
+        for request in range(MAX_PARTIAL_ORDERS + 5):
+            self.receiver.receive(OrderPart(request, 0, 100, b"x"))
+        self.assertEqual(len(self.receiver._partial), MAX_PARTIAL_ORDERS)
 
     def test_their_bytes_are_bounded_too_and_the_newest_goes_on(self) -> None:
-        size = LARGEST_ORDER // 4
-        for request in range(MOST_ARRIVING):
+        size = MAX_ORDER_BYTES // 4
+        for request in range(MAX_PARTIAL_ORDERS):
             for offset in range(0, size, PART_BYTES):
-                self.receiver.take(OrderPart(request, offset, LARGEST_ORDER, bytes(PART_BYTES)))
-        held = {request: len(one.data) for request, one in self.receiver._arriving.items()}
-        self.assertLessEqual(sum(held.values()), MOST_ARRIVING_BYTES)
-        self.assertIn(MOST_ARRIVING - 1, held)
+                self.receiver.receive(OrderPart(request, offset, MAX_ORDER_BYTES, bytes(PART_BYTES)))
+        held = {request: len(one.data) for request, one in self.receiver._partial.items()}
+        self.assertLessEqual(sum(held.values()), MAX_PARTIAL_BYTES)
+        self.assertIn(MAX_PARTIAL_ORDERS - 1, held)
         self.assertNotIn(0, held)
 
     def test_an_order_that_was_dropped_is_not_finished(self) -> None:
-        first, second, *_ = OrderSender(1, ORDER).due()
-        self.receiver.take(first)
-        self.receiver._arriving.clear()
-        self.assertIsNone(self.receiver.take(second))
+        first, second, *_ = OrderSender(1, ORDER).next_parts()
+        self.receiver.receive(first)
+        self.receiver._partial.clear()
+        self.assertIsNone(self.receiver.receive(second))
 
 
 class ReplyTableTest(unittest.IsolatedAsyncioTestCase):
--- a/tests/control_plane/test_peer_links.py
+++ b/tests/control_plane/test_peer_links.py
@@ -36,7 +36,7 @@
 
     async def start(self) -> None:
         await self.links.listen(ADDRESSES[self.name])
-        self.links.keep(ADDRESSES.values())
+        self.links.set_addresses(ADDRESSES.values())
 
     def hello(self) -> Hello:
         return Hello(self.replica_id, ADDRESSES[self.name])
@@ -47,7 +47,7 @@
     def peer_received(self, peer: Hello, link: Link, message: object) -> None:
         self.received.append((peer.replica_id, message))
 
-    def stranger_received(self, link: Link, message: object) -> None:
+    def gateway_received(self, link: Link, message: object) -> None:
         self.strangers.append(message)
 
     def link_closed(self, link: Link) -> None:
@@ -101,7 +101,7 @@
 
     async def test_a_node_that_is_no_longer_kept_is_left(self) -> None:
         self.b.links.close()
-        self.a.links.keep(())
+        self.a.links.set_addresses(())
         self.network.run()
         self.assertEqual(self.a.links.connected_addresses(), ())
 
--- a/tests/control_plane/test_restart_cache.py
+++ b/tests/control_plane/test_restart_cache.py
@@ -64,7 +64,7 @@
         node = self.cluster.node(number)
         cache = node.recovery._cache
         written = cache._written_revision == node.catalog.revision > 0 and cache._memory._written
-        return bool(written) and cache._writing is not None and cache._writing.done()
+        return bool(written) and cache._write_task is not None and cache._write_task.done()
 
     def take_notices(self, message: PrefixNotices) -> None:
         self.told.append(message)
@@ -128,9 +128,9 @@
             older.recovery.catalog_remembered(
                 RememberedCatalog(1, b"", ())
             )  # as if it had been written before
-            await self.cluster.until(lambda: len(older.recovery._gate._words) == 2)
+            await self.cluster.until(lambda: len(older.recovery._gate._reports) == 2)
             self.assertIsNotNone(older.recovery._remembered)
-            self.assertGreater(other._newest_order(), 1)
+            self.assertGreater(other._newest_order_index(), 1)
 
     async def test_the_prefixes_that_servers_keep_are_told_before_anything_else(self) -> None:
         notice = PrefixNotice(7, (1, 2), (2_000, 3_000))
@@ -139,8 +139,8 @@
         cache = node.recovery._cache
         cache._written_at -= PREFIX_INTERVAL
         node.recovery.write()
-        assert cache._writing is not None
-        await cache._writing
+        assert cache._write_task is not None
+        await cache._write_task
         await self.restart(1)
         await self.cluster.until(lambda: bool(self.told))
         self.assertEqual(self.told[0].notices[0].keys, notice.keys)
@@ -158,7 +158,7 @@
             with self.subTest(status=status, headers=headers):
                 self.server.status, self.server.headers, self.server.asked = status, headers, 0
                 subscriber = await self.restart(1)
-                recalling = self.cluster.node(0).recovery._cache._recalling
+                recalling = self.cluster.node(0).recovery._cache._restore_task
                 assert recalling is not None
                 await recalling
                 self.assertEqual((self.server.asked, dict(subscriber.view.servers)), (1, {}))
@@ -175,7 +175,7 @@
         with open(path, "wb") as file:
             file.write(left)
         await self.cluster.start(0)
-        recalling = self.cluster.node(0).recovery._cache._recalling
+        recalling = self.cluster.node(0).recovery._cache._restore_task
         assert recalling is not None
         await recalling
         self.assertEqual(self.server.asked, 0)
--- a/tests/control_plane/test_restart_gate.py
+++ b/tests/control_plane/test_restart_gate.py
@@ -5,7 +5,7 @@
 from unittest import TestCase
 
 from brackenladder.consensus.types import Member, Members
-from brackenladder.control_plane.restart_gate import WORD_AGE, RestartGate
+from brackenladder.control_plane.restart_gate import MAX_REPORT_AGE, RestartGate
 
 MEMBERS = Members(voters=tuple(Member(name, f"{name}:1") for name in ("a", "b", "c")))
 JOINT = Members(voters=MEMBERS.voters, outgoing=tuple(Member(name, f"{name}:1") for name in ("a", "d", "e")))
@@ -16,46 +16,46 @@
 class RestartGateTest(TestCase):
     def setUp(self) -> None:
         self.gate = RestartGate()
-        self.gate.told(NOW, "a", 10)
+        self.gate.record(NOW, "a", 10)
 
     def test_one_of_three_confirms_nothing(self) -> None:
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 10))
 
     def test_a_majority_whose_logs_hold_nothing_later_confirms(self) -> None:
-        self.gate.told(NOW, "b", 9)
+        self.gate.record(NOW, "b", 9)
         self.assertTrue(self.gate.confirms(NOW, MEMBERS, 10))
 
     def test_a_later_order_in_any_log_speaks_against_it(self) -> None:
-        self.gate.told(NOW, "b", 9)
-        self.gate.told(NOW, "stranger", 11)
+        self.gate.record(NOW, "b", 9)
+        self.gate.record(NOW, "stranger", 11)
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 10))
 
     def test_this_nodes_own_log_counts(self) -> None:
-        self.gate.told(NOW, "b", 9)
+        self.gate.record(NOW, "b", 9)
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 9))
 
     def test_strangers_are_no_majority(self) -> None:
-        self.gate.told(NOW, "x", 0)
-        self.gate.told(NOW, "y", 0)
+        self.gate.record(NOW, "x", 0)
+        self.gate.record(NOW, "y", 0)
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 10))
 
     def test_a_joint_change_needs_both_majorities(self) -> None:
-        self.gate.told(NOW, "b", 9)
+        self.gate.record(NOW, "b", 9)
         self.assertFalse(self.gate.confirms(NOW, JOINT, 10))
-        self.gate.told(NOW, "d", 9)
+        self.gate.record(NOW, "d", 9)
         self.assertTrue(self.gate.confirms(NOW, JOINT, 10))
 
     def test_a_node_without_members_confirms_nothing(self) -> None:
         self.assertFalse(self.gate.confirms(NOW, Members(), 10))
 
     def test_a_word_counts_for_a_while_and_speaks_against_for_ever(self) -> None:
-        self.gate.told(NOW, "b", 9)
-        later = NOW + WORD_AGE + 1
-        self.assertTrue(self.gate.confirms(NOW + WORD_AGE, MEMBERS, 10))
+        self.gate.record(NOW, "b", 9)
+        later = NOW + MAX_REPORT_AGE + 1
+        self.assertTrue(self.gate.confirms(NOW + MAX_REPORT_AGE, MEMBERS, 10))
         self.assertFalse(self.gate.confirms(later, MEMBERS, 10))
-        self.gate.told(later, "a", 10)
+        self.gate.record(later, "a", 10)
         self.assertFalse(self.gate.confirms(later, MEMBERS, 10))
-        self.gate.told(later, "c", 10)
+        self.gate.record(later, "c", 10)
         self.assertTrue(self.gate.confirms(later, MEMBERS, 10))
-        self.gate.told(NOW, "b", 11)
+        self.gate.record(NOW, "b", 11)
         self.assertFalse(self.gate.confirms(later, MEMBERS, 10))
--- a/tests/waits/test_each_turn.py
+++ b/tests/waits/test_each_turn.py
@@ -91,13 +91,13 @@
 
 async def read_round() -> Wait:
     host = await leading_host(HeldWriter())
-    answers = host._answer_reads
-    host._answer_reads = lambda _output: None  # type: ignore[method-assign]  # the round does not end by itself
+    answers = host._resolve_reads
+    host._resolve_reads = lambda _output: None  # type: ignore[method-assign]  # the round does not end by itself
 
     def end() -> None:
-        host._answer_reads = answers  # type: ignore[method-assign]
+        host._resolve_reads = answers  # type: ignore[method-assign]
         for token in list(host._reads):
-            host._conclude_read(token, Success(None))
+            host._resolve_read(token, Success(None))
 
     return Wait(host.confirm_read, end, lambda: str(list(host._reads) if host._reads else ""))
 
@@ -108,7 +108,7 @@
 
     def end() -> None:
         host.catalog = SimpleNamespace(revision=9)  # type: ignore[assignment]
-        host._changed.set()
+        host._revision_changed.set()
 
     return Wait(lambda: host.wait_for_revision(9), end)
 
