--- a/benchmarks/gate_rogues.py
+++ b/benchmarks/gate_rogues.py
@@ -56,8 +56,8 @@
         if name == "drained":  # the upstream sends nothing to who is not listed, whatever a module says
             patch.setattr(Links, "retire", lambda self, number: None)
         if name == "waits-on":  # gives a silent watch up as its time is over, and opens it a back-off later
-            patch.setattr(discovery, "ANSWER_TIME", 2.0)
-            patch.setattr(discovery.Silence, "failed", lambda self, silent, chance: None)
+            patch.setattr(discovery, "ANSWER_TIMEOUT", 2.0)
+            patch.setattr(discovery.WatchRetry, "failed", lambda self, silent, chance: None)
         if name in HOSTS:
             HOSTS[name](patch)
         result = play(scenario, 1, MODULES.get(name, rogues.Right))
--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -14,10 +14,10 @@
 from typing import NamedTuple
 
 from brackenladder.cluster.prober import HELPERS, PERIOD, Prober
-from brackenladder.cluster.sender import BYTES_A_SECOND, FANOUT
-from brackenladder.cluster.suspicion import LEAST, Suspicion
+from brackenladder.cluster.sender import BYTES_PER_SECOND, FANOUT
+from brackenladder.cluster.suspicion import MIN_TIMEOUT, Suspicion
 from brackenladder.cluster.sync import LEAF
-from brackenladder.cluster.view import Record, State, beyond
+from brackenladder.cluster.view import Record, State, epoch_above
 from brackenladder.cluster.wire import (
     Ack,
     AskPing,
@@ -76,10 +76,10 @@
         self.seen: dict[int, Seen] = {}
         self.told_old: dict[int, int] = {}
         # What others make of messages that are not the detector's.
-        self.other: Callable[[int, Message, int], None] = lambda number, message, now: None
+        self.on_other_message: Callable[[int, Message, int], None] = lambda number, message, now: None
         self.transitions: deque[Transition] = deque(maxlen=MOST_TRANSITIONS)
         self.jumps: deque[int] = deque(maxlen=MOST_JUMPS)
-        self.twin = False  # another process has this number, and keeps it
+        self.number_taken = False  # another process has this number, and keeps it
         self.next_gossip = now + rng.randrange(GOSSIP)
         self.next_probe = now + rng.randrange(PERIOD)
         self.next_sync = now + rng.randrange(SYNC)
@@ -96,54 +96,61 @@
     def resize(self, size: int, now: int) -> None:
         """The configuration names so many members from now on."""
         self.view.resize(size, now)
-        for known in (self.suspicions, self.by, self.heard_at, self.seen, self.told_old, self.rumours.told):
+        for known in (
+            self.suspicions,
+            self.by,
+            self.heard_at,
+            self.seen,
+            self.told_old,
+            self.gossip_queue.told,
+        ):
             for number in [n for n in known if n >= size]:
                 del known[number]
         self.order = []
         if self.probe is not None and self.probe.target >= size:
             self.probe = None
 
-    def greet(self, number: int, now: int) -> None:
+    def ping_member(self, number: int, now: int) -> None:
         """Asks a member for a sign, beside the probes."""
-        self.tell(number, [Ping(self.next_seq())], now)
+        self.send_frame(number, [Ping(self.next_seq())], now)
 
     def leave(self, now: int) -> None:
         """This process ends: it says so to some, who pass it on."""
         self.leaving = True
-        self.put(self.own, self.me._replace(state=State.LEFT), now, self.own, "it leaves")
-        for number in self.some(self.others, 2 * FANOUT):
-            self.tell(number, [], now)
+        self.apply_record(self.own, self.me._replace(state=State.LEFT), now, self.own, "it leaves")
+        for number in self.sample(self.others, 2 * FANOUT):
+            self.send_frame(number, [], now)
 
     # ---- events ---------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
         """Time goes on; to be called every TICK."""
         self.check_pause(now)
-        dead = self.view.having(State.DEAD)
-        before = self.health.word
-        word, said = self.health.look(now, self.others_number + len(dead))
-        if word != before or said:
-            self.note(now, self.own, before, word, said or f"this node is {word}")
-        if not self.health.may_bury:
+        dead = self.view.in_state(State.DEAD)
+        before = self.health.connectivity
+        connectivity, said = self.health.assess(now, self.other_count + len(dead))
+        if connectivity != before or said:
+            self.note(now, self.own, before, connectivity, said or f"this node is {connectivity}")
+        if not self.health.may_declare_dead:
             for suspicion in self.suspicions.values():
                 suspicion.hold(now)
-        if self.leaving or self.twin:
+        if self.leaving or self.number_taken:
             return
         self.advance_probe(now)
         self.declare_dead(now)
         if now >= self.next_gossip:
             self.next_gossip = now + GOSSIP
             self.gossip(now)
-            if word == "isolated":  # it may still be heard
-                for number in self.some(self.others, 2 * FANOUT):
-                    self.tell(number, [Ping(self.next_seq())], now)
+            if connectivity == "isolated":  # it may still be heard
+                for number in self.sample(self.others, 2 * FANOUT):
+                    self.send_frame(number, [Ping(self.next_seq())], now)
         if now >= self.next_sync:
             self.next_sync = now + SYNC - self.rng.randrange(SYNC // 4)
             self.sync(now)
         if now >= self.next_dead:
             self.next_dead = now + DEAD_PROBE
             if dead:
-                self.tell(self.rng.choice(dead), [Ping(self.next_seq())], now)
+                self.send_frame(self.rng.choice(dead), [Ping(self.next_seq())], now)
 
     def datagram(self, number: int, data: bytes, now: int) -> None:
         """Something came from a member's address."""
@@ -164,17 +171,17 @@
             self.counters[str(e)] += 1
             if str(e) == "old_epoch" and now - self.told_old.get(number, -TELL_OLD) >= TELL_OLD:
                 self.told_old[number] = now
-                self.tell(number, [], now, first=number)
+                self.send_frame(number, [], now, first=number)
             return
         self.counters["received"] += 1
-        self.take(number, frame, now)
+        self.handle_frame(number, frame, now)
 
     def check_pause(self, now: int) -> None:
         """If this process stood still, what it meant to say is old, and what it waited for says nothing."""
         gone = self.health.gap(now)
         if not gone:
             return
-        self.rumours.clear()
+        self.gossip_queue.clear()
         self.probe = None
         self.relayed.clear()
         self.heard_at.clear()
@@ -182,17 +189,19 @@
             suspicion.hold(now)
         self.note(now, self.own, "ok", "paused", f"this node stood still for {gone / 1e6:.1f} s")
 
-    def take(self, number: int, frame: Frame, now: int) -> None:
+    def handle_frame(self, number: int, frame: Frame, now: int) -> None:
         """A frame of a member."""
         self.health.heard(now)
         self.heard_at[number] = now
-        self.put(number, Record(frame.epoch, frame.incarnation, State.ALIVE), now, number, "it was heard")
+        self.apply_record(
+            number, Record(frame.epoch, frame.incarnation, State.ALIVE), now, number, "it was heard"
+        )
         asked: list[Range] = []
         better: list[int] = []
         for message in frame.messages:
             match message:
                 case Ping(seq):
-                    self.tell(number, [Ack(seq)], now)
+                    self.send_frame(number, [Ack(seq)], now)
                 case Ack(seq):
                     self.acked(number, seq, now)
                 case Nack(seq):
@@ -202,20 +211,20 @@
                     if target < len(self.view) and target != self.own and len(self.relayed) < 64:
                         mine = self.next_seq()
                         self.relayed[mine] = (number, seq, now, target)
-                        self.tell(target, [Ping(mine)], now)
+                        self.send_frame(target, [Ping(mine)], now)
                 case Recorded(about, record, by):
                     if about < len(self.view):
-                        self.put(about, record, now, by, f"told by {number}")
+                        self.apply_record(about, record, now, by, f"told by {number}")
                         if self.view.records[about] > record:
                             better.append(about)
                             if record.state in (State.SUSPECT, State.DEAD):
-                                self.rumours.again(about)  # whoever believes it has not heard better
+                                self.gossip_queue.again(about)  # whoever believes it has not heard better
                 case Digest():
                     self.compare(number, message, now)
                 case Range():
                     asked.append(message)
                 case _:
-                    self.other(number, message, now)
+                    self.on_other_message(number, message, now)
         if asked:  # the other side of a sync: what is known better here
             lacking = [n for r in asked for n in range(r.low, min(r.high, len(self.view)))]
             given = {m.number for m in frame.messages if isinstance(m, Recorded)}
@@ -223,17 +232,17 @@
                 n for n in lacking if n in better or (n not in given and self.view.records[n] > (0, 0, 0))
             ]
             for at in range(0, len(back), LEAF):
-                self.tell(number, self.recorded(back[at : at + LEAF]), now, spare=True)
+                self.send_frame(number, self.recorded(back[at : at + LEAF]), now, spare=True)
 
     # ---- records --------------------------------------------------------------------------------------
 
-    def put(self, number: int, record: Record, now: int, by: int, reason: str) -> None:
+    def apply_record(self, number: int, record: Record, now: int, by: int, reason: str) -> None:
         """Takes an account of a member in, whoever gave it."""
         if number == self.own and not self.leaving:
-            self.of_self(record, now, by)
+            self.apply_own_record(record, now, by)
             return
         known = self.view.records[number]
-        young = number in self.suspicions and now - self.suspicions[number].since < LEAST // 2
+        young = number in self.suspicions and now - self.suspicions[number].since < MIN_TIMEOUT // 2
         if (
             record.state == State.DEAD
             and by != self.own
@@ -247,13 +256,13 @@
             suspicion = self.suspicions.get(number)
             if suspicion is not None and suspicion.confirm(by):
                 self.by[number] = by
-                self.rumours.add(number)
+                self.gossip_queue.add(number)
             return
         before = self.view.merge(number, record, now)
         if before is None:
             return
         if record.state == State.SUSPECT:
-            self.suspicions[number] = Suspicion(now, by, self.others_number - 2)
+            self.suspicions[number] = Suspicion(now, by, self.other_count - 2)
         else:
             self.suspicions.pop(number, None)
         if record.state in (State.SUSPECT, State.DEAD):
@@ -261,53 +270,58 @@
         else:
             self.by.pop(number, None)
         if before.epoch or record.state != State.ALIVE:  # who has just begun is met by probes and syncs
-            self.rumours.add(number)
+            self.gossip_queue.add(number)
         if record.state != before.state or record.epoch != before.epoch:
             self.note(now, number, before.state.name.lower(), record.state.name.lower(), reason)
 
-    def of_self(self, record: Record, now: int, by: int) -> None:
+    def apply_own_record(self, record: Record, now: int, by: int) -> None:
         """What others say of this node: refuted, or outdone by a higher epoch."""
         me = self.me
         if record.epoch > me.epoch:
             if len(self.jumps) == MOST_JUMPS and now - self.jumps[0] < JUMPS_IN:
-                if not self.twin:
-                    self.twin = True
+                if not self.number_taken:
+                    self.number_taken = True
                     self.note(now, self.own, "ok", "twin", "another process has this node's number")
                 return
             self.jumps.append(now)
-            epoch = beyond(record.epoch, me.epoch)
+            epoch = epoch_above(record.epoch, me.epoch)
             self.view.merge(self.own, Record(epoch, 0, State.ALIVE), now)
             self.counter = 0
-            self.rumours.add(self.own)
+            self.gossip_queue.add(self.own)
         elif record.epoch == me.epoch and record > me:
-            said = self.health.buried(now) if record.state == State.DEAD else ""
+            said = self.health.declared_dead(now) if record.state == State.DEAD else ""
             self.health.worse()
             self.counters["refuted"] += 1
             self.view.merge(self.own, Record(me.epoch, record.incarnation + 1, State.ALIVE), now)
-            self.rumours.add(self.own)
-            for other in sorted({by, *self.some(self.others, 2 * FANOUT)} - {self.own}):
+            self.gossip_queue.add(self.own)
+            for other in sorted({by, *self.sample(self.others, 2 * FANOUT)} - {self.own}):
                 if other < len(self.view):
-                    self.tell(other, [], now)
+                    self.send_frame(other, [], now)
             if record.state == State.DEAD or said:
                 self.note(now, self.own, "dead", "alive", said or "refuted its death")
 
     def suspect(self, number: int, now: int, reason: str) -> None:
         record = self.view.records[number]
         if record.state == State.SUSPECT:
-            self.put(number, record, now, self.own, reason)  # a confirmation
+            self.apply_record(number, record, now, self.own, reason)  # a confirmation
         elif record.state == State.ALIVE:
-            self.put(number, record._replace(state=State.SUSPECT), now, self.own, reason)
+            self.apply_record(number, record._replace(state=State.SUSPECT), now, self.own, reason)
         else:
             return
-        self.tell(number, [], now)  # the suspect is told first
+        self.send_frame(number, [], now)  # the suspect is told first
 
     def declare_dead(self, now: int) -> None:
         """Suspects whose time is over are dead, unless they are heard."""
-        if not self.health.may_bury:
+        if not self.health.may_declare_dead:
             return
-        crowd = (len(self.suspicions) - 1) * self.rumours.cost(len(self.view)) * 1_000_000 // BYTES_A_SECOND
+        queue_time = (
+            (len(self.suspicions) - 1)
+            * self.gossip_queue.cost(len(self.view))
+            * 1_000_000
+            // BYTES_PER_SECOND
+        )
         for number, suspicion in list(self.suspicions.items()):
-            deadline = suspicion.deadline(crowd)
+            deadline = suspicion.deadline(queue_time)
             if now < deadline:
                 if now >= deadline - ASK_BEFORE_DEATH and not suspicion.called:
                     suspicion.called = True
@@ -318,16 +332,16 @@
                 continue
             record = self.view.records[number]._replace(state=State.DEAD)
             names = ", ".join(str(n) for n in sorted(suspicion.by))
-            self.put(number, record, now, self.own, f"suspected by {names}, not refuted")
+            self.apply_record(number, record, now, self.own, f"suspected by {names}, not refuted")
 
     def ask_before_death(self, number: int, now: int) -> None:
         """Asks the suspect, and others what they know of it, before it is declared dead.
 
         Failure prevented: a refutation misses one node by chance, and that node declares its author dead.
         """
-        self.tell(number, [Ping(self.next_seq())], now)
-        for other in self.some([n for n in self.others if n != number], HELPERS):
-            self.tell(other, [Range(number, number + 1), *self.recorded([number])], now)
+        self.send_frame(number, [Ping(self.next_seq())], now)
+        for other in self.sample([n for n in self.others if n != number], HELPERS):
+            self.send_frame(other, [Range(number, number + 1), *self.recorded([number])], now)
 
     # ---- log ------------------------------------------------------------------------------------------
 
--- a/brackenladder/cluster/rumours.py
+++ b/brackenladder/cluster/gossip_queue.py
@@ -11,7 +11,7 @@
 MOST = 512  # rumours at a time; the one told most often makes room
 
 
-class Rumours:
+class GossipQueue:
     """By member's number: the newest record about a member takes the older one's place."""
 
     def __init__(self) -> None:
--- a/brackenladder/cluster/health.py
+++ b/brackenladder/cluster/health.py
@@ -16,7 +16,7 @@
 MUTE_PROBES = 8  # probes of different members in a row that nobody answered, while others are heard
 TELLING = 2_000_000  # microseconds after the end of isolation in which others may say that they buried us
 
-Word = Literal["ok", "isolated", "deaf", "mute"]
+Connectivity = Literal["ok", "isolated", "deaf", "mute"]
 
 
 class Health:
@@ -27,10 +27,10 @@
         self.last_tick = now
         self.heard_at = now
         self.answered: deque[bool] = deque(maxlen=MUTE_PROBES)
-        self.word: Word = "ok"
+        self.connectivity: Connectivity = "ok"
         self.cut_off_at = 0
         self.ended_at = 0  # when the last isolation ended; 0: there was none, or it has its name
-        self.settled = True  # since the last pause somebody has answered
+        self.answered_since_pause = True  # since the last pause somebody has answered
         self.pauses = 0
 
     def worse(self) -> None:
@@ -49,7 +49,7 @@
         self.last_tick = now
         if gone > GAP:
             self.pauses += 1
-            self.settled = False
+            self.answered_since_pause = False
             self.heard_at = now
             self.answered.clear()
             return gone
@@ -59,8 +59,8 @@
 
     def heard(self, now: int) -> None:
         """Something came from a member."""
-        if self.word == "isolated":
-            self.word = "ok"
+        if self.connectivity == "isolated":
+            self.connectivity = "ok"
             self.ended_at = now
         self.heard_at = now
 
@@ -68,7 +68,7 @@
         """A probe is over; `answered`: by its target or through another, and not only heard of."""
         self.answered.append(answered)
 
-    def look(self, now: int, others: int) -> tuple[Word, str]:
+    def assess(self, now: int, others: int) -> tuple[Connectivity, str]:
         """How it stands now, and what to say of the isolation that ended, if its name is known."""
         said = ""
         if self.ended_at and now - self.ended_at > TELLING:
@@ -76,18 +76,18 @@
             said = f"was deaf for {span:.1f} s: others heard this node all along"
             self.ended_at = 0
         if not others:
-            self.word = "ok"
+            self.connectivity = "ok"
         elif now - self.heard_at > SILENT:
-            if self.word != "isolated":
+            if self.connectivity != "isolated":
                 self.cut_off_at = self.heard_at
-            self.word = "isolated"
+            self.connectivity = "isolated"
         elif len(self.answered) == MUTE_PROBES and not any(self.answered):
-            self.word = "mute"
+            self.connectivity = "mute"
         else:
-            self.word = "ok"
-        return self.word, said
+            self.connectivity = "ok"
+        return self.connectivity, said
 
-    def buried(self, now: int) -> str:
+    def declared_dead(self, now: int) -> str:
         """Others took this node for dead; what that says of an isolation that has just ended."""
         if not self.ended_at:
             return ""
@@ -96,9 +96,9 @@
         return f"was isolated for {span:.1f} s: others did not hear this node either"
 
     @property
-    def may_bury(self) -> bool:
+    def may_declare_dead(self) -> bool:
         """Whether this node's word counts against others: it hears, is heard, and was not just paused.
 
         Failure prevented: a node that is cut off, or wakes up, takes all others for dead and says so.
         """
-        return self.word == "ok" and self.settled
+        return self.connectivity == "ok" and self.answered_since_pause
--- a/brackenladder/cluster/share.py
+++ b/brackenladder/cluster/live_count.py
@@ -14,19 +14,19 @@
 
 from brackenladder.cluster.view import State, View
 
-CERTAIN = (
+ABSENCE_TIME = (
     4_000_000  # microseconds that a member must have been dead, or have left: the rule's window and more
 )
 HEARD = 1_000_000  # one that was heard so long ago or less sends, whatever is said of it
-LEAST_PART = 0.5  # of the configured number: fewer are never counted
+MIN_COUNTED_PART = 0.5  # of the configured number: fewer are never counted
 
 
-class Living:
+class LiveNodeCounter:
     """Counts who may send. `certain`: microseconds; at least the cold rule's window."""
 
-    def __init__(self, size: int, certain: int = CERTAIN) -> None:
+    def __init__(self, size: int, certain: int = ABSENCE_TIME) -> None:
         self.number = size
-        self.certain = max(certain, CERTAIN)
+        self.certain = max(certain, ABSENCE_TIME)
 
     def count(self, now: int, view: View, heard_at: Mapping[int, int], sure: bool) -> int:
         """The number of nodes that share. `sure`: this node hears and is heard, and was not just paused."""
@@ -36,7 +36,7 @@
             or now - heard_at.get(number, -HEARD) < HEARD
             for number, (record, since) in enumerate(zip(view.records, view.since, strict=True))
         )
-        there = max(1, there, ceil(LEAST_PART * len(view)))
+        there = max(1, there, ceil(MIN_COUNTED_PART * len(view)))
         # Failure prevented: a node that is cut off takes all others for gone, and sends for the whole fleet.
         self.number = there if sure else max(self.number, there)
         return self.number
--- a/brackenladder/cluster/prober.py
+++ b/brackenladder/cluster/prober.py
@@ -67,19 +67,19 @@
             gone = now - probe.since
             if now - probe.pinged >= self.health.scaled(AGAIN):
                 probe.pinged = now
-                self.tell(probe.target, [Ping(probe.seq)], now)
+                self.send_frame(probe.target, [Ping(probe.seq)], now)
             waited = gone - (probe.rounds - 1) * self.health.scaled(PERIOD)
             if waited >= self.health.scaled(DIRECT) and not probe.asked:
                 heard = [n for n in self.others if n != probe.target and self.heard(n, now)]
-                helpers = self.some(heard or [n for n in self.others if n != probe.target], HELPERS)
+                helpers = self.sample(heard or [n for n in self.others if n != probe.target], HELPERS)
                 probe.asked = set(helpers)
                 for helper in helpers:
-                    self.tell(helper, [AskPing(probe.seq, probe.target)], now)
+                    self.send_frame(helper, [AskPing(probe.seq, probe.target)], now)
         for mine, (asker, seq, since, _) in list(self.relayed.items()):
             if now - since > PERIOD:
                 del self.relayed[mine]
             elif now - since >= DIRECT:
-                self.tell(asker, [Nack(seq)], now, spare=True)
+                self.send_frame(asker, [Nack(seq)], now, spare=True)
         if now < self.next_probe:
             return
         self.next_probe = now + self.health.scaled(PERIOD)
@@ -96,7 +96,7 @@
         self.probe = None
         if target is not None:
             self.probe = Probe(target, self.next_seq(), now)
-            self.tell(target, [Ping(self.probe.seq)], now)
+            self.send_frame(target, [Ping(self.probe.seq)], now)
 
     def probe_ended(self, probe: Probe, now: int) -> None:
         """A probe's period has ended."""
@@ -106,18 +106,18 @@
         elif self.heard_at.get(probe.target, -1) < probe.since:
             self.health.worse()
             unheard = self.view.records[probe.target].epoch == 0
-            if self.health.may_bury and not (unheard and now - self.view.since[probe.target] < START):
+            if self.health.may_declare_dead and not (unheard and now - self.view.since[probe.target] < START):
                 self.suspect(probe.target, now, "no answer to a probe")
 
     def acked(self, number: int, seq: int, now: int) -> None:
         probe = self.probe
         if probe is not None and probe.seq == seq:
             probe.answered = True
-            self.health.settled = True
+            self.health.answered_since_pause = True
         relayed = self.relayed.get(seq)
         if relayed is not None and relayed[3] == number:
             del self.relayed[seq]
-            self.tell(relayed[0], [Ack(relayed[1])], now)
+            self.send_frame(relayed[0], [Ack(relayed[1])], now)
 
     def next_target(self) -> int | None:
         """Round robin over a shuffled order, so that nobody waits for more than two rounds."""
--- a/brackenladder/cluster/suspicion.py
+++ b/brackenladder/cluster/suspicion.py
@@ -10,8 +10,8 @@
 
 from math import log
 
-LEAST = 1_850_000  # microseconds, behind two periods of a probe
-MOST = 3_600_000
+MIN_TIMEOUT = 1_850_000  # microseconds, behind two periods of a probe
+MAX_TIMEOUT = 3_600_000
 CONFIRMATIONS = 3  # others that suspect it too, after which it has LEAST
 
 
@@ -33,12 +33,16 @@
         self.by.add(by)
         return True
 
-    def deadline(self, crowd: int = 0) -> int:
+    def deadline(self, queue_time: int = 0) -> int:
         """Microseconds: from then on it is dead, unless it has refuted. `crowd`: what others' words take."""
         if not self.enough:
-            return self.since + LEAST + crowd
+            return self.since + MIN_TIMEOUT + queue_time
         part = log(len(self.by)) / log(self.enough + 1)
-        return self.since + max(LEAST, round(MOST - part * (MOST - LEAST))) + crowd
+        return (
+            self.since
+            + max(MIN_TIMEOUT, round(MAX_TIMEOUT - part * (MAX_TIMEOUT - MIN_TIMEOUT)))
+            + queue_time
+        )
 
     def hold(self, now: int) -> None:
         """The time begins anew: who judges could not hear for a while."""
--- a/brackenladder/cluster/view.py
+++ b/brackenladder/cluster/view.py
@@ -40,7 +40,7 @@
     return (seconds << NONCE_BITS) | (nonce & ((1 << NONCE_BITS) - 1))
 
 
-def beyond(known: int, nonce: int) -> int:
+def epoch_above(known: int, nonce: int) -> int:
     """An epoch above one that is known of the same member.
 
     Failure prevented: the clock was set back between two processes of a node, and what is known of the old
@@ -78,7 +78,7 @@
         self.since = self.since[:size] + [now] * more
         self.by_state.clear()
 
-    def having(self, state: State) -> list[int]:
+    def in_state(self, state: State) -> list[int]:
         """The members in this state."""
         if not self.by_state:
             self.by_state = {state: [] for state in State}
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -27,7 +27,7 @@
         self.voted_for = state.hard_state.voted_for
         self.commit_index = self.log.snapshot_index
         self.pending = PendingOutput()
-        self.arriving = SnapshotReceiver()
+        self.snapshot_receiver = SnapshotReceiver()
         self._delivered = self.commit_index  # committed entries up to here have been given to the host
         if state.snapshot is not None and state.snapshot.index > GENESIS_INDEX:
             self.pending.restore = state.snapshot
--- a/brackenladder/consensus/election.py
+++ b/brackenladder/consensus/election.py
@@ -100,7 +100,7 @@
         own = int(self._core.replica_id in self._votes)
         return self._core.quorum(own, lambda voter: int(voter in self._votes)) >= 1
 
-    def give_way(self, now: int, vote: Vote) -> None:
+    def yield_to(self, now: int, vote: Vote) -> None:
         """Another candidate's pre-vote may end the own pre-vote under way: of two only one goes on.
 
         Without that, two replicas that need one another's vote collide again and again where the way between
--- a/brackenladder/consensus/following.py
+++ b/brackenladder/consensus/following.py
@@ -87,11 +87,11 @@
     if index <= core.commit_index:
         _confirm_snapshot(core, request)
         return
-    snapshot = core.arriving.take(request)
+    snapshot = core.snapshot_receiver.take(request)
     if snapshot is None:
         _tell_received(core, request)
         return
-    core.arriving.forget()
+    core.snapshot_receiver.forget()
     core.install(snapshot)
     _confirm_snapshot(core, request)
 
@@ -111,6 +111,6 @@
         term=core.term,
         match=0,
         index=index,
-        received=core.arriving.received(index),
+        received=core.snapshot_receiver.received(index),
     )
     core.send_once_durable(request.sender, reply, core.writes.pending_hard_token)
--- a/brackenladder/consensus/leadership.py
+++ b/brackenladder/consensus/leadership.py
@@ -35,7 +35,7 @@
         self._transfer_until = 0
         self.reads = ReadQueue()
         self.first_index = core.log.last_index + 1  # of this term's first entry
-        self.follow_members(now)
+        self.update_followers(now)
         self.append(EntryKind.NOOP, b"")
 
     # -- the log
@@ -51,7 +51,7 @@
         """Whether an entry of this term is committed, and with it all that came before."""
         return self._core.commit_index >= self.first_index
 
-    def follow_members(self, now: int) -> None:
+    def update_followers(self, now: int) -> None:
         """Speak to the members as they are now, and no longer to others."""
         log = self._core.log
         present = [member.replica_id for member in all_members(log.members)]
@@ -89,7 +89,7 @@
             return 0
         return now - self._heard_at(replica_id)
 
-    def behind(self, replica_id: str) -> int:
+    def entries_behind(self, replica_id: str) -> int:
         """How many entries a member lacks."""
         match = self._match(replica_id)
         return self._core.log.last_index - match if match > 0 else UNBOUNDED
@@ -244,7 +244,7 @@
         for chunk in transfer.chunks(now, core.replica_id, replica_id, core.term, core.member.address):
             core.send(replica_id, chunk)
 
-    def reached(self, now: int, replica_id: str) -> None:
+    def link_up(self, now: int, replica_id: str) -> None:
         """A link to a follower has come up."""
         progress = self._progress.get(replica_id)
         if progress is not None and progress.transfer is not None:
--- a/brackenladder/consensus/log.py
+++ b/brackenladder/consensus/log.py
@@ -66,7 +66,7 @@
         return self._settings[-1].index
 
     @property
-    def newest_command(self) -> int:
+    def newest_command_index(self) -> int:
         """Index of the newest command that is held; 0 if there is none."""
         commands = (entry.index for entry in reversed(self._entries) if entry.kind is EntryKind.COMMAND)
         return next(commands, 0)
--- a/brackenladder/consensus/pauses.py
+++ b/brackenladder/consensus/pauses.py
@@ -20,6 +20,6 @@
         if gap > self._timing.pause and now - self._grace_until > self._timing.election_max:
             self._grace_until = now + self._timing.heartbeat
 
-    def excuses(self, now: int) -> bool:
+    def in_grace_period(self, now: int) -> bool:
         """Whether silence is not yet held against others."""
         return now < self._grace_until
--- a/brackenladder/consensus/planning.py
+++ b/brackenladder/consensus/planning.py
@@ -19,7 +19,7 @@
     behind: int  # entries of the log that aren't durable there
 
 
-LEAST_VOTERS = 3  # fewer would survive no loss
+MIN_VOTERS = 3  # fewer would survive no loss
 
 HealthOf = Callable[[str], Health]
 
@@ -81,7 +81,7 @@
     def _silent_for(self, member: Member) -> int:
         return self._health_of(member.replica_id).silent_for
 
-    def _changed(self, out: Collection[Member], in_: Collection[Member]) -> Members | None:
+    def _replace_voters(self, out: Collection[Member], in_: Collection[Member]) -> Members | None:
         staying = tuple(voter for voter in self._members.voters if voter not in out)
         learners = tuple(learner for learner in self._members.learners if learner not in in_)
         changed = (*staying, *in_)
@@ -102,11 +102,11 @@
                 return attrs.evolve(self._members, learners=staying)
         leaving = [voter for voter in self._members.voters if voter.replica_id in removing]
         if leaving and self._standby:
-            return self._changed(leaving[:1], self._standby[:1])
+            return self._replace_voters(leaving[:1], self._standby[:1])
         gone = [voter for voter in leaving if not self._heard(voter)]
         surplus = 2 if len(self._members.voters) % 2 else 1
-        if len(gone) >= surplus and len(self._members.voters) - surplus >= LEAST_VOTERS:
-            return self._changed(gone[:surplus], ())
+        if len(gone) >= surplus and len(self._members.voters) - surplus >= MIN_VOTERS:
+            return self._replace_voters(gone[:surplus], ())
         return None
 
     def replace_wiped(self) -> Members | None:
@@ -114,7 +114,7 @@
         for learner in self._ready:
             for voter in self._members.voters:
                 if voter.address == learner.address:
-                    return self._changed((voter,), (learner,))
+                    return self._replace_voters((voter,), (learner,))
         return None
 
     def replace_silent(self) -> Members | None:
@@ -124,7 +124,7 @@
         longest = max(self._members.voters, key=self._silent_for)
         if self._silent_for(longest) < self._timing.replace_after:
             return None
-        return self._changed((longest,), self._standby[:1])
+        return self._replace_voters((longest,), self._standby[:1])
 
     def add_voters(self) -> Members | None:
         """More voters, if their number becomes odd; a single learner beside an odd number stands by."""
@@ -133,7 +133,7 @@
         wanted = 2 if count % 2 else 1
         if wanted > room or len(self._standby) < wanted:
             return None
-        return self._changed((), self._standby[:wanted])
+        return self._replace_voters((), self._standby[:wanted])
 
     def forget_learner(self) -> Members | None:
         """A learner that has been silent for long can ask again."""
--- a/brackenladder/consensus/reconfiguration.py
+++ b/brackenladder/consensus/reconfiguration.py
@@ -56,7 +56,7 @@
         leading = self._leading
 
         def health_of(replica_id: str) -> Health:
-            return Health(leading.silent_for(now, replica_id), leading.behind(replica_id))
+            return Health(leading.silent_for(now, replica_id), leading.entries_behind(replica_id))
 
         timing = self._core.timing
         planned = plan_change(members, health_of, self._joining.values(), self._removing, timing)
@@ -67,4 +67,4 @@
 
     def _append(self, now: int, members: Members) -> None:
         self._leading.append(EntryKind.MEMBERS, encode_members(members))
-        self._leading.follow_members(now)
+        self._leading.update_followers(now)
--- a/brackenladder/consensus/replica.py
+++ b/brackenladder/consensus/replica.py
@@ -75,7 +75,7 @@
         self._leader_address = ""
         self._heard_at = NEVER  # a leader's word, whatever the leader's own contact
         self._contact_at = NEVER  # a leader in touch with a quorum had this replica's word
-        self._current_at = NEVER  # the same, of a leader whose committed entries are all committed here
+        self._up_to_date_at = NEVER  # the same, of a leader whose committed entries are all committed here
         self._known_commit = 0  # the newest index that a leader has said to be committed
         self._reconfiguration: Reconfiguration | None = None
         if members is not None and self._core.log.last_index == 0:
@@ -137,12 +137,12 @@
         return self._core.log.last_index
 
     @property
-    def newest_command(self) -> int:
+    def newest_command_index(self) -> int:
         """Index of the newest command that the log still holds, committed or not; 0: it holds none."""
-        return self._core.log.newest_command
+        return self._core.log.newest_command_index
 
     @property
-    def heard_leader_at(self) -> int:
+    def quorum_contact_at(self) -> int:
         """When this replica was last in touch with a quorum: as a leader itself, or by way of its leader.
 
         A follower counts from its own word that the leader has answered, less the age of the leader's own
@@ -153,7 +153,7 @@
         return self._contact_at
 
     @property
-    def current_at(self) -> int:
+    def up_to_date_at(self) -> int:
         """A moment up to which all that was committed is known to be committed here too.
 
         Contact alone doesn't tell that: entries, or a snapshot, may still be on their way, and a new leader
@@ -162,7 +162,7 @@
         leading = self._leading
         if leading is not None and leading.established:
             return leading.quorum_heard_at(self._now)
-        return self._current_at
+        return self._up_to_date_at
 
     @property
     def lacks_committed(self) -> bool:
@@ -184,7 +184,7 @@
                 if self._follows(now, message.sender, message.term, message.address):
                     self._note_contact(message)
                     following.on_append(self._core, now, message)
-                    self._note_current(message)
+                    self._note_up_to_date(message)
                 else:
                     following.refuse_append(self._core, now, message)
             case AppendReply():
@@ -204,12 +204,12 @@
                 if message.term == self._core.term and message.sender == self._leader_id:
                     self._campaign(now, transfer=True)
 
-    def reached(self, now: int, replica_id: str) -> None:
+    def link_up(self, now: int, replica_id: str) -> None:
         """A link to another replica has come up."""
         self._now = now
         self._election.ask_again(replica_id)
         if self._leading is not None:
-            self._leading.reached(now, replica_id)
+            self._leading.link_up(now, replica_id)
 
     def tick(self, now: int) -> None:
         """Let time pass."""
@@ -217,7 +217,7 @@
         self._pauses.tick(now)
         if self._leading is not None:
             self._tick_leader(now)
-        elif self._election.due(now) and not self._pauses.excuses(now):
+        elif self._election.due(now) and not self._pauses.in_grace_period(now):
             self._election.wait(now)
             if not self._store_hangs(now):
                 self._campaign(now, transfer=False)
@@ -347,13 +347,13 @@
             return
         if vote.term > self._core.term and not vote.pre_vote:
             self._enter_term(now, vote.term)
-        self._election.give_way(now, vote)
+        self._election.yield_to(now, vote)
         if self._election.answer(vote):
             self._election.wait(now)
-        elif self._must_stand_in(vote):
+        elif self._must_campaign_as_learner(vote):
             self._election.begin(now, pre_vote=True, transfer=False)
 
-    def _must_stand_in(self, vote: Vote) -> bool:
+    def _must_campaign_as_learner(self, vote: Vote) -> bool:
         """Whether this replica, though no voter, has to be elected for a while.
 
         A candidate counts on its vote by an uncommitted change of the members, and its log is behind this
@@ -391,7 +391,7 @@
         if message.echo:
             self._contact_at = max(self._contact_at, message.echo - message.contact_age)
 
-    def _note_current(self, message: AppendEntries) -> None:
+    def _note_up_to_date(self, message: AppendEntries) -> None:
         """Count the contact if all that the leader knows to be committed is committed here.
 
         An entry of its own term tells that it knows of everything that earlier leaders committed.
@@ -400,7 +400,7 @@
         self._known_commit = max(self._known_commit, message.commit)
         complete = core.commit_index >= message.commit and core.log.term(message.commit) == message.term
         if message.echo and complete:
-            self._current_at = max(self._current_at, message.echo - message.contact_age)
+            self._up_to_date_at = max(self._up_to_date_at, message.echo - message.contact_age)
 
     def _enter_term(self, now: int, term: int) -> None:
         self._step_down(now)
@@ -418,7 +418,7 @@
         core = self._core
         self._heard_at = self._contact_at = leading.quorum_heard_at(now)
         if leading.established:
-            self._current_at = max(self._current_at, self._contact_at)
+            self._up_to_date_at = max(self._up_to_date_at, self._contact_at)
         core.pending.reads_failed.extend(leading.reads.abandoned())
         for entry in core.log.between(core.commit_index + 1, core.log.last_index):
             if entry.kind is EntryKind.COMMAND and entry.term == core.term:
@@ -450,7 +450,7 @@
         quorum_lost = now - leading.quorum_heard_at(now) >= self._timing.election_max
         if self._store_hangs(now):
             self._hand_over(now)
-        elif quorum_lost and not self._pauses.excuses(now):
+        elif quorum_lost and not self._pauses.in_grace_period(now):
             self._step_down(now)
         else:
             leading.continue_transfer(now)
--- a/brackenladder/control_plane/consensus_host.py
+++ b/brackenladder/control_plane/consensus_host.py
@@ -101,7 +101,7 @@
         """Microseconds since the last contact with a quorum, as the leader or by way of it."""
         if self._unreadable is not None:
             return UNKNOWN_AGE
-        return self._clock() - self.replica.heard_leader_at
+        return self._clock() - self.replica.quorum_contact_at
 
     def catalog_age(self) -> int:
         """Microseconds since a moment up to which all that was committed is in the catalog here.
@@ -111,7 +111,7 @@
         """
         if self._unreadable is not None:
             return UNKNOWN_AGE
-        return self._clock() - self.replica.current_at
+        return self._clock() - self.replica.up_to_date_at
 
     def lacks_committed(self) -> bool:
         """Whether something is known to be committed that the catalog here does not hold yet."""
@@ -142,7 +142,7 @@
     def reached(self, replica_id: str) -> None:
         """A link to another replica has come up."""
         if not self._closed:
-            self.replica.reached(self._clock(), replica_id)
+            self.replica.link_up(self._clock(), replica_id)
             self._schedule_output()
 
     def join(self, member: Member) -> None:
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -180,7 +180,7 @@
 
     def _newest_order(self) -> int:
         """Index of the newest order in this node's log; what a snapshot covers counts by its last change."""
-        return max(self.catalog.revision, self.host.replica.newest_command)
+        return max(self.catalog.revision, self.host.replica.newest_command_index)
 
     def _zones(self) -> dict[str, str]:
         return self.platform.zones
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -8,7 +8,7 @@
 
 from brackenladder.consensus.members import all_members
 from brackenladder.consensus.messages import JoinRequest
-from brackenladder.consensus.planning import LEAST_VOTERS
+from brackenladder.consensus.planning import MIN_VOTERS
 from brackenladder.consensus.types import Member, Members
 from brackenladder.control_plane.consensus_host import ConsensusHost
 from brackenladder.control_plane.messages import Hello
@@ -29,7 +29,7 @@
     More voters than that bear no more, and their number never falls: after machines that were replaced before
     their silence was noticed, voters that are gone for good would be left in the majority.
     """
-    return max(LEAST_VOTERS, 2 * losses + 1)
+    return max(MIN_VOTERS, 2 * losses + 1)
 
 
 class Membership:
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -7,7 +7,7 @@
 
 from brackenladder.discovery.watch import Discovery, Told
 from brackenladder.interface import ListKind
-from brackenladder.membership.inhand import InHand
+from brackenladder.membership.current_list import CurrentList
 from brackenladder.membership.listing import Line, Listing
 
 PUSH_RETRY = 0.1  # seconds before an agent that did not answer is asked again
@@ -38,7 +38,7 @@
     def begin_with(self, listing: Listing) -> None:
         """A list that is newer than the one that was known. Before `start` only."""
         self.known = listing
-        self.in_hand = InHand(listing, self.loop.time())
+        self.in_hand = CurrentList(listing, self.loop.time())
 
 
 class Agent(Asked):
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -10,18 +10,18 @@
 
 import httptools
 
-from brackenladder.membership.inhand import InHand, wait_ms
+from brackenladder.membership.current_list import CurrentList, watch_wait_ms
 from brackenladder.membership.listing import Listing, read_listing
-from brackenladder.membership.silence import (
-    ANSWER_TIME,
-    BODY_TIME,
-    FIRST_BYTE,
-    MOST_PAUSE,
-    PART_TIME,
-    Silence,
-    wait_of,
+from brackenladder.membership.stall import RESUME_GRACE, STALL_THRESHOLD
+from brackenladder.membership.watch_retry import (
+    ANSWER_TIMEOUT,
+    BODY_TIMEOUT,
+    FIRST_BYTE_TIMEOUT,
+    MAX_PAUSE,
+    READ_TIMEOUT,
+    WatchRetry,
+    jittered_wait_ms,
 )
-from brackenladder.membership.stall import STALLED, WARY
 
 CONNECT_TIMEOUT = 1.0
 LARGEST_ANSWER = 4 << 20
@@ -97,8 +97,8 @@
         Failure prevented: the answer waits in the socket, the call is given up unread, and requests go to a
         server that it withdraws.
         """
-        if self.loop.time() - self.due > STALLED:
-            self.limit(WARY)
+        if self.loop.time() - self.due > STALL_THRESHOLD:
+            self.limit(RESUME_GRACE)
             return
         self.silent = True
         self.fail()
@@ -107,8 +107,8 @@
         now = self.loop.time()
         if not self.begun:
             self.begun = True
-            self.latest = now + BODY_TIME
-        self.limit(max(0.0, min(PART_TIME, self.latest - now)))
+            self.latest = now + BODY_TIMEOUT
+        self.limit(max(0.0, min(READ_TIMEOUT, self.latest - now)))
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -175,13 +175,13 @@
     ) -> None:
         self.loop = loop
         self.address = address
-        self.in_hand = InHand(known, loop.time())
-        self.wait = wait_ms(nodes)
-        self.most_pause = MOST_PAUSE
+        self.in_hand = CurrentList(known, loop.time())
+        self.wait = watch_wait_ms(nodes)
+        self.most_pause = MAX_PAUSE
         self.told = told
         self.log = log
         self.random = Random()
-        self.silence = Silence()
+        self.silence = WatchRetry()
         self.reopening: asyncio.TimerHandle | None = None
         self.watching: Call | None = None
         self.fetching: Call | None = None
@@ -216,16 +216,16 @@
         """
         self.close()
         self.address = address
-        self.silence = Silence()  # what the old one left unanswered says nothing of the new one
-        self.in_hand = self.in_hand.moved(self.loop.time())
+        self.silence = WatchRetry()  # what the old one left unanswered says nothing of the new one
+        self.in_hand = self.in_hand.for_new_discovery(self.loop.time())
         self.watch(True)
 
     def renew(self, call: Call) -> None:
         if self.version is None:
-            call.ask("/v1/endpoints", FIRST_BYTE)
+            call.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
             return
-        wait = wait_of(self.wait, self.random.random())
-        first = wait / 1000 + ANSWER_TIME
+        wait = jittered_wait_ms(self.wait, self.random.random())
+        first = wait / 1000 + ANSWER_TIMEOUT
         call.ask(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", first)
 
     def watched(self, call: Call, body: bytes | None) -> None:
@@ -251,7 +251,7 @@
         """Asks for the whole list, unless such a call is out already."""
         if self.fetching is None:
             self.fetching = Call(self.loop, self.address, self.fetched)
-            self.fetching.ask("/v1/endpoints", FIRST_BYTE)
+            self.fetching.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
 
     def fetched(self, call: Call, body: bytes | None) -> None:
         call.end()
@@ -267,7 +267,7 @@
         except (ValueError, RecursionError) as e:
             self.log(f"discovery: answer dropped: {e}")
             return None
-        news = self.in_hand.admit(listing, self.loop.time())
+        news = self.in_hand.accept(listing, self.loop.time())
         if news is None:
             self.log("discovery: answer dropped: changes of a list that is not known")
         return news
--- a/brackenladder/fleet/discovery.py
+++ b/brackenladder/fleet/discovery.py
@@ -8,9 +8,9 @@
 
 from brackenladder.fleet.queue import Queue, Timer
 from brackenladder.interface import ListKind, State
-from brackenladder.membership.inhand import InHand, wait_ms
+from brackenladder.membership.current_list import CurrentList, watch_wait_ms
 from brackenladder.membership.listing import Line, Listing
-from brackenladder.membership.silence import ANSWER_TIME, Silence, wait_of
+from brackenladder.membership.watch_retry import ANSWER_TIMEOUT, WatchRetry, jittered_wait_ms
 from brackenladder.rehearsal.events import Asked, Changed, Event, Hushed, Told, Untold
 from brackenladder.rehearsal.plan import MICRO, Step
 
@@ -219,8 +219,8 @@
     ) -> None:
         self.node = node
         self.source = source
-        self.in_hand = InHand(known, queue.now / MICRO)
-        self.wait = wait_ms(nodes)
+        self.in_hand = CurrentList(known, queue.now / MICRO)
+        self.wait = watch_wait_ms(nodes)
         self.way = way
         self.queue = queue
         self.told = told
@@ -231,7 +231,7 @@
         self.timers: dict[Ask, Timer] = {}
         self.closed = False
         self.random = Random(f"watch {node} {queue.now}")
-        self.silence = Silence()
+        self.silence = WatchRetry()
         self.reopening: Timer | None = None
 
     def watch(self, on: bool) -> None:
@@ -252,8 +252,8 @@
         if version is None:
             self.watching = self.ask(-1, 0, FETCH_TIME)
         else:
-            wait = wait_of(self.wait, self.random.random())
-            self.watching = self.ask(version, wait, wait / 1000 + ANSWER_TIME)
+            wait = jittered_wait_ms(self.wait, self.random.random())
+            self.watching = self.ask(version, wait, wait / 1000 + ANSWER_TIMEOUT)
 
     def fetch(self) -> None:
         """Asks for the whole list, unless such a call is out already."""
@@ -293,7 +293,7 @@
         if timer is None:  # hung up
             return
         timer.cancel()
-        news = self.in_hand.admit(listing, self.queue.now / MICRO)
+        news = self.in_hand.accept(listing, self.queue.now / MICRO)
         if ask is self.fetching:
             self.fetching = None
             self.told(news)
@@ -314,8 +314,8 @@
                 self.hang_up(ask)
         self.watching = self.fetching = None
         self.source = source
-        self.silence = Silence()
-        self.in_hand = self.in_hand.moved(self.queue.now / MICRO)
+        self.silence = WatchRetry()
+        self.in_hand = self.in_hand.for_new_discovery(self.queue.now / MICRO)
         self.watch(True)
 
     def close(self) -> None:
--- a/brackenladder/fleet/members.py
+++ b/brackenladder/fleet/members.py
@@ -35,7 +35,7 @@
     """This project's detector."""
 
     def dead(self) -> set[int]:
-        return {*self.view.having(State.DEAD), *self.view.having(State.LEFT)}
+        return {*self.view.in_state(State.DEAD), *self.view.in_state(State.LEFT)}
 
 
 Make = Callable[
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from brackenladder.cluster.share import CERTAIN, LEAST_PART
+from brackenladder.cluster.live_count import ABSENCE_TIME, MIN_COUNTED_PART
 from brackenladder.core.host import GUARD, Host
 from brackenladder.core.roster import number_of
 from brackenladder.fleet.clients import Clients
@@ -388,8 +388,8 @@
         now = self.queue.now
         for name, node in self.nodes.items():
             self.was_up[name] = now if node.up else self.was_up.get(name, now)
-        there = sum(now - at < KNOWN + CERTAIN for at in self.was_up.values())
-        there = max(there, ceil(LEAST_PART * len(self.nodes)))
+        there = sum(now - at < KNOWN + ABSENCE_TIME for at in self.was_up.values())
+        there = max(there, ceil(MIN_COUNTED_PART * len(self.nodes)))
         for node in self.nodes.values():
             if node.up and node.host.settings.instances != there:
                 node.host.shared(there)
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -16,7 +16,7 @@
 from brackenladder.fleet.queue import Queue
 from brackenladder.fleet.servers import Attempt, Server
 from brackenladder.interface import Actions, Events, ServerEntry, Settings
-from brackenladder.membership.kept import Kept
+from brackenladder.membership.latest_list import LatestList
 from brackenladder.membership.listing import Line, Listing
 from brackenladder.policy.balancer import Balancer
 from brackenladder.rehearsal.events import Answered, Event, GaveUp, NodeEnded, NodeSignal, NodeUp, Sent
@@ -153,7 +153,7 @@
         self.sources = sources
         self.source = 0
         self.known = known  # what a process begins with: the list as the node last had it
-        self.kept, self.kept_of = Kept(known), sources[0].number
+        self.kept, self.kept_of = LatestList(known), sources[0].number
         self.module = module
         self.most = (sockets - RESERVED) // 2
         self.connect_time = connect_time
@@ -308,7 +308,7 @@
         """A source has written a list to the node; the highest version holds, as for the checker."""
         if source != self.kept_of or listing.version >= self.kept.version:
             self.kept_of = source
-            self.kept.admit(listing)
+            self.kept.apply(listing)
 
     def told(self, listing: Listing | None) -> None:
         """News from discovery."""
--- a/brackenladder/fleet/rivals/members.py
+++ b/brackenladder/fleet/rivals/members.py
@@ -101,7 +101,7 @@
 class FixedSuspicion(Suspicion):
     """One time for all, whoever confirms."""
 
-    def deadline(self, crowd: int = 0) -> int:
+    def deadline(self, queue_time: int = 0) -> int:
         return self.since + SUSPECTED
 
 
@@ -115,7 +115,7 @@
         self.health.score = 0
         self.health.last_tick = self.health.heard_at = now
         self.health.answered.clear()
-        self.health.settled = True
+        self.health.answered_since_pause = True
         for number, suspicion in self.suspicions.items():
             if not isinstance(suspicion, FixedSuspicion):
                 self.suspicions[number] = FixedSuspicion(suspicion.since, self.own, 0)
@@ -127,4 +127,4 @@
         self.health.last_tick = now
 
     def dead(self) -> set[int]:
-        return {*self.view.having(State.DEAD), *self.view.having(State.LEFT)}
+        return {*self.view.in_state(State.DEAD), *self.view.in_state(State.LEFT)}
--- a/brackenladder/http/server_connection.py
+++ b/brackenladder/http/server_connection.py
@@ -14,7 +14,7 @@
 from brackenladder.http.relay import LARGEST_ANSWER as LONGEST
 from brackenladder.http.relay import Relay
 from brackenladder.interface import Outcome
-from brackenladder.membership.stall import Stall
+from brackenladder.membership.stall import StallDetector
 
 OK = Outcome.OK  # an enumeration's members are slow to look up, and this one is for every answer
 LARGEST_HEAD = 32768  # bytes of an answer's head, and of all interim answers before it
@@ -48,7 +48,7 @@
 
     loop: asyncio.AbstractEventLoop
     connect_timeout: float
-    stall: Stall
+    stall: StallDetector
 
     def take(self, endpoint: Endpoint) -> Connection | None:
         """The most recently used idle connection that is still good."""
--- a/brackenladder/http/server_exchange.py
+++ b/brackenladder/http/server_exchange.py
@@ -8,7 +8,7 @@
 
 from brackenladder.http.server_connection import Answer, Connection, ConnectionPool, Endpoint
 from brackenladder.interface import Outcome
-from brackenladder.membership.stall import FIRST
+from brackenladder.membership.stall import READ_FIRST_DELAY
 
 Compose = Callable[[], Sequence[bytes] | None]
 Done = Callable[[Outcome, Answer | None, Sequence[float]], None]  # outcome, answer, load report
@@ -100,8 +100,8 @@
 
     def use(self, connection: Connection) -> None:
         """Writes the request, once news of the list that may be waiting has been read."""
-        if self.pool.stall.wary(monotonic()):
-            self.pool.loop.call_later(FIRST, self.look, connection)
+        if self.pool.stall.must_read_first(monotonic()):
+            self.pool.loop.call_later(READ_FIRST_DELAY, self.look, connection)
         else:
             self.write(connection)
 
--- a/brackenladder/http/servers.py
+++ b/brackenladder/http/servers.py
@@ -9,7 +9,7 @@
 from time import monotonic
 
 from brackenladder.http.server_connection import Connection, Endpoint
-from brackenladder.membership.stall import BEAT, Stall
+from brackenladder.membership.stall import BEAT_INTERVAL, StallDetector
 
 IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
 SWEEP = 0.5  # seconds between two looks at idle connections
@@ -31,12 +31,12 @@
         self.open = 0
         self.endpoints: dict[int, Endpoint] = {}
         self.sweeping = False
-        self.stall = Stall(monotonic())
-        loop.call_later(BEAT, self.beat)
+        self.stall = StallDetector(monotonic())
+        loop.call_later(BEAT_INTERVAL, self.beat)
 
     def beat(self) -> None:
         self.stall.beat(monotonic())
-        self.loop.call_later(BEAT, self.beat)
+        self.loop.call_later(BEAT_INTERVAL, self.beat)
 
     def take(self, endpoint: Endpoint) -> Connection | None:
         """The most recently used idle connection that is still good."""
--- a/brackenladder/membership/kept.py
+++ b/brackenladder/membership/latest_list.py
@@ -5,10 +5,10 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-MOST_CHANGES = 64  # lists of changes that are held before they are put together with the whole list
+MAX_CHANGES = 64  # lists of changes that are held before they are put together with the whole list
 
 
-class Kept:
+class LatestList:
     """What the successor of a process is given as its known list.
 
     Failure prevented: a process that is started anew while discovery is silent begins with an older list
@@ -19,21 +19,21 @@
         self.base = known
         self.changes: list[Listing] = []
 
-    def admit(self, news: Listing) -> None:
+    def apply(self, news: Listing) -> None:
         """Takes note of news in the order in which the process took it."""
         if news.kind != ListKind.CHANGES:
             self.base, self.changes = news, []
             return
         if news.lines or news.version != self.version:
             self.changes.append(news)
-        if len(self.changes) > MOST_CHANGES:
-            self.base, self.changes = self.whole(), []
+        if len(self.changes) > MAX_CHANGES:
+            self.base, self.changes = self.merged(), []
 
     @property
     def version(self) -> int:
         return (self.changes or [self.base])[-1].version
 
-    def whole(self) -> Listing:
+    def merged(self) -> Listing:
         """One list. A server that drains stays on it, one that is gone does not."""
         if not self.changes and self.base.kind == ListKind.CACHED:
             return self.base
--- a/brackenladder/membership/stall.py
+++ b/brackenladder/membership/stall.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-BEAT = 0.1  # seconds between two beats of the loop
-STALLED = 0.2  # seconds without one, from which on it stood still: a rule's grace is 0.25 s
-WARY = 0.05  # seconds after it in which what is waiting is read first...
-FIRST = 0.002  # ...for so long before a request is sent on
+BEAT_INTERVAL = 0.1  # seconds between two beats of the loop
+STALL_THRESHOLD = 0.2  # seconds without one, from which on it stood still: a rule's grace is 0.25 s
+RESUME_GRACE = 0.05  # seconds after it in which what is waiting is read first...
+READ_FIRST_DELAY = 0.002  # ...for so long before a request is sent on
 
 
-class Stall:
+class StallDetector:
     """`now`: seconds of a clock that only goes forward."""
 
     def __init__(self, now: float) -> None:
@@ -20,14 +20,14 @@
         self.wary_until = now
 
     def beat(self, now: float) -> None:
-        if now - self.beat_at > STALLED:
-            self.wary_until = now + WARY
+        if now - self.beat_at > STALL_THRESHOLD:
+            self.wary_until = now + RESUME_GRACE
         self.beat_at = now
 
-    def wary(self, now: float) -> bool:
+    def must_read_first(self, now: float) -> bool:
         """Whether news may be waiting that a request must not overtake.
 
         Failure prevented: a node stood still while a server was withdrawn; it wakes up, reads a request
         before the list, and sends it there long after the list was told.
         """
-        return now < self.wary_until or now - self.beat_at > STALLED
+        return now < self.wary_until or now - self.beat_at > STALL_THRESHOLD
--- a/brackenladder/membership/silence.py
+++ b/brackenladder/membership/watch_retry.py
@@ -7,20 +7,20 @@
 
 from __future__ import annotations
 
-ANSWER_TIME = 0.6  # seconds after its wait, after which a watch that has not been answered is silent
-FIRST_BYTE = (
+ANSWER_TIMEOUT = 0.6  # seconds after its wait, after which a watch that has not been answered is silent
+FIRST_BYTE_TIMEOUT = (
     1.2  # seconds for a whole list to begin to come; discovery ends calls that waited 1 s for their turn
 )
-PART_TIME = 1.0  # seconds without a further byte of an answer that has begun, after which it is given up
-BODY_TIME = 3.0  # and for all of it
-TRIES = 4  # calls that follow a silent one without a word to the module
-LEAST_PAUSE, MOST_PAUSE = 0.1, 0.3  # seconds before each of them but the first, at random
+READ_TIMEOUT = 1.0  # seconds without a further byte of an answer that has begun, after which it is given up
+BODY_TIMEOUT = 3.0  # and for all of it
+MAX_RETRIES = 4  # calls that follow a silent one without a word to the module
+MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # seconds before each of them but the first, at random
 SPREAD = (
     0.1  # part of a wait that chance takes off, so that watches that fell silent together do not end together
 )
 
 
-def wait_of(longest: int, chance: float) -> int:
+def jittered_wait_ms(longest: int, chance: float) -> int:
     """Milliseconds that a watch is to last, of `longest`; `chance`: from 0 to 1.
 
     Failure prevented: all watches of a fleet fall silent at once, all are opened anew in the same moment, and
@@ -29,7 +29,7 @@
     return round(longest * (1 - SPREAD * chance))
 
 
-class Silence:
+class WatchRetry:
     """One watch, over all its calls."""
 
     def __init__(self) -> None:
@@ -47,8 +47,8 @@
         if silent and not self.tries:
             self.tries = 1
             return 0.0
-        if 0 < self.tries < TRIES:
+        if 0 < self.tries < MAX_RETRIES:
             self.tries += 1
-            return LEAST_PAUSE + (MOST_PAUSE - LEAST_PAUSE) * chance
+            return MIN_PAUSE + (MAX_PAUSE - MIN_PAUSE) * chance
         self.tries = 0
         return None
--- a/brackenladder/membership/withdrawn.py
+++ b/brackenladder/membership/withdrawn.py
@@ -7,11 +7,11 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Listing
 
-MOST_KEPT = 2_000  # withdrawals of one discovery; beyond it the oldest is forgotten
-KEPT = 60.0  # seconds that a withdrawal holds against older lists; no drain lasts so long
+MAX_WITHDRAWN = 2_000  # withdrawals of one discovery; beyond it the oldest is forgotten
+RETENTION = 60.0  # seconds that a withdrawal holds against older lists; no drain lasts so long
 
 
-class Withdrawn:
+class WithdrawnServers:
     """Remembers, for one discovery, which servers its newest list has withdrawn.
 
     Failure prevented: one of several replicas of discovery lags behind, or is restored from a copy. Its
@@ -28,21 +28,23 @@
         self.drained: dict[str, tuple[int, float]] = {}  # of those, the ones that were told to drain
         self.carried: dict[str, tuple[int, float]] = {}  # told by an earlier discovery to drain
 
-    def moved(self, now: float) -> Withdrawn:
+    def for_new_discovery(self, now: float) -> WithdrawnServers:
         """What another discovery may not undo, whatever its versions: they are numbered otherwise.
 
         Failure prevented: after a move the new discovery lags behind the old one, and requests go to servers
         that the node was told are draining. One that the old one had lost from sight may come back.
         """
-        new = Withdrawn()
+        new = WithdrawnServers()
         new.carried = {name: told for name, told in (self.carried | self.drained).items() if told[1] > now}
         return new
 
-    def admit(self, listing: Listing, now: float) -> Listing:
+    def filter_listing(self, listing: Listing, now: float) -> Listing:
         """The listing less what it may not bring back; `now`: seconds of a clock that only goes forward."""
-        return self.judge(without(listing, self.carried, now) if self.carried else listing, now)
+        return self._filter_same_discovery(
+            without(listing, self.carried, now) if self.carried else listing, now
+        )
 
-    def judge(self, listing: Listing, now: float) -> Listing:
+    def _filter_same_discovery(self, listing: Listing, now: float) -> Listing:
         """The same among the lists of this discovery."""
         for name in [name for name, (_, until) in self.gone.items() if until <= now]:
             del self.gone[name]
@@ -53,7 +55,7 @@
         if listing.kind != ListKind.CHANGES:
             listed = {line.id for line in listing.lines}
             for name in [name for name in self.ready if name not in listed]:
-                self.withdraw(name, self.ready.pop(name), now)
+                self._withdraw(name, self.ready.pop(name), now)
         for line in listing.lines:
             if line.state == State.READY:
                 self.ready[line.id] = line.started
@@ -61,18 +63,18 @@
                 self.drained.pop(line.id, None)
             else:
                 self.ready.pop(line.id, None)
-                self.withdraw(line.id, line.started, now)
+                self._withdraw(line.id, line.started, now)
                 if line.state == State.DRAINING:
                     self.drained[line.id] = self.gone[line.id]
         return listing
 
-    def withdraw(self, name: str, started: int, now: float) -> None:
+    def _withdraw(self, name: str, started: int, now: float) -> None:
         self.gone.pop(name, None)  # the oldest stand first
-        if len(self.gone) >= MOST_KEPT:
+        if len(self.gone) >= MAX_WITHDRAWN:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
             self.drained.pop(oldest, None)
-        self.gone[name] = (started, now + KEPT)
+        self.gone[name] = (started, now + RETENTION)
 
 
 def without(listing: Listing, withdrawn: dict[str, tuple[int, float]], now: float) -> Listing:
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from brackenladder.cluster.detector import TICK, Detector, Transition
-from brackenladder.cluster.share import Living
+from brackenladder.cluster.live_count import LiveNodeCounter
 from brackenladder.cluster.view import State, epoch_of
 from brackenladder.cluster.wire import MAGIC
 from brackenladder.node.config import Address
@@ -71,7 +71,7 @@
             self.changed,
             keys_of(table.key),
         )
-        self.living = Living(len(self.detector.view), fall_time)
+        self.living = LiveNodeCounter(len(self.detector.view), fall_time)
         self.ticks = 0
         self.timer: asyncio.TimerHandle | None = None
 
@@ -93,7 +93,7 @@
         """Counts the living, and tells if it is another number."""
         d, before = self.detector, self.living.number
         if (
-            self.living.count(self.now(), d.view, d.heard_at, d.health.may_bury) != before
+            self.living.count(self.now(), d.view, d.heard_at, d.health.may_declare_dead) != before
             and self.table.share
         ):
             self.shared(self.living.number)
@@ -149,10 +149,10 @@
                 "number": d.own,
                 "epoch": d.me.epoch,
                 "incarnation": d.me.incarnation,
-                "state": "twin" if d.twin else d.health.word,
+                "state": "twin" if d.number_taken else d.health.connectivity,
                 "score": d.health.score,
                 "pauses": d.health.pauses,
-                "settled": d.health.settled,
+                "settled": d.health.answered_since_pause,
                 "living": self.living.number,
                 "shares": self.table.share,
                 "keys": len(d.keys),
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -19,7 +19,7 @@
 from brackenladder.core.roster import Roster, number_of
 from brackenladder.http.front import HttpFront
 from brackenladder.interface import ListKind, ServerEntry, State
-from brackenladder.membership.kept import Kept
+from brackenladder.membership.latest_list import LatestList
 from brackenladder.membership.listing import Line, Listing
 from brackenladder.node.config import Config
 from brackenladder.node.pool import NoMessenger, Pool
@@ -84,7 +84,7 @@
         self.front = front
         self.log = log
         self.state = NOTHING
-        self.kept: Kept | None = None
+        self.kept: LatestList | None = None
         self.history: tuple[Applied, ...] = ()
         self.counts: dict[str, int] = {}  # pools that have a server, where there are several pools
         self.sides = {DEFAULT: Side(DEFAULT, PoolSpec(), first.host, config, self)}
@@ -111,9 +111,9 @@
     def spread(self, listing: Listing) -> None:
         """News of the list, to the upstream first and to every pool then."""
         if self.kept is None:
-            self.kept = Kept(listing)
+            self.kept = LatestList(listing)
         else:
-            self.kept.admit(listing)
+            self.kept.apply(listing)
         if listing.kind != ListKind.CHANGES:
             self.counts.clear()
         self.count(listing.lines)
@@ -141,7 +141,7 @@
     # ---- changes --------------------------------------------------------------------------------------
 
     def live(self) -> Live:
-        lines = self.kept.whole().lines if self.kept is not None else ()
+        lines = self.kept.merged().lines if self.kept is not None else ()
         return Live(
             self.state,
             lines,
@@ -199,7 +199,7 @@
         for side in made.values():
             side.host.start()
         if self.kept is not None:
-            whole = self.kept.whole()
+            whole = self.kept.merged()
             chosen = {name: selector(spec) for name, spec in before.items()}
             if chosen != {name: selector(spec) for name, spec in desired.pools.items()}:
                 self.counts.clear()
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -54,8 +54,8 @@
         self.unwritten: Kept | None = None
         self.greet_at = 0
         pools.changed = self.applied
-        members.detector.extra = self.said
-        members.detector.other = self.heard
+        members.detector.extra_messages = self.said
+        members.detector.on_other_message = self.heard
 
     # ---- the start ------------------------------------------------------------------------------------
 
@@ -82,7 +82,7 @@
         if phase in ("asking", "alone", "refusing") and now >= self.greet_at:
             self.greet_at = now + GREET
             for number in self.random.sample(unheard, min(len(unheard), GREETED)):
-                self.members.detector.greet(number, now)
+                self.members.detector.ping_member(number, now)
         if not self.phases or self.phases[-1][0] != phase:
             self.phases.append((phase, now))
             self.log(f"recovery: {phase}, generation {self.counter} {self.mine.digest}")
@@ -101,7 +101,7 @@
             self.fetch = Fetch(newest, self.random)
         for want in self.fetch.wants(self.known.holders(newest), now):
             ask = AskPiece(bytes.fromhex(newest.digest), want.offset)
-            self.members.detector.tell(want.holder, [ask], now)
+            self.members.detector.send_frame(want.holder, [ask], now)
         if self.fetch.failed:
             self.refused = self.fetch.failed
 
@@ -163,7 +163,7 @@
                 piece = piece_of(state, offset)
                 if about.hex() == self.mine.digest and piece is not None:
                     answer = Piece(about, offset, len(state), piece)
-                    self.members.detector.tell(number, [answer], now, spare=True)
+                    self.members.detector.send_frame(number, [answer], now, spare=True)
             case Piece(about, offset, size, data):
                 fetch = self.fetch
                 whole = fetch.take(about.hex(), offset, size, data) if fetch is not None else None
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -19,7 +19,7 @@
 from brackenladder.core.call import Attempt, Call, Done, Probed
 from brackenladder.interface import ListKind, Outcome, State
 from brackenladder.membership.listing import Line
-from brackenladder.membership.stall import BEAT, FIRST, Stall
+from brackenladder.membership.stall import BEAT_INTERVAL, READ_FIRST_DELAY, StallDetector
 from brackenladder.rpc.call import Reply, RpcCall, outcome_of
 from brackenladder.rpc.codec import MOST_MSGID, Bounds, Reader, Response, notification, request
 
@@ -337,13 +337,13 @@
         self.endpoints: dict[int, Endpoint] = {}
         self.open = 0
         self.tasks: set[asyncio.Task[None]] = set()
-        self.stall = Stall(monotonic())
+        self.stall = StallDetector(monotonic())
         self.loop.call_later(SWEEP, self.sweep)
-        self.loop.call_later(BEAT, self.beat)
+        self.loop.call_later(BEAT_INTERVAL, self.beat)
 
     def beat(self) -> None:
         self.stall.beat(monotonic())
-        self.loop.call_later(BEAT, self.beat)
+        self.loop.call_later(BEAT_INTERVAL, self.beat)
 
     # ---- the list -------------------------------------------------------------------------------------
 
@@ -389,8 +389,8 @@
 
     def feed(self, endpoint: Endpoint) -> None:
         """Writes what waits, once news of the list that may be waiting has been read."""
-        if self.stall.wary(monotonic()):
-            self.loop.call_later(FIRST, self.write, endpoint)
+        if self.stall.must_read_first(monotonic()):
+            self.loop.call_later(READ_FIRST_DELAY, self.write, endpoint)
         else:
             self.write(endpoint)
 
--- a/brackenladder/simulation/mutants/replicated_log.py
+++ b/brackenladder/simulation/mutants/replicated_log.py
@@ -37,13 +37,13 @@
 
 
 def _voters_replaced_at_once() -> Fault:
-    changed = _Planner._changed
+    changed = _Planner._replace_voters
 
     def single(self: _Planner, out: Any, in_: Any) -> Any:
         members = changed(self, out, in_)
         return None if members is None else evolve(members, outgoing=())
 
-    return replaced(_Planner, _changed=single)
+    return replaced(_Planner, _replace_voters=single)
 
 
 def _learner_counted_before_it_caught_up() -> Fault:
--- a/brackenladder/simulation/strikes.py
+++ b/brackenladder/simulation/strikes.py
@@ -219,7 +219,7 @@
 def _has_chunks(machine: ControlMachine) -> bool:
     """Whether a part of a snapshot has arrived, and not all of it."""
     node = machine.node
-    return node is not None and bool(node.host.replica._core.arriving._data)
+    return node is not None and bool(node.host.replica._core.snapshot_receiver._data)
 
 
 async def trouble_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
--- a/tests/cluster/test_detector.py
+++ b/tests/cluster/test_detector.py
@@ -5,7 +5,7 @@
 import pytest
 
 from brackenladder.cluster.detector import Detector
-from brackenladder.cluster.view import Record, State, beyond
+from brackenladder.cluster.view import Record, State, epoch_above
 from brackenladder.fleet.members import MICRO, Net
 
 
@@ -74,10 +74,10 @@
         net.cut |= {(0, n) for n in range(1, 24)}
     net.run(20)
     assert [said for who, said in net.log if who == 0 and said.at > at and said.after == "dead"] == []
-    assert detector(net, 0).health.word == ("mute" if way == "heard by none" else "isolated")
+    assert detector(net, 0).health.connectivity == ("mute" if way == "heard by none" else "isolated")
     net.cut = set()
     net.run(10)
-    assert net.agreed() and not detector(net, 5).dead() and detector(net, 0).health.word == "ok"
+    assert net.agreed() and not detector(net, 5).dead() and detector(net, 0).health.connectivity == "ok"
 
 
 def test_a_node_that_wakes_up_dead_refutes_and_buries_nobody():
@@ -114,9 +114,9 @@
     net = settled(8)
     member = detector(net, 3)
     for nonce in range(20):  # each time the other one goes beyond this one's epoch
-        higher = Record(beyond(member.me.epoch, nonce), 0, State.ALIVE)
-        member.put(3, higher, net.queue.now, 2, "the other says so")
-    assert member.twin and [t.after for t in member.transitions].count("twin") == 1
+        higher = Record(epoch_above(member.me.epoch, nonce), 0, State.ALIVE)
+        member.apply_record(3, higher, net.queue.now, 2, "the other says so")
+    assert member.number_taken and [t.after for t in member.transitions].count("twin") == 1
     before = net.bytes[3]
     net.run(3)
     assert net.bytes[3] - before < 20 * 256  # what others ask is answered; nothing is claimed
--- a/tests/cluster/test_view.py
+++ b/tests/cluster/test_view.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenladder.cluster.view import Record, State, View, beyond, epoch_of
+from brackenladder.cluster.view import Record, State, View, epoch_above, epoch_of
 
 SIZE = 4
 RECORDS = st.builds(Record, st.integers(0, 3), st.integers(0, 3), st.sampled_from(State))
@@ -39,7 +39,7 @@
 
 @given(st.integers(0, 2**32 - 1), st.integers(0, 2**24 - 1), st.integers(0, 2**24 - 1))
 def test_the_next_process_of_a_node_has_a_higher_epoch_whatever_its_clock_says(second, old, new):
-    assert beyond(epoch_of(second, old), new) > epoch_of(second, old)
+    assert epoch_above(epoch_of(second, old), new) > epoch_of(second, old)
 
 
 def test_a_state_begins_when_it_changes_and_not_with_each_incarnation():
--- a/tests/cluster/test_walk.py
+++ b/tests/cluster/test_walk.py
@@ -75,7 +75,7 @@
     )
     if mine.epoch < records[word.sender].epoch:
         return records  # `datagram` drops it: of an older process
-    made.take(word.sender, Frame(word.sender, number, mine.epoch, mine.incarnation, 1, told), NOW)
+    made.handle_frame(word.sender, Frame(word.sender, number, mine.epoch, mine.incarnation, 1, told), NOW)
     return known(made)
 
 
@@ -103,7 +103,7 @@
                 views = with_view(walk, number, known(made))
                 yield "suspect", walk._replace(views=views, suspicions=walk.suspicions - 1)
             elif records[other].state == State.SUSPECT:
-                made.put(other, records[other]._replace(state=State.DEAD), NOW, number, "")
+                made.apply_record(other, records[other]._replace(state=State.DEAD), NOW, number, "")
                 yield "bury", walk._replace(views=with_view(walk, number, known(made)))
         if walk.crashes:
             yield f"{number} dies", walk._replace(views=with_view(walk, number, None), crashes=0)
--- a/tests/consensus/machine.py
+++ b/tests/consensus/machine.py
@@ -119,7 +119,7 @@
 
     def _ask_to_join(self, replica: Replica) -> None:
         now = self._model.now
-        if now - replica.heard_leader_at < JOIN_AFTER or now - self._joined_at < JOIN_EVERY:
+        if now - replica.quorum_contact_at < JOIN_AFTER or now - self._joined_at < JOIN_EVERY:
             return
         self._joined_at = now
         self._model.post(
--- a/tests/consensus/test_consensus_elections.py
+++ b/tests/consensus/test_consensus_elections.py
@@ -27,7 +27,7 @@
         for follower in cluster.followers(leader):
             self.assertIs(follower.replica.role, Role.FOLLOWER)
             self.assertEqual(follower.replica.leader, leader.member)
-            self.assertLess(cluster.now - follower.replica.heard_leader_at, SECOND // 2)
+            self.assertLess(cluster.now - follower.replica.quorum_contact_at, SECOND // 2)
 
     def test_a_vote_is_told_once_it_is_durable_and_remembered(self):
         cluster = Cluster()
--- a/tests/consensus/test_consensus_parts.py
+++ b/tests/consensus/test_consensus_parts.py
@@ -237,15 +237,15 @@
         guard = PauseGuard(timing, 0)
         later = 10 * timing.election_max
         guard.tick(later)
-        self.assertTrue(guard.excuses(later + timing.heartbeat - 1))
-        self.assertFalse(guard.excuses(later + timing.heartbeat))
+        self.assertTrue(guard.in_grace_period(later + timing.heartbeat - 1))
+        self.assertFalse(guard.in_grace_period(later + timing.heartbeat))
 
     def test_short_gaps_are_no_pause(self):
         timing = Timing()
         guard = PauseGuard(timing, 0)
         for moment in range(0, 10 * timing.election_max, timing.pause):
             guard.tick(moment)
-            self.assertFalse(guard.excuses(moment))
+            self.assertFalse(guard.in_grace_period(moment))
 
 
 if __name__ == "__main__":
--- a/tests/consensus/test_consensus_replication.py
+++ b/tests/consensus/test_consensus_replication.py
@@ -132,7 +132,7 @@
         leader.replica.compact(cluster.now, leader.replica.commit_index, b"state")
         cluster.propose(leader, b"after")
         follower.deaf = False
-        leader.replica.reached(cluster.now, follower.member.replica_id)
+        leader.replica.link_up(cluster.now, follower.member.replica_id)
         cluster.run(SECOND)
         self.assertEqual([snapshot.data for snapshot in follower.restored], [b"state"])
         self.assertEqual(commands(follower.committed), [b"after"])
--- a/tests/consensus/test_consensus_stores.py
+++ b/tests/consensus/test_consensus_stores.py
@@ -65,5 +65,5 @@
         slow.store_hangs = True
         cluster.propose(leader, b"x")
         cluster.run(3 * SECOND)
-        self.assertLess(cluster.now - slow.replica.heard_leader_at, SECOND // 2)
+        self.assertLess(cluster.now - slow.replica.quorum_contact_at, SECOND // 2)
         self.assertTrue(leader.replica.leads)
--- a/tests/consensus/test_contact.py
+++ b/tests/consensus/test_contact.py
@@ -19,7 +19,7 @@
         self.cluster.run(SECOND)
 
     def age(self, host: Host) -> int:
-        return self.cluster.now - host.replica.heard_leader_at
+        return self.cluster.now - host.replica.quorum_contact_at
 
     def test_all_are_in_contact_in_a_calm(self) -> None:
         for host in self.cluster.hosts.values():
@@ -36,22 +36,22 @@
         self.followers[0].replica.step(
             self.cluster.now, self.leader.member.replica_id, self.heartbeat(contact_age=5 * SECOND)
         )
-        self.assertLessEqual(self.followers[0].replica.heard_leader_at, started)
+        self.assertLessEqual(self.followers[0].replica.quorum_contact_at, started)
 
     def test_a_word_that_is_read_late_is_as_old_as_it_is(self) -> None:
         follower = self.followers[0]
-        before = follower.replica.heard_leader_at
+        before = follower.replica.quorum_contact_at
         late = self.heartbeat(contact_age=0, echo=before)
         self.cluster.now += 20 * SECOND
         follower.replica.step(self.cluster.now, self.leader.member.replica_id, late)
-        self.assertEqual(follower.replica.heard_leader_at, before)
+        self.assertEqual(follower.replica.quorum_contact_at, before)
 
     def test_a_word_without_an_echo_is_no_contact(self) -> None:
         follower = self.followers[0]
-        before = follower.replica.heard_leader_at
+        before = follower.replica.quorum_contact_at
         self.cluster.now += 20 * SECOND
         follower.replica.step(self.cluster.now, self.leader.member.replica_id, self.heartbeat(contact_age=0))
-        self.assertEqual(follower.replica.heard_leader_at, before)
+        self.assertEqual(follower.replica.quorum_contact_at, before)
 
     def heartbeat(self, contact_age: int, echo: int = 0) -> AppendEntries:
         leader = self.leader.replica
--- a/tests/consensus/test_current_state.py
+++ b/tests/consensus/test_current_state.py
@@ -19,7 +19,7 @@
         self.cluster.run(SECOND)
 
     def age(self, host: Host) -> int:
-        return self.cluster.now - host.replica.current_at
+        return self.cluster.now - host.replica.up_to_date_at
 
     def hear(self, commit: int, term: int | None = None) -> None:
         """The follower gets a word of its leader without entries, two seconds later."""
@@ -51,7 +51,7 @@
 
     def test_whoever_lacks_a_committed_entry_is_not_current(self) -> None:
         self.hear(self.leader.replica.commit_index + 1)
-        self.assertEqual(self.cluster.now, self.follower.replica.heard_leader_at)  # in contact all the same
+        self.assertEqual(self.cluster.now, self.follower.replica.quorum_contact_at)  # in contact all the same
         self.assertGreaterEqual(self.age(self.follower), 2 * SECOND)
         self.assertTrue(self.follower.replica.lacks_committed)
 
--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -60,7 +60,7 @@
             host.deaf = False
             for other in hosts:
                 if other is not host:
-                    host.replica.reached(cluster.now, other.member.replica_id)
+                    host.replica.link_up(cluster.now, other.member.replica_id)
         cluster.pump()
         self.assertEqual(len(leaders(cluster)), 1)
 
@@ -68,7 +68,7 @@
         cluster, leader, term = self.led_cluster()
         for host in cluster.hosts.values():
             for other in cluster.hosts:
-                host.replica.reached(cluster.now, other)
+                host.replica.link_up(cluster.now, other)
         cluster.run(TIMING.election_max)
         self.assertEqual((leaders(cluster), cluster.hosts[leader[0]].replica.term), (leader, term))
 
--- a/tests/control_plane/test_directory_homes.py
+++ b/tests/control_plane/test_directory_homes.py
@@ -142,7 +142,7 @@
         with mock.patch.object(host, "step", step_without_entries):
             await self.put_in_force(2, at=leader, north=["south"], any_region=[])
             acknowledged = monotonic_microseconds()
-            await self.cluster.until(lambda: host.replica.heard_leader_at > acknowledged)
+            await self.cluster.until(lambda: host.replica.quorum_contact_at > acknowledged)
             answer = await self.ask("south")
         self.assertEqual(answer.status, HTTPStatus.SERVICE_UNAVAILABLE, answer.body)
 
--- a/tests/endings/test_watch_ends.py
+++ b/tests/endings/test_watch_ends.py
@@ -12,27 +12,34 @@
 from brackenladder.discovery.sources import PUSH_RETRY, Agent, Asked
 from brackenladder.discovery.watch import CONNECT_TIMEOUT
 from brackenladder.interface import ListKind, State
-from brackenladder.membership.inhand import InHand
+from brackenladder.membership.current_list import CurrentList
 from brackenladder.membership.listing import Line, Listing
-from brackenladder.membership.silence import ANSWER_TIME, BODY_TIME, FIRST_BYTE, MOST_PAUSE, PART_TIME, TRIES
-from brackenladder.membership.withdrawn import KEPT, MOST_KEPT
+from brackenladder.membership.watch_retry import (
+    ANSWER_TIMEOUT,
+    BODY_TIMEOUT,
+    FIRST_BYTE_TIMEOUT,
+    MAX_PAUSE,
+    MAX_RETRIES,
+    READ_TIMEOUT,
+)
+from brackenladder.membership.withdrawn import MAX_WITHDRAWN, RETENTION
 
 GRACE = 0.25  # seconds after a change counts as told in which requests may still go out
 FELL_SILENT, AFTER_WAIT, AFTER_SIGHUP = 6.0, 2.0, 4.0  # seconds: when the platform counts it as told
-NEW_CALL = CONNECT_TIMEOUT + FIRST_BYTE
+NEW_CALL = CONNECT_TIMEOUT + FIRST_BYTE_TIMEOUT
 
 
 @pytest.mark.parametrize(
     ("what", "worst", "told"),
     [
-        ("a whole list that does not begin", FIRST_BYTE + NEW_CALL, FELL_SILENT),
-        ("a list that stops half-way", PART_TIME + NEW_CALL, FELL_SILENT),
-        ("a list that comes byte by byte", BODY_TIME + NEW_CALL, FELL_SILENT),
+        ("a whole list that does not begin", FIRST_BYTE_TIMEOUT + NEW_CALL, FELL_SILENT),
+        ("a list that stops half-way", READ_TIMEOUT + NEW_CALL, FELL_SILENT),
+        ("a list that comes byte by byte", BODY_TIMEOUT + NEW_CALL, FELL_SILENT),
         # Connections come up at once here, or the module is asked: see docs/endings.md.
-        ("a watch that ends its wait in silence", ANSWER_TIME + FIRST_BYTE, AFTER_WAIT),
-        ("the first list after a move does not begin", FIRST_BYTE + NEW_CALL, AFTER_SIGHUP),
-        ("it does not begin twice", 2 * FIRST_BYTE + MOST_PAUSE + FIRST_BYTE, AFTER_SIGHUP),
-        ("it stops half-way", PART_TIME + NEW_CALL, AFTER_SIGHUP),
+        ("a watch that ends its wait in silence", ANSWER_TIMEOUT + FIRST_BYTE_TIMEOUT, AFTER_WAIT),
+        ("the first list after a move does not begin", FIRST_BYTE_TIMEOUT + NEW_CALL, AFTER_SIGHUP),
+        ("it does not begin twice", 2 * FIRST_BYTE_TIMEOUT + MAX_PAUSE + FIRST_BYTE_TIMEOUT, AFTER_SIGHUP),
+        ("it stops half-way", READ_TIMEOUT + NEW_CALL, AFTER_SIGHUP),
         ("the agent's watch is made anew", PUSH_RETRY, GRACE),
     ],
 )
@@ -44,7 +51,9 @@
 @pytest.mark.parametrize("drip", [False, True])
 def test_a_list_that_does_not_come_whole_is_asked_for_again(drip, monkeypatch):
     """Failure prevented: it is given up 6 s after its first byte, the moment from which it counts as told."""
-    bounds = {"PART_TIME": 600.0, "BODY_TIME": 0.3} if drip else {"PART_TIME": 0.2, "BODY_TIME": 600.0}
+    bounds = (
+        {"READ_TIMEOUT": 600.0, "BODY_TIMEOUT": 0.3} if drip else {"READ_TIMEOUT": 0.2, "BODY_TIMEOUT": 600.0}
+    )
     for name, value in bounds.items():
         monkeypatch.setattr(f"brackenladder.discovery.watch.{name}", value)
 
@@ -115,10 +124,10 @@
         asked.watching.silent = True
         asked.watched(asked.watching, None)
 
-    for _ in range(TRIES):
+    for _ in range(MAX_RETRIES):
         fails_silently()
     asked.move(("127.0.0.1", 2))
-    for _ in range(TRIES):
+    for _ in range(MAX_RETRIES):
         fails_silently()
         assert not told
     fails_silently()
@@ -158,29 +167,29 @@
         # A later start is another process; so is one that the old discovery itself took back.
         ([full(9, line("a", DRAINS))], full(2, line("a", started=2)), 1, True),
         ([full(9, line("a", DRAINS)), full(10, line("a"))], full(2, line("a")), 1, True),
-        ([full(9, line("a", DRAINS))], full(2, line("a")), KEPT + 1, True),
+        ([full(9, line("a", DRAINS))], full(2, line("a")), RETENTION + 1, True),
     ],
 )
 @pytest.mark.parametrize("moves", [1, 2])
 def test_a_new_discovery_does_not_bring_back_what_the_old_one_told_to_drain(old, new, after, ready, moves):
-    hand = InHand(None, 0.0)
+    hand = CurrentList(None, 0.0)
     for listing in old:
-        hand.admit(listing, 0.0)
+        hand.accept(listing, 0.0)
     for _ in range(moves):
-        hand = hand.moved(0.5)
+        hand = hand.for_new_discovery(0.5)
     assert hand.version is None
     for news in (new, changes(new.version + 1, *new.lines)):  # what it says again is no newer for that
-        admitted = hand.admit(news, after)
+        admitted = hand.accept(news, after)
         assert admitted is not None
         assert [each.state == READY for each in admitted.lines] == ([True] if ready else [])
 
 
 def test_what_is_remembered_of_drains_is_bounded():
-    hand = InHand(None, 0.0)
-    for n in range(3 * MOST_KEPT):
-        hand.admit(full(n, line(f"s{n}", DRAINS)), 0.0)
-    assert len(hand.withdrawn.drained) <= MOST_KEPT
-    hand.admit(full(3 * MOST_KEPT), KEPT + 1)
+    hand = CurrentList(None, 0.0)
+    for n in range(3 * MAX_WITHDRAWN):
+        hand.accept(full(n, line(f"s{n}", DRAINS)), 0.0)
+    assert len(hand.withdrawn.drained) <= MAX_WITHDRAWN
+    hand.accept(full(3 * MAX_WITHDRAWN), RETENTION + 1)
     assert not hand.withdrawn.drained
 
 
--- a/tests/membership/test_kept.py
+++ b/tests/membership/test_latest_list.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from brackenladder.interface import ListKind, State
-from brackenladder.membership.kept import MOST_CHANGES, Kept
+from brackenladder.membership.latest_list import MAX_CHANGES, LatestList
 from brackenladder.membership.listing import Line, Listing
 
 
@@ -17,16 +17,16 @@
 NEWS = st.tuples(st.booleans(), st.lists(st.tuples(st.sampled_from("abcd"), st.sampled_from(State))))
 
 
-@given(st.lists(NEWS, max_size=MOST_CHANGES + 8))
+@given(st.lists(NEWS, max_size=MAX_CHANGES + 8))
 def test_it_is_all_that_was_told_less_who_is_gone(news: list[tuple[bool, list[tuple[str, State]]]]) -> None:
-    kept = Kept(Listing(ListKind.CACHED, 0, (line("a", State.READY),)))
+    kept = LatestList(Listing(ListKind.CACHED, 0, (line("a", State.READY),)))
     told = {"a": State.READY}
     for version, (whole, states) in enumerate(news, 1):
         lines = tuple(line(name, state) for name, state in dict(states).items())
-        kept.admit(Listing(ListKind.FULL if whole else ListKind.CHANGES, version, lines))
+        kept.apply(Listing(ListKind.FULL if whole else ListKind.CHANGES, version, lines))
         told = ({} if whole else told) | dict(states)
     left = {name: state for name, state in told.items() if state != State.GONE}
-    found = kept.whole()
+    found = kept.merged()
     assert (found.kind, found.version) == (ListKind.CACHED, len(news))
     assert {x.id: x.state for x in found.lines} == left
-    assert len(kept.changes) <= MOST_CHANGES
+    assert len(kept.changes) <= MAX_CHANGES
--- a/tests/membership/test_withdrawn.py
+++ b/tests/membership/test_withdrawn.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from brackenladder.interface import ListKind, State
-from brackenladder.membership.inhand import InHand
+from brackenladder.membership.current_list import CurrentList
 from brackenladder.membership.listing import Line, Listing
-from brackenladder.membership.withdrawn import KEPT, Withdrawn
+from brackenladder.membership.withdrawn import RETENTION, WithdrawnServers
 
 
 def line(name: str, state: State = State.READY, started: int = 0) -> Line:
@@ -27,52 +27,52 @@
     return [entry.id for entry in listing.lines]
 
 
-def seen(*listings: Listing) -> Withdrawn:
-    withdrawn = Withdrawn()
+def seen(*listings: Listing) -> WithdrawnServers:
+    withdrawn = WithdrawnServers()
     for listing in listings:
-        assert withdrawn.admit(listing, 0.0) is listing
+        assert withdrawn.filter_listing(listing, 0.0) is listing
     return withdrawn
 
 
 def test_an_older_list_does_not_bring_back_who_drains() -> None:
     withdrawn = seen(full(5, line("a"), line("b")), changes(6, line("a", State.DRAINING)))
-    assert names(withdrawn.admit(full(5, line("a"), line("b")), 1.0)) == ["b"]
+    assert names(withdrawn.filter_listing(full(5, line("a"), line("b")), 1.0)) == ["b"]
 
 
 def test_nor_who_was_left_out_of_a_newer_whole_list() -> None:
     withdrawn = seen(full(5, line("a"), line("b")), full(6, line("b")))
-    assert names(withdrawn.admit(full(5, line("a"), line("b")), 1.0)) == ["b"]
+    assert names(withdrawn.filter_listing(full(5, line("a"), line("b")), 1.0)) == ["b"]
 
 
 def test_nor_do_the_changes_of_a_replica_that_catches_up() -> None:
     withdrawn = seen(full(5, line("a")), changes(8, line("a", State.GONE)))
-    withdrawn.admit(full(4, line("b")), 1.0)
-    assert names(withdrawn.admit(changes(6, line("a"), line("c")), 2.0)) == ["c"]
+    withdrawn.filter_listing(full(4, line("b")), 1.0)
+    assert names(withdrawn.filter_listing(changes(6, line("a"), line("c")), 2.0)) == ["c"]
 
 
 def test_a_newer_version_and_a_new_start_bring_it_back() -> None:
     withdrawn = seen(full(5, line("a")), changes(6, line("a", State.DRAINING)))
-    assert names(withdrawn.admit(full(4, line("a", started=7)), 1.0)) == ["a"]
-    assert names(withdrawn.admit(changes(7, line("a")), 1.0)) == ["a"]
-    assert names(withdrawn.admit(full(4, line("a")), 1.0)) == ["a"]
+    assert names(withdrawn.filter_listing(full(4, line("a", started=7)), 1.0)) == ["a"]
+    assert names(withdrawn.filter_listing(changes(7, line("a")), 1.0)) == ["a"]
+    assert names(withdrawn.filter_listing(full(4, line("a")), 1.0)) == ["a"]
 
 
 def test_an_older_list_may_name_a_server_as_draining() -> None:
     withdrawn = seen(full(5, line("a")), changes(6, line("a", State.DRAINING)))
     older = full(4, line("a", State.DRAINING))
-    assert withdrawn.admit(older, 1.0) is older
+    assert withdrawn.filter_listing(older, 1.0) is older
 
 
 def test_a_discovery_that_counts_anew_is_believed_in_the_end() -> None:
     withdrawn = seen(full(5, line("a")), changes(6, line("a", State.GONE)))
-    assert names(withdrawn.admit(full(1, line("a")), KEPT - 0.001)) == []
-    assert names(withdrawn.admit(full(1, line("a")), KEPT)) == ["a"]
+    assert names(withdrawn.filter_listing(full(1, line("a")), RETENTION - 0.001)) == []
+    assert names(withdrawn.filter_listing(full(1, line("a")), RETENTION)) == ["a"]
 
 
 def test_the_list_that_a_process_starts_with_counts() -> None:
-    in_hand = InHand(full(41, line("a", State.DRAINING), line("b")), 0.0)
+    in_hand = CurrentList(full(41, line("a", State.DRAINING), line("b")), 0.0)
     assert in_hand.version == 41
-    admitted = in_hand.admit(full(40, line("a"), line("b")), 1.0)
+    admitted = in_hand.accept(full(40, line("a"), line("b")), 1.0)
     assert admitted and names(admitted) == ["b"]
 
 
@@ -93,11 +93,11 @@
 @given(LISTINGS)
 def test_only_ready_lines_of_older_lists_are_ever_left_out(given_: list[tuple[bool, int, list]]) -> None:
     """What is let through is what came, less ready lines; and nothing is left out of the newest."""
-    withdrawn, highest = Withdrawn(), 0
+    withdrawn, highest = WithdrawnServers(), 0
     for i, (whole, version, entries) in enumerate(given_):
         lines = [line(name, state, started) for name, state, started in entries]
         listing = (full if whole else changes)(version, *lines)
-        admitted = withdrawn.admit(listing, float(i))
+        admitted = withdrawn.filter_listing(listing, float(i))
         left_out = [x for x in listing.lines if x not in admitted.lines]
         assert [x for x in listing.lines if x in admitted.lines] == list(admitted.lines)
         assert all(x.state == State.READY for x in left_out)
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -110,9 +110,9 @@
 
     async def scene():
         monkeypatch.setattr("brackenladder.discovery.watch.CONNECT_TIMEOUT", 0.2)
-        monkeypatch.setattr("brackenladder.membership.inhand.LEAST_WAIT_MS", 200)
-        monkeypatch.setattr("brackenladder.membership.inhand.WAIT_MS_A_NODE", 0)
-        monkeypatch.setattr("brackenladder.discovery.watch.ANSWER_TIME", 0.2)
+        monkeypatch.setattr("brackenladder.membership.current_list.MIN_WAIT_MS", 200)
+        monkeypatch.setattr("brackenladder.membership.current_list.WAIT_MS_PER_NODE", 0)
+        monkeypatch.setattr("brackenladder.discovery.watch.ANSWER_TIMEOUT", 0.2)
         rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
--- a/tests/rehearsal/rogue_members.py
+++ b/tests/rehearsal/rogue_members.py
@@ -18,11 +18,11 @@
 
 mode = sys.argv.pop(1)
 if mode == "fixed-time":  # a time-out that bears no pause
-    suspicion.LEAST = suspicion.MOST = 300_000
+    suspicion.MIN_TIMEOUT = suspicion.MAX_TIMEOUT = 300_000
 elif mode == "no-refutation":  # says nothing to what is said of it
-    detector.Detector.of_self = lambda self, record, now, by: None  # type: ignore[method-assign]
+    detector.Detector.apply_own_record = lambda self, record, now, by: None  # type: ignore[method-assign]
 elif mode == "believes-its-deafness":
-    Health.may_bury = property(lambda self: True)  # type: ignore[assignment,method-assign]
+    Health.may_declare_dead = property(lambda self: True)  # type: ignore[assignment,method-assign]
 elif mode == "takes-anything":  # the last word holds, however old
 
     def merge(self: View, number: int, record: Record, now: int) -> Record | None:
@@ -38,14 +38,14 @@
     View.merge = merge  # type: ignore[method-assign]
     detector.Detector.recorded = recorded  # type: ignore[method-assign,assignment]
 elif mode == "floods":
-    detector.BYTES_A_SECOND = sender.BYTES_A_SECOND = sender.BURST = 10**9
+    detector.BYTES_PER_SECOND = sender.BYTES_PER_SECOND = sender.BURST = 10**9
     detector.GOSSIP = 1
     plain = detector.Detector.gossip
 
     def gossip(self: detector.Detector, now: int) -> None:
         plain(self, now)
         for number in self.others * 4:
-            self.tell(number, self.recorded(range(len(self.view))), now)
+            self.send_frame(number, self.recorded(range(len(self.view))), now)
 
     detector.Detector.gossip = gossip  # type: ignore[method-assign]
 else:
