--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -175,7 +175,7 @@
     def make(self) -> None:
         """A new process. Its configuration gives the list as the node last had it."""
         self.up, self.ended, self.closing = False, False, False
-        self.known = self.kept.whole()
+        self.known = self.kept.merged()
         self.starts += 1
         self.upstream = Links(
             self.name,
