--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -41,9 +41,7 @@
 CALL_SECONDS = 2.5  # longest that a caller is held without a clear answer
 ATTEMPT_SECONDS = 1.5  # a leader that has said nothing for so long is asked again
 RETRY_SECONDS = 0.1
-DEPARTURE_TIMEOUT_SECONDS = (
-    0.7  # for the quorum that a server's drain or end waits for; the server waits a second
-)
+DEPARTURE_TIMEOUT_SECONDS = 0.7  # longest wait for a quorum to confirm a drain; servers wait 1 s
 SLOWEST_BYTES_PER_SECOND = 500_000  # at which a large order is expected to travel
 MICROSECONDS_PER_SECOND = 1_000_000
 NO_DEFINITE_REPLY = OrderReply(0, OrderOutcome.UNAVAILABLE)
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -11,9 +11,7 @@
 from brackenladder.consensus.members import quorum_value
 from brackenladder.consensus.types import Members
 
-MAX_REPORT_AGE = (
-    1_500_000  # microseconds for which a word counts; as contact does (`soft_state.IN_TOUCH_AGE`)
-)
+MAX_REPORT_AGE = 1_500_000  # microseconds that a report counts; same as `soft_state.IN_TOUCH_AGE`
 
 
 @frozen
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -16,7 +16,7 @@
 from brackenladder.fleet.queue import Queue
 from brackenladder.fleet.servers import Attempt, Server
 from brackenladder.interface import Actions, Events, ServerEntry, Settings
-from brackenladder.membership.kept import Kept
+from brackenladder.membership.latest_list import LatestList
 from brackenladder.membership.listing import Line, Listing
 from brackenladder.policy.balancer import Balancer
 from brackenladder.rehearsal.events import Answered, Event, GaveUp, NodeEnded, NodeSignal, NodeUp, Sent
@@ -153,7 +153,7 @@
         self.sources = sources
         self.source = 0
         self.known = known  # what a process begins with: the list as the node last had it
-        self.kept, self.kept_of = Kept(known), sources[0].number
+        self.kept, self.kept_of = LatestList(known), sources[0].number
         self.module = module
         self.most = (sockets - RESERVED) // 2
         self.connect_time = connect_time
@@ -175,7 +175,7 @@
     def make(self) -> None:
         """A new process. Its configuration gives the list as the node last had it."""
         self.up, self.ended, self.closing = False, False, False
-        self.known = self.kept.whole()
+        self.known = self.kept.merged()
         self.starts += 1
         self.upstream = Links(
             self.name,
@@ -237,7 +237,13 @@
         self.around.note(NodeEnded(self.queue.now, self.name, code, True))
         host = self.host
         calls = [call for call in host.calls.values() if call.open]
-        self.upstream.die([exchange_of(call.out) for call in host.calls.values() if call.out is not None])
+        self.upstream.die(
+            [
+                exchange_of(call.current_attempt)
+                for call in host.calls.values()
+                if call.current_attempt is not None
+            ]
+        )
         self.watch.close()
         host.calls.clear()
         for call in calls:
@@ -250,7 +256,7 @@
             ended()
             return
         self.signal("term")
-        self.host.ends = last_moment(self.queue.now, self.settings.classes)
+        self.host.conclude_by = last_moment(self.queue.now, self.settings.classes)
         by = self.queue.now + kill_after(self.settings.classes)
         closes = self.queue.now + round(handover(self.settings.classes) * MICRO)
 
@@ -302,19 +308,19 @@
     def left(self, call: Call) -> None:
         """A client has gone."""
         if self.up:
-            self.turn(self.host.left, call)
+            self.turn(self.host.client_left, call)
 
     def handed(self, source: int, listing: Listing) -> None:
         """A source has written a list to the node; the highest version holds, as for the checker."""
         if source != self.kept_of or listing.version >= self.kept.version:
             self.kept_of = source
-            self.kept.admit(listing)
+            self.kept.apply(listing)
 
     def told(self, listing: Listing | None) -> None:
         """News from discovery."""
         if self.up:
             cost = self.line_us * len(self.upstream.endpoints) if listing is not None else 0.0
-            self.turn(self.roster.told, listing, cost=cost)
+            self.turn(self.roster.apply_listing, listing, cost=cost)
 
     def tell(self, peer: int, data: bytes) -> None:
         """A message to the others, from the host."""
--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -88,7 +88,7 @@
         socket. The call is concluded without it, and is no less in doubt for that.
         """
         if end.outcome == Outcome.REJECTED:
-            self.exchange.turned_away(attempt.record.id)
+            self.exchange.rejected_by(attempt.record.id)
         elif attempt.written and end.outcome not in NEVER_RAN:
             self.may_have_run = True
         self.timed_out = end.outcome == Outcome.TIMEOUT
@@ -101,7 +101,7 @@
 
     def abandon(self) -> None:
         """The client has gone: nothing is owed."""
-        self.pool.host.left(self)
+        self.pool.host.client_left(self)
         pending, self._pending = self._pending, None
         if pending is not None:
             pending.drop()
--- a/brackenladder/http/servers.py
+++ b/brackenladder/http/server_pool.py
@@ -9,7 +9,7 @@
 from time import monotonic
 
 from brackenladder.http.server_connection import Connection, Endpoint
-from brackenladder.membership.stall import BEAT, Stall
+from brackenladder.membership.stall import BEAT_INTERVAL, StallDetector
 
 IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
 SWEEP = 0.5  # seconds between two looks at idle connections
@@ -18,32 +18,32 @@
 IDLE_REGAIN = 1.02  # what was learned of it fades by so much at each look
 
 
-class Pool:
+class ServerPool:
     """All connections to servers, within a budget of descriptors."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, most: int, connect_timeout: float, idle_time: float
+        self, loop: asyncio.AbstractEventLoop, max_connections: int, connect_timeout: float, idle_time: float
     ) -> None:
         self.loop = loop
-        self.most = most
+        self.max_connections = max_connections
         self.connect_timeout = connect_timeout
-        self.most_idle = self.idle_time = max(idle_time - IDLE_MARGIN, idle_time / 2)
+        self.max_idle_time = self.idle_time = max(idle_time - IDLE_MARGIN, idle_time / 2)
         self.open = 0
         self.endpoints: dict[int, Endpoint] = {}
         self.sweeping = False
-        self.stall = Stall(monotonic())
-        loop.call_later(BEAT, self.beat)
+        self.stall = StallDetector(monotonic())
+        loop.call_later(BEAT_INTERVAL, self.beat)
 
     def beat(self) -> None:
         self.stall.beat(monotonic())
-        self.loop.call_later(BEAT, self.beat)
+        self.loop.call_later(BEAT_INTERVAL, self.beat)
 
     def take(self, endpoint: Endpoint) -> Connection | None:
         """The most recently used idle connection that is still good."""
         now = self.loop.time()
         while endpoint.idle:
             connection = endpoint.idle.pop()
-            if now - connection.idle_since < self.idle_time and not connection.spoken_to():
+            if now - connection.idle_since < self.idle_time and not connection.has_input():
                 return connection
             connection.close()
         return None
@@ -60,7 +60,7 @@
         """Closes what has stood idle for long, before the server does."""
         now = self.loop.time()
         self.sweeping = False
-        self.idle_time = min(self.most_idle, self.idle_time * IDLE_REGAIN)
+        self.idle_time = min(self.max_idle_time, self.idle_time * IDLE_REGAIN)
         most = max(self.idle_time - SWEEP, self.idle_time / 2)
         for endpoint in self.endpoints.values():
             while endpoint.idle and now - endpoint.idle[0].idle_since > most:
@@ -80,7 +80,7 @@
 
     def has_room(self) -> bool:
         """Whether one more connection fits the budget; the one that was idle longest makes room."""
-        if self.open < self.most:
+        if self.open < self.max_connections:
             return True
         held = [e for e in self.endpoints.values() if e.idle]
         if held:
