--- a/benchmarks/capacity/catalog_probes.py
+++ b/benchmarks/capacity/catalog_probes.py
@@ -81,20 +81,20 @@
         for number, data in enumerate(messages):
             message = _subscribe(codec, data)
             publisher.subscribed(str(number), message)
-            registry.presence(0, message.gateway)
-            publisher.set_gateways(registry.living(0))
-            knowing.exchange.take(0)
-            publisher.take(0, 0)
+            registry.record_presence(0, message.gateway)
+            publisher.set_gateways(registry.count_living(0))
+            knowing.exchange.take_messages(0)
+            publisher.take_messages(0, 0)
 
     beat()
-    told = GatewaysTold(registry.heard(0))
+    told = GatewaysTold(registry.list_living(0))
     data = codec.encode(told)
     return PresenceCosts(
         message_bytes=PREFIX_BYTES + len(messages[-1]),
         take_us=best_of(beat, size.gateways),
         peer_bytes=len(data) / size.gateways,
         peer_tell_us=best_of(lambda: codec.encode(told), size.gateways),
-        peer_take_us=best_of(lambda: knowing.exchange.told(0, "peer", codec.decode(data)), size.gateways),
+        peer_take_us=best_of(lambda: knowing.exchange.receive(0, "peer", codec.decode(data)), size.gateways),
         gateway_memory=memory_of(lambda: _gateway_registry(codec, messages)) / size.gateways,
         subscription_memory=memory_of(lambda: _publisher_of(codec, messages)) / size.gateways,
     )
@@ -117,7 +117,7 @@
     for _ in range(ROUNDS):
         gateway = Subscriber()
         with best.round():
-            gateway.told(0, "control", codec.decode(data))
+            gateway.receive(0, "control", codec.decode(data))
         assert gateway.view.configuration is not None
     return best.microseconds(1)
 
@@ -131,7 +131,7 @@
 def _gateway_registry(codec: Codec, messages: list[bytes]) -> GatewayRegistry:
     registry = GatewayRegistry()
     for data in messages:
-        registry.presence(0, _subscribe(codec, data).gateway)
+        registry.record_presence(0, _subscribe(codec, data).gateway)
     return registry
 
 
--- a/benchmarks/capacity/server_probes.py
+++ b/benchmarks/capacity/server_probes.py
@@ -9,7 +9,7 @@
 from brackenladder.delivery.messages import Ack, ServersUpdate, UpdateKind
 from brackenladder.delivery.publisher import Publisher
 from brackenladder.delivery.subscriber import Subscriber
-from brackenladder.registry.exchange import HEARD_INTERVAL
+from brackenladder.registry.exchange import HEARTBEAT_BATCH_INTERVAL
 from brackenladder.registry.messages import ServersHeard
 from brackenladder.registry.records import ServerRecord
 from brackenladder.registry.registry import ServerRegistry
@@ -75,7 +75,9 @@
     publisher = Publisher(registry)
     publisher.subscribed("first", presence(0, size))
     updates = [
-        delivery.message for delivery in publisher.take(0, 0) if isinstance(delivery.message, ServersUpdate)
+        delivery.message
+        for delivery in publisher.take_messages(0, 0)
+        if isinstance(delivery.message, ServersUpdate)
     ]
     frames = [codec.encode(update) for update in updates]
     total = sum(len(data) + PREFIX_BYTES for data in frames)
@@ -115,8 +117,8 @@
         self.bytes_told = 0
         self._codec = control_codec()
         self._hears, self._told = Knowing(), Knowing()
-        self._hears.exchange.connected("peer")
-        self._told.exchange.connected("hearer")
+        self._hears.exchange.peer_connected("peer")
+        self._told.exchange.peer_connected("hearer")
         self._now = 0
 
     def beat(self, bodies: list[tuple[str, bytes]]) -> None:
@@ -127,17 +129,17 @@
         with self.register.round():
             for record in records:
                 self._hears.servers.heartbeat(self._now, record)
-        for delivery in self._hears.exchange.take(self._now + HEARD_INTERVAL // 2):
+        for delivery in self._hears.exchange.take_messages(self._now + HEARTBEAT_BATCH_INTERVAL // 2):
             if isinstance(delivery.message, ServersHeard):
                 self._tell(delivery.message)
             else:
-                self._told.exchange.told(self._now, "hearer", delivery.message)
+                self._told.exchange.receive(self._now, "hearer", delivery.message)
 
     def _tell(self, message: ServersHeard) -> None:
         with self.tell.round():
             data = self._codec.encode(message)
         with self.take.round():
-            self._told.exchange.told(self._now, "hearer", self._codec.decode(data))
+            self._told.exchange.receive(self._now, "hearer", self._codec.decode(data))
         self.bytes_told = PREFIX_BYTES + len(data)
 
 
@@ -168,25 +170,25 @@
     for round_number in range(ROUNDS):
         registry.heartbeat(0, evolve(first, slots=65 + round_number, seq=FIRST_SEQ + 1 + round_number))
         with control.round():
-            frames = [codec.encode(delivery.message) for delivery in publisher.take(0, 0)]
+            frames = [codec.encode(delivery.message) for delivery in publisher.take_messages(0, 0)]
             for number in range(subscribers):
                 publisher.acknowledged(str(number), Ack(UpdateKind.SERVERS, registry.version))
-            publisher.take(0, 0)
+            publisher.take_messages(0, 0)
         size_of_change = PREFIX_BYTES + len(frames[0])
         with taken.round():
-            gateway.told(0, "control", codec.decode(frames[0]))
+            gateway.receive(0, "control", codec.decode(frames[0]))
     return _Change(control.microseconds(subscribers), taken.microseconds(1), size_of_change)
 
 
 def _settle(publisher: Publisher, gateway: Subscriber) -> None:
     """Let one gateway take all, and count everything as taken by the others."""
-    deliveries = publisher.take(0, 0)
+    deliveries = publisher.take_messages(0, 0)
     for delivery in deliveries:
         if delivery.subscriber == "0":
-            gateway.told(0, "control", delivery.message)
+            gateway.receive(0, "control", delivery.message)
         if isinstance(delivery.message, ServersUpdate) and delivery.message.last:
             publisher.acknowledged(delivery.subscriber, Ack(UpdateKind.SERVERS, delivery.message.sequence))
-    publisher.take(0, 0)
+    publisher.take_messages(0, 0)
 
 
 def _expiry_scan(records: list[ServerRecord]) -> float:
@@ -197,9 +199,9 @@
 
     def scan() -> None:
         registry._end_check_at = 0  # as after the earliest end was put off by a heartbeat
-        registry._doubt_check_at = 0
+        registry._suspect_check_at = 0
         registry.expire(2 * BEAT)
-        registry.take_doubted(2 * BEAT)
+        registry.take_suspects(2 * BEAT)
 
     return best_of(scan, 1)
 
@@ -211,11 +213,11 @@
         gateway = Subscriber()
         with first.round():
             for update in updates:
-                gateway.told(0, "one", update)
+                gateway.receive(0, "one", update)
         again = [codec.decode(data) for data in frames]
         with repeated.round():
             for update in again:
-                gateway.told(0, "other", update)
+                gateway.receive(0, "other", update)
     return first.microseconds(1), repeated.microseconds(1)
 
 
@@ -225,7 +227,7 @@
         for link in range(links):
             gateway.connected(0, str(link))
             for data in frames:
-                gateway.told(0, str(link), codec.decode(data))
+                gateway.receive(0, str(link), codec.decode(data))
         return gateway
 
     return memory_of(build)
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -13,7 +13,7 @@
 from brackenladder.catalog.homes import ConfigurationHomes, ReadConfiguration
 from brackenladder.catalog.hosts import normal_host
 from brackenladder.invariants import VIOLATIONS, Invariant
-from brackenladder.registry.directory import NEAR_REACHES, ClientPlace, Offer, Reach, resolve
+from brackenladder.registry.directory import OWN_REGION, ClientLocation, Proximity, ResolvedGateways, resolve
 from brackenladder.registry.gateways import GatewayRegistry, HeardGateway
 
 MICROSECONDS_PER_MILLISECOND = 1000
@@ -31,8 +31,8 @@
         self._gateways = gateways
         self._homes = ConfigurationHomes()
         self._revision = 0  # of the catalog that the homes are of
-        self._answers: Counter[Reach] = Counter()
-        self._reaches: dict[tuple[str, str], Reach] = {}  # the last one by host and the clients' region
+        self._answers: Counter[Proximity] = Counter()
+        self._reaches: dict[tuple[str, str], Proximity] = {}  # the last one by host and the clients' region
 
     def configured(self, revision: int, read: ReadConfiguration) -> None:
         """Take the configuration as of a revision of the catalog; an older one is ignored."""
@@ -41,7 +41,7 @@
         self._revision = revision
         self._homes = ConfigurationHomes(read)
 
-    def resolve(self, now: int, client: ClientPlace, current: bool) -> Offer:
+    def resolve(self, now: int, client: ClientLocation, current: bool) -> ResolvedGateways:
         """The front addresses for a client.
 
         Where the homes known here may have been replaced without this node's knowledge (not `current`), no
@@ -57,15 +57,15 @@
             f"a client of {client.region} is led to {breached} for {client.host}",
         )
         host = normal_host(client.host) if homes.known else OTHER_HOSTS
-        self._note(now, host, client.region[:LONGEST_NAME], offer.reach)
+        self._note(now, host, client.region[:LONGEST_NAME], offer.proximity)
         return offer
 
     @property
-    def answers(self) -> dict[Reach, int]:
+    def answers(self) -> dict[Proximity, int]:
         """How many answers reached how far."""
         return dict(self._answers)
 
-    def _note(self, now: int, host: str, region: str, reach: Reach) -> None:
+    def _note(self, now: int, host: str, region: str, reach: Proximity) -> None:
         """Count an answer, and log where clients are led no longer as before.
 
         Names are the clients' own: whatever they send, the lines and the memory that they take are bounded.
@@ -77,7 +77,7 @@
         if before is None and len(self._reaches) >= MOST_PLACES:
             return
         self._reaches[place] = reach
-        if before is reach or before in NEAR_REACHES and reach in NEAR_REACHES:
+        if before is reach or before in OWN_REGION and reach in OWN_REGION:
             return
         log.info(
             "{}: clients of {!r} get {} (before: {}); of their region: {}",
@@ -90,7 +90,7 @@
 
     def _known_of(self, now: int, region: str) -> str:
         """The gateways of a region, as this node knows them."""
-        known = [one for one in self._gateways.heard(now) if one.gateway.region == region]
+        known = [one for one in self._gateways.list_living(now) if one.gateway.region == region]
         return ", ".join(map(_described, known)) or "none known"
 
 
--- a/brackenladder/control_plane/directory_api.py
+++ b/brackenladder/control_plane/directory_api.py
@@ -10,7 +10,7 @@
 
 from brackenladder.control_plane.http_server import not_found, unavailable
 from brackenladder.platform_settings import Bounds
-from brackenladder.registry.directory import ClientPlace, Offer
+from brackenladder.registry.directory import ClientLocation, ResolvedGateways
 
 RESOLVE_PATH = "/-/resolve"
 NEAR_TIME_TO_LIVE = 1  # seconds
@@ -20,7 +20,7 @@
 LONGEST_HOLD = 3  # times the time to live: so long do clients hold an answer while they can get a new one
 MILLISECONDS_PER_SECOND = 1000
 
-Resolve = Callable[[ClientPlace], Offer]
+Resolve = Callable[[ClientLocation], ResolvedGateways]
 
 
 class DirectoryApi:
@@ -39,10 +39,10 @@
         if request.method != "GET" or request.rel_url.raw_path != RESOLVE_PATH:
             return not_found(request.rel_url.raw_path)
         query = request.rel_url.query
-        client = ClientPlace(query.get("Name", ""), query.get("Region", ""), query.get("Zone", ""))
+        client = ClientLocation(query.get("Name", ""), query.get("Region", ""), query.get("Zone", ""))
         offer = self._resolve(client)
         if not offer.addresses:
             return unavailable("no gateway that the client may be led to is ready")
-        time_to_live = self._near_seconds if offer.near else self._far_seconds
+        time_to_live = self._near_seconds if offer.in_client_region else self._far_seconds
         body = json.dumps({"Addresses": offer.addresses, "TtlS": time_to_live}).encode()
         return web.Response(status=HTTPStatus.OK, body=body, content_type="application/json")
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from brackenladder.registry.recall import HealthAnswer, RememberedServer
+from brackenladder.registry.remembered_servers import HealthAnswer, RememberedServer
 
 INSTANCE_ID = "X-Brackenladder-Instance-Id"
 COLD_REMAINING = "X-Brackenladder-Cold-Remaining-Ms"
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -21,8 +21,8 @@
 from brackenladder.control_plane.health_checks import HealthChecks
 from brackenladder.control_plane.restart_file import RestartFile
 from brackenladder.prefix_cache.messages import PrefixNotice
-from brackenladder.registry.recall import RememberedServer, ServerMemory, verified
 from brackenladder.registry.records import ServerRecord
+from brackenladder.registry.remembered_servers import RememberedServer, ServerListTracker, verify
 from brackenladder.transport.codec import Codec
 from brackenladder.transport.errors import DecodeError
 
@@ -85,7 +85,7 @@
         self._health_checks = health_checks
         self._clock = clock
         self._listener = listener
-        self._memory = ServerMemory()
+        self._memory = ServerListTracker()
         self._written_at = clock()
         self._written_revision = 0
         self._codec = Codec()
@@ -114,14 +114,14 @@
         """Writes what is of use after a restart, if catalog or servers have changed, or it is time."""
         if self._file is None:
             return
-        lasting = self._memory.lasting(servers, health_paths)
+        lasting = self._memory.select(servers, health_paths)
         changed = catalog.revision != self._written_revision or self._memory.changed(lasting)
         if not changed and self._clock() - self._written_at < PREFIX_INTERVAL:
             return
         kept = prefixes()
         if not changed and not kept:
             return
-        self._memory.written(lasting)
+        self._memory.mark_written(lasting)
         self._written_revision = catalog.revision
         self._written_at = self._clock()
         data = self._codec.encode(RestartState(self._replica_id, catalog, lasting, kept))
@@ -140,7 +140,7 @@
         self._listener.prefixes_remembered(state.prefixes)
         self._listener.catalog_remembered(state.catalog)
         answers = await self._health_checks().ask_all(state.servers)
-        found = [verified(server, answer) for server, answer in zip(state.servers, answers, strict=True)]
+        found = [verify(server, answer) for server, answer in zip(state.servers, answers, strict=True)]
         alive = [record for record in found if record is not None]
         for record in alive:
             self._listener.server_found(record)
--- a/brackenladder/control_plane/restart_file.py
+++ b/brackenladder/control_plane/restart_file.py
@@ -8,8 +8,8 @@
 from returns.result import Result
 
 from brackenladder.control_plane.threads import in_daemon_thread
+from brackenladder.storage.atomic_file import read_checked, write_atomically
 from brackenladder.storage.log_store import StoreError
-from brackenladder.storage.whole_file import read_whole, write_whole
 
 FILE_NAME = "restart.msgpack"
 
@@ -32,8 +32,8 @@
 
     async def read(self) -> Result[bytes, StoreError]:
         """See `RestartFile`."""
-        return await in_daemon_thread(lambda: read_whole(self._path))
+        return await in_daemon_thread(lambda: read_checked(self._path))
 
     async def write(self, data: bytes) -> Result[None, StoreError]:
         """See `RestartFile`."""
-        return await in_daemon_thread(lambda: write_whole(self._path, data))
+        return await in_daemon_thread(lambda: write_atomically(self._path, data))
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -22,7 +22,7 @@
 from brackenladder.delivery.publisher import Publisher
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices
 from brackenladder.prefix_cache.relay import PrefixRelay, Receiver
-from brackenladder.registry.directory import NO_OFFER, ClientPlace, Offer
+from brackenladder.registry.directory import NO_GATEWAYS, ClientLocation, ResolvedGateways
 from brackenladder.registry.exchange import PeerExchange
 from brackenladder.registry.gateways import GatewayRegistry
 from brackenladder.registry.records import ServerRecord
@@ -104,13 +104,13 @@
             self.flush()
         return self._in_touch()
 
-    def resolve(self, client: ClientPlace) -> Offer:
+    def resolve(self, client: ClientLocation) -> ResolvedGateways:
         """The front addresses for a client; none while this node can't know of all gateways."""
         now = self._clock()
         if not self._gateways.settled(now):
-            return NO_OFFER
+            return NO_GATEWAYS
         for name, node in self._nodes.items():
-            self._gateways.linked(node, now - self._subscribers[name].silence)
+            self._gateways.record_link_activity(node, now - self._subscribers[name].silence)
         current = self._tells_catalog(now) and not self._agreed.lacks_committed()
         return self._directory.resolve(now, client, current)
 
@@ -138,7 +138,7 @@
     def gateways(self) -> tuple[GatewayStatus, ...]:
         """The gateways that were heard lately, with what they have acknowledged here."""
         revisions = {node: self._publisher.revision_of(name) for name, node in self._nodes.items()}
-        return gateway_statuses(self._gateways.heard(self._clock()), revisions)
+        return gateway_statuses(self._gateways.list_living(self._clock()), revisions)
 
     # -- events of links
 
@@ -164,7 +164,7 @@
             self._relay.from_peer(self._clock(), message)
             self._relay_notices()
             return True
-        if not self._exchange.told(self._clock(), replica_id, message):
+        if not self._exchange.receive(self._clock(), replica_id, message):
             return False
         self._count_gateways()
         self.flush()
@@ -196,7 +196,7 @@
         if name is not None:
             del self._subscribers[name]
             self._nodes.pop(name, None)
-            self._publisher.lost(name)
+            self._publisher.disconnected(name)
             self._relay.lost(name)
 
     # -- changes of the agreed state
@@ -240,11 +240,11 @@
         self._ticked_at = now
         if gap > STANDSTILL:
             log.info("stood still for {} ms", gap // 1000)
-            self._servers.resumed(now, gap)
-            self._gateways.resumed(now, gap)
+            self._servers.compensate_pause(now, gap)
+            self._gateways.compensate_pause(now, gap)
         for record in self._servers.expire(now, trusted=self._in_touch()):
             log.info("server {} silent, gone", record.id)
-        self._gateways.forget(now)
+        self._gateways.remove_expired(now)
         self._count_gateways()
         self.flush()
         self._relay_notices()
@@ -252,11 +252,13 @@
     def flush(self) -> None:
         """Writes all that is due to the links."""
         now = self._clock()
-        for told in self._exchange.take(now):
+        for told in self._exchange.take_messages(now):
             link = self._informed.get(told.peer)
             if link is None or not link.send(told.message):
                 self._forget_peer(told.peer)
-        for delivery in self._publisher.take(now, self._told_contact_age(now), self._tells_catalog(now)):
+        for delivery in self._publisher.take_messages(
+            now, self._told_contact_age(now), self._tells_catalog(now)
+        ):
             subscriber = self._subscribers.get(delivery.subscriber)
             if subscriber is not None and not subscriber.send(delivery.message):
                 subscriber.close()
@@ -304,7 +306,7 @@
         self._publisher.subscribed(name, message)
         self._relay.serve(name, message.relay)
         self._nodes[name] = message.node
-        self._gateways.presence(self._clock(), message.gateway, tell_peers=message.relay)
+        self._gateways.record_presence(self._clock(), message.gateway, tell_peers=message.relay)
         self._count_gateways()
 
     def _name(self, link: Link) -> str:
@@ -318,15 +320,15 @@
         link = self._peers.link(replica_id)
         if link is not None:
             self._informed[replica_id] = link
-            self._exchange.connected(replica_id)
+            self._exchange.peer_connected(replica_id)
 
     def _forget_peer(self, replica_id: str) -> None:
         """Begins anew over another link, if there is one."""
         if self._informed.pop(replica_id, None) is None:
             return
-        self._exchange.lost(replica_id)
+        self._exchange.peer_disconnected(replica_id)
         self._begin_informing(replica_id)
 
     def _count_gateways(self) -> None:
         now = self._clock()
-        self._publisher.set_gateways(self._gateways.living(now), self._gateways.settled(now))
+        self._publisher.set_gateways(self._gateways.count_living(now), self._gateways.settled(now))
--- a/brackenladder/delivery/left_out.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -8,7 +8,7 @@
 UNTOLD_TIME = 60_000_000  # microseconds, if only others had
 
 
-class LeftOutServers:
+class OmittedServers:
     """Decides when a server that is merely left out counts as gone.
 
     A control node that restarts has lost what it knew; its first full update leaves out whatever has not been
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -30,7 +30,7 @@
 
 
 @frozen
-class Delivery:
+class SubscriberMessage:
     """A message for one subscriber."""
 
     subscriber: str
@@ -90,7 +90,7 @@
         subscription = self._subscriptions.get(subscriber)
         return 0 if subscription is None else subscription.have_revision
 
-    def lost(self, subscriber: str) -> None:
+    def disconnected(self, subscriber: str) -> None:
         """The link of a subscriber is down, or would not take a message: it has to subscribe anew."""
         self._subscriptions.pop(subscriber, None)
         self._dirty.pop(subscriber, None)
@@ -125,7 +125,9 @@
         self._gateways = GatewayCount(self._gateways.sequence + 1, number, settled)
         self._mark_all()
 
-    def take(self, now: int, leader_contact_age: int, tells_catalog: bool = True) -> tuple[Delivery, ...]:
+    def take_messages(
+        self, now: int, leader_contact_age: int, tells_catalog: bool = True
+    ) -> tuple[SubscriberMessage, ...]:
         """Return what is due; to be called after every change and ack, and a few times a second.
 
         `leader_contact_age` is told along: gateways that start rely on a control node whose leader contact is
@@ -136,7 +138,7 @@
         this_round = _Round(now, leader_contact_age, tells_catalog)
         self._mark_changes(this_round)
         due = tuple(
-            Delivery(subscriber, message)
+            SubscriberMessage(subscriber, message)
             for subscriber in self._dirty
             for message in self._messages(this_round, self._subscriptions[subscriber])
         )
--- a/brackenladder/delivery/subscriber.py
+++ b/brackenladder/delivery/subscriber.py
@@ -11,7 +11,6 @@
 
 from brackenladder.delivery.documents import CatalogReader, DocumentParser, parse_document
 from brackenladder.delivery.gateway_count import HighestCount
-from brackenladder.delivery.left_out import LeftOutServers
 from brackenladder.delivery.messages import (
     FRESH_AGE,
     Ack,
@@ -23,6 +22,7 @@
     ServersUpdate,
     UpdateKind,
 )
+from brackenladder.delivery.omitted_servers import OmittedServers
 from brackenladder.delivery.view import SystemView
 from brackenladder.registry.records import ServerRecord, ServerState
 
@@ -55,7 +55,7 @@
         self.complete = False  # a control node in touch with the leader has told both catalog and servers
         self._reader = CatalogReader(parse)
         self._sources: dict[str, _Source] = {}
-        self._left_out = LeftOutServers()
+        self._omitted = OmittedServers()
         self._count = HighestCount()
         self._control_nodes_revision = -1
         self._first_configuration_at: int | None = None
@@ -65,7 +65,7 @@
         """The newest revision whose document could not be parsed; 0: none."""
         return self._reader.unreadable_revision
 
-    def ready_by_timeout(self, now: int) -> bool:
+    def complete_or_timed_out(self, now: int) -> bool:
         """Whether the view is complete, or has had a configuration for so long that it has to do."""
         if self.complete:
             return True
@@ -76,38 +76,38 @@
         """A link to a control node is up; the caller sends it a `Subscribe`."""
         self._sources[control_address] = _Source()
 
-    def lost(self, now: int, control_address: str) -> None:
+    def disconnected(self, now: int, control_address: str) -> None:
         """The link to a control node is down."""
         if self._sources.pop(control_address, None) is None:
             return
-        self._left_out.lost(now, control_address, self.view.servers)
+        self._omitted.lost(now, control_address, self.view.servers)
         self._count.lost(now, control_address)
 
-    def told(self, now: int, control_address: str, message: object) -> tuple[object, ...]:
+    def receive(self, now: int, control_address: str, message: object) -> tuple[object, ...]:
         """Take a message of a control node; return what to send back on the same link."""
         source = self._sources.setdefault(control_address, _Source())
         match message:
             case CatalogUpdate():
-                return self._catalog(now, source, message)
+                return self._handle_catalog(now, source, message)
             case CatalogChange():
                 return (Ack(UpdateKind.CATALOG, message.to_revision, taken=False),)
             case ServersUpdate():
-                return self._servers(now, control_address, source, message)
+                return self._handle_servers(now, control_address, source, message)
             case Freshness():
-                self._freshness(source, message)
+                self._handle_freshness(source, message)
             case ControlNodes():
-                return self._control_nodes(message)
+                return self._handle_control_nodes(message)
             case GatewayCount():
-                return self._gateway_count(now, control_address, message)
+                return self._handle_gateway_count(now, control_address, message)
         return ()
 
     def tick(self, now: int) -> None:
         """Let what was told earlier run out."""
         self.view.set_gateways(self._count.highest(now), self._count.known)
-        self.view.remove_servers(self._left_out.take_due(now))
+        self.view.remove_servers(self._omitted.take_due(now))
         self.view.expire(now)
 
-    def _catalog(self, now: int, source: _Source, message: CatalogUpdate) -> tuple[object, ...]:
+    def _handle_catalog(self, now: int, source: _Source, message: CatalogUpdate) -> tuple[object, ...]:
         if message.revision > self.view.revision and not self._take_catalog(now, message):
             return (Ack(UpdateKind.CATALOG, message.revision, taken=False),)
         source.told_catalog = True
@@ -124,7 +124,7 @@
         self.view.set_catalog(message.revision, configuration, frozenset(message.evacuated))
         return True
 
-    def _servers(
+    def _handle_servers(
         self, now: int, control_address: str, source: _Source, message: ServersUpdate
     ) -> tuple[object, ...]:
         self.view.merge_servers(now, message.records)
@@ -141,32 +141,34 @@
 
     def _note_told(self, control_address: str, record: ServerRecord) -> None:
         if record.state is not ServerState.GONE:
-            self._left_out.told(control_address, record.id)
+            self._omitted.told(control_address, record.id)
         elif record.id not in self.view.servers:
-            self._left_out.ended(record.id)
+            self._omitted.ended(record.id)
 
     def _note_full(self, now: int, control_address: str, source: _Source, message: ServersUpdate) -> None:
         if message.first:
             source.ids = set()
         source.ids.update(record.id for record in message.records if record.state is not ServerState.GONE)
         if message.last:
-            self._left_out.full(now, control_address, source.ids, self.view.servers)
+            self._omitted.full(now, control_address, source.ids, self.view.servers)
             source.ids = set()
 
-    def _freshness(self, source: _Source, message: Freshness) -> None:
+    def _handle_freshness(self, source: _Source, message: Freshness) -> None:
         fresh = message.leader_contact_age <= FRESH_AGE
         source.catalog_fresh = fresh and source.told_catalog
         source.servers_fresh = fresh and source.told_servers
         self._note_complete(source)
 
-    def _control_nodes(self, message: ControlNodes) -> tuple[object, ...]:
+    def _handle_control_nodes(self, message: ControlNodes) -> tuple[object, ...]:
         if message.revision > self._control_nodes_revision:
             self._control_nodes_revision = message.revision
             self.control_nodes = message.addresses
             self.control_zones = dict(zip(message.addresses, message.zones, strict=False))
         return (Ack(UpdateKind.CONTROL_NODES, message.revision),)
 
-    def _gateway_count(self, now: int, control_address: str, message: GatewayCount) -> tuple[object, ...]:
+    def _handle_gateway_count(
+        self, now: int, control_address: str, message: GatewayCount
+    ) -> tuple[object, ...]:
         self._count.told(now, control_address, message.number, message.settled)
         self.view.set_gateways(self._count.highest(now), self._count.known)
         return (Ack(UpdateKind.GATEWAY_COUNT, message.sequence),)
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from brackenladder.discovery.watch import Discovery, Told
+from brackenladder.discovery.watch import Discovery, ListingCallback
 from brackenladder.interface import ListKind
 from brackenladder.membership.inhand import InHand
 from brackenladder.membership.listing import Line, Listing
@@ -15,7 +15,7 @@
 Address = tuple[str, int]
 
 
-class Asked(Discovery):
+class PolledDiscovery(Discovery):
     """Discovery, which the module asks as it sees fit; it begins with the list that was known."""
 
     def __init__(
@@ -24,7 +24,7 @@
         address: Address,
         known: Listing | None,
         nodes: int,
-        told: Told,
+        told: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
         super().__init__(loop, address, known, nodes, told, log)
@@ -35,13 +35,13 @@
         if self.known is not None:
             self.told(self.known)
 
-    def begin_with(self, listing: Listing) -> None:
+    def set_initial_listing(self, listing: Listing) -> None:
         """A list that is newer than the one that was known. Before `start` only."""
         self.known = listing
         self.in_hand = InHand(listing, self.loop.time())
 
 
-class Agent(Asked):
+class AgentDiscovery(PolledDiscovery):
     """An agent on the node's own machine, which answers at once with what was pushed to it.
 
     It is watched by the node itself, for as long as the pool runs: the module does not ask there.
@@ -53,7 +53,7 @@
         address: Address,
         known: Listing | None,
         nodes: int,
-        told: Told,
+        told: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
         super().__init__(loop, address, known, nodes, self.heard, log)
@@ -73,10 +73,10 @@
             self.pass_on(listing)
 
 
-class Fixed:
+class FixedList:
     """A list that stands in the operator file: there is nothing to ask for."""
 
-    def __init__(self, lines: Sequence[Line], told: Told) -> None:
+    def __init__(self, lines: Sequence[Line], told: ListingCallback) -> None:
         self.version: int | None = 1
         self.listing = Listing(ListKind.FULL, self.version, tuple(lines))
         self.told = told
@@ -84,7 +84,7 @@
     def start(self) -> None:
         self.told(self.listing)
 
-    def begin_with(self, listing: Listing) -> None:
+    def set_initial_listing(self, listing: Listing) -> None:
         """The operator file's list holds."""
 
     def watch(self, on: bool) -> None:
@@ -93,7 +93,7 @@
     def fetch(self) -> None:
         """The list is known."""
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """It has no address."""
 
     def close(self) -> None:
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -26,7 +26,7 @@
 CONNECT_TIMEOUT = 1.0
 LARGEST_ANSWER = 4 << 20
 
-Told = Callable[[Listing | None], None]
+ListingCallback = Callable[[Listing | None], None]
 
 
 class Call(asyncio.Protocol):
@@ -170,7 +170,7 @@
         address: tuple[str, int],
         known: Listing | None,
         nodes: int,
-        told: Told,
+        told: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
         self.loop = loop
@@ -195,7 +195,7 @@
         """Begins or ends the watch. One that is on already stays."""
         if on and self.watching is None:
             self.forget_reopening()
-            self.watching = Call(self.loop, self.address, self.watched)
+            self.watching = Call(self.loop, self.address, self.on_watch_answer)
             self.renew(self.watching)
         elif not on:
             self.forget_reopening()
@@ -208,7 +208,7 @@
             self.reopening.cancel()
             self.reopening = None
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Asks at another address from now on; whatever the old one may still say is not heard.
 
         Failure prevented: versions are numbered otherwise there, and a watch that goes on from the old
@@ -228,7 +228,7 @@
         first = wait / 1000 + ANSWER_TIME
         call.ask(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", first)
 
-    def watched(self, call: Call, body: bytes | None) -> None:
+    def on_watch_answer(self, call: Call, body: bytes | None) -> None:
         listing = self.read(body)
         if listing is None:
             # Ended before the failure is told, since the module may answer it with a new watch.
@@ -250,10 +250,10 @@
     def fetch(self) -> None:
         """Asks for the whole list, unless such a call is out already."""
         if self.fetching is None:
-            self.fetching = Call(self.loop, self.address, self.fetched)
+            self.fetching = Call(self.loop, self.address, self.on_fetch_answer)
             self.fetching.ask("/v1/endpoints", FIRST_BYTE)
 
-    def fetched(self, call: Call, body: bytes | None) -> None:
+    def on_fetch_answer(self, call: Call, body: bytes | None) -> None:
         call.end()
         self.fetching = None
         self.told(self.read(body))
--- a/brackenladder/node/control_links.py
+++ b/brackenladder/node/control_links.py
@@ -102,7 +102,7 @@
             self._on_notices(message)
             return
         known = self._subscriber.view.revision
-        for answer in self._subscriber.told(self._clock(), address, message):
+        for answer in self._subscriber.receive(self._clock(), address, message):
             link.send(answer)
         if self._subscriber.view.revision > known:
             self._tell_revision(address)
@@ -125,7 +125,7 @@
             return
         log.info("link to control node {} closed: {}", address, reason)
         del self._links[address]
-        self._subscriber.lost(self._clock(), address)
+        self._subscriber.disconnected(self._clock(), address)
         self._choose_relay()
 
     def _choose_relay(self) -> None:
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -130,7 +130,7 @@
         self._tell_unreadable()
         self._links.tick()
         self._gateway.look_at_calls()
-        if starting and self._subscriber.ready_by_timeout(now) and self._informed(now):
+        if starting and self._subscriber.complete_or_timed_out(now) and self._informed(now):
             self._become_ready()
 
     def _tell_unreadable(self) -> None:
--- a/brackenladder/node/handover.py
+++ b/brackenladder/node/handover.py
@@ -10,7 +10,7 @@
 from brackenladder.membership.listing import Listing, read_listing
 from brackenladder.node.pool import Pool
 from brackenladder.operations.maintenance import Maintenance
-from brackenladder.storage.handover import HandoverError, read, write
+from brackenladder.storage.handover import HandoverError, read_handover, write_handover
 
 EVERY = 1.0  # seconds between two writes
 MOST_SERVERS = 1000  # a longer list would hold up the loop: discovery tells the successor instead
@@ -37,7 +37,7 @@
     def look(self) -> Listing | None:
         """Reads what a predecessor has left; its list, if there is a fresh one."""
         try:
-            table = read(self.folder, time_ns() // 1000)
+            table = read_handover(self.folder, time_ns() // 1000)
             return read_listing(table, ListKind.CACHED) if table is not None else None
         except (HandoverError, ValueError) as e:
             self.log(f"not taken over: {e}")
@@ -53,7 +53,7 @@
         version = self.pool.source.version
         if version is not None and lines and len(lines) <= MOST_SERVERS:
             try:
-                write(self.folder, time_ns() // 1000, version, lines)
+                write_handover(self.folder, time_ns() // 1000, version, lines)
             except HandoverError as e:
                 self.log(str(e))
         self.timer = self.loop.call_later(EVERY, self.leave)
--- a/brackenladder/node/http.py
+++ b/brackenladder/node/http.py
@@ -8,7 +8,7 @@
 from brackenladder.core.call import Messenger
 from brackenladder.core.clock import Clock
 from brackenladder.core.ending import handover
-from brackenladder.discovery.sources import Agent, Asked
+from brackenladder.discovery.sources import AgentDiscovery, PolledDiscovery
 from brackenladder.http.callers import Callers
 from brackenladder.http.front import HttpFront
 from brackenladder.http.upstream import HttpUpstream
@@ -31,7 +31,7 @@
         config.inline_reports,
         clock.now,
     )
-    source = Asked if settings.list_on_request else Agent
+    source = PolledDiscovery if settings.list_on_request else AgentDiscovery
     return Pool(
         settings,
         config.seed,
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -17,7 +17,7 @@
 from brackenladder.cluster.wire import MAGIC
 from brackenladder.node.config import Address
 from brackenladder.node.operator import MembersTable, OperatorError
-from brackenladder.peers.datagrams import Peers
+from brackenladder.peers.datagrams import PeerDatagrams
 
 MOST_KEYS = 2  # while one is changed for the other
 KEY_BYTES = (16, 64)
@@ -49,7 +49,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         table: MembersTable,
-        peers: Peers,
+        peers: PeerDatagrams,
         number: int,
         fall_time: int,
         shared: Callable[[int], None],
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -11,7 +11,7 @@
 from brackenladder.node.http import http_front, http_pool
 from brackenladder.node.listener import Listener
 from brackenladder.node.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
-from brackenladder.peers.datagrams import Peers
+from brackenladder.peers.datagrams import PeerDatagrams
 
 if TYPE_CHECKING:
     from brackenladder.node.control import Control
@@ -46,7 +46,7 @@
         # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
         self.strays = Log(config.name, STRAYS_A_SECOND)
         self.clock = Clock()
-        self.peers = Peers(config.peers, config.peers_all, self.heard, self.strays.line)
+        self.peers = PeerDatagrams(config.peers, config.peers_all, self.heard, self.strays.line)
         rpc = operator.rpc if operator is not None else None
         if rpc is not None:
             from brackenladder.node.rpc import without
@@ -102,11 +102,11 @@
 
     def add_recovery(self, table: RecoveryTable, state: StateTable | None) -> None:
         from brackenladder.node.recovery import Recovery
-        from brackenladder.storage.store import Owner, Store
+        from brackenladder.storage.state_store import StateOwner, StateStore
 
         assert self.control is not None and self.members is not None
-        owner = Owner(self.config.name, self.config.settings.tier, tuple(self.config.classes))
-        store = Store(state.folder, owner, self.log.line) if state is not None else None
+        owner = StateOwner(self.config.name, self.config.settings.tier, tuple(self.config.classes))
+        store = StateStore(state.folder, owner, self.log.line) if state is not None else None
         alone = table.alone == "serve"
         self.recovery = Recovery(self.loop, self.control.pools, self.members, store, alone, self.log.line)
         self.control.recovery = self.recovery.shown
@@ -131,7 +131,7 @@
         self.handover = Handover(self.loop, self.http, maintenance, folder, self.log.line)
         listing = self.handover.look()
         if listing is not None:
-            self.http.source.begin_with(listing)
+            self.http.source.set_initial_listing(listing)
 
     def add_rpc(self, table: RpcTable) -> None:
         from brackenladder.node.rpc import rpc_front, rpc_pool
@@ -209,11 +209,11 @@
         if left:
             self.log.line(f"reload: needs a restart: {', '.join(left)}")
         if config.discovery != old.discovery:
-            self.http.source.move(config.discovery)
+            self.http.source.change_address(config.discovery)
         if self.members is not None:
             self.members.renamed(list(config.peers))
             self.members.rekey()
-        self.peers.rename(config.peers, config.peers_all)
+        self.peers.set_addresses(config.peers, config.peers_all)
         self.log.line(f"reload: discovery {config.discovery[0]}:{config.discovery[1]}")
 
     def reload_operator(self, old: Operator, new: Operator) -> list[str]:
@@ -230,7 +230,7 @@
 
             self.operator = moved(old, new.rpc.discovery)
             address = read_address(new.rpc.discovery, "rpc.discovery")
-            self.pools["rpc"].source.move(address)
+            self.pools["rpc"].source.change_address(address)
             self.log.line(f"reload: rpc.discovery {address[0]}:{address[1]}")
         return left
 
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -34,10 +34,10 @@
     def start(self) -> None:
         """The pool runs: from now on it is told of lists."""
 
-    def begin_with(self, listing: Listing) -> None:
+    def set_initial_listing(self, listing: Listing) -> None:
         """A list that is newer than the one it would begin with. Before `start` only."""
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Asks at another address from now on."""
 
     def close(self) -> None:
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -17,7 +17,7 @@
 from brackenladder.recovery.asking import Asking, Phase
 from brackenladder.recovery.fetch import Fetch, piece_of
 from brackenladder.recovery.generation import Generation, Known, Stand, stand
-from brackenladder.storage.store import Kept, Store
+from brackenladder.storage.state_store import SavedState, StateStore
 
 EVERY = 0.05  # seconds between two looks
 GREET = 500_000  # microseconds between two rounds of asking who is there...
@@ -33,7 +33,7 @@
         loop: asyncio.AbstractEventLoop,
         pools: Pools,
         members: Members,
-        store: Store | None,
+        store: StateStore | None,
         alone: bool,
         log: Callable[[str], None],
     ) -> None:
@@ -51,7 +51,7 @@
         self.asking = Asking(members.now(), len(members.detector.view) - 1, alone)
         self.timer: asyncio.TimerHandle | None = None
         self.writing: asyncio.Future[bool] | None = None
-        self.unwritten: Kept | None = None
+        self.unwritten: SavedState | None = None
         self.greet_at = 0
         pools.changed = self.applied
         members.detector.extra = self.said
@@ -136,7 +136,7 @@
         if self.store is None:
             return
         mine = self.mine
-        kept = Kept(mine.counter, mine.digest, canonical(self.pools.state).decode(), time())
+        kept = SavedState(mine.counter, mine.digest, canonical(self.pools.state).decode(), time())
         if self.writing is not None and not self.writing.done():
             self.unwritten = kept
             return
--- a/brackenladder/node/replica_store.py
+++ b/brackenladder/node/replica_store.py
@@ -14,7 +14,7 @@
 from brackenladder.control_plane.threads import in_daemon_thread
 from brackenladder.node.role_runner import RoleError
 from brackenladder.storage.log_store import StoreCorrupt, StoreError, StoreFailed, StoreFull, StoreInUse
-from brackenladder.storage.set_aside import set_aside, was_set_aside
+from brackenladder.storage.quarantine import has_quarantined_store, quarantine_store
 from brackenladder.storage.sqlite_file import sync_to_disk
 from brackenladder.storage.sqlite_log import SqliteLogStore, open_store
 
@@ -84,7 +84,7 @@
         if self._set_aside >= MOST_SET_ASIDE:
             raise RoleError(f"{error}; {self._set_aside} stores were set aside before it")
         try:
-            name = set_aside(self._folder)
+            name = quarantine_store(self._folder)
         except OSError as fault:
             return Failure(StoreFailed(f"{self._folder}: can't set the store aside: {fault.strerror}"))
         self._corrupt_tries = 0
@@ -95,7 +95,7 @@
     def _open(self) -> Opened:
         try:
             _make_folder(self._folder)
-            succeeds_damaged = was_set_aside(self._folder)
+            succeeds_damaged = has_quarantined_store(self._folder)
         except OSError as error:
             return Failure(StoreFailed(f"{self._folder}: {error.strerror}"))
         opened = open_store(self._folder, lambda: self._new_replica_id(succeeds_damaged))
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 from brackenladder.core.clock import Clock
-from brackenladder.discovery.sources import Asked, Fixed
+from brackenladder.discovery.sources import FixedList, PolledDiscovery
 from brackenladder.interface import State
 from brackenladder.membership.listing import Line
 from brackenladder.node.config import RESERVED_SOCKETS, Config, ConfigError, read_address
@@ -44,9 +44,9 @@
 
     def source(told: Told) -> Source:
         if table.discovery is None:
-            return Fixed([fixed(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], told)
+            return FixedList([fixed(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], told)
         address = read_address(table.discovery, "rpc.discovery")
-        return Asked(loop, address, None, settings.instances, told, strays.line)
+        return PolledDiscovery(loop, address, None, settings.instances, told, strays.line)
 
     return Pool(
         settings,
--- a/brackenladder/peers/datagrams.py
+++ b/brackenladder/peers/datagrams.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-LARGEST = 256  # bytes in one message
+MAX_MESSAGE_BYTES = 256  # bytes in one message
 
 Address = tuple[str, int]
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends to the tier's nodes by number and hands on what comes from them."""
 
     def __init__(
@@ -21,12 +21,12 @@
         heard: Callable[[int, bytes], None],
         log: Callable[[str], None],
     ) -> None:
-        self.rename(peers, to_all)
+        self.set_addresses(peers, to_all)
         self.heard = heard
         self.log = log
         self.transport: asyncio.DatagramTransport | None = None
 
-    def rename(self, peers: Sequence[Address], to_all: Address | None) -> None:
+    def set_addresses(self, peers: Sequence[Address], to_all: Address | None) -> None:
         """Sets the addresses of the tier's nodes, by number."""
         self.peers = peers
         self.numbers = {address: number for number, address in enumerate(peers)}
@@ -38,7 +38,7 @@
     def tell(self, peer: int, data: bytes) -> None:
         """Sends a message to one peer, or to all (-1). A longer one than the network takes is not sent."""
         address = self.to_all if peer < 0 else self.peers[peer] if peer < len(self.peers) else None
-        if self.transport is None or address is None or len(data) > LARGEST:
+        if self.transport is None or address is None or len(data) > MAX_MESSAGE_BYTES:
             self.log(f"message of {len(data)} bytes to peer {peer} not sent")
             return
         self.transport.sendto(data, address)
@@ -50,7 +50,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         number = self.numbers.get((addr[0], addr[1]))
-        if number is None or len(data) > LARGEST:
+        if number is None or len(data) > MAX_MESSAGE_BYTES:
             self.log("stray or oversized datagram dropped")
             return
         self.heard(number, data)
--- a/brackenladder/registry/directory.py
+++ b/brackenladder/registry/directory.py
@@ -9,10 +9,10 @@
 
 from brackenladder.registry.gateways import GatewayRecord, GatewayState
 
-MOST_ADDRESSES = 64  # of one answer
+MAX_ADDRESSES = 64  # of one answer
 
 
-class Reach(Enum):
+class Proximity(Enum):
     """How far from a client the gateways of an answer are."""
 
     ZONE = "its zone"
@@ -21,11 +21,11 @@
     NOWHERE = "none"  # there is no gateway to be named
 
 
-NEAR_REACHES = (Reach.ZONE, Reach.REGION)  # gateways of the client's own region
+OWN_REGION = (Proximity.ZONE, Proximity.REGION)  # gateways of the client's own region
 
 
 @frozen
-class ClientPlace:
+class ClientLocation:
     """Where a client is, and the host that it wants to reach."""
 
     host: str
@@ -34,32 +34,32 @@
 
 
 @frozen
-class Offer:
+class ResolvedGateways:
     """The gateways that a client gets, by their front addresses."""
 
     addresses: tuple[str, ...] = ()
-    reach: Reach = Reach.NOWHERE
+    proximity: Proximity = Proximity.NOWHERE
     regions: frozenset[str] = frozenset()  # of these gateways
 
     @property
-    def near(self) -> bool:
+    def in_client_region(self) -> bool:
         """Whether they are of the client's own region."""
-        return self.reach in NEAR_REACHES
+        return self.proximity in OWN_REGION
 
 
-NO_OFFER = Offer()
+NO_GATEWAYS = ResolvedGateways()
 
 
-Permitted = Callable[[str], bool]
+RegionFilter = Callable[[str], bool]
 
 
 def resolve(
     gateways: Iterable[GatewayRecord],
-    client: ClientPlace,
-    permitted: Permitted,
-    limit: int = MOST_ADDRESSES,
+    client: ClientLocation,
+    permitted: RegionFilter,
+    limit: int = MAX_ADDRESSES,
     offset: int = 0,
-) -> Offer:
+) -> ResolvedGateways:
     """Return the front addresses for a client.
 
     They are the ready ones of its zone if there are any, else those of its region, else those of the regions
@@ -67,23 +67,23 @@
     `offset` turns the list, so that callers who vary it spread their clients over all.
     """
     ready = [gateway for gateway in gateways if gateway.state is GatewayState.READY]
-    reach, chosen = _nearest(ready, client, permitted)
+    proximity, chosen = _nearest(ready, client, permitted)
     regions = {gateway.front_address: gateway.region for gateway in chosen}
     addresses = sorted(regions)
     if len(addresses) > limit:
         start = offset % len(addresses)
         addresses = (addresses[start:] + addresses[:start])[:limit]
-    return Offer(tuple(addresses), reach, frozenset(regions[address] for address in addresses))
+    return ResolvedGateways(tuple(addresses), proximity, frozenset(regions[address] for address in addresses))
 
 
 def _nearest(
-    ready: list[GatewayRecord], client: ClientPlace, permitted: Permitted
-) -> tuple[Reach, list[GatewayRecord]]:
+    ready: list[GatewayRecord], client: ClientLocation, permitted: RegionFilter
+) -> tuple[Proximity, list[GatewayRecord]]:
     in_region = [gateway for gateway in ready if gateway.region == client.region]
     in_zone = [gateway for gateway in in_region if gateway.zone == client.zone]
     if in_zone:
-        return Reach.ZONE, in_zone
+        return Proximity.ZONE, in_zone
     if in_region:
-        return Reach.REGION, in_region
+        return Proximity.REGION, in_region
     elsewhere = [gateway for gateway in ready if permitted(gateway.region)]
-    return (Reach.ELSEWHERE, elsewhere) if elsewhere else (Reach.NOWHERE, [])
+    return (Proximity.ELSEWHERE, elsewhere) if elsewhere else (Proximity.NOWHERE, [])
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -31,7 +31,7 @@
     expired_seq: int = NO_SEQ  # silent after this seq
     deregistered: bool = False
     gone_at: int = NEVER  # when this node learned of its end
-    doubted_at: int = NEVER  # the `heard_at` after which peers were asked whether they have heard it since
+    suspected_at: int = NEVER  # the `heard_at` after which peers were asked whether they have heard it since
     version: int = 0  # of the registry, at the last change that is worth telling
 
     @property
@@ -47,9 +47,9 @@
         return self.expired_seq != NO_SEQ and self.expired_seq >= max(self.stated_seq, self.heard_seq)
 
     @property
-    def doubted(self) -> bool:
+    def suspected(self) -> bool:
         """Whether peers were asked about the server since it was last heard."""
-        return self.doubted_at == self.heard_at and not self.gone
+        return self.suspected_at == self.heard_at and not self.gone
 
     @property
     def known(self) -> bool:
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -7,14 +7,14 @@
 
 from attrs import define, frozen
 
-OFFER_SILENCE = 2_500_000  # microseconds without a word after which a gateway is not offered to clients
+OFFER_TIMEOUT = 2_500_000  # microseconds without a word after which a gateway is not offered to clients
 # The same for one that has a link to this node: links that have nothing else to say send pings.
-OWN_SILENCE = 1_100_000
-SAME_WORD = 1_000_000  # microseconds by which peers' word of a gateway is newer only because it goes round
-COUNT_WINDOW = 20_000_000  # microseconds in which a gateway that was heard counts as living
+LINKED_OFFER_TIMEOUT = 1_100_000
+RELAY_DELAY = 1_000_000  # microseconds by which peers' word of a gateway is newer only because it goes round
+LIVENESS_WINDOW = 20_000_000  # microseconds in which a gateway that was heard counts as living
 # Silence of a known process after which another one of its node takes its place, whatever the incarnation:
 # the time of day may have been stepped back between their starts.
-SUCCESSION_SILENCE = 1_500_000
+SUCCESSION_TIMEOUT = 1_500_000
 SETTLE_TIME = 1_500_000  # microseconds in which every gateway has found a control node that just started
 
 
@@ -30,7 +30,7 @@
 class GatewayRecord:
     """One gateway. Of two records of a node the one with the higher (`incarnation`, `seq`) holds.
 
-    Of two incarnations heard more than `SUCCESSION_SILENCE` apart the one that was heard last holds.
+    Of two incarnations heard more than `SUCCESSION_TIMEOUT` apart the one that was heard last holds.
     """
 
     node: str
@@ -59,9 +59,9 @@
     def offered(self, now: int) -> bool:
         """Whether clients may be sent to it."""
         here = self.heard_here_at
-        silence = OFFER_SILENCE
-        if here is not None and self.heard_at - here < SAME_WORD:
-            silence = OWN_SILENCE
+        silence = OFFER_TIMEOUT
+        if here is not None and self.heard_at - here < RELAY_DELAY:
+            silence = LINKED_OFFER_TIMEOUT
         return self.gateway.state is GatewayState.READY and now - self.heard_at < silence
 
 
@@ -75,7 +75,7 @@
         self._local_changes: dict[str, None] = {}
         self._local_heard: dict[str, None] = {}
 
-    def presence(self, now: int, gateway: GatewayRecord, tell_peers: bool = True) -> bool:
+    def record_presence(self, now: int, gateway: GatewayRecord, tell_peers: bool = True) -> bool:
         """Take a gateway's own word; True if it changes what clients or peers are told.
 
         `tell_peers`: peers are also told of a word that changes nothing, as evidence that the gateway lives.
@@ -92,7 +92,7 @@
             self._local_heard[gateway.node] = None
         return changed
 
-    def linked(self, node: str, heard_at: int) -> None:
+    def record_link_activity(self, node: str, heard_at: int) -> None:
         """A gateway's link brought something at that time, if only a ping."""
         known = self._known.get(node)
         if known is not None and known.heard_here_at is not None:
@@ -123,25 +123,25 @@
             return True
         return self._first_heard_at is not None and now - self._first_heard_at >= SETTLE_TIME
 
-    def living(self, now: int) -> int:
-        """How many distinct gateways were heard within `COUNT_WINDOW`, in whatever state."""
-        return sum(now - known.heard_at < COUNT_WINDOW for known in self._known.values())
+    def count_living(self, now: int) -> int:
+        """How many distinct gateways were heard within `LIVENESS_WINDOW`, in whatever state."""
+        return sum(now - known.heard_at < LIVENESS_WINDOW for known in self._known.values())
 
-    def heard(self, now: int) -> tuple[HeardGateway, ...]:
+    def list_living(self, now: int) -> tuple[HeardGateway, ...]:
         """All living gateways, for a peer."""
         return tuple(
             HeardGateway(known.gateway, max(0, now - known.heard_at))
             for known in self._known.values()
-            if now - known.heard_at < COUNT_WINDOW
+            if now - known.heard_at < LIVENESS_WINDOW
         )
 
-    def forget(self, now: int) -> None:
+    def remove_expired(self, now: int) -> None:
         """Drop the gateways that count no more."""
-        old = [node for node, known in self._known.items() if now - known.heard_at >= COUNT_WINDOW]
+        old = [node for node, known in self._known.items() if now - known.heard_at >= LIVENESS_WINDOW]
         for node in old:
             del self._known[node]
 
-    def resumed(self, now: int, gap: int) -> None:
+    def compensate_pause(self, now: int, gap: int) -> None:
         """This node stood still for `gap` microseconds: what it missed is not held against the gateways."""
         for known in self._known.values():
             known.heard_at = min(now, known.heard_at + gap)
@@ -152,7 +152,7 @@
         """Gateways whose own word changed something since the last call."""
         return self._take(now, self._local_changes)
 
-    def take_local_heard(self, now: int) -> tuple[HeardGateway, ...]:
+    def take_local_presences(self, now: int) -> tuple[HeardGateway, ...]:
         """Gateways that this node heard itself since the last call."""
         return self._take(now, self._local_heard)
 
@@ -176,7 +176,7 @@
 
 def _succeeds(told: GatewayRecord, known: GatewayRecord, later: int) -> bool:
     """Whether a record takes a known one's place; it was heard `later` microseconds after that."""
-    if told.incarnation != known.incarnation and abs(later) >= SUCCESSION_SILENCE:
+    if told.incarnation != known.incarnation and abs(later) >= SUCCESSION_TIMEOUT:
         return later > 0
     return _rank(told) >= _rank(known)
 
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -17,16 +17,16 @@
 TOMBSTONE_LIFETIME = 300_000_000  # microseconds that the end of a server is remembered
 SETTLE_TIME = 2_000_000  # microseconds with all evidence at hand before silence counts again
 END_SLACK = 300_000  # microseconds after its announced end at which a server that is silent counts as gone
-DOUBT_LEAD = 800_000  # microseconds before a silence ends a server at which peers are asked about it
+SUSPECT_LEAD = 800_000  # microseconds before a silence ends a server at which peers are asked about it
 FOREVER = 1 << 62  # a silence that never ends a server
 
 
 @frozen
-class LocalNews:
+class LocalUpdates:
     """Ids that this node has news of by itself, for its peers."""
 
     changed: tuple[str, ...]
-    heard: tuple[str, ...]  # heartbeats that changed nothing
+    heartbeats: tuple[str, ...]  # heartbeats that changed nothing
 
 
 class ServerRegistry:
@@ -39,7 +39,7 @@
         self._trusted_since: int | None = None
         self._settled = False
         self._end_check_at = FOREVER  # no server ends before
-        self._doubt_check_at = FOREVER  # no server is doubted before
+        self._suspect_check_at = FOREVER  # no server is suspected before
         self._forget_check_at = FOREVER  # nothing is forgotten before
         self._forgotten_version = 0
         self._local_changes: dict[str, None] = {}
@@ -80,7 +80,7 @@
         changed = [entry for record in records if (entry := self._merge(now, record, ages.get(record.id, 0)))]
         return tuple(entry.record(now) for entry in changed if entry.known)
 
-    def heard(self, now: int, heard: Iterable[HeardServer]) -> tuple[str, ...]:
+    def merge_heartbeats(self, now: int, heard: Iterable[HeardServer]) -> tuple[str, ...]:
         """Take heartbeats that another node heard; return the ids whose statement is not known here."""
         return tuple(one.id for one in heard if not self._hear(now, one))
 
@@ -98,19 +98,19 @@
         self._forget(now)
         return tuple(entry.record(now) for entry in ended)
 
-    def take_doubted(self, now: int) -> tuple[str, ...]:
+    def take_suspects(self, now: int) -> tuple[str, ...]:
         """The servers that are about to end by silence, each once: a peer may hear them over others."""
-        if now < self._doubt_check_at:
+        if now < self._suspect_check_at:
             return ()
-        doubted = [entry for entry in self._entries.values() if now > self._doubted_after(entry)]
-        for entry in doubted:
-            entry.doubted_at = entry.heard_at
-        self._doubt_check_at = min(map(self._doubted_after, self._entries.values()), default=FOREVER)
-        if any(entry.doubted for entry in self._entries.values()):
-            self._doubt_check_at = min(self._doubt_check_at, now + DOUBT_LEAD)
-        return tuple(entry.id for entry in doubted)
-
-    def resumed(self, now: int, gap: int) -> None:
+        suspects = [entry for entry in self._entries.values() if now > self._suspect_after(entry)]
+        for entry in suspects:
+            entry.suspected_at = entry.heard_at
+        self._suspect_check_at = min(map(self._suspect_after, self._entries.values()), default=FOREVER)
+        if any(entry.suspected for entry in self._entries.values()):
+            self._suspect_check_at = min(self._suspect_check_at, now + SUSPECT_LEAD)
+        return tuple(entry.id for entry in suspects)
+
+    def compensate_pause(self, now: int, gap: int) -> None:
         """This node stood still for `gap` microseconds: what it missed is not held against the servers."""
         for entry in self._entries.values():
             entry.heard_at = min(now, entry.heard_at + gap)
@@ -152,7 +152,7 @@
         entry = self._entries.get(server_id)
         return 0 if entry is None else max(0, now - entry.heard_at)
 
-    def evidence(self, now: int, server_id: str) -> HeardServer | None:
+    def latest_heartbeat(self, now: int, server_id: str) -> HeardServer | None:
         """The newest heartbeat of a server, as peers are told of it."""
         entry = self._entries.get(server_id)
         if entry is None or entry.statement is None:
@@ -171,7 +171,7 @@
                 changed.append(entry.record(now))
         return tuple(changed)
 
-    def superseding(self, now: int, records: Iterable[ServerRecord]) -> tuple[ServerRecord, ...]:
+    def newer_records(self, now: int, records: Iterable[ServerRecord]) -> tuple[ServerRecord, ...]:
         """Of servers that another node told of, the ones of which something newer is known here."""
         entries = ((self._entries.get(record.id), record) for record in records)
         return tuple(
@@ -180,11 +180,11 @@
             if entry is not None and entry.known and _supersedes(entry, record)
         )
 
-    def take_local_news(self) -> LocalNews:
+    def take_local_updates(self) -> LocalUpdates:
         """What this node learned by itself since the last call."""
-        news = LocalNews(
+        news = LocalUpdates(
             changed=tuple(self._local_changes),
-            heard=tuple(one for one in self._local_heard if one not in self._local_changes),
+            heartbeats=tuple(one for one in self._local_heard if one not in self._local_changes),
         )
         self._local_changes.clear()
         self._local_heard.clear()
@@ -203,7 +203,7 @@
         entry.version = self.version
         self._entries[entry.id] = entry
         self._end_check_at = min(self._end_check_at, self._ends_after(entry, settled=True))
-        self._doubt_check_at = min(self._doubt_check_at, self._doubted_after(entry))
+        self._suspect_check_at = min(self._suspect_check_at, self._suspect_after(entry))
         self._forget_check_at = min(self._forget_check_at, _forgotten_after(entry))
 
     def _changed_here(self, entry: ServerEntry) -> None:
@@ -265,11 +265,11 @@
             return silent
         return min(silent, entry.ends_at + END_SLACK)
 
-    def _doubted_after(self, entry: ServerEntry) -> int:
+    def _suspect_after(self, entry: ServerEntry) -> int:
         """The moment after which peers are asked about a server if nobody hears it."""
-        if entry.statement is None or entry.gone or entry.doubted:
+        if entry.statement is None or entry.gone or entry.suspected:
             return FOREVER
-        return entry.heard_at + self._silence - DOUBT_LEAD
+        return entry.heard_at + self._silence - SUSPECT_LEAD
 
     def _forget(self, now: int) -> None:
         if now < self._forget_check_at:
--- a/brackenladder/registry/recall.py
+++ b/brackenladder/registry/remembered_servers.py
@@ -32,7 +32,7 @@
     cold_for: int = 0  # microseconds that it stays cold
 
 
-def verified(server: RememberedServer, answer: HealthAnswer) -> ServerRecord | None:
+def verify(server: RememberedServer, answer: HealthAnswer) -> ServerRecord | None:
     """The record of a server that is there and warm; None if its heartbeat has to be waited for.
 
     Failure prevented: a cold server is named to gateways that do not know yet how many they are, and the sum
@@ -43,13 +43,13 @@
     return evolve(server.record, cold_for=0)
 
 
-class ServerMemory:
+class ServerListTracker:
     """Decides which servers are worth remembering, and knows which are in the list written last."""
 
     def __init__(self) -> None:
         self._written: frozenset[tuple[str, str]] = frozenset()  # ids and addresses
 
-    def lasting(
+    def select(
         self, servers: Iterable[ServerRecord], health_paths: Mapping[str, str]
     ) -> tuple[RememberedServer, ...]:
         """Those to remember; cold ones, and those that drain or end soon, are left out.
@@ -66,7 +66,7 @@
         """Whether the list written last has others."""
         return _names(servers) != self._written
 
-    def written(self, servers: Iterable[RememberedServer]) -> None:
+    def mark_written(self, servers: Iterable[RememberedServer]) -> None:
         """The list is being written."""
         self._written = _names(servers)
 
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -13,7 +13,7 @@
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process, VirtualEventLoop
 from brackenladder.storage.log_store import StoreError, StoreFull
 from brackenladder.storage.memory_log import MemoryLogStore
-from brackenladder.storage.writer import Done
+from brackenladder.storage.writer import WriteCallback
 
 SYNC_TIME = 2_000  # microseconds
 HANG_LOOK = 20_000  # microseconds between two looks whether a hanging disk answers again
@@ -54,7 +54,7 @@
 @frozen
 class _Pending:
     write: Write
-    done: Done
+    done: WriteCallback
 
 
 class SimulatedWriter:
@@ -67,7 +67,7 @@
         self._under_way: tuple[_Pending, ...] = ()
         self._lost = False
 
-    def submit(self, write: Write, done: Done) -> None:
+    def submit(self, write: Write, done: WriteCallback) -> None:
         """See `StoreWriter.submit`."""
         self._queue.append(_Pending(write, done))
         self._begin()
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -21,8 +21,8 @@
 from brackenladder.prefix_cache.messages import PrefixNotices
 from brackenladder.prefix_cache.relay_choice import RelayChoice
 from brackenladder.registry.gateways import GatewayState
-from brackenladder.registry.recall import HealthAnswer, RememberedServer
 from brackenladder.registry.records import ServerState
+from brackenladder.registry.remembered_servers import HealthAnswer, RememberedServer
 from brackenladder.simulation.disk import Disk, SimulatedRestartFile, SimulatedWriter
 from brackenladder.simulation.documents import order_of
 from brackenladder.simulation.network import SimulatedNetwork
@@ -294,7 +294,7 @@
         now = self._loop.microseconds
         self.subscriber.tick(now)
         self._links.tick()
-        if not self.ready and self.subscriber.ready_by_timeout(now):
+        if not self.ready and self.subscriber.complete_or_timed_out(now):
             self.ready = True
             self._presence.set_state(GatewayState.READY)
 
--- a/brackenladder/simulation/mutants/snapshots.py
+++ b/brackenladder/simulation/mutants/snapshots.py
@@ -28,14 +28,14 @@
 
 
 def _older_revision_taken() -> Fault:
-    catalog = Subscriber._catalog
+    catalog = Subscriber._handle_catalog
 
     def forgetful(self: Subscriber, now: int, source: Any, message: Any) -> Any:
         if message.revision < self.view.revision and message.document:
             self.view.revision = self._reader._revision = 0
         return catalog(self, now, source, message)
 
-    return replaced(Subscriber, _catalog=forgetful)
+    return replaced(Subscriber, _handle_catalog=forgetful)
 
 
 SNAPSHOTS_MUTANTS = (
--- a/brackenladder/storage/whole_file.py
+++ b/brackenladder/storage/atomic_file.py
@@ -19,7 +19,7 @@
 UNFINISHED_SUFFIX = ".new"
 
 
-def write_whole(path: str, data: bytes) -> Result[None, StoreError]:
+def write_atomically(path: str, data: bytes) -> Result[None, StoreError]:
     """Replace the file durably. It may hang for as long as the disk does."""
     unfinished = path + UNFINISHED_SUFFIX
     try:
@@ -35,7 +35,7 @@
     return Success(None)
 
 
-def read_whole(path: str) -> Result[bytes, StoreError]:
+def read_checked(path: str) -> Result[bytes, StoreError]:
     """What was written; empty if there is no file."""
     try:
         with open(path, "rb") as file:
--- a/brackenladder/storage/handover.py
+++ b/brackenladder/storage/handover.py
@@ -23,7 +23,7 @@
     """The file cannot be read or written; the text is one line."""
 
 
-def write(folder: str, now: int, version: int, lines: list[Line]) -> None:
+def write_handover(folder: str, now: int, version: int, lines: list[Line]) -> None:
     """Leaves it in one step. `now`: microseconds of Unix time. A HandoverError if that cannot be done."""
     table = {"format": FORMAT, "at": now, "version": version}
     servers = [
@@ -51,7 +51,7 @@
         raise HandoverError(f"handover: {e.strerror}") from None
 
 
-def read(folder: str, now: int) -> dict[str, Any] | None:
+def read_handover(folder: str, now: int) -> dict[str, Any] | None:
     """What a predecessor has left, as an object; None if there is nothing fresh.
 
     Its list is in discovery's form, under the same names. A HandoverError for what cannot be used.
--- a/brackenladder/storage/set_aside.py
+++ b/brackenladder/storage/quarantine.py
@@ -18,12 +18,12 @@
 _MARK = ".corrupt-"
 
 
-def was_set_aside(folder: str) -> bool:
+def has_quarantined_store(folder: str) -> bool:
     """Whether a replica has ended here by damage: its node is not one that starts for the first time."""
     return bool(_numbers(folder))
 
 
-def set_aside(folder: str) -> str:
+def quarantine_store(folder: str) -> str:
     """Renames the store in `folder`, durably; returns its new name. OSError: it may be tried again."""
     numbers = _numbers(folder)
     number = max(numbers, default=0) + 1
--- a/brackenladder/storage/store.py
+++ b/brackenladder/storage/state_store.py
@@ -2,7 +2,7 @@
 
 A write goes to a temporary file, is synced, takes the older file's place, and the folder is synced: a power
 cut at any step leaves the file before it. A file names its owner, its format and its checksum; what does not
-fit is named and passed over for the other one. `Files` is the only thing that touches a disk, so that tests
+fit is named and passed over for the other one. `DiskFiles` alone touches a disk, so that tests
 can cut the power at each of its steps.
 """
 
@@ -17,11 +17,11 @@
 
 FORMAT = 1
 LARGEST = 2 << 20  # bytes of a file
-NAMES = ("state-a.json", "state-b.json")
+FILE_NAMES = ("state-a.json", "state-b.json")
 SUM = 16  # bytes of the checksum
 
 
-class Owner(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StateOwner(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Whose state it is: a folder that was exchanged, or copied from another node, is told by it."""
 
     node: str
@@ -29,7 +29,7 @@
     classes: tuple[str, ...]
 
 
-class Kept(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class SavedState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What is kept. `state`: the canonical desired state; `at`: Unix seconds, for people only."""
 
     counter: int
@@ -42,7 +42,7 @@
     """A file. `sum`: of `kept`'s bytes."""
 
     format: int
-    owner: Owner
+    owner: StateOwner
     sum: str
     kept: msgspec.Raw
 
@@ -59,7 +59,7 @@
     def sync_folder(self, folder: str) -> None: ...
 
 
-class Files:
+class DiskFiles:
     """The disk."""
 
     def read(self, path: str) -> bytes:
@@ -87,26 +87,26 @@
             os.close(number)
 
 
-class Store:
+class StateStore:
     """One node's. Nothing here raises for what a disk does: it is logged, and the node goes on without."""
 
     def __init__(
-        self, folder: str, owner: Owner, log: Callable[[str], None], files: FileSystem | None = None
+        self, folder: str, owner: StateOwner, log: Callable[[str], None], files: FileSystem | None = None
     ) -> None:
         self.folder = folder
         self.owner = owner
         self.log = log
-        self.files = files or Files()
+        self.files = files or DiskFiles()
         self.next = 0  # the file that is written next: the older one
         self.failures = 0
 
-    def load(self) -> Kept | None:
+    def load(self) -> SavedState | None:
         """What was kept last, if any of it can be used."""
-        found: list[tuple[int, int, Kept]] = []
-        for number, name in enumerate(NAMES):
+        found: list[tuple[int, int, SavedState]] = []
+        for number, name in enumerate(FILE_NAMES):
             path = os.path.join(self.folder, name)
             try:
-                kept = self.opened(self.files.read(path))
+                kept = self.decode(self.files.read(path))
                 found.append((kept.counter, number, kept))
             except FileNotFoundError:
                 continue
@@ -119,7 +119,7 @@
         self.next = 1 - newest[1]
         return newest[2]
 
-    def opened(self, data: bytes) -> Kept:
+    def decode(self, data: bytes) -> SavedState:
         """A file's content. A ValueError names what is wrong with it."""
         if len(data) > LARGEST:
             raise ValueError(f"over {LARGEST} bytes")
@@ -131,15 +131,15 @@
                 raise ValueError("damaged")
             if envelope.owner != self.owner:
                 raise ValueError(f"of node {envelope.owner.node}, tier {envelope.owner.tier}")
-            return msgspec.json.decode(envelope.kept, type=Kept)
+            return msgspec.json.decode(envelope.kept, type=SavedState)
         except (msgspec.DecodeError, RecursionError) as e:
             raise ValueError(f"not a state: {e}") from None
 
-    def save(self, kept: Kept) -> bool:
+    def save(self, kept: SavedState) -> bool:
         """Writes in place of the older file; whether it is on the disk."""
         raw = msgspec.json.encode(kept)
         envelope = Envelope(FORMAT, self.owner, blake2b(raw, digest_size=SUM).hexdigest(), msgspec.Raw(raw))
-        path = os.path.join(self.folder, NAMES[self.next])
+        path = os.path.join(self.folder, FILE_NAMES[self.next])
         try:
             self.files.write(f"{path}.new", msgspec.json.encode(envelope))
             self.files.replace(f"{path}.new", path)
--- a/brackenladder/storage/writer.py
+++ b/brackenladder/storage/writer.py
@@ -18,7 +18,7 @@
 LARGEST_BATCH = 64  # writes in one transaction
 LARGEST_BATCH_BYTES = 1 << 20  # of data, after which a transaction takes no more writes
 
-Done = Callable[[Write, Result[None, StoreError]], None]
+WriteCallback = Callable[[Write, Result[None, StoreError]], None]
 
 
 @frozen
@@ -26,7 +26,7 @@
     """A write and who is told its result."""
 
     write: Write
-    done: Done
+    done: WriteCallback
 
 
 @frozen
@@ -40,7 +40,7 @@
 class LogWriter(Protocol):
     """Makes writes durable in the order in which they are submitted."""
 
-    def submit(self, write: Write, done: Done) -> None:
+    def submit(self, write: Write, done: WriteCallback) -> None:
         """Queues a write; `done` is called in the event loop once it is durable, or was refused."""
 
     def close(self) -> None:
@@ -66,7 +66,7 @@
         self._thread = Thread(target=self._run, name="store-writer", daemon=True)
         self._thread.start()
 
-    def submit(self, write: Write, done: Done) -> None:
+    def submit(self, write: Write, done: WriteCallback) -> None:
         """Queues a write. Never blocks on the disk."""
         pending = PendingWrite(write, done)
         with self._changed:
--- a/tests/control_plane/test_directory.py
+++ b/tests/control_plane/test_directory.py
@@ -11,10 +11,10 @@
 from brackenladder.catalog.homes import HostHomes
 from brackenladder.control_plane.directory import Directory
 from brackenladder.invariants import VIOLATIONS, Invariant
-from brackenladder.registry.directory import NO_OFFER, ClientPlace
+from brackenladder.registry.directory import NO_GATEWAYS, ClientLocation
 from brackenladder.registry.gateways import GatewayRegistry, GatewayState
 
-CLIENT = ClientPlace("a.example", "east", "hall-e")
+CLIENT = ClientLocation("a.example", "east", "hall-e")
 
 
 def configuration(*homes: str) -> Configuration:
@@ -25,8 +25,8 @@
     def setUp(self) -> None:
         self.gateways = GatewayRegistry()
         self.directory = Directory(self.gateways)
-        self.gateways.presence(0, gateway("n1", zone="hall-n", region="north"))
-        self.gateways.presence(0, gateway("s1", zone="hall-s", region="south"))
+        self.gateways.record_presence(0, gateway("n1", zone="hall-n", region="north"))
+        self.gateways.record_presence(0, gateway("s1", zone="hall-s", region="south"))
 
     def nodes(self, current: bool = True) -> list[str]:
         offer = self.directory.resolve(0, CLIENT, current)
@@ -34,13 +34,13 @@
 
     def test_without_a_configuration_nobody_is_led_out_of_its_region(self) -> None:
         self.assertEqual(self.nodes(), [])
-        self.gateways.presence(0, gateway("e1", zone="hall-e", region="east"))
+        self.gateways.record_presence(0, gateway("e1", zone="hall-e", region="east"))
         self.assertEqual(self.nodes(), ["e1"])
 
     def test_homes_that_may_have_been_replaced_lead_nobody_out_of_its_region(self) -> None:
         self.directory.configured(1, configuration)
         self.assertEqual(self.nodes(), ["n1", "s1"])
-        self.assertEqual(self.directory.resolve(0, CLIENT, current=False), NO_OFFER)
+        self.assertEqual(self.directory.resolve(0, CLIENT, current=False), NO_GATEWAYS)
 
     def test_an_older_revision_changes_nothing(self) -> None:
         self.directory.configured(2, lambda: configuration("south"))
@@ -51,7 +51,7 @@
         self.directory.configured(1, lambda: configuration("south"))
         for seq, state in enumerate((GatewayState.STARTING, GatewayState.READY, GatewayState.LEAVING)):
             own = gateway("e1", seq=seq, state=state, zone="hall-e", region="east")
-            self.gateways.presence(0, own)
+            self.gateways.record_presence(0, own)
             self.assertEqual(self.nodes(), ["e1"] if state is GatewayState.READY else ["s1"])
 
     def test_a_breach_is_counted(self) -> None:
--- a/tests/control_plane/test_directory_oracle.py
+++ b/tests/control_plane/test_directory_oracle.py
@@ -12,7 +12,7 @@
 
 from brackenladder.catalog.configuration import Configuration, Route, RouteKind
 from brackenladder.control_plane.directory import Directory
-from brackenladder.registry.directory import MOST_ADDRESSES, ClientPlace
+from brackenladder.registry.directory import MAX_ADDRESSES, ClientLocation
 from brackenladder.registry.gateways import GatewayRecord, GatewayRegistry, GatewayState
 
 REGIONS = ("north", "south", "east", "west")
@@ -53,11 +53,11 @@
     ) -> None:
         registry = GatewayRegistry()
         for number, (of_region, state) in enumerate(known):
-            registry.presence(0, record(number, of_region, state))
+            registry.record_presence(0, record(number, of_region, state))
         directory = Directory(registry)
         parts = tuple(route(number, *part) for number, part in enumerate(of_hosts))
         directory.configured(1, lambda: Configuration(1, parts, ()))
-        offer = directory.resolve(0, ClientPlace(asked, region, f"hall-{region}-{zone}"), current)
+        offer = directory.resolve(0, ClientLocation(asked, region, f"hall-{region}-{zone}"), current)
 
         named = {known[int(address.removeprefix("g").split(":")[0])][0] for address in offer.addresses}
         ready = {of_region for of_region, state in known if state is GatewayState.READY}
@@ -71,15 +71,15 @@
             self.assertEqual(bool(named), bool(allowed & ready))
         else:
             self.assertEqual(named, set())
-        self.assertLessEqual(len(offer.addresses), MOST_ADDRESSES)
+        self.assertLessEqual(len(offer.addresses), MAX_ADDRESSES)
 
     def test_an_evacuation_or_a_change_of_other_routes_keeps_the_homes(self) -> None:
         registry = GatewayRegistry()
-        registry.presence(0, record(0, "north", GatewayState.READY))
-        registry.presence(0, record(1, "south", GatewayState.READY))
+        registry.record_presence(0, record(0, "north", GatewayState.READY))
+        registry.record_presence(0, record(1, "south", GatewayState.READY))
         directory = Directory(registry)
         configuration = Configuration(1, (route(0, "a.example", ("north",)),), ())
         for revision in range(1, 4):  # each evacuation is a revision of its own
             directory.configured(revision, partial(evolve, configuration, version=revision))
-            offer = directory.resolve(0, ClientPlace("a.example", "east", "hall-east-0"), True)
+            offer = directory.resolve(0, ClientLocation("a.example", "east", "hall-east-0"), True)
             self.assertEqual(offer.regions, {"north"})
--- a/tests/control_plane/test_soft_state.py
+++ b/tests/control_plane/test_soft_state.py
@@ -12,7 +12,7 @@
 from brackenladder.consensus.messages import UNKNOWN_AGE
 from brackenladder.control_plane.soft_state import IN_TOUCH_AGE, SoftState
 from brackenladder.delivery.messages import FRESH_AGE, CatalogUpdate, ServersUpdate, Subscribe
-from brackenladder.registry.directory import ClientPlace, Reach
+from brackenladder.registry.directory import ClientLocation, Proximity
 from brackenladder.registry.gateways import SETTLE_TIME, GatewayState
 
 HEARTBEAT = 1_200_000
@@ -96,7 +96,7 @@
             self.link, Subscribe("gateway-1", 1, FRONT, "hall-1", "north", GatewayState.READY, 2)
         )
         host = self.catalog.configuration.routes[0].host if self.catalog.configuration else ""
-        client = ClientPlace(host, "south", "hall-2")
-        self.assertEqual(self.state.resolve(client).reach, Reach.NOWHERE)
+        client = ClientLocation(host, "south", "hall-2")
+        self.assertEqual(self.state.resolve(client).proximity, Proximity.NOWHERE)
         self.age = 0
-        self.assertEqual(self.state.resolve(client).reach, Reach.ELSEWHERE)
+        self.assertEqual(self.state.resolve(client).proximity, Proximity.ELSEWHERE)
--- a/tests/delivery/delivery_samples.py
+++ b/tests/delivery/delivery_samples.py
@@ -44,7 +44,9 @@
         self._name = name
 
     def take(self, now: int = AT, age: int = FRESH) -> list[Any]:
-        return [one.message for one in self._publisher.take(now, age) if one.subscriber == self._name]
+        return [
+            one.message for one in self._publisher.take_messages(now, age) if one.subscriber == self._name
+        ]
 
     def acknowledge(self, *acks: Ack) -> None:
         for ack in acks:
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -76,8 +76,8 @@
             control.linked = False
             control.down.clear()
             control.up.clear()
-            self.subscriber.lost(self.now, name)
-            control.publisher.lost("gateway")
+            self.subscriber.disconnected(self.now, name)
+            control.publisher.disconnected("gateway")
 
     def restart(self, name: str) -> None:
         self.unlink(name)
@@ -101,11 +101,11 @@
         """One message and one ack of a control node's link arrive."""
         control = self.controls[name]
         if control.down:
-            replies = self.subscriber.told(self.now, name, control.down.popleft())
+            replies = self.subscriber.receive(self.now, name, control.down.popleft())
             control.up.extend(reply for reply in replies if isinstance(reply, Ack))
         elif control.up:
             control.publisher.acknowledged("gateway", control.up.popleft())
-        control.down.extend(one.message for one in control.publisher.take(self.now, FRESH))
+        control.down.extend(one.message for one in control.publisher.take_messages(self.now, FRESH))
         self.now += STEP
         self.subscriber.tick(self.now)
 
@@ -186,6 +186,6 @@
         for _ in range(50):
             scene.change("a")
         scene.link("a")
-        (catalog, _) = scene.controls["a"].publisher.take(AT, FRESH)
+        (catalog, _) = scene.controls["a"].publisher.take_messages(AT, FRESH)
         self.assertIsInstance(catalog.message, CatalogUpdate)
         self.assertEqual(catalog.message.revision, 50)
--- a/tests/delivery/test_publisher.py
+++ b/tests/delivery/test_publisher.py
@@ -74,9 +74,9 @@
     def test_the_catalog_is_held_back_while_it_may_be_an_old_one(self) -> None:
         self.publisher.set_catalog(7, b"{}", NO_ZONES)
         self.publisher.subscribed("gateway", subscribe())
-        held = self.publisher.take(AT, FRESH, tells_catalog=False)
+        held = self.publisher.take_messages(AT, FRESH, tells_catalog=False)
         self.assertEqual([type(each.message) for each in held], [ServersUpdate])
-        told = self.publisher.take(AT, FRESH, tells_catalog=True)
+        told = self.publisher.take_messages(AT, FRESH, tells_catalog=True)
         self.assertEqual([type(each.message) for each in told], [CatalogUpdate])
 
     def test_it_is_told_also_that_there_is_nothing_yet(self) -> None:
@@ -115,7 +115,7 @@
         self.publisher.set_catalog(1, b"{}", NO_ZONES)
         self.publisher.subscribed("one", subscribe())
         self.publisher.subscribed("other", subscribe())
-        deliveries = self.publisher.take(AT, FRESH)
+        deliveries = self.publisher.take_messages(AT, FRESH)
         ones = [delivery.message for delivery in deliveries if delivery.subscriber == "one"]
         others = [delivery.message for delivery in deliveries if delivery.subscriber == "other"]
         for one, other in zip(ones, others, strict=True):
@@ -191,7 +191,7 @@
         self.assertTrue(update.full)
 
     def test_a_lost_subscriber_is_told_nothing_until_it_subscribes_again(self) -> None:
-        self.publisher.lost("gateway")
+        self.publisher.disconnected("gateway")
         self.publisher.set_catalog(8, b"{8}", NO_ZONES)
         self.assertEqual(self.gateway.take(), [])
         self.publisher.subscribed("gateway", subscribe(have_revision=7))
@@ -203,7 +203,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.publisher.lost("gateway")
+        self.publisher.disconnected("gateway")
         self.publisher.subscribed("gateway", subscribe(have_revision=3, relay=False))
         self.publisher.set_catalog(3, b"{3}", NO_ZONES)
         self.acknowledge_due()
@@ -244,7 +244,7 @@
         self.assertEqual((update.document, update.evacuated), (b"", ("hall-a",)))
 
     def test_a_gateway_without_any_configuration_is_told_at_once(self) -> None:
-        self.publisher.lost("gateway")
+        self.publisher.disconnected("gateway")
         self.publisher.subscribed("gateway", subscribe(relay=False))
         (update,) = self.catalogs(AT)
         self.assertEqual(update.document, b"{7}")
--- a/tests/delivery/test_subscriber.py
+++ b/tests/delivery/test_subscriber.py
@@ -9,7 +9,6 @@
 from registry.registry_samples import SECOND, deregistered, draining, server, silent
 
 from brackenladder.delivery.gateway_count import HOLD_TIME
-from brackenladder.delivery.left_out import DISOWNED_TIME, UNTOLD_TIME
 from brackenladder.delivery.messages import (
     UNKNOWN_AGE,
     Ack,
@@ -21,6 +20,7 @@
     ServersUpdate,
     UpdateKind,
 )
+from brackenladder.delivery.omitted_servers import DISOWNED_TIME, UNTOLD_TIME
 from brackenladder.delivery.subscriber import READY_TIMEOUT, Subscriber
 from brackenladder.delivery.view import ViewChange
 from brackenladder.registry.records import ServerRecord
@@ -47,7 +47,7 @@
             self.subscriber.connected(AT, control_node)
 
     def told(self, message: object, control_node: str = "a", now: int = AT) -> tuple[object, ...]:
-        return self.subscriber.told(now, control_node, message)
+        return self.subscriber.receive(now, control_node, message)
 
 
 class CatalogTest(SubscriberTest):
@@ -175,7 +175,7 @@
         return "i-1" in self.view.servers
 
     def restart(self, control_node: str, *records: ServerRecord, now: int = AT) -> None:
-        self.subscriber.lost(now, control_node)
+        self.subscriber.disconnected(now, control_node)
         self.subscriber.connected(now, control_node)
         self.told(servers(*records, full=True), control_node, now)
 
@@ -199,14 +199,14 @@
         self.assertTrue(self.is_known(AT + UNTOLD_TIME + 1))
 
     def test_parts_of_an_update_count_together(self) -> None:
-        self.subscriber.lost(AT, "a")
+        self.subscriber.disconnected(AT, "a")
         self.subscriber.connected(AT, "a")
         self.told(servers(server("i-1"), full=True, last=False), "a")
         self.told(servers(server("i-2"), full=True, first=False), "a")
         self.assertTrue(self.is_known(AT + UNTOLD_TIME + 1))
 
     def test_one_that_never_told_it_takes_longer_to_remove_it(self) -> None:
-        self.subscriber.lost(AT, "a")
+        self.subscriber.disconnected(AT, "a")
         self.told(servers(full=True), "b")
         self.assertTrue(self.is_known(AT + DISOWNED_TIME + 1))
         self.assertTrue(self.is_known(AT + UNTOLD_TIME))
@@ -214,8 +214,8 @@
 
     def test_without_any_control_node_nothing_is_removed(self) -> None:
         self.restart("a")
-        self.subscriber.lost(AT, "a")
-        self.subscriber.lost(AT, "b")
+        self.subscriber.disconnected(AT, "a")
+        self.subscriber.disconnected(AT, "b")
         self.assertTrue(self.is_known(AT + 10 * UNTOLD_TIME))
 
     def test_a_server_that_comes_back_after_its_removal_is_taken(self) -> None:
@@ -254,7 +254,7 @@
 
     def test_a_control_node_that_restarts_does_not_lower_it_at_once(self) -> None:
         self.told(GatewayCount(1, 5), "a")
-        self.subscriber.lost(AT, "a")
+        self.subscriber.disconnected(AT, "a")
         self.subscriber.connected(AT, "a")
         self.told(GatewayCount(1, 1), "a")
         self.assertEqual(self.count(AT + HOLD_TIME - 1), 5)
@@ -262,7 +262,7 @@
 
     def test_without_any_control_node_it_stays(self) -> None:
         self.told(GatewayCount(1, 5), "a")
-        self.subscriber.lost(AT, "a")
+        self.subscriber.disconnected(AT, "a")
         self.assertEqual(self.count(AT + 10 * HOLD_TIME), 5)
 
 
@@ -314,16 +314,16 @@
     def test_once_complete_it_stays_so(self) -> None:
         self.told(catalog(1))
         self.told(servers(full=True))
-        self.subscriber.lost(AT, "a")
+        self.subscriber.disconnected(AT, "a")
         self.assertTrue(self.subscriber.complete)
 
     def test_after_a_while_any_configuration_has_to_do(self) -> None:
-        self.assertFalse(self.subscriber.ready_by_timeout(AT + READY_TIMEOUT))
+        self.assertFalse(self.subscriber.complete_or_timed_out(AT + READY_TIMEOUT))
         self.told(CatalogUpdate(0, 0), now=AT)
-        self.assertFalse(self.subscriber.ready_by_timeout(AT + READY_TIMEOUT))
+        self.assertFalse(self.subscriber.complete_or_timed_out(AT + READY_TIMEOUT))
         self.told(catalog(1, age=UNKNOWN_AGE), now=AT + SECOND)
-        self.assertFalse(self.subscriber.ready_by_timeout(AT + READY_TIMEOUT))
-        self.assertTrue(self.subscriber.ready_by_timeout(AT + SECOND + READY_TIMEOUT))
+        self.assertFalse(self.subscriber.complete_or_timed_out(AT + READY_TIMEOUT))
+        self.assertTrue(self.subscriber.complete_or_timed_out(AT + SECOND + READY_TIMEOUT))
         self.assertFalse(self.subscriber.complete)
 
 
--- a/tests/endings/test_watch_ends.py
+++ b/tests/endings/test_watch_ends.py
@@ -9,7 +9,7 @@
 from crossings import Raw
 from loopback import Bench, Discovery, Server, call, play, until
 
-from brackenladder.discovery.sources import PUSH_RETRY, Agent, Asked
+from brackenladder.discovery.sources import PUSH_RETRY, AgentDiscovery, PolledDiscovery
 from brackenladder.discovery.watch import CONNECT_TIMEOUT
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.inhand import InHand
@@ -95,29 +95,29 @@
 def test_an_agent_that_was_silent_is_asked_again_before_what_it_has_counts(monkeypatch):
     """What an agent has counts as told at once, whether or not it is asked."""
     loop = Timers()
-    agent = Agent(loop, ("127.0.0.1", 1), None, 100, lambda listing: None, lambda line: None)
+    agent = AgentDiscovery(loop, ("127.0.0.1", 1), None, 100, lambda listing: None, lambda line: None)
     monkeypatch.setattr(agent, "renew", lambda call: None)
     for _ in range(50):
         agent.watch(True)
         agent.watching.silent = True
-        agent.watched(agent.watching, None)
+        agent.on_watch_answer(agent.watching, None)
     assert loop.delays and max(loop.delays) <= PUSH_RETRY
 
 
 def test_what_the_old_discovery_left_unanswered_is_not_held_against_the_new_one(monkeypatch):
     """Failure prevented: the new one's first silence is told to the module, which pauses before it asks."""
     told = []
-    asked = Asked(Timers(), ("127.0.0.1", 1), None, 100, told.append, lambda line: None)
+    asked = PolledDiscovery(Timers(), ("127.0.0.1", 1), None, 100, told.append, lambda line: None)
     monkeypatch.setattr(asked, "renew", lambda call: None)
 
     def fails_silently():
         asked.watch(True)
         asked.watching.silent = True
-        asked.watched(asked.watching, None)
+        asked.on_watch_answer(asked.watching, None)
 
     for _ in range(TRIES):
         fails_silently()
-    asked.move(("127.0.0.1", 2))
+    asked.change_address(("127.0.0.1", 2))
     for _ in range(TRIES):
         fails_silently()
         assert not told
@@ -192,7 +192,7 @@
         await until(lambda: bench.node.http.source.version == 42)
         lagging = await Discovery().start()
         lagging.say(7, True, leaving.entry("s0"), staying.entry("s1"))
-        bench.node.http.source.move(("127.0.0.1", lagging.port))
+        bench.node.http.source.change_address(("127.0.0.1", lagging.port))
         await until(lambda: bench.node.http.source.version == 7)
         client = Raw(bench.port)
         for _ in range(20):
--- a/tests/node/test_gateway_role.py
+++ b/tests/node/test_gateway_role.py
@@ -31,6 +31,6 @@
         subscriber = role._subscriber
         before = subscriber.view.configuration
         assert before is not None
-        subscriber.told(loop.microseconds, "10.0.0.9:7660", CatalogUpdate(99, 99, b'{"Version": "later"}'))
+        subscriber.receive(loop.microseconds, "10.0.0.9:7660", CatalogUpdate(99, 99, b'{"Version": "later"}'))
         await asyncio.sleep(2)
         self.assertIs(subscriber.view.configuration, before)
--- a/tests/node/test_replica_store.py
+++ b/tests/node/test_replica_store.py
@@ -114,14 +114,14 @@
         self.make()
         self.execute("DELETE FROM identity")
         faults = [OSError(5, "Input/output error")]
-        real = replica_store.set_aside
+        real = replica_store.quarantine_store
 
         def flaky(folder: str) -> str:
             if faults:
                 raise faults.pop()
             return real(folder)
 
-        with patch.object(replica_store, "set_aside", flaky):
+        with patch.object(replica_store, "quarantine_store", flaky):
             opened = await self.open()
         self.assertEqual((opened.store.identity.replica_id, faults), ("new-True", []))
 
--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenladder.storage.store import NAMES, Files, Kept, Owner, Store
+from brackenladder.storage.state_store import FILE_NAMES, DiskFiles, SavedState, StateOwner, StateStore
 
-OWNER = Owner("n1", 0, ("view",))
+OWNER = StateOwner("n1", 0, ("view",))
 
 
 class PowerCut(Exception):
     pass
 
 
-class Failing(Files):
+class Failing(DiskFiles):
     """A disk whose power goes at a step; a write that is cut leaves a part of the bytes."""
 
     def __init__(self, at: int, part: float = 0.5, error: type[Exception] = PowerCut) -> None:
@@ -49,13 +49,15 @@
         super().sync_folder(folder)
 
 
-def kept(counter: int) -> Kept:
-    return Kept(counter, f"{counter:024x}", "{}" * counter, 0.0)
+def kept(counter: int) -> SavedState:
+    return SavedState(counter, f"{counter:024x}", "{}" * counter, 0.0)
 
 
-def store(folder: Path, files: Files | None = None, owner: Owner = OWNER) -> tuple[Store, list[str]]:
+def store(
+    folder: Path, files: DiskFiles | None = None, owner: StateOwner = OWNER
+) -> tuple[StateStore, list[str]]:
     lines: list[str] = []
-    return Store(str(folder), owner, lines.append, files), lines
+    return StateStore(str(folder), owner, lines.append, files), lines
 
 
 def test_a_power_cut_at_any_step_leaves_the_state_before_or_after(tmp_path: Path) -> None:
@@ -91,10 +93,10 @@
     first, _ = store(tmp_path)
     first.save(kept(1))
     first.save(kept(2))
-    newest = tmp_path / NAMES[1]
+    newest = tmp_path / FILE_NAMES[1]
     data = newest.read_bytes()
     if how == "other node":
-        other, _ = store(tmp_path, owner=Owner("n2", 0, ("view",)))
+        other, _ = store(tmp_path, owner=StateOwner("n2", 0, ("view",)))
         other.next = 1
         other.save(kept(9))
     elif how == "a folder":
@@ -119,9 +121,9 @@
 @given(st.binary(max_size=400))
 def test_no_file_can_crash_a_start(data: bytes) -> None:
     lines: list[str] = []
-    probe = Store("/nowhere", OWNER, lines.append)
+    probe = StateStore("/nowhere", OWNER, lines.append)
     try:
-        probe.opened(data)
+        probe.decode(data)
     except ValueError:
         return
     raise AssertionError("garbage was taken for a state")
--- a/tests/registry/control_mesh.py
+++ b/tests/registry/control_mesh.py
@@ -6,7 +6,7 @@
 
 from registry.registry_samples import MS, SECOND, SILENCE
 
-from brackenladder.registry.exchange import PeerDelivery, PeerExchange
+from brackenladder.registry.exchange import PeerExchange, PeerMessage
 from brackenladder.registry.gateways import GatewayRegistry
 from brackenladder.registry.records import ServerRecord, ServerState
 from brackenladder.registry.registry import ServerRegistry
@@ -70,7 +70,7 @@
         wires, self._wires = self._wires, {}
         for (sender, receiver), messages in wires.items():
             for message in messages:
-                assert self.nodes[receiver].exchange.told(self.now, sender, message)
+                assert self.nodes[receiver].exchange.receive(self.now, sender, message)
         self.now += STEP
         for name in self.nodes:
             self.nodes[name].servers.expire(self.now, trusted=self.trusted(name))
@@ -88,10 +88,10 @@
         return not any(name in cut for cut in self.cuts)
 
     def _send(self, name: str) -> None:
-        for delivery in self.nodes[name].exchange.take(self.now):
+        for delivery in self.nodes[name].exchange.take_messages(self.now):
             self._wire(name, delivery)
 
-    def _wire(self, name: str, delivery: PeerDelivery) -> None:
+    def _wire(self, name: str, delivery: PeerMessage) -> None:
         self.sent += 1
         self._wires.setdefault((name, delivery.peer), deque()).append(delivery.message)
 
@@ -101,11 +101,11 @@
                 self._link(name, other)
 
     def _link(self, one: str, other: str) -> None:
-        self.nodes[one].exchange.connected(other)
-        self.nodes[other].exchange.connected(one)
+        self.nodes[one].exchange.peer_connected(other)
+        self.nodes[other].exchange.peer_connected(one)
 
     def _unlink(self, one: str, other: str) -> None:
-        self.nodes[one].exchange.lost(other)
-        self.nodes[other].exchange.lost(one)
+        self.nodes[one].exchange.peer_disconnected(other)
+        self.nodes[other].exchange.peer_disconnected(one)
         self._wires.pop((one, other), None)
         self._wires.pop((other, one), None)
--- a/tests/registry/test_gateway_registry.py
+++ b/tests/registry/test_gateway_registry.py
@@ -10,11 +10,11 @@
 from registry.registry_samples import SECOND, gateway
 
 from brackenladder.registry.gateways import (
-    COUNT_WINDOW,
-    OFFER_SILENCE,
-    OWN_SILENCE,
+    LINKED_OFFER_TIMEOUT,
+    LIVENESS_WINDOW,
+    OFFER_TIMEOUT,
     SETTLE_TIME,
-    SUCCESSION_SILENCE,
+    SUCCESSION_TIMEOUT,
     GatewayRecord,
     GatewayRegistry,
     GatewayState,
@@ -29,81 +29,81 @@
         self.registry = GatewayRegistry()
 
     def test_only_ready_ones_are_offered(self) -> None:
-        self.registry.presence(AT, gateway("a", state=GatewayState.STARTING))
-        self.registry.presence(AT, gateway("b", state=GatewayState.READY))
-        self.registry.presence(AT, gateway("c", state=GatewayState.LEAVING))
+        self.registry.record_presence(AT, gateway("a", state=GatewayState.STARTING))
+        self.registry.record_presence(AT, gateway("b", state=GatewayState.READY))
+        self.registry.record_presence(AT, gateway("c", state=GatewayState.LEAVING))
         self.assertEqual([one.node for one in self.registry.ready(AT)], ["b"])
 
     def test_one_that_is_silent_here_and_elsewhere_is_not_offered(self) -> None:
-        self.registry.presence(AT, gateway())
+        self.registry.record_presence(AT, gateway())
         self.registry.merge(AT + SECOND // 2, [HeardGateway(gateway(), age=SECOND // 2)])
-        self.assertEqual(len(self.registry.ready(AT + OWN_SILENCE - 1)), 1)
-        self.assertEqual(self.registry.ready(AT + OWN_SILENCE), ())
+        self.assertEqual(len(self.registry.ready(AT + LINKED_OFFER_TIMEOUT - 1)), 1)
+        self.assertEqual(self.registry.ready(AT + LINKED_OFFER_TIMEOUT), ())
 
     def test_pings_of_its_link_keep_it_offered(self) -> None:
-        self.registry.presence(AT, gateway())
-        self.registry.linked(gateway().node, AT + SECOND)
-        self.registry.linked(gateway().node, AT + SECOND // 2)
-        self.assertEqual(len(self.registry.ready(AT + SECOND + OWN_SILENCE - 1)), 1)
-        self.assertEqual(self.registry.ready(AT + SECOND + OWN_SILENCE), ())
+        self.registry.record_presence(AT, gateway())
+        self.registry.record_link_activity(gateway().node, AT + SECOND)
+        self.registry.record_link_activity(gateway().node, AT + SECOND // 2)
+        self.assertEqual(len(self.registry.ready(AT + SECOND + LINKED_OFFER_TIMEOUT - 1)), 1)
+        self.assertEqual(self.registry.ready(AT + SECOND + LINKED_OFFER_TIMEOUT), ())
 
     def test_a_word_that_changes_nothing_goes_to_peers_only_where_that_is_wanted(self) -> None:
-        self.registry.presence(AT, gateway(seq=1), tell_peers=False)
+        self.registry.record_presence(AT, gateway(seq=1), tell_peers=False)
         self.assertEqual(len(self.registry.take_local_changes(AT)), 1)
-        self.registry.presence(AT, gateway(seq=2), tell_peers=False)
-        self.assertEqual(self.registry.take_local_heard(AT), ())
-        self.registry.presence(AT, gateway(seq=3))
-        (heard,) = self.registry.take_local_heard(AT)
+        self.registry.record_presence(AT, gateway(seq=2), tell_peers=False)
+        self.assertEqual(self.registry.take_local_presences(AT), ())
+        self.registry.record_presence(AT, gateway(seq=3))
+        (heard,) = self.registry.take_local_presences(AT)
         self.assertEqual(heard.gateway.seq, 3)
 
     def test_a_change_goes_to_peers_whoever_is_nearest(self) -> None:
-        self.registry.presence(AT, gateway(seq=1, state=GatewayState.READY), tell_peers=False)
+        self.registry.record_presence(AT, gateway(seq=1, state=GatewayState.READY), tell_peers=False)
         self.registry.take_local_changes(AT)
-        self.registry.presence(AT, gateway(seq=2, state=GatewayState.LEAVING), tell_peers=False)
+        self.registry.record_presence(AT, gateway(seq=2, state=GatewayState.LEAVING), tell_peers=False)
         self.assertEqual(len(self.registry.take_local_changes(AT)), 1)
 
     def test_a_link_says_nothing_of_one_that_was_not_heard_here(self) -> None:
-        self.registry.linked(gateway().node, AT)
+        self.registry.record_link_activity(gateway().node, AT)
         self.assertEqual(self.registry.ready(AT), ())
         self.registry.merge(AT, [HeardGateway(gateway(), age=0)])
-        self.registry.linked(gateway().node, AT + 9 * SECOND)
-        self.assertEqual(self.registry.ready(AT + OFFER_SILENCE), ())
+        self.registry.record_link_activity(gateway().node, AT + 9 * SECOND)
+        self.assertEqual(self.registry.ready(AT + OFFER_TIMEOUT), ())
 
     def test_one_that_only_peers_hear_is_offered_between_their_words(self) -> None:
-        self.registry.presence(AT, gateway(seq=1))
+        self.registry.record_presence(AT, gateway(seq=1))
         self.registry.merge(AT + 3 * SECOND, [HeardGateway(gateway(seq=4), age=SECOND // 2)])
         last = AT + 3 * SECOND - SECOND // 2
-        self.assertEqual(len(self.registry.ready(last + OFFER_SILENCE - 1)), 1)
-        self.assertEqual(self.registry.ready(last + OFFER_SILENCE), ())
+        self.assertEqual(len(self.registry.ready(last + OFFER_TIMEOUT - 1)), 1)
+        self.assertEqual(self.registry.ready(last + OFFER_TIMEOUT), ())
 
     def test_a_leaving_one_is_not_offered_from_then_on(self) -> None:
-        self.registry.presence(AT, gateway(seq=1))
-        self.assertTrue(self.registry.presence(AT, gateway(seq=2, state=GatewayState.LEAVING)))
+        self.registry.record_presence(AT, gateway(seq=1))
+        self.assertTrue(self.registry.record_presence(AT, gateway(seq=2, state=GatewayState.LEAVING)))
         self.assertEqual(self.registry.ready(AT), ())
 
     def test_an_address_that_another_machine_has_now_is_its_alone(self) -> None:
         """It may be in another region, so the record of the one before would lead clients past homes."""
         address = "10.0.0.1:8144"
-        self.registry.presence(AT, evolve(gateway("a", region="north"), front_address=address))
+        self.registry.record_presence(AT, evolve(gateway("a", region="north"), front_address=address))
         for seq, state in enumerate((GatewayState.STARTING, GatewayState.READY)):
             other = evolve(gateway("b", seq, state, region="east"), front_address=address)
-            self.registry.presence(AT + SECOND // 2, other)
+            self.registry.record_presence(AT + SECOND // 2, other)
             nodes = [one.node for one in self.registry.ready(AT + SECOND // 2)]
             self.assertEqual(nodes, ["b"] if state is GatewayState.READY else [])
 
     def test_a_late_message_is_ignored(self) -> None:
-        self.registry.presence(AT, gateway(seq=2, state=GatewayState.LEAVING))
-        self.assertFalse(self.registry.presence(AT, gateway(seq=1)))
+        self.registry.record_presence(AT, gateway(seq=2, state=GatewayState.LEAVING))
+        self.assertFalse(self.registry.record_presence(AT, gateway(seq=1)))
         self.assertEqual(self.registry.ready(AT), ())
 
     def test_a_new_incarnation_starts_anew(self) -> None:
-        self.registry.presence(AT, gateway(seq=9, state=GatewayState.LEAVING))
-        self.assertTrue(self.registry.presence(AT, gateway(seq=1, incarnation=2)))
+        self.registry.record_presence(AT, gateway(seq=9, state=GatewayState.LEAVING))
+        self.assertTrue(self.registry.record_presence(AT, gateway(seq=1, incarnation=2)))
         self.assertEqual(len(self.registry.ready(AT)), 1)
 
     def test_presence_that_says_the_same_is_no_change(self) -> None:
-        self.registry.presence(AT, gateway(seq=1))
-        self.assertFalse(self.registry.presence(AT, gateway(seq=2)))
+        self.registry.record_presence(AT, gateway(seq=1))
+        self.assertFalse(self.registry.record_presence(AT, gateway(seq=2)))
 
     def test_a_peers_word_counts_from_when_it_heard(self) -> None:
         self.registry.merge(AT, [HeardGateway(gateway(), age=2 * SECOND)])
@@ -111,8 +111,8 @@
         self.assertEqual(self.registry.ready(AT + SECOND), ())
 
     def test_a_pause_is_not_held_against_gateways(self) -> None:
-        self.registry.presence(AT, gateway())
-        self.registry.resumed(AT + 10 * SECOND, gap=10 * SECOND)
+        self.registry.record_presence(AT, gateway())
+        self.registry.compensate_pause(AT + 10 * SECOND, gap=10 * SECOND)
         self.assertEqual(len(self.registry.ready(AT + 10 * SECOND)), 1)
 
 
@@ -121,21 +121,21 @@
 
     def setUp(self) -> None:
         self.registry = GatewayRegistry()
-        self.registry.presence(AT, gateway(seq=40, incarnation=9, state=GatewayState.LEAVING))
+        self.registry.record_presence(AT, gateway(seq=40, incarnation=9, state=GatewayState.LEAVING))
 
     def offered(self, now: int) -> list[int]:
         """The incarnations that clients may be sent to."""
         return [one.incarnation for one in self.registry.ready(now)]
 
     def test_its_own_word_holds_once_its_predecessor_was_silent(self) -> None:
-        silent_at = AT + SUCCESSION_SILENCE
-        self.assertFalse(self.registry.presence(silent_at - 1, gateway(seq=1, incarnation=2)))
+        silent_at = AT + SUCCESSION_TIMEOUT
+        self.assertFalse(self.registry.record_presence(silent_at - 1, gateway(seq=1, incarnation=2)))
         self.assertEqual(self.offered(silent_at - 1), [])
-        self.assertTrue(self.registry.presence(silent_at, gateway(seq=2, incarnation=2)))
+        self.assertTrue(self.registry.record_presence(silent_at, gateway(seq=2, incarnation=2)))
         self.assertEqual(self.offered(silent_at), [2])
 
     def test_peers_word_holds_once_its_predecessor_was_silent(self) -> None:
-        heard_at = AT + SUCCESSION_SILENCE
+        heard_at = AT + SUCCESSION_TIMEOUT
         now = heard_at + SECOND // 2
         early = HeardGateway(gateway(seq=1, incarnation=2), age=now - heard_at + 1)
         self.assertFalse(self.registry.merge(now, [early]))
@@ -144,30 +144,30 @@
 
     def test_what_peers_remember_of_its_predecessor_does_not_return(self) -> None:
         now = AT + 2 * SECOND
-        self.registry.presence(now, gateway(seq=1, incarnation=2))
+        self.registry.record_presence(now, gateway(seq=1, incarnation=2))
         old = gateway(seq=41, incarnation=9, state=GatewayState.LEAVING)
         self.assertFalse(self.registry.merge(now, [HeardGateway(old, age=now - AT)]))
         self.assertEqual(self.offered(now), [2])
 
     def test_nodes_that_tell_one_another_agree(self) -> None:
         other = GatewayRegistry()
-        other.merge(AT, self.registry.heard(AT))
+        other.merge(AT, self.registry.list_living(AT))
         now = AT + 2 * SECOND
-        self.registry.presence(now, gateway(seq=1, incarnation=2))
-        self.registry.merge(now, other.heard(now))
-        other.merge(now, self.registry.heard(now))
+        self.registry.record_presence(now, gateway(seq=1, incarnation=2))
+        self.registry.merge(now, other.list_living(now))
+        other.merge(now, self.registry.list_living(now))
         self.assertEqual([one.incarnation for one in other.ready(now)], [2])
         self.assertEqual(self.offered(now), [2])
 
     def test_pings_of_its_link_do_not_keep_its_predecessor(self) -> None:
-        silent_at = AT + SUCCESSION_SILENCE
-        self.registry.presence(silent_at - SECOND // 2, gateway(seq=1, incarnation=2))
-        self.registry.linked(gateway().node, silent_at - 1)
-        self.assertTrue(self.registry.presence(silent_at, gateway(seq=2, incarnation=2)))
+        silent_at = AT + SUCCESSION_TIMEOUT
+        self.registry.record_presence(silent_at - SECOND // 2, gateway(seq=1, incarnation=2))
+        self.registry.record_link_activity(gateway().node, silent_at - 1)
+        self.assertTrue(self.registry.record_presence(silent_at, gateway(seq=2, incarnation=2)))
         self.assertEqual(self.offered(silent_at), [2])
 
     def test_a_late_word_of_the_same_process_stays_late(self) -> None:
-        self.assertFalse(self.registry.presence(AT + 5 * SECOND, gateway(seq=39, incarnation=9)))
+        self.assertFalse(self.registry.record_presence(AT + 5 * SECOND, gateway(seq=39, incarnation=9)))
         self.assertEqual(self.offered(AT + 5 * SECOND), [])
 
 
@@ -176,28 +176,28 @@
         self.registry = GatewayRegistry()
 
     def test_all_states_count_for_a_while(self) -> None:
-        self.registry.presence(AT, gateway("a", state=GatewayState.STARTING))
-        self.registry.presence(AT + SECOND, gateway("b", state=GatewayState.LEAVING))
-        self.assertEqual(self.registry.living(AT + SECOND), 2)
-        self.assertEqual(self.registry.living(AT + COUNT_WINDOW), 1)
-        self.assertEqual(self.registry.living(AT + COUNT_WINDOW + SECOND), 0)
+        self.registry.record_presence(AT, gateway("a", state=GatewayState.STARTING))
+        self.registry.record_presence(AT + SECOND, gateway("b", state=GatewayState.LEAVING))
+        self.assertEqual(self.registry.count_living(AT + SECOND), 2)
+        self.assertEqual(self.registry.count_living(AT + LIVENESS_WINDOW), 1)
+        self.assertEqual(self.registry.count_living(AT + LIVENESS_WINDOW + SECOND), 0)
 
     def test_incarnations_of_one_node_count_once(self) -> None:
-        self.registry.presence(AT, gateway("a", incarnation=1))
-        self.registry.presence(AT, gateway("a", incarnation=2))
-        self.assertEqual(self.registry.living(AT), 1)
+        self.registry.record_presence(AT, gateway("a", incarnation=1))
+        self.registry.record_presence(AT, gateway("a", incarnation=2))
+        self.assertEqual(self.registry.count_living(AT), 1)
 
     def test_old_ones_are_forgotten(self) -> None:
-        self.registry.presence(AT, gateway("a"))
-        self.registry.forget(AT + COUNT_WINDOW)
-        self.assertEqual(self.registry.heard(AT), ())
+        self.registry.record_presence(AT, gateway("a"))
+        self.registry.remove_expired(AT + LIVENESS_WINDOW)
+        self.assertEqual(self.registry.list_living(AT), ())
 
 
 class SettledTest(unittest.TestCase):
     def test_a_node_that_just_started_waits_for_the_gateways(self) -> None:
         registry = GatewayRegistry()
         self.assertFalse(registry.settled(AT))
-        registry.presence(AT, gateway())
+        registry.record_presence(AT, gateway())
         self.assertFalse(registry.settled(AT + SETTLE_TIME - 1))
         self.assertTrue(registry.settled(AT + SETTLE_TIME))
 
@@ -232,4 +232,4 @@
         registry = GatewayRegistry()
         for record in records:
             registry.merge(AT, [HeardGateway(record, age=0)])
-        return {one.gateway for one in registry.heard(AT)}
+        return {one.gateway for one in registry.list_living(AT)}
--- a/tests/registry/test_peer_exchange.py
+++ b/tests/registry/test_peer_exchange.py
@@ -9,7 +9,7 @@
 from registry.control_mesh import STEP, ControlMesh, ControlNode
 from registry.registry_samples import MS, SECOND, SILENCE, draining, gateway, server
 
-from brackenladder.registry.exchange import HEARD_INTERVAL, MOST_RECORDS, SETTLE_TIME, PeerDelivery
+from brackenladder.registry.exchange import HEARTBEAT_BATCH_INTERVAL, MOST_RECORDS, SETTLE_TIME, PeerMessage
 from brackenladder.registry.gateways import HeardGateway
 from brackenladder.registry.messages import GatewaysTold, ServersHeard, ServersTold, ServersWanted
 from brackenladder.registry.records import HeardServer, ServerRecord, ServerState
@@ -19,7 +19,7 @@
 BEAT = 1200 * MS
 
 
-def messages(deliveries: tuple[PeerDelivery, ...]) -> list[object]:
+def messages(deliveries: tuple[PeerMessage, ...]) -> list[object]:
     return [delivery.message for delivery in deliveries]
 
 
@@ -29,87 +29,87 @@
     def setUp(self) -> None:
         self.node = ControlNode(AT)
         self.node.servers.heartbeat(AT, server())
-        self.node.exchange.connected("b")
-        self.first = self.node.exchange.take(AT)
+        self.node.exchange.peer_connected("b")
+        self.first = self.node.exchange.take_messages(AT)
 
     def test_a_new_peer_is_told_all(self) -> None:
         told, gateways = messages(self.first)
         self.assertEqual(told, ServersTold((server(),), (HeardServer("i-1", 1, 0, 1),)))
         self.assertEqual(gateways, GatewaysTold((), settled=False))
-        self.assertEqual(self.node.exchange.take(AT), ())
+        self.assertEqual(self.node.exchange.take_messages(AT), ())
 
     def test_a_change_is_told_at_once(self) -> None:
         self.node.servers.heartbeat(AT + MS, draining(seq=2))
-        (told,) = messages(self.node.exchange.take(AT + MS))
+        (told,) = messages(self.node.exchange.take_messages(AT + MS))
         self.assertEqual(told, ServersTold((draining(seq=2),), (HeardServer("i-1", 2, 0, 2),)))
 
     def test_heartbeats_that_change_nothing_go_in_batches(self) -> None:
         self.node.servers.heartbeat(AT + MS, server(seq=2))
-        self.assertEqual(self.node.exchange.take(AT + MS), ())
-        (told,) = messages(self.node.exchange.take(AT + HEARD_INTERVAL))
-        self.assertEqual(told, ServersHeard((HeardServer("i-1", 2, HEARD_INTERVAL - MS, 1),)))
-        self.assertEqual(self.node.exchange.take(AT + 2 * HEARD_INTERVAL), ())
+        self.assertEqual(self.node.exchange.take_messages(AT + MS), ())
+        (told,) = messages(self.node.exchange.take_messages(AT + HEARTBEAT_BATCH_INTERVAL))
+        self.assertEqual(told, ServersHeard((HeardServer("i-1", 2, HEARTBEAT_BATCH_INTERVAL - MS, 1),)))
+        self.assertEqual(self.node.exchange.take_messages(AT + 2 * HEARTBEAT_BATCH_INTERVAL), ())
 
     def test_peers_are_asked_once_before_a_server_ends(self) -> None:
         asked_at = AT + SILENCE - DOUBT_LEAD + 1
-        self.assertEqual(self.node.exchange.take(asked_at - 1), ())
-        self.assertEqual(messages(self.node.exchange.take(asked_at)), [ServersWanted(("i-1",))])
-        self.assertEqual(self.node.exchange.take(asked_at + MS), ())
-        self.node.servers.heard(asked_at + MS, [HeardServer("i-1", 2, 0, 1)])
-        self.assertEqual(self.node.exchange.take(asked_at + SECOND), ())
-        again = self.node.exchange.take(asked_at + MS + SILENCE)
+        self.assertEqual(self.node.exchange.take_messages(asked_at - 1), ())
+        self.assertEqual(messages(self.node.exchange.take_messages(asked_at)), [ServersWanted(("i-1",))])
+        self.assertEqual(self.node.exchange.take_messages(asked_at + MS), ())
+        self.node.servers.merge_heartbeats(asked_at + MS, [HeardServer("i-1", 2, 0, 1)])
+        self.assertEqual(self.node.exchange.take_messages(asked_at + SECOND), ())
+        again = self.node.exchange.take_messages(asked_at + MS + SILENCE)
         self.assertEqual(messages(again), [ServersWanted(("i-1",))])
 
     def test_what_peers_told_is_not_passed_on(self) -> None:
-        self.node.exchange.told(AT, "c", ServersTold((server("i-2"),)))
-        self.assertEqual(self.node.exchange.take(AT + SECOND), ())
+        self.node.exchange.receive(AT, "c", ServersTold((server("i-2"),)))
+        self.assertEqual(self.node.exchange.take_messages(AT + SECOND), ())
 
     def test_a_statement_that_is_not_known_is_asked_for(self) -> None:
-        self.node.exchange.told(AT, "b", ServersHeard((HeardServer("i-2", 4, 0, 1),)))
-        self.assertEqual(self.node.exchange.take(AT), (PeerDelivery("b", ServersWanted(("i-2",))),))
+        self.node.exchange.receive(AT, "b", ServersHeard((HeardServer("i-2", 4, 0, 1),)))
+        self.assertEqual(self.node.exchange.take_messages(AT), (PeerMessage("b", ServersWanted(("i-2",))),))
 
     def test_it_answers_what_it_is_asked_for(self) -> None:
-        self.node.exchange.told(AT, "b", ServersWanted(("i-1", "i-9")))
-        (told,) = messages(self.node.exchange.take(AT))
+        self.node.exchange.receive(AT, "b", ServersWanted(("i-1", "i-9")))
+        (told,) = messages(self.node.exchange.take_messages(AT))
         self.assertEqual(told, ServersTold((server(),), (HeardServer("i-1", 1, 0, 1),)))
 
     def test_a_peer_that_is_behind_is_put_right(self) -> None:
         self.node.servers.heartbeat(AT, draining(seq=5))
-        self.node.exchange.take(AT)
-        self.node.exchange.told(AT, "b", ServersTold((server(seq=2),)))
-        (told,) = messages(self.node.exchange.take(AT))
+        self.node.exchange.take_messages(AT)
+        self.node.exchange.receive(AT, "b", ServersTold((server(seq=2),)))
+        (told,) = messages(self.node.exchange.take_messages(AT))
         self.assertEqual(told.records, (draining(seq=5),))
 
     def test_nothing_is_kept_for_a_lost_peer(self) -> None:
-        self.node.exchange.told(AT, "b", ServersWanted(("i-1",)))
-        self.node.exchange.lost("b")
-        self.assertEqual(self.node.exchange.take(AT + SECOND), ())
+        self.node.exchange.receive(AT, "b", ServersWanted(("i-1",)))
+        self.node.exchange.peer_disconnected("b")
+        self.assertEqual(self.node.exchange.take_messages(AT + SECOND), ())
 
     def test_long_news_come_in_parts(self) -> None:
         node = ControlNode(AT)
         for number in range(MOST_RECORDS + 1):
             node.servers.heartbeat(AT, server(f"i-{number}"))
-        node.exchange.connected("b")
-        told = [one for one in messages(node.exchange.take(AT)) if isinstance(one, ServersTold)]
+        node.exchange.peer_connected("b")
+        told = [one for one in messages(node.exchange.take_messages(AT)) if isinstance(one, ServersTold)]
         self.assertEqual([len(one.records) for one in told], [MOST_RECORDS, 1])
 
     def test_other_messages_are_refused(self) -> None:
-        self.assertFalse(self.node.exchange.told(AT, "b", object()))
+        self.assertFalse(self.node.exchange.receive(AT, "b", object()))
 
 
 class GatewayNewsTest(unittest.TestCase):
     def setUp(self) -> None:
         self.node = ControlNode(AT)
-        self.node.exchange.connected("b")
-        self.node.exchange.take(AT)
+        self.node.exchange.peer_connected("b")
+        self.node.exchange.take_messages(AT)
 
     def test_a_change_is_told_at_once_and_the_rest_each_second(self) -> None:
-        self.node.gateways.presence(AT, gateway(seq=1))
+        self.node.gateways.record_presence(AT, gateway(seq=1))
         told = GatewaysTold((HeardGateway(gateway(seq=1), 0),))
-        self.assertEqual(messages(self.node.exchange.take(AT)), [told])
-        self.node.gateways.presence(AT, gateway(seq=2))
-        self.assertEqual(self.node.exchange.take(AT), ())
-        (batch,) = messages(self.node.exchange.take(AT + SECOND))
+        self.assertEqual(messages(self.node.exchange.take_messages(AT)), [told])
+        self.node.gateways.record_presence(AT, gateway(seq=2))
+        self.assertEqual(self.node.exchange.take_messages(AT), ())
+        (batch,) = messages(self.node.exchange.take_messages(AT + SECOND))
         self.assertEqual(batch, GatewaysTold((HeardGateway(gateway(seq=2), SECOND),)))
 
 
@@ -121,9 +121,9 @@
 
     def test_or_once_a_peer_that_knows_them_has_told_all(self) -> None:
         node = ControlNode(AT)
-        node.exchange.told(AT, "b", GatewaysTold((), settled=False))
+        node.exchange.receive(AT, "b", GatewaysTold((), settled=False))
         self.assertFalse(node.exchange.settled(AT))
-        node.exchange.told(AT, "b", GatewaysTold((), settled=True))
+        node.exchange.receive(AT, "b", GatewaysTold((), settled=True))
         self.assertTrue(node.exchange.settled(AT))
 
     def test_two_that_start_at_once_do_not_take_each_others_word(self) -> None:
--- a/tests/registry/test_resolve.py
+++ b/tests/registry/test_resolve.py
@@ -6,7 +6,14 @@
 
 from registry.registry_samples import gateway
 
-from brackenladder.registry.directory import MOST_ADDRESSES, NO_OFFER, ClientPlace, Offer, Reach, resolve
+from brackenladder.registry.directory import (
+    MAX_ADDRESSES,
+    NO_GATEWAYS,
+    ClientLocation,
+    Proximity,
+    ResolvedGateways,
+    resolve,
+)
 from brackenladder.registry.gateways import GatewayState
 
 A1 = gateway("a1", zone="hall-a", region="north")
@@ -23,11 +30,11 @@
     return False
 
 
-def client(region: str, zone: str, host: str = "a.example") -> ClientPlace:
-    return ClientPlace(host, region, zone)
+def client(region: str, zone: str, host: str = "a.example") -> ClientLocation:
+    return ClientLocation(host, region, zone)
 
 
-def nodes(offer: Offer) -> list[str]:
+def nodes(offer: ResolvedGateways) -> list[str]:
     return [address.split(":")[0] for address in offer.addresses]
 
 
@@ -50,21 +57,21 @@
         self.assertEqual((nodes(offer), offer.regions), (["c1"], {"south"}))
 
     def test_nobody_where_no_region_is_permitted(self) -> None:
-        self.assertEqual(resolve([C1, B1], client("east", "hall-x"), nowhere), NO_OFFER)
+        self.assertEqual(resolve([C1, B1], client("east", "hall-x"), nowhere), NO_GATEWAYS)
 
     def test_the_own_region_needs_no_permission(self) -> None:
         self.assertEqual(nodes(resolve([C1, B1], client("north", "hall-a"), nowhere)), ["b1"])
 
     def test_near_are_those_of_the_region(self) -> None:
-        self.assertTrue(resolve([C1, B1], client("north", "hall-b"), everywhere).near)
-        self.assertTrue(resolve([C1, B1], client("north", "hall-x"), everywhere).near)
-        self.assertFalse(resolve([C1, B1], client("east", "hall-x"), everywhere).near)
+        self.assertTrue(resolve([C1, B1], client("north", "hall-b"), everywhere).in_client_region)
+        self.assertTrue(resolve([C1, B1], client("north", "hall-x"), everywhere).in_client_region)
+        self.assertFalse(resolve([C1, B1], client("east", "hall-x"), everywhere).in_client_region)
 
     def test_how_far_they_are(self) -> None:
-        self.assertIs(resolve([C1, B1], client("north", "hall-b"), everywhere).reach, Reach.ZONE)
-        self.assertIs(resolve([C1, B1], client("north", "hall-x"), everywhere).reach, Reach.REGION)
-        self.assertIs(resolve([C1, B1], client("east", "hall-x"), everywhere).reach, Reach.ELSEWHERE)
-        self.assertIs(resolve([], client("east", "hall-x"), everywhere).reach, Reach.NOWHERE)
+        self.assertIs(resolve([C1, B1], client("north", "hall-b"), everywhere).proximity, Proximity.ZONE)
+        self.assertIs(resolve([C1, B1], client("north", "hall-x"), everywhere).proximity, Proximity.REGION)
+        self.assertIs(resolve([C1, B1], client("east", "hall-x"), everywhere).proximity, Proximity.ELSEWHERE)
+        self.assertIs(resolve([], client("east", "hall-x"), everywhere).proximity, Proximity.NOWHERE)
 
     def test_only_ready_ones(self) -> None:
         leaving = gateway("a3", state=GatewayState.LEAVING)
@@ -73,13 +80,14 @@
             nodes(resolve([leaving, starting, B1], client("north", "hall-a"), everywhere)), ["b1"]
         )
         self.assertEqual(
-            resolve([leaving, starting], client("north", "hall-a"), everywhere).addresses, NO_OFFER.addresses
+            resolve([leaving, starting], client("north", "hall-a"), everywhere).addresses,
+            NO_GATEWAYS.addresses,
         )
 
     def test_no_more_than_the_limit_and_all_in_turn(self) -> None:
         many = [gateway(f"n{number:03}") for number in range(100)]
         first = resolve(many, client("north", "hall-a"), everywhere).addresses
-        second = resolve(many, client("north", "hall-a"), everywhere, offset=MOST_ADDRESSES).addresses
-        self.assertEqual((len(first), len(second)), (MOST_ADDRESSES, MOST_ADDRESSES))
+        second = resolve(many, client("north", "hall-a"), everywhere, offset=MAX_ADDRESSES).addresses
+        self.assertEqual((len(first), len(second)), (MAX_ADDRESSES, MAX_ADDRESSES))
         self.assertEqual(len({*first, *second}), 100)
         self.assertEqual(first[0], "n000:8144")
--- a/tests/registry/test_server_merging.py
+++ b/tests/registry/test_server_merging.py
@@ -64,7 +64,7 @@
         once = merged(records)
         version = once.version
         before = shown(once)
-        refuted = [record for record in records if once.superseding(NOW, [record])]
+        refuted = [record for record in records if once.newer_records(NOW, [record])]
         changed = once.merge(NOW, records)
         self.assertEqual(shown(once), before)
         self.assertLessEqual(len(changed), len(refuted))
@@ -122,6 +122,6 @@
         if isinstance(one, ServerRecord):
             registry.merge(NOW, [one])
             return
-        wanted = registry.heard(NOW, [one])
+        wanted = registry.merge_heartbeats(NOW, [one])
         if answer and wanted:
             registry.merge(NOW, [stated(one.id, one.seq)])
--- a/tests/registry/test_server_registry.py
+++ b/tests/registry/test_server_registry.py
@@ -87,7 +87,7 @@
         self.assertTrue(self.registry.deregister(AT, "i-1"))
         self.assertFalse(self.registry.heartbeat(AT, server(seq=9)))
         self.registry.merge(AT, [server(seq=10)])
-        self.registry.heard(AT, [HeardServer("i-1", seq=11, age=0, changed_seq=5)])
+        self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=11, age=0, changed_seq=5)])
         self.assertEqual(state_of(self.registry), ServerState.GONE)
         self.assertFalse(self.registry.deregister(AT, "i-1"))
 
@@ -109,7 +109,7 @@
         self.assertEqual(state_of(self.registry), ServerState.READY)
 
     def test_silence_covers_the_heartbeats_that_others_heard(self) -> None:
-        self.registry.heard(AT, [HeardServer("i-1", seq=8, age=0, changed_seq=7)])
+        self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=8, age=0, changed_seq=7)])
         self.assertEqual(self.registry.expire(AT + 5 * SECOND), (silent(seq=8),))
         self.registry.merge(AT + 5 * SECOND, [server(seq=8)])
         self.assertEqual(state_of(self.registry), ServerState.GONE)
@@ -148,7 +148,9 @@
         healed = AT + 20 * SECOND
         self.assertEqual(self.registry.expire(healed, trusted=True), ())
         self.assertEqual(self.registry.expire(healed + SETTLE_TIME - 1), ())
-        self.registry.heard(healed + SECOND, [HeardServer("i-1", seq=20, age=SECOND, changed_seq=5)])
+        self.registry.merge_heartbeats(
+            healed + SECOND, [HeardServer("i-1", seq=20, age=SECOND, changed_seq=5)]
+        )
         self.assertEqual(self.registry.expire(healed + SETTLE_TIME), ())
         self.assertEqual(len(self.registry.expire(healed + SILENCE + 1)), 1)
 
@@ -162,30 +164,34 @@
     def test_heartbeats_that_a_peer_heard_count(self) -> None:
         for second in range(1, 30):
             now = AT + second * SECOND
-            self.registry.heard(now, [HeardServer("i-1", seq=5 + second, age=300 * MS, changed_seq=5)])
+            self.registry.merge_heartbeats(
+                now, [HeardServer("i-1", seq=5 + second, age=300 * MS, changed_seq=5)]
+            )
             self.assertEqual(self.registry.expire(now), ())
 
     def test_an_old_word_of_a_peer_counts_from_when_it_heard(self) -> None:
-        self.registry.heard(AT + 4 * SECOND, [HeardServer("i-1", seq=6, age=3 * SECOND, changed_seq=5)])
+        self.registry.merge_heartbeats(
+            AT + 4 * SECOND, [HeardServer("i-1", seq=6, age=3 * SECOND, changed_seq=5)]
+        )
         self.assertEqual(self.registry.age(AT + 4 * SECOND, "i-1"), 3 * SECOND)
 
     def test_a_node_that_stood_still_does_not_end_everybody_when_it_wakes(self) -> None:
         woken = AT + 30 * SECOND
-        self.registry.resumed(woken, gap=30 * SECOND)
+        self.registry.compensate_pause(woken, gap=30 * SECOND)
         self.assertEqual(self.registry.expire(woken), ())
         self.assertEqual(self.registry.expire(woken + SILENCE), ())
         self.assertEqual(len(self.registry.expire(woken + SILENCE + 1)), 1)
 
     def test_a_node_that_wakes_hears_its_peers_before_it_judges(self) -> None:
         woken = AT + 34 * SECOND
-        self.registry.resumed(woken, gap=30 * SECOND)
+        self.registry.compensate_pause(woken, gap=30 * SECOND)
         self.assertEqual(self.registry.age(woken, "i-1"), 4 * SECOND)
         self.assertEqual(self.registry.expire(woken), ())
         self.assertEqual(self.registry.expire(woken + SETTLE_TIME - 1), ())
         self.assertEqual(len(self.registry.expire(woken + SETTLE_TIME)), 1)
 
     def test_a_pause_does_not_make_evidence_newer_than_now(self) -> None:
-        self.registry.resumed(AT + SECOND, gap=30 * SECOND)
+        self.registry.compensate_pause(AT + SECOND, gap=30 * SECOND)
         self.assertEqual(self.registry.age(AT + SECOND, "i-1"), 0)
 
 
@@ -195,43 +201,45 @@
         self.registry.heartbeat(AT, server(seq=5))
 
     def test_what_is_known_to_hold_takes_the_newer_seq(self) -> None:
-        self.assertEqual(self.registry.heard(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=4)]), ())
+        self.assertEqual(
+            self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=4)]), ()
+        )
         self.assertEqual(self.registry.records(AT), (server(seq=9),))
 
     def test_a_statement_that_is_not_known_is_asked_for_and_the_old_one_is_not_made_newer(self) -> None:
-        wanted = self.registry.heard(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=7)])
+        wanted = self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=7)])
         self.assertEqual(wanted, ("i-1",))
         self.assertEqual(self.registry.records(AT), (server(seq=5),))
         self.registry.merge(AT, [draining(seq=7)])
         self.assertEqual(state_of(self.registry), ServerState.DRAINING)
 
     def test_an_unknown_server_is_asked_for(self) -> None:
-        self.assertEqual(self.registry.heard(AT, [HeardServer("i-2", 1, 0, 1)]), ("i-2",))
+        self.assertEqual(self.registry.merge_heartbeats(AT, [HeardServer("i-2", 1, 0, 1)]), ("i-2",))
 
     def test_a_newer_heartbeat_at_a_peer_revives(self) -> None:
         self.registry.expire(AT + 5 * SECOND)
         version = self.registry.version
-        self.registry.heard(AT + 5 * SECOND, [HeardServer("i-1", seq=6, age=0, changed_seq=5)])
+        self.registry.merge_heartbeats(AT + 5 * SECOND, [HeardServer("i-1", seq=6, age=0, changed_seq=5)])
         self.assertEqual(
             self.registry.changed_since(AT + 5 * SECOND, version),
             (server(seq=6),),
         )
 
     def test_the_silence_of_a_node_that_heard_less_is_refuted(self) -> None:
-        self.registry.heard(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=4)])
+        self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=4)])
         self.assertEqual(self.registry.merge(AT, [silent(seq=7)]), (server(seq=9),))
-        self.assertEqual(self.registry.superseding(AT, [silent(seq=7)]), (server(seq=9),))
+        self.assertEqual(self.registry.newer_records(AT, [silent(seq=7)]), (server(seq=9),))
 
     def test_the_silence_of_a_node_that_heard_as_much_holds(self) -> None:
         self.assertEqual(self.registry.merge(AT, [silent(seq=5)]), (silent(seq=5),))
-        self.assertEqual(self.registry.superseding(AT, [silent(seq=5)]), ())
+        self.assertEqual(self.registry.newer_records(AT, [silent(seq=5)]), ())
 
     def test_what_is_older_elsewhere_supersedes(self) -> None:
         self.registry.heartbeat(AT, draining(seq=6))
-        self.assertEqual(self.registry.superseding(AT, [server(seq=5)]), (draining(seq=6),))
-        self.assertEqual(self.registry.superseding(AT, [draining(seq=5)]), ())
+        self.assertEqual(self.registry.newer_records(AT, [server(seq=5)]), (draining(seq=6),))
+        self.assertEqual(self.registry.newer_records(AT, [draining(seq=5)]), ())
         self.registry.deregister(AT, "i-1")
-        self.assertEqual(self.registry.superseding(AT, [server(seq=9)]), (deregistered(seq=6),))
+        self.assertEqual(self.registry.newer_records(AT, [server(seq=9)]), (deregistered(seq=6),))
 
 
 class ChangesTest(unittest.TestCase):
@@ -256,14 +264,14 @@
         self.assertEqual(self.registry.changed_since(AT, end), ())
 
     def test_news_of_this_node_are_told_apart(self) -> None:
-        self.registry.take_local_news()
+        self.registry.take_local_updates()
         self.registry.heartbeat(AT, draining("i-2", seq=2))
         self.registry.heartbeat(AT, server("i-3", seq=2))
         self.registry.merge(AT, [server("i-4")])
-        news = self.registry.take_local_news()
-        self.assertEqual((news.changed, news.heard), (("i-2",), ("i-3",)))
-        again = self.registry.take_local_news()
-        self.assertEqual((again.changed, again.heard), ((), ()))
+        news = self.registry.take_local_updates()
+        self.assertEqual((news.changed, news.heartbeats), (("i-2",), ("i-3",)))
+        again = self.registry.take_local_updates()
+        self.assertEqual((again.changed, again.heartbeats), ((), ()))
 
 
 class RestartTest(unittest.TestCase):
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -21,7 +21,7 @@
 import apsw
 from attrs import Factory, define, frozen
 
-from brackenladder.storage import set_aside, sqlite_file, wal_check, whole_file
+from brackenladder.storage import atomic_file, quarantine, sqlite_file, wal_check
 
 SECTOR = 512  # bytes that a disk writes whole
 FOLDER = "/data"
@@ -188,7 +188,7 @@
         files = _FileCalls(self)
         try:
             with ExitStack() as stack:
-                for module in (sqlite_file, whole_file, set_aside, wal_check):
+                for module in (sqlite_file, atomic_file, quarantine, wal_check):
                     stack.enter_context(patch.object(module, "os", files))
                     stack.enter_context(patch.object(module, "open", files.open_file, create=True))
                 facade = SimpleNamespace(**{name: getattr(sqlite3, name) for name in dir(sqlite3)})
--- a/tests/storage/test_whole_file.py
+++ b/tests/storage/test_atomic_file.py
@@ -9,9 +9,9 @@
 
 from returns.result import Success
 
-from brackenladder.storage import whole_file
+from brackenladder.storage import atomic_file
+from brackenladder.storage.atomic_file import LARGEST_BYTES, read_checked, write_atomically
 from brackenladder.storage.log_store import StoreCorrupt, StoreFailed
-from brackenladder.storage.whole_file import LARGEST_BYTES, read_whole, write_whole
 
 
 class WholeFileTest(unittest.TestCase):
@@ -21,7 +21,7 @@
         self.path = os.path.join(folder.name, "file")
 
     def assert_corrupt(self) -> None:
-        self.assertIsInstance(read_whole(self.path).failure(), StoreCorrupt)
+        self.assertIsInstance(read_checked(self.path).failure(), StoreCorrupt)
 
     def content(self) -> bytes:
         with open(self.path, "rb") as file:
@@ -32,13 +32,13 @@
             file.write(content)
 
     def test_what_was_written_last_is_read(self) -> None:
-        self.assertEqual(read_whole(self.path), Success(b""))
+        self.assertEqual(read_checked(self.path), Success(b""))
         for data in (b"one", b"", b"two" * 1000):
-            self.assertEqual(write_whole(self.path, data), Success(None))
-            self.assertEqual(read_whole(self.path), Success(data))
+            self.assertEqual(write_atomically(self.path, data), Success(None))
+            self.assertEqual(read_checked(self.path), Success(data))
 
     def test_a_torn_or_changed_file_is_damaged_wherever_it_is_cut(self) -> None:
-        write_whole(self.path, b"0123456789")
+        write_atomically(self.path, b"0123456789")
         whole = self.content()
         for length in range(len(whole)):
             self.put(whole[:length])
@@ -48,19 +48,19 @@
             self.assert_corrupt()
 
     def test_a_file_that_is_too_large_is_not_believed(self) -> None:
-        write_whole(self.path, bytes(LARGEST_BYTES))
+        write_atomically(self.path, bytes(LARGEST_BYTES))
         self.assert_corrupt()
 
     def test_a_write_that_fails_at_any_step_leaves_the_old_content(self) -> None:
-        write_whole(self.path, b"old")
+        write_atomically(self.path, b"old")
         refusal = OSError(28, "full")
-        for step in (f"{whole_file.__name__}.sync_to_disk", "os.replace"):
+        for step in (f"{atomic_file.__name__}.sync_to_disk", "os.replace"):
             with mock.patch(step, side_effect=refusal):
-                written = write_whole(self.path, b"new")
+                written = write_atomically(self.path, b"new")
             self.assertIsInstance(written.failure(), StoreFailed)
-            self.assertEqual(read_whole(self.path), Success(b"old"))
+            self.assertEqual(read_checked(self.path), Success(b"old"))
             self.assertEqual(os.listdir(os.path.dirname(self.path)), ["file"])
 
     def test_a_folder_that_is_gone_is_a_failure(self) -> None:
-        written = write_whole(os.path.join(self.path, "nowhere"), b"")
+        written = write_atomically(os.path.join(self.path, "nowhere"), b"")
         self.assertIsInstance(written.failure(), StoreFailed)
--- a/tests/storage/test_holds.py
+++ b/tests/storage/test_holds.py
@@ -59,18 +59,18 @@
 
 
 def test_a_successor_is_left_the_list_while_it_is_fresh(tmp_path):
-    assert handover.read(str(tmp_path), 0) is None
-    handover.write(str(tmp_path), 1_000_000, 41, LINES)
-    listing = read_listing(handover.read(str(tmp_path), 2_000_000), ListKind.CACHED)
+    assert handover.read_handover(str(tmp_path), 0) is None
+    handover.write_handover(str(tmp_path), 1_000_000, 41, LINES)
+    listing = read_listing(handover.read_handover(str(tmp_path), 2_000_000), ListKind.CACHED)
     assert (listing.version, list(listing.lines)) == (41, LINES)
     for now in (0, 1_000_001 + handover.FRESH):  # a clock that went back, a file of long ago
-        assert handover.read(str(tmp_path), now) is None
+        assert handover.read_handover(str(tmp_path), now) is None
 
 
 @pytest.mark.parametrize("text", ["", "[]", "[" * 100_000, '{"format": 2}', '{"format": 1, "at": "x"}'])
 def test_a_predecessors_file_that_cannot_be_used_is_one_line(tmp_path, text):
     (tmp_path / handover.NAME).write_text(text)
     with pytest.raises(handover.HandoverError, match="not a file of a predecessor's"):
-        handover.read(str(tmp_path), 0)
+        handover.read_handover(str(tmp_path), 0)
     with pytest.raises(handover.HandoverError, match="No such file"):
-        handover.write(str(tmp_path / "none"), 0, 1, LINES)
+        handover.write_handover(str(tmp_path / "none"), 0, 1, LINES)
--- a/tests/storage/test_set_aside.py
+++ b/tests/storage/test_quarantine.py
@@ -11,9 +11,14 @@
 from log_store_contract import REPLICA_ID, entries
 
 from brackenladder.consensus.types import HardState, Write
-from brackenladder.storage import set_aside as module
+from brackenladder.storage import quarantine as module
 from brackenladder.storage.log_store import StoreCorrupt
-from brackenladder.storage.set_aside import MOST_KEPT, MOST_KEPT_BYTES, set_aside, was_set_aside
+from brackenladder.storage.quarantine import (
+    MOST_KEPT,
+    MOST_KEPT_BYTES,
+    has_quarantined_store,
+    quarantine_store,
+)
 from brackenladder.storage.sqlite_file import FILE_NAME, WAL_SUFFIX
 from brackenladder.storage.sqlite_log import open_store
 
@@ -38,17 +43,17 @@
     def test_a_store_and_its_journal_get_a_new_name(self) -> None:
         self.write(FILE_NAME, b"pages")
         self.write(FILE_NAME + WAL_SUFFIX, b"frames")
-        self.assertFalse(was_set_aside(self.folder))
-        name = set_aside(self.folder)
+        self.assertFalse(has_quarantined_store(self.folder))
+        name = quarantine_store(self.folder)
         self.assertEqual(name, f"{FILE_NAME}.corrupt-1")
         self.assertEqual(sorted(os.listdir(self.folder)), [name, name + WAL_SUFFIX])
         self.assertEqual((self.read(name), self.read(name + WAL_SUFFIX)), (b"pages", b"frames"))
-        self.assertTrue(was_set_aside(self.folder))
+        self.assertTrue(has_quarantined_store(self.folder))
 
     def test_a_journal_alone_goes_too(self) -> None:
         self.write(FILE_NAME + WAL_SUFFIX, b"frames")
-        set_aside(self.folder)
-        self.assertTrue(was_set_aside(self.folder))
+        quarantine_store(self.folder)
+        self.assertTrue(has_quarantined_store(self.folder))
         store = open_store(self.folder, lambda: "new").unwrap()
         self.addCleanup(store.close)
         self.assertEqual(store.identity.replica_id, "new")
@@ -57,7 +62,7 @@
         for number in range(1, 12):
             self.write(FILE_NAME, b"%d" % number)
             self.write(FILE_NAME + WAL_SUFFIX, b"frames")
-            set_aside(self.folder)
+            quarantine_store(self.folder)
         kept = {f"{FILE_NAME}.corrupt-{number}" for number in (10, 11)}
         self.assertEqual(len(kept), MOST_KEPT)
         self.assertEqual(set(os.listdir(self.folder)), kept | {name + WAL_SUFFIX for name in kept})
@@ -65,13 +70,13 @@
 
     def test_a_large_one_is_cut(self) -> None:
         self.write(FILE_NAME, bytes(MOST_KEPT_BYTES + 1))
-        name = set_aside(self.folder)
+        name = quarantine_store(self.folder)
         self.assertEqual(os.path.getsize(os.path.join(self.folder, name)), MOST_KEPT_BYTES)
 
     def test_other_files_do_not_count(self) -> None:
         for name in (FILE_NAME, "notes.corrupt-1", f"{FILE_NAME}.corrupt-x", f"{FILE_NAME}.new"):
             self.write(name, b"")
-        self.assertFalse(was_set_aside(self.folder))
+        self.assertFalse(has_quarantined_store(self.folder))
 
     def test_no_loss_of_power_leaves_the_database_without_its_journal(self) -> None:
         """Else it might pass for an older state, in which the replica has not voted yet."""
@@ -83,8 +88,8 @@
                 if FILE_NAME + WAL_SUFFIX in names:
                     opened = open_store(self.folder, lambda: "new")
                     self.assertIsInstance(opened.failure(), StoreCorrupt)
-                    set_aside(self.folder)
-                self.assertTrue(was_set_aside(self.folder))
+                    quarantine_store(self.folder)
+                self.assertTrue(has_quarantined_store(self.folder))
 
     def _lose_power_after(self, syncs: int) -> None:
         """Sets a store aside; of the names only those last that were synced before the power went."""
@@ -106,7 +111,7 @@
             durable = self._contents()
 
         with patch.object(module, "sync_to_disk", sync), suppress(PowerLost):
-            set_aside(self.folder)
+            quarantine_store(self.folder)
         for name in os.listdir(self.folder):
             os.unlink(os.path.join(self.folder, name))
         for name, content in durable.items():
--- a/tests/storage/test_simulated_disk.py
+++ b/tests/storage/test_simulated_disk.py
@@ -16,10 +16,10 @@
 
 from brackenladder.consensus.types import DurableState
 from brackenladder.storage import sqlite_file
+from brackenladder.storage.atomic_file import read_checked, write_atomically
 from brackenladder.storage.log_store import StoreCorrupt
-from brackenladder.storage.set_aside import set_aside, was_set_aside
+from brackenladder.storage.quarantine import has_quarantined_store, quarantine_store
 from brackenladder.storage.sqlite_log import SqliteLogStore, open_store
-from brackenladder.storage.whole_file import read_whole, write_whole
 
 SEEDS = range(6)
 WRITES = 25
@@ -244,13 +244,13 @@
                 data = b"%d " % number * random.randrange(1, 3_000)
                 allowed.append(data)
                 disk.failing_syncs = int(random.random() < 0.3)
-                if is_successful(write_whole(path, data)):
+                if is_successful(write_atomically(path, data)):
                     allowed[:] = [data]
-                self.assertIn(read_whole(path).unwrap(), allowed)
+                self.assertIn(read_checked(path).unwrap(), allowed)
         self.assertGreater(len(left), 10)
         for files, contents in left:
             self.put(files)
-            self.assertIn(read_whole(os.path.join(self.folder, "restart")).unwrap(), contents)
+            self.assertIn(read_checked(os.path.join(self.folder, "restart")).unwrap(), contents)
 
 
 class SetAsideTest(DiskCase):
@@ -267,14 +267,14 @@
                 for token in range(1, 6):
                     walk.write(store, token)
                 disk.on_event = lambda _kind: left.append(disk.after_loss(random))  # noqa: B023
-                set_aside(FOLDER)
+                quarantine_store(FOLDER)
             for files in left:
                 self.put(files)
                 opened = open_store(self.folder, lambda: "another")
                 if is_successful(opened):
                     store = opened.unwrap()
                     if store.created:
-                        self.assertTrue(was_set_aside(self.folder))
+                        self.assertTrue(has_quarantined_store(self.folder))
                     else:
                         self.assertEqual(loaded(store), walk.state)
                     store.close()
