--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -322,10 +322,10 @@
         super().__init__()
         self._changed = changed
 
-    def told(self, now: int, control_address: str, message: object) -> tuple[object, ...]:
-        """See `Subscriber.told`."""
+    def receive(self, now: int, control_address: str, message: object) -> tuple[object, ...]:
+        """See `Subscriber.receive`."""
         revision = self.view.revision
-        answers = super().told(now, control_address, message)
+        answers = super().receive(now, control_address, message)
         if self.view.revision != revision:
             self._changed(control_address, revision == 0)
         return answers
