--- a/brackenladder/catalog/model.py
+++ b/brackenladder/catalog/model.py
@@ -62,7 +62,7 @@
 class Service:
     """A service.
 
-    A server is cold for `cold_start_us` after its start, and then handles `cold_per_s` requests a second only.
+    A server is cold for `cold_start_us` after its start, and handles at most `cold_per_s` requests/s then.
     """
 
     name: str
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -32,9 +32,7 @@
         self._homes = ConfigurationHomes()
         self._revision = 0  # of the catalog that the homes are of
         self._answers: Counter[Proximity] = Counter()
-        self._last_reaches: dict[
-            tuple[str, str], Proximity
-        ] = {}  # the last one by host and the clients' region
+        self._last_reaches: dict[tuple[str, str], Proximity] = {}  # by host and client region
 
     def set_configuration(self, revision: int, read: ReadConfiguration) -> None:
         """Take the configuration as of a revision of the catalog; an older one is ignored."""
