--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -16,6 +16,7 @@
 from brackenladder.consensus.types import DurableState, Member, Members
 from brackenladder.control_plane.consensus_host import ConsensusHost
 from brackenladder.control_plane.directory_api import DirectoryApi
+from brackenladder.control_plane.environment import NodeEnvironment, host_environment
 from brackenladder.control_plane.membership import Membership, max_voters
 from brackenladder.control_plane.messages import Hello
 from brackenladder.control_plane.node_status import node_status
@@ -26,7 +27,6 @@
 from brackenladder.control_plane.server_calls import ServerCalls
 from brackenladder.control_plane.soft_state import TICK_SECONDS, SoftState
 from brackenladder.control_plane.status import ControlStatus
-from brackenladder.control_plane.surroundings import Surroundings, host_surroundings
 from brackenladder.platform_settings import Platform
 from brackenladder.registry.records import ServerRecord
 from brackenladder.storage.writer import LogWriter
@@ -64,17 +64,17 @@
         clock: Callable[[], int],
         random: Random,
         timing: Timing | None = None,
-        surroundings: Surroundings | None = None,
+        environment: NodeEnvironment | None = None,
     ) -> None:
-        surroundings = surroundings or host_surroundings(platform)
+        environment = environment or host_environment(platform)
         self.platform = platform
         self.member = Member(start.replica_id, platform.inner_address, platform.zone, platform.region)
         self.catalog = Catalog()
         self.peers = PeerLinks(transport, self, self._hello)
         # where there is a leader already, the pre-vote keeps an early candidate from disturbing it
-        began = clock() - ELECTION_HEAD_START
+        created_at = clock() - ELECTION_HEAD_START
         timing = evolve(timing or Timing(), max_voters=max_voters(platform.tolerate.machines))
-        replica = Replica(self.member, start.state, timing, random, began, start.genesis)
+        replica = Replica(self.member, start.state, timing, random, created_at, start.genesis)
         self.host = ConsensusHost(
             replica, writer, self.catalog, clock, self._send_consensus, self._catalog_changed
         )
@@ -82,21 +82,21 @@
         heartbeat = int(platform.heartbeat_ms * MICROSECONDS_PER_MILLISECOND)
         self.soft_state = SoftState(clock, self.host, self.peers, heartbeat, platform.region)
         self.recovery = RestartRecovery(
-            surroundings,
+            environment,
             self.host,
             self.soft_state,
             clock,
             start.replica_id,
-            self._newest_order,
+            self._newest_order_index,
             self._local_servers,
         )
         seeds = platform.seed_inner_addresses
         self._membership = Membership(self.member, self.host, self.peers, self.soft_state, clock, seeds)
         self.server_calls = ServerCalls(self.soft_state, self.orders)
         operator_api = OperatorApi(self.orders, self.server_calls, self._zones, self.status)
-        self._control_listener = surroundings.listener(operator_api.handle)
+        self._control_listener = environment.listener(operator_api.handle)
         directory_api = DirectoryApi(self.soft_state.resolve, platform.bounds)
-        self._directory_listener = surroundings.listener(directory_api.handle)
+        self._directory_listener = environment.listener(directory_api.handle)
         self._clock = clock
         self._writer = writer
         self._transport = transport
@@ -146,9 +146,9 @@
     def peer_connected(self, peer: Hello, link: Link) -> None:
         """See `peers.PeerListener`."""
         self._membership.peer_connected(peer)
-        self.recovery.peer_told(peer.replica_id, peer.newest_order)
+        self.recovery.peer_reported(peer.replica_id, peer.newest_order)
         self._membership.dial()
-        self.host.reached(peer.replica_id)
+        self.host.peer_connected(peer.replica_id)
         self.soft_state.peer_connected(peer.replica_id)
 
     def peer_received(self, peer: Hello, link: Link, message: object) -> None:
@@ -160,7 +160,7 @@
         elif not self.orders.received(link, message):
             self.soft_state.peer_received(peer.replica_id, message)
 
-    def stranger_received(self, link: Link, message: object) -> None:
+    def gateway_received(self, link: Link, message: object) -> None:
         """See `peers.PeerListener`."""
         self.soft_state.gateway_received(link, message)
 
@@ -175,12 +175,17 @@
         member = self.member
         neighbours = self.peers.connected_addresses()
         return Hello(
-            member.replica_id, member.address, member.zone, member.region, neighbours, self._newest_order()
+            member.replica_id,
+            member.address,
+            member.zone,
+            member.region,
+            neighbours,
+            self._newest_order_index(),
         )
 
-    def _newest_order(self) -> int:
+    def _newest_order_index(self) -> int:
         """Index of the newest order in this node's log; what a snapshot covers counts by its last change."""
-        return max(self.catalog.revision, self.host.replica.newest_command)
+        return max(self.catalog.revision, self.host.replica.newest_command_index)
 
     def _zones(self) -> dict[str, str]:
         return self.platform.zones
@@ -212,4 +217,4 @@
         self.host.transfer_leadership()
         deadline = self._loop.time() + HANDOVER_SECONDS
         while self.host.leads and self._loop.time() < deadline:
-            await self.host.leadership_changed(deadline - self._loop.time())
+            await self.host.wait_for_leader_change(deadline - self._loop.time())
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -10,23 +10,23 @@
 
 import httptools
 
-from brackenladder.membership.inhand import InHand, wait_ms
+from brackenladder.membership.current_list import CurrentList, watch_wait_ms
 from brackenladder.membership.listing import Listing, read_listing
-from brackenladder.membership.silence import (
-    ANSWER_TIME,
-    BODY_TIME,
-    FIRST_BYTE,
-    MOST_PAUSE,
-    PART_TIME,
-    Silence,
-    wait_of,
+from brackenladder.membership.stall import RESUME_GRACE, STALL_THRESHOLD
+from brackenladder.membership.watch_retry import (
+    ANSWER_TIMEOUT,
+    BODY_TIMEOUT,
+    FIRST_BYTE_TIMEOUT,
+    MAX_PAUSE,
+    READ_TIMEOUT,
+    WatchRetry,
+    jittered_wait_ms,
 )
-from brackenladder.membership.stall import STALLED, WARY
 
 CONNECT_TIMEOUT = 1.0
 LARGEST_ANSWER = 4 << 20
 
-Told = Callable[[Listing | None], None]
+ListingCallback = Callable[[Listing | None], None]
 
 
 class Call(asyncio.Protocol):
@@ -97,8 +97,8 @@
         Failure prevented: the answer waits in the socket, the call is given up unread, and requests go to a
         server that it withdraws.
         """
-        if self.loop.time() - self.due > STALLED:
-            self.limit(WARY)
+        if self.loop.time() - self.due > STALL_THRESHOLD:
+            self.limit(RESUME_GRACE)
             return
         self.silent = True
         self.fail()
@@ -107,8 +107,8 @@
         now = self.loop.time()
         if not self.begun:
             self.begun = True
-            self.latest = now + BODY_TIME
-        self.limit(max(0.0, min(PART_TIME, self.latest - now)))
+            self.latest = now + BODY_TIMEOUT
+        self.limit(max(0.0, min(READ_TIMEOUT, self.latest - now)))
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -170,18 +170,18 @@
         address: tuple[str, int],
         known: Listing | None,
         nodes: int,
-        told: Told,
+        told: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
         self.loop = loop
         self.address = address
-        self.in_hand = InHand(known, loop.time())
-        self.wait = wait_ms(nodes)
-        self.most_pause = MOST_PAUSE
+        self.in_hand = CurrentList(known, loop.time())
+        self.wait = watch_wait_ms(nodes)
+        self.most_pause = MAX_PAUSE
         self.told = told
         self.log = log
         self.random = Random()
-        self.silence = Silence()
+        self.silence = WatchRetry()
         self.reopening: asyncio.TimerHandle | None = None
         self.watching: Call | None = None
         self.fetching: Call | None = None
@@ -195,7 +195,7 @@
         """Begins or ends the watch. One that is on already stays."""
         if on and self.watching is None:
             self.forget_reopening()
-            self.watching = Call(self.loop, self.address, self.watched)
+            self.watching = Call(self.loop, self.address, self.on_watch_answer)
             self.renew(self.watching)
         elif not on:
             self.forget_reopening()
@@ -208,7 +208,7 @@
             self.reopening.cancel()
             self.reopening = None
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Asks at another address from now on; whatever the old one may still say is not heard.
 
         Failure prevented: versions are numbered otherwise there, and a watch that goes on from the old
@@ -216,19 +216,19 @@
         """
         self.close()
         self.address = address
-        self.silence = Silence()  # what the old one left unanswered says nothing of the new one
-        self.in_hand = self.in_hand.moved(self.loop.time())
+        self.silence = WatchRetry()  # what the old one left unanswered says nothing of the new one
+        self.in_hand = self.in_hand.for_new_discovery(self.loop.time())
         self.watch(True)
 
     def renew(self, call: Call) -> None:
         if self.version is None:
-            call.ask("/v1/endpoints", FIRST_BYTE)
+            call.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
             return
-        wait = wait_of(self.wait, self.random.random())
-        first = wait / 1000 + ANSWER_TIME
+        wait = jittered_wait_ms(self.wait, self.random.random())
+        first = wait / 1000 + ANSWER_TIMEOUT
         call.ask(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", first)
 
-    def watched(self, call: Call, body: bytes | None) -> None:
+    def on_watch_answer(self, call: Call, body: bytes | None) -> None:
         listing = self.read(body)
         if listing is None:
             # Ended before the failure is told, since the module may answer it with a new watch.
@@ -250,10 +250,10 @@
     def fetch(self) -> None:
         """Asks for the whole list, unless such a call is out already."""
         if self.fetching is None:
-            self.fetching = Call(self.loop, self.address, self.fetched)
-            self.fetching.ask("/v1/endpoints", FIRST_BYTE)
+            self.fetching = Call(self.loop, self.address, self.on_fetch_answer)
+            self.fetching.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
 
-    def fetched(self, call: Call, body: bytes | None) -> None:
+    def on_fetch_answer(self, call: Call, body: bytes | None) -> None:
         call.end()
         self.fetching = None
         self.told(self.read(body))
@@ -267,7 +267,7 @@
         except (ValueError, RecursionError) as e:
             self.log(f"discovery: answer dropped: {e}")
             return None
-        news = self.in_hand.admit(listing, self.loop.time())
+        news = self.in_hand.accept(listing, self.loop.time())
         if news is None:
             self.log("discovery: answer dropped: changes of a list that is not known")
         return news
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -17,7 +17,7 @@
 from brackenladder.recovery.fetch import StateFetch, piece_of
 from brackenladder.recovery.generation import Comparison, Generation, KnownGenerations, compare
 from brackenladder.recovery.startup import Phase, StartupRecovery
-from brackenladder.storage.store import Kept, Store
+from brackenladder.storage.state_store import SavedState, StateStore
 
 EVERY = 0.05  # seconds between two looks
 GREET = 500_000  # microseconds between two rounds of asking who is there...
@@ -33,7 +33,7 @@
         loop: asyncio.AbstractEventLoop,
         pools: Pools,
         members: Members,
-        store: Store | None,
+        store: StateStore | None,
         alone: bool,
         log: Callable[[str], None],
     ) -> None:
@@ -51,11 +51,11 @@
         self.startup = StartupRecovery(members.now(), len(members.detector.view) - 1, alone)
         self.timer: asyncio.TimerHandle | None = None
         self.writing: asyncio.Future[bool] | None = None
-        self.unwritten: Kept | None = None
+        self.unwritten: SavedState | None = None
         self.greet_at = 0
         pools.changed = self.applied
-        members.detector.extra = self.said
-        members.detector.other = self.heard
+        members.detector.extra_messages = self.said
+        members.detector.on_other_message = self.heard
 
     # ---- the start ------------------------------------------------------------------------------------
 
@@ -82,7 +82,7 @@
         if phase in ("asking", "alone", "refusing") and now >= self.greet_at:
             self.greet_at = now + GREET
             for number in self.random.sample(unheard, min(len(unheard), GREETED)):
-                self.members.detector.greet(number, now)
+                self.members.detector.ping_member(number, now)
         if not self.phases or self.phases[-1][0] != phase:
             self.phases.append((phase, now))
             self.log(f"recovery: {phase}, generation {self.counter} {self.mine.digest}")
@@ -101,7 +101,7 @@
             self.fetch = StateFetch(newest, self.random)
         for want in self.fetch.due_requests(self.known.holders(newest), now):
             ask = AskPiece(bytes.fromhex(newest.digest), want.offset)
-            self.members.detector.tell(want.holder, [ask], now)
+            self.members.detector.send_frame(want.holder, [ask], now)
         if self.fetch.failed:
             self.refused = self.fetch.failed
 
@@ -136,7 +136,7 @@
         if self.store is None:
             return
         mine = self.mine
-        kept = Kept(mine.counter, mine.digest, canonical(self.pools.state).decode(), time())
+        kept = SavedState(mine.counter, mine.digest, canonical(self.pools.state).decode(), time())
         if self.writing is not None and not self.writing.done():
             self.unwritten = kept
             return
@@ -163,7 +163,7 @@
                 piece = piece_of(state, offset)
                 if about.hex() == self.mine.digest and piece is not None:
                     answer = Piece(about, offset, len(state), piece)
-                    self.members.detector.tell(number, [answer], now, spare=True)
+                    self.members.detector.send_frame(number, [answer], now, spare=True)
             case Piece(about, offset, size, data):
                 fetch = self.fetch
                 whole = fetch.receive_piece(about.hex(), offset, size, data) if fetch is not None else None
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -9,6 +9,7 @@
 import msgpack
 from catalog_samples import Document, replace, route, text, update, whole
 
+from brackenladder.catalog.accepted_orders import MAX_REMEMBERED_ORDERS
 from brackenladder.catalog.catalog import Catalog, SnapshotError
 from brackenladder.catalog.configuration import parse_configuration
 from brackenladder.catalog.faults import FaultKind
@@ -25,7 +26,6 @@
     UpdateConfiguration,
     encode_order,
 )
-from brackenladder.catalog.taken import MOST_TAKEN
 
 
 class CatalogTest(unittest.TestCase):
@@ -281,14 +281,16 @@
     def test_the_oldest_are_forgotten(self) -> None:
         first = update(0, 1)
         self.catalog.apply(1, encode_order(first))
-        for version in range(1, MOST_TAKEN):
+        for version in range(1, MAX_REMEMBERED_ORDERS):
             outcome = self.catalog.apply(version + 1, encode_order(update(version, version + 1)))
             self.assertEqual(outcome, Accepted(version + 1))
         self.assert_accepted(first, 1)
-        self.assert_accepted(update(MOST_TAKEN, MOST_TAKEN + 1), MOST_TAKEN + 1)
-        self.assert_conflict(first, MOST_TAKEN + 1)
+        self.assert_accepted(
+            update(MAX_REMEMBERED_ORDERS, MAX_REMEMBERED_ORDERS + 1), MAX_REMEMBERED_ORDERS + 1
+        )
+        self.assert_conflict(first, MAX_REMEMBERED_ORDERS + 1)
         self.assert_accepted(update(1, 2), 2)
-        self.assertLess(len(self.catalog.snapshot()), MOST_TAKEN * 17)
+        self.assertLess(len(self.catalog.snapshot()), MAX_REMEMBERED_ORDERS * 17)
 
 
 class Evacuations(CatalogTest):
@@ -313,19 +315,19 @@
         self.assertEqual(self.read_back(), whole())
 
     def test_one_that_is_late_changes_nothing(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assert_accepted(FinishEvacuation("a", seen=1), 0)
-        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen=1)), Outdated())
-        self.assertEqual(self.catalog.check(BeginEvacuation("a", seen=1)), Outdated())
-        self.assert_accepted(BeginEvacuation("a", seen=2), 0)
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assert_accepted(FinishEvacuation("a", seen_revision=1), 0)
+        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen_revision=1)), Outdated())
+        self.assertEqual(self.catalog.check(BeginEvacuation("a", seen_revision=1)), Outdated())
+        self.assert_accepted(BeginEvacuation("a", seen_revision=2), 0)
 
     def test_one_that_is_late_and_says_what_holds_is_accepted(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen=0)), Accepted(0))
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assertEqual(self.assert_unchanged_by(BeginEvacuation("a", seen_revision=0)), Accepted(0))
 
     def test_a_change_of_another_zone_makes_none_late(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assert_accepted(BeginEvacuation("b", seen=0), 0)
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assert_accepted(BeginEvacuation("b", seen_revision=0), 0)
         self.assertEqual(self.catalog.evacuated, {"a", "b"})
 
     def test_they_count_as_changes(self) -> None:
@@ -375,12 +377,12 @@
     def test_one_of_an_earlier_version(self) -> None:
         self.catalog.restore(msgpack.packb([1, 5, b"", ["a"], b""]))
         self.assertEqual((self.catalog.evacuated, self.catalog.revision), ({"a"}, 5))
-        self.assert_accepted(FinishEvacuation("a", seen=5), 0)
+        self.assert_accepted(FinishEvacuation("a", seen_revision=5), 0)
 
     def test_late_evacuations_are_known_after_a_snapshot(self) -> None:
-        self.assert_accepted(BeginEvacuation("a", seen=0), 0)
-        self.assert_accepted(FinishEvacuation("a", seen=1), 0)
-        self.assertEqual(self.restored().check(BeginEvacuation("a", seen=0)), Outdated())
+        self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
+        self.assert_accepted(FinishEvacuation("a", seen_revision=1), 0)
+        self.assertEqual(self.restored().check(BeginEvacuation("a", seen_revision=0)), Outdated())
 
     def test_it_takes_the_place_of_what_was(self) -> None:
         snapshot = Catalog().snapshot()
