--- a/brackenladder/adapter.py
+++ b/brackenladder/adapter.py
@@ -1,6 +1,6 @@
-"""The adapter: the simulator's wire on standard input and output, and the hosting of instances. No decision.
+"""The adapter: hosts Balancer instances for the simulator, over its binary protocol on stdin and stdout.
 
-A frame that cannot be read ends the process with status 2 and one line on standard error.
+It makes no decisions. A frame that cannot be decoded ends the process with status 2 and one line on stderr.
 """
 
 from __future__ import annotations
@@ -60,11 +60,11 @@
 
 
 class WireError(Exception):
-    """Input that is not a frame of the wire."""
+    """Input that is not a valid frame of the protocol."""
 
 
 def read_settings(text: bytes) -> Settings:
-    """The settings of a CREATE event. A missing or impossible value is a ValueError that names the key."""
+    """Parses the settings of a CREATE event. A missing or invalid value raises a ValueError with its key."""
     try:
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
@@ -73,7 +73,7 @@
 
 
 class WireActions:
-    """One instance's actions, packed into the process's reply."""
+    """Encodes the actions of one instance into the reply of the process."""
 
     __slots__ = ("out", "node")
 
@@ -121,15 +121,15 @@
 
 
 class Host:
-    """The instances of one process. Nothing passes between them but the numbered lists of the wire."""
+    """The instances of one process. They share nothing but the numbered server lists of the protocol."""
 
     def __init__(self) -> None:
         self.out = bytearray()
         self.nodes: dict[int, Balancer] = {}
-        self.banks: dict[int, list[ServerEntry]] = {}
+        self.server_lists: dict[int, list[ServerEntry]] = {}
 
     def batch(self, count: int, body: bytes, now: int) -> bytes:
-        """Handles one batch and returns the framed reply."""
+        """Handles one batch of records and returns the framed reply."""
         self.out.clear()
         pos = 0
         for record in range(count):
@@ -148,73 +148,73 @@
             raise WireError(f"{len(body) - pos} bytes after the last record")
         return LENGTH.pack(len(self.out)) + self.out
 
-    def tell(self, node: int, event: str, *args: Any) -> None:
-        """Passes an event on; an exception in the module becomes the wire's fault action."""
+    def forward(self, node: int, event: str, *args: Any) -> None:
+        """Forwards an event to an instance; an exception there becomes a fault action of the protocol."""
         balancer = self.nodes.get(node)
         if balancer is None:
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as e:  # the wire wants any failure of the module reported, whatever it is
+        except Exception as e:  # the protocol requires that every failure is reported
             del self.nodes[node]
             WireActions(self.out, node).fault(f"{event}: {type(e).__name__}: {e}")
 
     def create(self, now: int, body: bytes, pos: int) -> int:
         node, seed, size = CREATE.unpack_from(body, pos)
         pos += CREATE.size
-        text = take(body, pos, size)
+        text = take_bytes(body, pos, size)
         balancer = Balancer(read_settings(text), seed, WireActions(self.out, node))
         self.nodes[node] = balancer
-        self.tell(node, "start", now)
+        self.forward(node, "start", now)
         return pos + int(size)
 
     def directory(self, now: int, body: bytes, pos: int) -> int:
-        bank, count = DIRECTORY.unpack_from(body, pos)
+        list_number, count = DIRECTORY.unpack_from(body, pos)
         pos += DIRECTORY.size
-        raw = take(body, pos, count * ENTRY.size)
-        self.banks[bank] = [
+        raw = take_bytes(body, pos, count * ENTRY.size)
+        self.server_lists[list_number] = [
             ServerEntry(server, STATES.get(state, State.DRAINING), cell, zone, kind, weight, ready_at)
             for server, cell, ready_at, zone, weight, state, kind in ENTRY.iter_unpack(raw)
         ]
         return pos + int(count) * ENTRY.size
 
     def targets(self, now: int, body: bytes, pos: int) -> int:
-        node, kind, _, bank = TARGETS.unpack_from(body, pos)
+        node, kind, _, list_number = TARGETS.unpack_from(body, pos)
         if kind > 3:
             raise WireError(f"unknown list kind {kind}")
         list_kind = (ListKind.CHANGES, ListKind.FULL, ListKind.CACHED, ListKind.FAILED)[kind]
         entries: list[ServerEntry] = []
         if list_kind != ListKind.FAILED:
-            if bank not in self.banks:
-                raise WireError(f"list {bank} was never sent")
-            entries = self.banks[bank]
-        self.tell(node, "server_list", now, list_kind, entries)
+            if list_number not in self.server_lists:
+                raise WireError(f"list {list_number} was never sent")
+            entries = self.server_lists[list_number]
+        self.forward(node, "server_list", now, list_kind, entries)
         return pos + TARGETS.size
 
     def accept(self, now: int, body: bytes, pos: int) -> int:
-        node, request, _, tenant, flags, left, _, klass = ACCEPT.unpack_from(body, pos)
-        self.tell(node, "request", now, request, klass, tenant, left, bool(flags & REPEAT_FLAG))
+        node, request, _, tenant, flags, time_left, _, klass = ACCEPT.unpack_from(body, pos)
+        self.forward(node, "request", now, request, klass, tenant, time_left, bool(flags & REPEAT_FLAG))
         return pos + ACCEPT.size
 
     def client_left(self, now: int, body: bytes, pos: int) -> int:
         node, request = CLIENT_LEFT.unpack_from(body, pos)
-        self.tell(node, "client_left", now, request)
+        self.forward(node, "client_left", now, request)
         return pos + CLIENT_LEFT.size
 
     def check_result(self, now: int, body: bytes, pos: int) -> int:
-        node, took, status, server, n = CHECK_RESULT.unpack_from(body, pos)
+        node, latency, status, server, n = CHECK_RESULT.unpack_from(body, pos)
         pos += CHECK_RESULT.size
-        self.tell(node, "probed", now, server, status == 200, took, floats(body, pos, n))
+        self.forward(node, "probed", now, server, status == 200, latency, floats(body, pos, n))
         return pos + 4 * int(n)
 
     def opened(self, now: int, body: bytes, pos: int) -> int:
-        node, request, attempt, server, took = OPENED.unpack_from(body, pos)
-        self.tell(node, "response_started", now, request, attempt, server, took)
+        node, request, attempt, server, latency = OPENED.unpack_from(body, pos)
+        self.forward(node, "response_started", now, request, attempt, server, latency)
         return pos + OPENED.size
 
     def wake(self, now: int, body: bytes, pos: int) -> int:
         node, token = WAKE.unpack_from(body, pos)
-        self.tell(node, "timer", now, token)
+        self.forward(node, "timer", now, token)
         return pos + WAKE.size
 
     def shutdown(self, now: int, body: bytes, pos: int) -> int:
@@ -225,13 +225,13 @@
     def peer_data(self, now: int, body: bytes, pos: int) -> int:
         node, peer, size = PEER_DATA.unpack_from(body, pos)
         pos += PEER_DATA.size
-        self.tell(node, "peer_message", now, peer, take(body, pos, size))
+        self.forward(node, "peer_message", now, peer, take_bytes(body, pos, size))
         return pos + int(size)
 
     def verdict(self, now: int, body: bytes, pos: int) -> int:
-        node, request, attempt, took, server, final, status, n = VERDICT.unpack_from(body, pos)
+        node, request, attempt, latency, server, final, status, n = VERDICT.unpack_from(body, pos)
         pos += VERDICT.size
-        self.tell(
+        self.forward(
             node,
             "outcome",
             now,
@@ -239,7 +239,7 @@
             attempt,
             server,
             OUTCOMES.get(status, Outcome.UNKNOWN),
-            took,
+            latency,
             bool(final),
             floats(body, pos, n) if n else (),
         )
@@ -262,7 +262,7 @@
 FLOATS = [Struct(f"<{n}f") for n in range(256)]
 
 
-def take(body: bytes, pos: int, size: int) -> bytes:
+def take_bytes(body: bytes, pos: int, size: int) -> bytes:
     if pos + size > len(body):
         raise StructError("cut short")
     return body[pos : pos + size]
@@ -280,7 +280,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends."""
+    """Reads batches and writes replies until the input ends."""
     host = Host()
     batch = 0
     while True:
--- a/brackenladder/interface.py
+++ b/brackenladder/interface.py
@@ -1,7 +1,7 @@
 """The decision module's interface: settings, servers, outcomes, actions and events.
 
 Times are integer microseconds of one monotonic clock that the host passes in as `now`.
-Everything a host must know to embed `brackenladder.policy.balancer.Balancer` stands in this file.
+This file has all that a host needs to know to embed `brackenladder.policy.balancer.Balancer`.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 class Effect(IntEnum):
-    """What a repeat of a request does."""
+    """Whether a request may be executed more than once."""
 
     SAFE = 0  # may run any number of times
-    KEYED = 1  # a group of servers discards repeats for a while
-    UNSAFE = 2  # must never run twice (also: any effect the host does not recognise)
+    KEYED = 1  # has an idempotency key: a group of servers discards repeats for some time
+    UNSAFE = 2  # must never run twice; also any effect that the host does not know
 
 
 class Group(IntEnum):
-    """Which servers discard the repeats of a keyed request."""
+    """Which servers discard the repeats of a keyed request: all, those in one zone, or those in one cell."""
 
     ALL = 0
     ZONE = 1
@@ -29,9 +29,9 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. The first three prove that the server never ran it."""
+    """How an attempt ended. The first three values prove that the server did not run it."""
 
-    REJECTED = 0  # turned away unseen: queue full or draining
+    REJECTED = 0  # refused before execution: the queue is full or the server drains
     CONNECT_FAILED = 1
     NOT_SENT = 2
     OK = 3
@@ -39,14 +39,14 @@
     TIMEOUT = 5
     RESET = 6
     CANCELLED = 7
-    UNKNOWN = 8  # any outcome the host does not recognise: it may have run
+    UNKNOWN = 8  # any outcome that the host does not know: the request may have run
 
 
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
 
 
 class State(IntEnum):
-    """A server's state in the list."""
+    """A server's state in the server list."""
 
     GONE = 0
     READY = 1
@@ -54,45 +54,45 @@
 
 
 class ListKind(IntEnum):
-    """What a server-list event carries."""
+    """What a server_list event contains."""
 
     CHANGES = 0
     FULL = 1
-    CACHED = 2  # a full list from before this instance started, possibly stale
-    FAILED = 3  # a watch or fetch failed; keep the list in hand
+    CACHED = 2  # a full list from before this instance started; may be out of date
+    FAILED = 3  # a watch or fetch failed; the last list stays valid
 
 
 @dataclass(frozen=True)
 class ClassSettings:
-    """One class of requests."""
+    """Settings of one class of requests."""
 
     effect: Effect
     aim: int  # an answer within this time earns the full worth
-    deadline: int  # the client's whole patience, over all its tries
+    deadline: int  # how long the client waits in total, including its own retries
     worth: float
-    late_worth: float = 0.0  # share of the worth for an answer after the aim
+    late_worth: float = 0.0  # part of the worth that an answer after the aim still earns
     group: Group = Group.ALL
-    window: int = 0  # how long a keyed request's group remembers it
+    window: int = 0  # how long a group remembers a keyed request
     stream: bool = False
 
 
 @dataclass(frozen=True)
 class TenantSettings:
-    """One tenant: its share of the service, in requests per second over all nodes (0 = no quota)."""
+    """Settings of one tenant: its quota in requests per second over all nodes (0: no quota)."""
 
     quota: float = 0.0
 
 
 @dataclass(frozen=True)
 class Settings:
-    """What an instance is told at its start."""
+    """Settings of one Balancer instance."""
 
     classes: Sequence[ClassSettings]
     tenants: Sequence[TenantSettings] = ()
-    tier: int = 0  # the tier this instance sends to; above 0 its callers are servers
+    tier: int = 0  # the tier that this instance sends to; above 0 its callers are servers
     tiers: int = 1
     zone: int = 0
-    instances: int = 1  # instances that send to this tier, this one included
+    instances: int = 1  # number of instances that send to this tier, including this one
     index: int = 0
     tick: int = 1000  # least time between two batches of events
     max_attempts: int = 1
@@ -103,13 +103,13 @@
     retry_after: bool = False
     max_retry_after: int = 0
     max_open: int = 20000
-    list_on_request: bool = False  # the server list must be asked for
-    list_ask_within: int = 0  # where it must be asked for: the longest silence allowed
-    list_weights: bool = False  # entries carry comparable weights
-    cold_time: int = 0  # a fresh server is warm within this time
-    cold_share: float = 1.0  # and starts at this share of its capacity or more
-    fall_multiple: float = 0.0  # sent more than this multiple of its present capacity
-    fall_time: int = 0  # for this long, it falls over
+    list_on_request: bool = False  # the server list must be requested
+    list_ask_within: int = 0  # if so, the longest time allowed between two requests
+    list_weights: bool = False  # the weights of the entries are comparable
+    cold_time: int = 0  # a server is warm this long after its start, at the latest
+    cold_share: float = 1.0  # it starts with at least this part of its capacity
+    fall_multiple: float = 0.0  # a server fails if it is sent more than this multiple of its capacity...
+    fall_time: int = 0  # ...for this long
     answer_slack: int = 0
     cross_zone_price: float = 0.0
     over_share_worth: float = 1.0
@@ -117,7 +117,7 @@
 
     def __post_init__(self) -> None:
         def need(ok: bool, key: str) -> None:
-            if not ok:  # comparisons with a NaN are false as well
+            if not ok:  # also for NaN, since comparisons with it are false
                 raise ValueError(f"settings: impossible value for {key}")
 
         need(len(self.classes) > 0, "classes")
@@ -156,70 +156,70 @@
     zone: int = 0
     kind: int = 0
     weight: float = 1.0
-    ready_at: int = 0  # when it last started; 0 = long ago
-    share: float = 1.0  # what an operator wants it to take, beside others; above 0
-    pools: int = 1  # of this node that have it: together they keep to the cold rule
+    ready_at: int = 0  # when it last became ready; 0: long ago
+    share: float = 1.0  # weight set by an operator; above 0
+    pools: int = 1  # number of this node's pools with this server, which share its slow-start allowance
 
 
 class Actions(Protocol):
-    """What a Balancer asks of its host. Calls take effect at the `now` of the event being handled."""
+    """What a Balancer calls on its host. Calls take effect at the `now` of the event being handled."""
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Start the request's next attempt; exactly one `outcome` follows, by the time-out."""
+        """Start the request's next attempt; exactly one `outcome` follows, at the latest after `timeout`."""
 
     def cancel(self, request: int, attempt: int) -> None:
         """Stop waiting for an attempt; its outcome still follows."""
 
     def refuse(self, request: int, retry_after: int) -> None:
-        """Final answer: not served, a retry does no harm."""
+        """Final answer: not served, and safe to retry."""
 
     def fail(self, request: int) -> None:
-        """Final answer: not served, with no promise about effects."""
+        """Final answer: not served, and it may have had effects."""
 
     def probe(self, server: int) -> None:
         """Test a server; one `probed` event follows."""
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Ask for a `timer` event; timers cannot be withdrawn."""
+        """Request a `timer` event after `delay`; timers cannot be cancelled."""
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Send a short message to another instance of this tier (-1: to all)."""
+        """Send a short message to another instance of this tier (-1: to all of them)."""
 
     def watch(self, on: bool) -> None:
-        """Subscribe to changes of the server list."""
+        """Subscribe to changes of the server list, or unsubscribe."""
 
     def fetch(self) -> None:
-        """Ask for the whole server list once."""
+        """Request the full server list once."""
 
     def close(self, server: int) -> None:
         """Close idle connections to a server."""
 
     def log(self, text: str) -> None:
-        """Record a change of state."""
+        """Log a change of state."""
 
 
 class Events(Protocol):
-    """What a host tells a Balancer. A Balancer implements all of these.
+    """The events that a host reports to a Balancer, which implements all of them.
 
-    `now` never goes back. `start` comes first and once; then a server list, so that requests find servers.
-    Actions are asked for while an event is being handled, never later. An event about a request, attempt
-    or server that is no longer known is passed over.
+    `now` never decreases. `start` comes first and once, then a server list, so that requests find servers.
+    Actions are called only while an event is being handled. An event about a request, attempt or server that
+    is no longer known is ignored.
     """
 
     def start(self, now: int) -> None:
-        """The instance begins to run. Where the list must be asked for, it asks."""
+        """The instance starts. It requests the server list if the settings say that it must."""
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """News of the servers, in order of version; a failed ask carries no entries.
+        """A list of servers or changes to it, in order of version; no entries if the request failed.
 
-        From here on nothing new goes to a server that is not ready, or that a full list leaves out.
+        From now on nothing new is sent to a server that is not ready or is missing in a full list.
         """
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        """A request with a fresh id. One final answer is owed within `time_left`.
+        """A new request, with a new id. It must get one final answer within `time_left`.
 
-        That is `refuse`, `fail` or an outcome that is final. A class that the settings lack gets no right
-        to a repeat, a tenant that they lack has no quota.
+        That is `refuse`, `fail` or an outcome with `final`. A request of an unknown class is never retried if
+        it may have run; an unknown tenant has no quota.
         """
 
     def outcome(
@@ -233,23 +233,23 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """An attempt ended; exactly one for each `send`, also after its request's end.
+        """An attempt has ended. There is exactly one such event for each `send`, also after the request's end.
 
-        `final` says that nothing more is owed for the request, as after an answer that was passed on. If
-        it is false and the request is open, an answer or a further attempt follows at once.
+        `final`: the request is finished, for example because its answer was forwarded. If it is false and the
+        request is open, the Balancer answers it or starts another attempt at once.
         """
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """A stream began to flow: the request is bound to this attempt, which still gets its outcome."""
+        """The response has started, so there is no retry; the attempt's outcome still follows."""
 
     def client_left(self, now: int, request: int) -> None:
-        """Nobody waits any more; nothing is owed. Attempts that are out still get their outcomes."""
+        """The client no longer waits: no answer is needed. Attempts in flight still get their outcomes."""
 
     def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """The answer to a `probe`."""
+        """The result of a `probe`."""
 
     def timer(self, now: int, token: int) -> None:
-        """A timer that was set is due, `token` as it was given. Never during the event that set it."""
+        """A timer is due; `token` is the one given to `set_timer`. Never during the event that set it."""
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Another instance of this tier has sent bytes by `tell`."""
+        """Another instance of this tier has sent this by `tell`."""
