--- a/benchmarks/capacity/prefix_probes.py
+++ b/benchmarks/capacity/prefix_probes.py
@@ -10,7 +10,7 @@
 from brackenladder.placement.cost import CostModel
 from brackenladder.placement.in_flight import InFlight
 from brackenladder.placement.silent_zones import SilentZones
-from brackenladder.placement.site import ServerPlace, ServiceSite
+from brackenladder.placement.site import ServerLocation, ServiceSite
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices
 from brackenladder.prefix_cache.relay import INTERVAL, MOST_NOTICES, PrefixRelay, Receiver
@@ -95,7 +95,8 @@
 
 def _in_flight(size: Size) -> InFlight:
     site = ServiceSite("zone-1", "region-1", kv_tokens=KV_TOKENS, gateways=size.gateways)
-    site.places = {
-        _server(number): ServerPlace(str(number), "zone-1", "region-1", 64) for number in range(size.servers)
+    site.locations = {
+        _server(number): ServerLocation(str(number), "zone-1", "region-1", 64)
+        for number in range(size.servers)
     }
     return InFlight(site, CostModel(site), SilentZones(), PrefixAnnouncer(lambda: None))
--- a/benchmarks/decision_rows.py
+++ b/benchmarks/decision_rows.py
@@ -27,7 +27,9 @@
 
 
 # The rounds of docs/decisions.md, each as the program was before it.
-AGAIN_OFF = Replacement("placement/pool.py", "self.site.again = again or None", "self.site.again = again")
+AGAIN_OFF = Replacement(
+    "placement/pool.py", "self.site.reread_window = again or None", "self.site.reread_window = again"
+)
 ZONE_BYTES_OFF = parameter("zone_byte", "float", "3.6", "0.0")
 DOUBTS_OFF = parameter("doubt_weight", "int", "3", "0")
 QUICK_OFF = parameter("quick_retry", "bool", "True", "False")
@@ -37,10 +39,10 @@
 # The ablation: each mechanism by itself off, or a figure of it halved or doubled.
 BALANCER, CHOICE, COST = "placement/balancer.py", "placement/choice.py", "placement/cost.py"
 URGENCY, INTAKE, REGIONS = "placement/urgency.py", "placement/intake.py", "placement/regions.py"
-ADMITTED = "return max(GradientController.effective_limit(self), self.places, float(MIN_LIMIT))"
-KEEPER = "self._keeper(now, job, able, base) if job.key is not None else None"
-DRAWN = "drawn = able if self._is_scanned(job) else self._members(able, keeper)"
-HELD = "return self.holders.recent(now, job.prefix, self.site.again)"
+ADMITTED = "return max(GradientController.effective_limit(self), self.free_slots, float(MIN_LIMIT))"
+KEEPER = "self._preferred_server(now, job, candidates, base_time) if job.key is not None else None"
+DRAWN = "drawn = candidates if self._compares_all(job) else self._random_members(candidates, preferred)"
+HELD = "return self.holders.recent(now, job.prefix, self.site.reread_window)"
 NOTICED = "shares = bool(keys) and sum(tokens) >= LEAST_SHARED\n"
 NO_SUBSET = (
     Replacement("policy/subset.py", "SUBSET_LEAST = 4 ", "SUBSET_LEAST = 10_000 "),
@@ -48,7 +50,7 @@
 )
 ABLATION: dict[str, tuple[Replacement, ...]] = {
     "gradient-limit": (Replacement("placement/limit.py", ADMITTED, "return 1e9"),),
-    "places-floor": (Replacement("placement/limit.py", "self.places, ", ""),),
+    "places-floor": (Replacement("placement/limit.py", "self.free_slots, ", ""),),
     "small-subset": NO_SUBSET,
     "ejection": (
         Replacement("policy/balancer.py", "if not srv.member or not srv.ejected and", "if True or"),
@@ -57,7 +59,9 @@
     "region-times": (Replacement(REGIONS, "if known is None or now", "if True or known is None or now"),),
     "keeper": (Replacement(CHOICE, KEEPER, "None"),),
     "second-draw": (
-        Replacement(CHOICE, DRAWN, "drawn = self._members(able, keeper) if keeper is None else []"),
+        Replacement(
+            CHOICE, DRAWN, "drawn = self._random_members(candidates, preferred) if preferred is None else []"
+        ),
     ),
     "holders": (Replacement(COST, HELD, "return ()"),),
     "prefix-notices": (
--- a/brackenladder/placement/adoption.py
+++ b/brackenladder/placement/adoption.py
@@ -1,4 +1,4 @@
-"""Servers that are members of the small subset because they keep this gateway's prompts."""
+"""Servers added to the gateway's small subset because they have its prompts in their prefix caches."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from brackenladder.policy.server import Server
 
-MOST_ADOPTED = 24
+MAX_ADOPTED = 24
 
 
 class AdoptedServers:
-    """The servers found by a prompt, the most recently used last: as members they can be set aside."""
+    """Servers chosen for their cached prompts, most recently used last. Only members can be ejected."""
 
     def __init__(self) -> None:
         self._servers: dict[int, Server] = {}
 
     def add(self, server: Server) -> None:
-        """A server was chosen by what it keeps."""
+        """Records that a server was chosen for its cached prompts."""
         self._servers.pop(server.id, None)
         self._servers[server.id] = server
-        while len(self._servers) > MOST_ADOPTED:
+        while len(self._servers) > MAX_ADOPTED:
             del self._servers[next(iter(self._servers))]
 
-    def join(self, members: list[Server], listed: Mapping[int, Server]) -> None:
-        """Make members of those that are still listed."""
+    def add_to_members(self, members: list[Server], listed: Mapping[int, Server]) -> None:
+        """Appends those that are still listed to the members."""
         for server in self._servers.values():
             if server.in_list and not server.member and listed.get(server.id) is server:
                 server.member = True
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -1,9 +1,9 @@
-"""The decision module of a gateway's service: the Balancer, with prompts, regions, homes and shares in view.
+"""The balancer of a gateway's service: extends Balancer by prefix caches, regions, home regions and shares.
 
-What it keeps of the Balancer is the ordinary path: the gradient limit, a refusal at once at the limit with
-advice when to come back, minRTT passes, the small subset, ejection. What it adds stands in the modules beside
-it. A call is in flight, for the limit, until its first event; the latency that the limit is told leaves out
-the way and what the unread tokens of the prompt cost, so that a long prompt is no overload.
+From Balancer it uses the gradient limit, immediate refusals at the limit with a time to retry after, minRTT
+passes, the small subset and ejection. Its additions are in the other modules of this package. A call counts
+as in flight for the limit until its first event. The latency given to the limit excludes the round trip and
+the prefill, so that a long prompt does not look like overload.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 )
 from brackenladder.placement.adoption import AdoptedServers
 from brackenladder.placement.choice import Choice, Chooser
-from brackenladder.placement.cost import CostModel, Job, job_of
+from brackenladder.placement.cost import CostModel, Job, new_job
 from brackenladder.placement.in_flight import InFlight
-from brackenladder.placement.intake import PrefixIntake
-from brackenladder.placement.limit import PlacesController
-from brackenladder.placement.load import PRESSED_TIME
+from brackenladder.placement.intake import PrefixSeeding
+from brackenladder.placement.limit import SlotFloorController
+from brackenladder.placement.load import PRESSURE_TIME
 from brackenladder.placement.regions import RegionTimes
 from brackenladder.placement.silent_zones import SilentZones
 from brackenladder.placement.site import ServiceSite
 from brackenladder.placement.traits import CallTraits
-from brackenladder.placement.unresponsive import MOST_DOUBTED
+from brackenladder.placement.unresponsive import MAX_SUSPECTED
 from brackenladder.policy.balancer import Balancer
 from brackenladder.policy.ejection import EJECT_TIME
 from brackenladder.policy.retry import Request
@@ -41,18 +41,18 @@
 from brackenladder.shares.cold_share import ColdShare
 from brackenladder.shares.retry_budget import RetryBudget
 
-LEAST_LATENCY = 1_000  # microseconds that the limit is told at least
-MOST_RANK = 3  # headrooms below the limit at which the least urgent are refused
-SILENT_LEAST = 1_000_000  # microseconds: a server is not silent sooner
-TRY_PART = 0.5  # of the time left that the first try of a call which may be repeated gets
-MOST_UNSENT = 3  # further attempts of a call after ones that were never sent
+LEAST_LATENCY = 1_000  # microseconds: the lowest latency that is given to the limit
+MOST_RANK = 3  # headrooms below the limit at which the least urgent calls are refused
+SILENT_LEAST = 1_000_000  # microseconds before a server can count as silent
+TRY_PART = 0.5  # of the time left that the first attempt of a retryable call may take
+MAX_UNSENT = 3  # further attempts of a call after attempts that were never sent
 
-NEVER_SENT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # these ends are no arrivals at a server
+NEVER_SENT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # outcomes of attempts that did not reach a server
 TraitsOf = Callable[[int], CallTraits | None]
 
 
 class PromptBalancer(Balancer):
-    """A Balancer that places prompts. `traits_of` gives the traits of an open call, as of now, by its id."""
+    """A Balancer for prompts. `traits_of` returns the present traits of an open call by its id."""
 
     def __init__(
         self,
@@ -67,15 +67,15 @@
     ) -> None:
         Balancer.__init__(self, settings, seed, actions)
         known = self.controller
-        self.places = PlacesController(known.allowance, known.ceiling, self.rng, 0)
-        self.controller = self.places
+        self.slot_controller = SlotFloorController(known.allowance, known.ceiling, self.rng, 0)
+        self.controller = self.slot_controller
         self.site = site
         self.traits_of = traits_of
         self.cold = cold
         self.budget = budget
         self.costs = CostModel(site)
         self.chooser = Chooser(site, self.costs, self.rng)
-        self.intake = PrefixIntake(site, self.costs, number_of(cold.gateway))
+        self.seeding = PrefixSeeding(site, self.costs, number_of(cold.gateway))
         self.regions = RegionTimes()
         self.zones = SilentZones()
         self.jobs: dict[int, Job] = {}
@@ -87,34 +87,34 @@
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         super().server_list(now, kind, entries)
         listed = [server for server in self.servers.values() if server.in_list]
-        self.site.sort(listed)
-        self.intake.listed(now, [server.id for server in listed])
+        self.site.update_regions(listed)
+        self.seeding.set_servers(now, [server.id for server in listed])
         self.costs.loads.forget(set(self.servers))
         self.cold.forget(now)
         self.in_flight.forget_lost_streams(now)
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        """A request. `repeat`, or excluded servers: it was sent before, and takes from the budget."""
+        """A new request. With `repeat` or excluded servers it was sent before, and uses the retry budget."""
         traits = self.traits_of(request)
         if traits is None:
             self.actions.fail(request)
             return
-        job = job_of(traits, {number_of(server) for server in traits.exclude})
-        job.ran = sum([number in self.site.places for number in job.excluded])
+        job = new_job(traits, {number_of(server) for server in traits.exclude})
+        job.may_have_run = sum([number in self.site.locations for number in job.excluded])
         if repeat or job.excluded:
             job.arrived = 1
         else:
             self.budget.request(now)
-        if 0 < self.site.kv_tokens < job.tokens or job.ran >= traits.route.max_attempts:
+        if 0 < self.site.kv_tokens < job.tokens or job.may_have_run >= traits.route.max_attempts:
             self.blocked += 1
             self.actions.refuse(request, self.settings.max_retry_after)
             return
         self.jobs[request] = job
-        self.intake.asked(now, job)
-        self.in_flight.note_silent(now)
-        self.places.places = self.free_places(now)
+        self.seeding.record_request(now, job)
+        self.in_flight.report_unanswered_calls(now)
+        self.slot_controller.free_slots = self.free_slots(now)
         super().request(now, request, klass, tenant, time_left, repeat)
-        self.forget(request)
+        self.forget_job(request)
 
     def outcome(
         self,
@@ -127,77 +127,77 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        placed = self.in_flight.out.get(request)
+        placed = self.in_flight.attempts.get(request)
         job = self.jobs.get(request)
         if placed is not None and job is not None:
             if outcome in NEVER_SENT:
-                self.book_unsent(job)
+                self.record_unsent(job)
             else:
                 job.arrived += 1
-            job.ran += outcome not in NEVER_RAN
-            self.in_flight.book(now, placed, outcome, latency)
+            job.may_have_run += outcome not in NEVER_RAN
+            self.in_flight.record_outcome(now, placed, outcome, latency)
         super().outcome(now, request, attempt, server, outcome, latency, final, report)
         if placed is not None:
-            self.in_flight.over(request, placed)
-        self.forget(request)
+            self.in_flight.remove_attempt(request, placed)
+        self.forget_job(request)
 
     def client_left(self, now: int, request: int) -> None:
         super().client_left(now, request)
-        self.forget(request)
+        self.forget_job(request)
 
     def stream_ended(self, now: int, request: int) -> None:
-        """After a first event: the stream is over, its place and memory are free again."""
+        """After a first event: the stream is over, its location and memory are free again."""
         self.in_flight.stream_ended(now, request)
 
     def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Other gateways have sent prompts to servers of this service."""
+        """Takes in notices of other gateways about servers of this service."""
         self.in_flight.apply_notices(now, notices)
 
     # ---- admission ------------------------------------------------------------------------------------
 
-    def free_places(self, now: int) -> float:
-        """This gateway's share of the free places; a server that has just turned a call away has none."""
+    def free_slots(self, now: int) -> float:
+        """This gateway's share of the free slots; a server that has just rejected a call has none."""
         loads = self.costs.loads.servers
         slots = 0
-        for number, place in self.site.places.items():
+        for number, location in self.site.locations.items():
             load = loads.get(number)
-            if load is None or now - load.rejected_at >= PRESSED_TIME:
-                slots += place.slots
+            if load is None or now - load.rejected_at >= PRESSURE_TIME:
+                slots += location.slots
         return slots / self.site.gateways - len(self.in_flight.streams)
 
     def rank_classes(self, mean_rtt: Sequence[float]) -> None:
-        """The more urgent a class, the lower its rank: the others leave room for it below the limit."""
+        """Gives more urgent classes a lower rank; classes of higher rank leave room below the limit."""
         worths = sorted({c.worth for c in self.settings.classes}, reverse=True)
         self.rank = [min(MOST_RANK, worths.index(c.worth)) for c in self.settings.classes]
 
     # ---- attempts -------------------------------------------------------------------------------------
 
     def attempt(self, now: int, req: Request) -> None:
-        """Sends the request to the server chosen for it, or answers it when there is none."""
+        """Chooses a server and sends the request there, or gives the final answer if there is none."""
         job = self.jobs[req.id]
         job.traits = self.traits_of(req.id) or job.traits
         harmless = req.ran_on is None or req.effect == Effect.SAFE
         choice = self.choose(now, req, job)
         if choice is None and harmless:
-            self.refuse_for_lack(req)
+            self.refuse_without_server(req)
             return
-        if choice is None or self.gives_way(now, req, choice):
+        if choice is None or self.yields_to_urgent(now, req, choice):
             self.finish(req, refuse=harmless)
             return
         if job.arrived and not self.may_repeat(now):
             self.finish(req, refuse=harmless)
             return
-        self.go(now, req, job, choice)
+        self.start_attempt(now, req, job, choice)
 
-    def refuse_for_lack(self, req: Request) -> None:
-        """No server may take the call now: it is to come back when one may, not at once."""
+    def refuse_without_server(self, req: Request) -> None:
+        """Refuses the call as no server may get it now; the client should retry later, not at once."""
         del self.requests[req.id]
         self.blocked += 1
         aim = self.settings.classes[req.klass].aim
         self.actions.refuse(req.id, min(self.settings.max_retry_after, int(aim)))
 
-    def go(self, now: int, req: Request, job: Job, choice: Choice) -> None:
-        """The attempt begins."""
+    def start_attempt(self, now: int, req: Request, job: Job, choice: Choice) -> None:
+        """Starts an attempt at the chosen server."""
         server = choice.server
         if choice.adopt:
             self.adopted.add(server)
@@ -213,51 +213,51 @@
         req.sent_at = now
         req.attempts += 1
         job.excluded.add(server.id)
-        own = self.own_time(now, req, server)
-        waiting = self.costs.queue(now, server, job, own)
-        self.in_flight.send(now, req.id, job, server.id, choice.unread, waiting)
-        self.actions.send(req.id, server.id, self.time_for(now, req, job, choice))
+        base_time = self.base_time(now, req, server)
+        queue_time = self.costs.queue_time(now, server, job, base_time)
+        self.in_flight.send(now, req.id, job, server.id, choice.uncached_tokens, queue_time)
+        self.actions.send(req.id, server.id, self.attempt_timeout(now, req, job, choice))
 
     def may_repeat(self, now: int) -> bool:
-        """Takes a repeat from this gateway's part of the budget; there is none until the part is known.
+        """Takes a retry from this gateway's part of the budget, which is 0 until the part is known.
 
-        Failure prevented: all processes start at once, each gateway takes itself for the only one, and all
-        together spend the budget, or a cold server's share, as many times over.
+        Failure prevented: all processes start at once, each gateway assumes to be the only one, and together
+        they spend the whole budget, or a cold server's whole share, once each.
         """
         return self.site.gateways_known and self.budget.spend(now, self.site.gateways)
 
-    def time_for(self, now: int, req: Request, job: Job, choice: Choice) -> int:
-        """How long an attempt may take. One that may be repeated elsewhere leaves time for that."""
+    def attempt_timeout(self, now: int, req: Request, job: Job, choice: Choice) -> int:
+        """The timeout of an attempt; one that can be retried leaves time for the retry."""
         left = req.useful_until - now
-        more = job.ran + 1 < job.traits.route.max_attempts and self.site.size() > 1
+        more = job.may_have_run + 1 < job.traits.route.max_attempts and self.site.size() > 1
         if req.effect == Effect.SAFE and (more or choice.server.excluded):
             half = max(self.settings.tick, int(TRY_PART * left))
-            overdue_at = self.in_flight.out[req.id].overdue_at
+            overdue_at = self.in_flight.attempts[req.id].overdue_at
             if not self.site.parameters.quick_retry or not overdue_at:
                 return half
             aim = self.settings.classes[req.klass].aim
             return min(half, max(overdue_at - now, int(TRY_PART * aim)))
         return left
 
-    def own_time(self, now: int, req: Request, server: Server) -> float:
-        """What a call takes by itself, in microseconds, in the server's region."""
-        region = self.site.places[server.id].region
+    def base_time(self, now: int, req: Request, server: Server) -> float:
+        """Microseconds that a call takes in the server's region without queueing and prefill."""
+        region = self.site.locations[server.id].region
         return self.controller.target[req.klass] * self.regions.ratio(now, region)
 
     def after_failure(self, now: int, req: Request, srv: Server | None, outcome: Outcome) -> None:
-        """A further attempt where class, time, servers and budget allow it; a final answer otherwise.
+        """Retries if class, time, servers and budget allow it, else gives the final answer.
 
-        A call that may have run is repeated only if it may run again, and on no more servers than its route
-        allows. One that was turned away may go to one server more, one that was never sent to any.
+        A call that may have run is retried only if it may run twice, and at no more servers than its route
+        allows. Rejected attempts allow one more server; attempts that were never sent do not count.
         """
         req.record_failure(srv, outcome)
         job = self.jobs[req.id]
         most = job.traits.route.max_attempts
         if (
             req.repeatable(now, self.settings.classes[req.klass])
-            and job.ran < most
+            and job.may_have_run < most
             and job.arrived <= most
-            and job.unsent <= MOST_UNSENT
+            and job.unsent <= MAX_UNSENT
             and req.attempts < self.settings.max_attempts
             and now + self.mean_rtt[req.klass] < req.useful_until
         ):
@@ -266,85 +266,89 @@
         self.finish(req, refuse=req.ran_on is None or req.effect == Effect.SAFE)
 
     def choose(self, now: int, req: Request, job: Job) -> Choice | None:
-        """The trial of a server that was set aside, or the cheaper of two draws."""
+        """The server for an attempt: an ejected one whose trial is due, or the one of lowest cost."""
         trial = self.due_trial(now, req, job)
         if trial is not None:
-            return Choice(trial, 0.0, self.costs.unread(now, trial, job, own_server=False))
+            return Choice(trial, 0.0, self.costs.uncached_tokens(now, trial, job, assigned=False))
 
-        def base(server: Server) -> float:
-            return self.own_time(now, req, server)
+        def base_time_at(server: Server) -> float:
+            return self.base_time(now, req, server)
 
         def may_send(server: Server) -> bool:
             return self.may_take(now, server)
 
         def answers(server: Server) -> bool:
-            return self.may_take(now, server) and not self.zones.silent(now, self.site.places[server.id].zone)
+            return self.may_take(now, server) and not self.zones.silent(
+                now, self.site.locations[server.id].zone
+            )
 
-        def able(server: Server) -> bool:
+        def usable(server: Server) -> bool:
             return self.chooser.usable(now, job, server, answers)
 
         def prepared(server: Server) -> bool:
-            return not self.intake.awaits_carrier(now, server, job) and answers(server)
+            return not self.seeding.awaits_seeding(now, server, job) and answers(server)
 
-        carrier = self.intake.carrier_for(now, job, self.site.local, able, base)
-        if carrier is not None:
-            unread = self.costs.unread(now, carrier, job, own_server=False)
-            return Choice(carrier, 0.0, unread, adopt=not carrier.member)
-        doubted = self.doubted(now)
-        if doubted:
+        to_seed = self.seeding.server_to_seed(now, job, self.site.local, usable, base_time_at)
+        if to_seed is not None:
+            uncached = self.costs.uncached_tokens(now, to_seed, job, assigned=False)
+            return Choice(to_seed, 0.0, uncached, adopt=not to_seed.member)
+        suspected = self.suspected(now)
+        if suspected:
 
             def trusted(server: Server) -> bool:
-                return server.id not in doubted and prepared(server)
+                return server.id not in suspected and prepared(server)
 
-            choice = self.chooser.choose(now, job, base, trusted)
+            choice = self.chooser.choose(now, job, base_time_at, trusted)
             if choice is not None:
                 return choice
-        return self.chooser.choose(now, job, base, prepared) or self.chooser.choose(now, job, base, may_send)
+        return self.chooser.choose(now, job, base_time_at, prepared) or self.chooser.choose(
+            now, job, base_time_at, may_send
+        )
 
-    def doubted(self, now: int) -> frozenset[int]:
-        """Servers that had better get nothing for a moment; none where so many are that it tells nothing."""
+    def suspected(self, now: int) -> frozenset[int]:
+        """Servers to avoid because calls there were unanswered; none if that is true of too many."""
         least = self.site.parameters.doubt_weight
         if not least:
             return frozenset()
-        doubted = self.in_flight.doubts.doubted(now, least)
-        return doubted if len(doubted) <= MOST_DOUBTED * len(self.site.places) else frozenset()
+        suspected = self.in_flight.suspicions.suspected(now, least)
+        return suspected if len(suspected) <= MAX_SUSPECTED * len(self.site.locations) else frozenset()
 
     def due_trial(self, now: int, req: Request, job: Job) -> Server | None:
         """An ejected server whose trial is due.
 
-        Failure prevented: a service has no requests that may be repeated, and what was set aside stays
-        so: after some time any request is a trial.
+        Failure prevented: a service has no retryable requests, so an ejected server never gets a trial.
+        Therefore after some time any request may be the trial.
         """
         if not self.ejected or now < self.next_trial:
             return None
-        patience = 0 if req.effect == Effect.SAFE else EJECT_TIME
+        delay = 0 if req.effect == Effect.SAFE else EJECT_TIME
         near = any(self.chooser.allows(job, server) for server in self.site.local)
 
         def may_try(now: int, server: Server) -> bool:
-            if now < server.trial_at + patience or not self.chooser.allows(job, server):
+            if now < server.trial_at + delay or not self.chooser.allows(job, server):
                 return False
-            away = self.site.places[server.id].region != self.site.region
-            return not (near and away) and not self.is_cold(now, server)
+            remote = self.site.locations[server.id].region != self.site.region
+            return not (near and remote) and not self.is_cold(now, server)
 
         return self.start_trial(now, may_try)
 
-    def gives_way(self, now: int, req: Request, choice: Choice) -> bool:
-        """Whether a less urgent call is refused since the best server has just turned calls away."""
+    def yields_to_urgent(self, now: int, req: Request, choice: Choice) -> bool:
+        """Whether a less urgent call is refused because the best server has just rejected calls."""
         rank = self.rank[req.klass]
         load = self.costs.loads.servers.get(choice.server.id)
         if rank == 0 or load is None:
             return False
-        return self.rng.random() < load.pressed(now) * rank / (rank + 1)
+        return self.rng.random() < load.rejection_pressure(now) * rank / (rank + 1)
 
     # ---- servers --------------------------------------------------------------------------------------
 
     def is_cold(self, now: int, server: Server) -> bool:
-        """Whether the server is cold and takes its share only."""
-        place = self.site.places.get(server.id)
-        return place is not None and self.site.cold_until(place.id) > now
+        """Whether the server is cold, so that it gets its limited share only."""
+        location = self.site.locations.get(server.id)
+        return location is not None and self.site.cold_until(location.id) > now
 
     def may_take(self, now: int, server: Server) -> bool:
-        """Whether the server answers, and whether it is warm or its cold share has room."""
+        """Whether the server is not silent, and is warm or has room in its cold share."""
         if self.eject_if_silent(now, server, min(self.mean_rtt)):
             return False
         if not self.is_cold(now, server):
@@ -354,40 +358,40 @@
         return self.cold.allows(now, server.id, self.site.gateways, self.site.gateway_names)
 
     def eject_if_silent(self, now: int, srv: Server, least: float) -> bool:
-        """As the Balancer has it, but what the server still reads is no silence."""
+        """Like Balancer, but the time of the prefills in progress does not count as silence."""
         load = self.costs.loads.servers.get(srv.id)
-        reading = self.costs.prefill.time(load.unread) if load is not None else 0.0
-        if srv.in_flight and now - srv.quiet_since < SILENT_LEAST + reading:
+        prefill_time = self.costs.prefill.time(load.pending_prefill) if load is not None else 0.0
+        if srv.in_flight and now - srv.quiet_since < SILENT_LEAST + prefill_time:
             return srv.ejected
-        place = self.site.places.get(srv.id)
-        if srv.in_flight and place is not None:
-            self.zones.unanswered(now, place.zone, srv.id)
+        location = self.site.locations.get(srv.id)
+        if srv.in_flight and location is not None:
+            self.zones.unanswered(now, location.zone, srv.id)
         return super().eject_if_silent(now, srv, least)
 
     def select_members(self) -> None:
-        """This copy's stretch of the shuffle, and the servers that keep its prompts."""
+        """Selects this gateway's slice of the servers, and those that have its prompts cached."""
         super().select_members()
-        self.adopted.join(self.members, self.servers)
+        self.adopted.add_to_members(self.members, self.servers)
 
-    # ---- ends -----------------------------------------------------------------------------------------
+    # ---- outcomes -------------------------------------------------------------------------------------
 
     def record_end(self, now: int, srv: Server, req: Request | None, outcome: Outcome, latency: int) -> None:
-        """Books an attempt's end with its latency less what is known not to be load."""
-        placed = self.in_flight.out.get(req.id) if req is not None else None
+        """Like Balancer, with the latency reduced by the part that does not depend on load."""
+        placed = self.in_flight.attempts.get(req.id) if req is not None else None
         if placed is not None and req is not None:
             latency = max(LEAST_LATENCY, latency - int(placed.known_cost))
-            place = self.site.places.get(srv.id)
-            if outcome in (Outcome.OK, Outcome.TIMEOUT) and place is not None:
-                self.regions.heard(now, place.region, latency / self.controller.target[req.klass])
+            location = self.site.locations.get(srv.id)
+            if outcome in (Outcome.OK, Outcome.TIMEOUT) and location is not None:
+                self.regions.record(now, location.region, latency / self.controller.target[req.klass])
         super().record_end(now, srv, req, outcome, latency)
 
-    def book_unsent(self, job: Job) -> None:
-        """The attempt never reached its server: what it took of the budget is given back."""
+    def record_unsent(self, job: Job) -> None:
+        """Returns the budget used by an attempt that did not reach its server."""
         job.unsent += 1
         if job.arrived:
             self.budget.give_back()
 
-    def forget(self, request: int) -> None:
-        """Drops the job of a call for which nothing is out and nothing is owed."""
-        if request not in self.requests and request not in self.in_flight.out:
+    def forget_job(self, request: int) -> None:
+        """Drops the job of a call that is finished and has no attempt in flight."""
+        if request not in self.requests and request not in self.in_flight.attempts:
             self.jobs.pop(request, None)
--- a/brackenladder/placement/choice.py
+++ b/brackenladder/placement/choice.py
@@ -1,4 +1,4 @@
-"""Two draws: the server that keeps a prompt, and a random member; the one of lower cost takes the call."""
+"""Server selection: compares the server that has the prompt cached with a random member by expected cost."""
 
 from __future__ import annotations
 
@@ -12,27 +12,31 @@
 from brackenladder.placement.site import ServiceSite
 from brackenladder.policy.server import Server
 
-RENDEZVOUS_DEPTH = 3  # so many servers in a prompt's order are looked at
-ENDING_MARGIN = 300_000  # microseconds before a server's end by which a call must be over
-MOST_FAR = 48  # servers of other regions that are looked at, beside those that keep the prompt
+RENDEZVOUS_DEPTH = 3  # servers in a prompt's rendezvous order that are considered
+ENDING_MARGIN = 300_000  # microseconds before a server's termination by which a call must have ended
+MAX_REMOTE = 48  # servers of other regions that are compared, besides those with the prompt cached
 
 
 @frozen
 class Choice:
-    """The server for an attempt."""
+    """The server chosen for an attempt."""
 
     server: Server
     cost: float
-    unread: float  # tokens that it must read
-    adopt: bool = False  # it was found by its prompt and is to be a member of the subset
+    uncached_tokens: float  # prompt tokens that the server has to process
+    adopt: bool = False  # it is not a member of the subset yet and shall become one
 
 
 Usable = Callable[[Server], bool]
-Base = Callable[[Server], float]
+BaseTime = Callable[[Server], float]
 
 
 class Chooser:
-    """Draws servers of one service. `may_send`: the cold share; `base`: a call's own time in a region."""
+    """Chooses servers of one service.
+
+    In its methods `may_send` tells whether a server may get a call now, and `base_time` is the time in
+    microseconds that a call takes at a server without queueing and prefill.
+    """
 
     def __init__(self, site: ServiceSite, costs: CostModel, random: Random) -> None:
         self.site = site
@@ -40,131 +44,149 @@
         self.random = random
         self.parameters = site.parameters
 
-    def choose(self, now: int, job: Job, base: Base, may_send: Usable) -> Choice | None:
-        """The server that takes the call, None if there is none. Other regions only where that pays."""
-        choice = self._draw(now, job, self._pool(job, self.site.local), base, may_send)
+    def choose(self, now: int, job: Job, base_time: BaseTime, may_send: Usable) -> Choice | None:
+        """The server for the call, None if there is none; of another region only if that is cheaper."""
+        choice = self._draw(now, job, self._allowed(job, self.site.local), base_time, may_send)
         if choice is not None and choice.cost <= CROSS_REGION + self.parameters.region_price:
             return choice
-        other = self._draw(now, job, self._pool(job, self._far(now, job)), base, may_send)
+        other = self._draw(
+            now, job, self._allowed(job, self._remote_candidates(now, job)), base_time, may_send
+        )
         if choice is None or other is not None and other.cost < choice.cost:
             return other
         return choice
 
     def usable(self, now: int, job: Job, server: Server, may_send: Usable) -> bool:
-        """Whether the call may go to the server now."""
+        """Whether the call may be sent to the server now."""
         allowed = not server.ejected and self.allows(job, server)
-        return allowed and self._in_time(now, server, job) and may_send(server)
+        return allowed and self._ends_before_server(now, server, job) and may_send(server)
 
     def allows(self, job: Job, server: Server) -> bool:
-        """Whether the server may take the call at all: by the homes, and where it was before."""
-        place = self.site.places.get(server.id)
-        if place is None or not job.traits.permits(place.region):
+        """Whether the call may be sent to the server at all, by home regions and earlier attempts."""
+        location = self.site.locations.get(server.id)
+        if location is None or not job.traits.permits(location.region):
             return False
         return server.id not in job.excluded
 
-    def _far(self, now: int, job: Job) -> Sequence[Server]:
-        """Servers of other regions: all of a few, of many a sample and those that keep the prompt.
+    def _remote_candidates(self, now: int, job: Job) -> Sequence[Server]:
+        """Servers of other regions: all if there are few, else a sample and those with the prompt cached.
 
-        Failure prevented: none of a sample from all regions stands in a small home, and a call that the
-        home's servers could take is refused.
+        The sample is of permitted regions only. Failure prevented: a sample of all regions has no server of
+        a small home region, and a call that could run there is refused.
         """
-        far: list[Server] = []
-        for region, servers in self.site.far.items():
+        remote: list[Server] = []
+        for region, servers in self.site.remote.items():
             if job.traits.permits(region):
-                far += servers
-        if len(far) <= MOST_FAR:
-            return far
-        held = [self.site.far_by_number.get(number) for number in self.costs.held(now, job)]
-        holders = [server for server in held if server is not None]
-        sample = self.random.sample(far, MOST_FAR)
+                remote += servers
+        if len(remote) <= MAX_REMOTE:
+            return remote
+        recent = [self.site.remote_by_number.get(number) for number in self.costs.recent_holders(now, job)]
+        holders = [server for server in recent if server is not None]
+        sample = self.random.sample(remote, MAX_REMOTE)
         return [*holders, *[server for server in sample if server not in holders]]
 
-    def _pool(self, job: Job, servers: Sequence[Server]) -> list[Server]:
+    def _allowed(self, job: Job, servers: Sequence[Server]) -> list[Server]:
         return [server for server in servers if not server.ejected and self.allows(job, server)]
 
     def _draw(
-        self, now: int, job: Job, pool: Sequence[Server], base: Base, may_send: Usable
+        self, now: int, job: Job, pool: Sequence[Server], base_time: BaseTime, may_send: Usable
     ) -> Choice | None:
-        able = [server for server in pool if self._in_time(now, server, job) and may_send(server)]
-        if not able:
+        candidates = [
+            server for server in pool if self._ends_before_server(now, server, job) and may_send(server)
+        ]
+        if not candidates:
             return None
-        keeper = self._keeper(now, job, able, base) if job.key is not None else None
-        choices = [] if keeper is None else [self._choice(now, job, keeper, base, own_server=True)]
-        near = self._near(job, able, keeper)
+        preferred = self._preferred_server(now, job, candidates, base_time) if job.key is not None else None
+        choices = [] if preferred is None else [self._choice(now, job, preferred, base_time, assigned=True)]
+        near = self._same_zone_server(job, candidates, preferred)
         if near is not None:
-            choices.append(self._choice(now, job, near, base, own_server=job.key is not None))
-        drawn = able if self._is_scanned(job) else self._members(able, keeper)
-        others = [server for server in drawn if server is not keeper and server is not near]
-        choices += [self._choice(now, job, server, base, own_server=False) for server in others]
+            choices.append(self._choice(now, job, near, base_time, assigned=job.key is not None))
+        drawn = candidates if self._compares_all(job) else self._random_members(candidates, preferred)
+        others = [server for server in drawn if server is not preferred and server is not near]
+        choices += [self._choice(now, job, server, base_time, assigned=False) for server in others]
         return min(choices, key=_cost_of)
 
-    def _members(self, able: Sequence[Server], keeper: Server | None) -> list[Server]:
-        """A random member beside the keeper, two without one."""
-        first = self._any_member(able, keeper)
-        second = self._any_member(able, first) if keeper is None and first is not None else None
+    def _random_members(self, candidates: Sequence[Server], preferred: Server | None) -> list[Server]:
+        """One random member other than the preferred server, or two if there is none."""
+        first = self._random_member(candidates, preferred)
+        second = self._random_member(candidates, first) if preferred is None and first is not None else None
         return [server for server in (first, second) if server is not None]
 
-    def _keeper(self, now: int, job: Job, able: Sequence[Server], base: Base) -> Server:
-        """The server that keeps most of the prompt, the prompt's own one where they are alike.
+    def _preferred_server(
+        self, now: int, job: Job, candidates: Sequence[Server], base_time: BaseTime
+    ) -> Server:
+        """The server with most of the prompt cached, or the one assigned by hashing if none has more.
 
-        A server whose wait is longer than reading the prompt anew elsewhere is passed over.
+        A server whose queue takes longer than a full prefill elsewhere is skipped.
         """
         assert job.key is not None
-        order = rendezvous.order(job.key, able, RENDEZVOUS_DEPTH)
-        own = self._bounded(now, job, order, base)
+        order = rendezvous.order(job.key, candidates, RENDEZVOUS_DEPTH)
+        assigned = self._first_with_short_queue(now, job, order, base_time)
         loads = self.costs.loads.servers
-        kept = {server.id: loads[server.id].kept.kept(job.chain) for server in able if server.id in loads}
-        best = max(able, key=lambda server: (kept.get(server.id, 0), server is own))
-        most, least = kept.get(best.id, 0), kept.get(own.id, 0)
-        if most > max(least, job.shared) or most >= job.shared > least and self.costs.held(now, job):
-            return self._bounded(now, job, (best, own), base)
-        return own
-
-    def _is_scanned(self, job: Job) -> bool:
-        """Whether the prompt takes so long to read that a queue before it makes it late."""
+        cached = {
+            server.id: loads[server.id].cache.cached_tokens(job.chain)
+            for server in candidates
+            if server.id in loads
+        }
+        best = max(candidates, key=lambda server: (cached.get(server.id, 0), server is assigned))
+        most, least = cached.get(best.id, 0), cached.get(assigned.id, 0)
+        if (
+            most > max(least, job.shared_tokens)
+            or most >= job.shared_tokens > least
+            and self.costs.recent_holders(now, job)
+        ):
+            return self._first_with_short_queue(now, job, (best, assigned), base_time)
+        return assigned
+
+    def _compares_all(self, job: Job) -> bool:
+        """Whether the prompt is so long that queueing before its prefill would make it late."""
         least = self.parameters.scanned_tokens
         return 0 < least <= job.traits.prompt_tokens
 
-    def _near(self, job: Job, able: Sequence[Server], keeper: Server | None) -> Server | None:
-        """The own server in this zone, or any of it without one.
+    def _same_zone_server(
+        self, job: Job, candidates: Sequence[Server], preferred: Server | None
+    ) -> Server | None:
+        """The server of this zone that hashing assigns to the prompt, or a random one without a key.
 
-        None if the keeper stands here, or if no server stands elsewhere: draws find those of the zone anyway.
+        None if the preferred server is in this zone, or if all candidates are: then no further one is needed.
         """
         if self.parameters.zone_byte <= 0:
             return None
-        places = self.site.places
-        if keeper is not None and places[keeper.id].zone == self.site.zone:
+        locations = self.site.locations
+        if preferred is not None and locations[preferred.id].zone == self.site.zone:
             return None
-        near = [server for server in able if places[server.id].zone == self.site.zone]
-        if not near or len(near) == len(able):
+        near = [server for server in candidates if locations[server.id].zone == self.site.zone]
+        if not near or len(near) == len(candidates):
             return None
         if job.key is None:
             return near[int(self.random.random() * len(near))]
         return rendezvous.order(job.key, near, 1)[0]
 
-    def _bounded(self, now: int, job: Job, order: Sequence[Server], base: Base) -> Server:
-        patience = self.costs.rereading(job)
+    def _first_with_short_queue(
+        self, now: int, job: Job, order: Sequence[Server], base_time: BaseTime
+    ) -> Server:
+        longest = self.costs.full_prefill_time(job)
         for server in order:
-            if self.costs.queue(now, server, job, base(server)) <= patience:
+            if self.costs.queue_time(now, server, job, base_time(server)) <= longest:
                 return server
         return order[0]
 
-    def _any_member(self, able: Sequence[Server], other: Server | None) -> Server | None:
-        pool = [server for server in able if server.member and server is not other]
-        pool = pool or [server for server in able if server is not other]
+    def _random_member(self, candidates: Sequence[Server], other: Server | None) -> Server | None:
+        pool = [server for server in candidates if server.member and server is not other]
+        pool = pool or [server for server in candidates if server is not other]
         return pool[int(self.random.random() * len(pool))] if pool else None
 
-    def _choice(self, now: int, job: Job, server: Server, base: Base, own_server: bool) -> Choice:
-        cost = self.costs.cost(now, server, job, base(server), own_server)
-        unread = self.costs.unread(now, server, job, own_server)
-        return Choice(server, cost, unread, adopt=not server.member)
+    def _choice(self, now: int, job: Job, server: Server, base_time: BaseTime, assigned: bool) -> Choice:
+        cost = self.costs.cost(now, server, job, base_time(server), assigned)
+        uncached_tokens = self.costs.uncached_tokens(now, server, job, assigned)
+        return Choice(server, cost, uncached_tokens, adopt=not server.member)
 
-    def _in_time(self, now: int, server: Server, job: Job) -> bool:
-        """Whether the call can be over before a server that is taken away is gone."""
-        ends_at = self.site.places[server.id].ends_at
+    def _ends_before_server(self, now: int, server: Server, job: Job) -> bool:
+        """Whether the call is expected to end before the server is terminated."""
+        ends_at = self.site.locations[server.id].ends_at
         if ends_at == 0:
             return True
-        duration = self.costs.rereading(job) + self.costs.output.time(job.traits.output_tokens)
+        duration = self.costs.full_prefill_time(job) + self.costs.output.time(job.traits.output_tokens)
         return now + duration + ENDING_MARGIN < ends_at
 
 
--- a/brackenladder/placement/classes.py
+++ b/brackenladder/placement/classes.py
@@ -1,7 +1,7 @@
-"""The classes of requests of a service, which follow its routes while it runs.
+"""The request classes of a service, which change with its routes at run time.
 
-A Balancer is told its classes at its start. Routes come and go later, so a class is added to it when the
-first request of a new shape comes.
+A Balancer gets its classes when it is created. As routes are added later, a class is added to the Balancer
+with the first request of a new shape.
 """
 
 from __future__ import annotations
@@ -16,16 +16,14 @@
 from brackenladder.policy.limit import AIM_SHARE
 from brackenladder.policy.server import PRIOR, SMOOTH_ALL, Average
 
-MOST_CLASSES = 64  # further shapes use the class that is most alike
-LATE_WORTH = (
-    0.3  # share of its worth that a late answer has; above 0, so that no request is given up at its aim
-)
+MAX_CLASSES = 64  # further shapes use the most similar class
+LATE_WORTH = 0.3  # part of the worth of a late answer; above 0, so that no request is cancelled at its aim
 US_PER_MS = 1000
 
 
 @frozen
 class CallShape:
-    """What tells two classes of requests apart."""
+    """The properties that distinguish classes of requests."""
 
     idempotent: bool
     aim: int  # microseconds
@@ -33,17 +31,17 @@
     priority: int  # 0 is the most urgent
 
     def settings(self) -> ClassSettings:
-        """The class as the decision module has it: the worth halves with each step of urgency."""
+        """The settings of the class: its worth halves with each step of lower urgency."""
         effect = Effect.SAFE if self.idempotent else Effect.UNSAFE
         return ClassSettings(effect, self.aim, self.timeout, 0.5**self.priority, LATE_WORTH)
 
     def distance(self, other: CallShape) -> float:
-        """How much else it is to be treated as `other`."""
+        """How different the two shapes are in aim and priority."""
         return abs(self.aim - other.aim) / self.aim + abs(self.priority - other.priority)
 
 
 def shape_of(traits: CallTraits) -> CallShape:
-    """The shape of a call's class."""
+    """The shape of a call."""
     route = traits.route
     timeout = max(route.timeout_ms, 1) * US_PER_MS
     aim = max(route.target_latency_ms, 1) * US_PER_MS
@@ -51,30 +49,30 @@
 
 
 class ClassTable:
-    """The numbers of the classes, by shape. Class 0 is there from the start."""
+    """The class numbers by shape. Class 0 exists from the start."""
 
     def __init__(self, first: CallShape) -> None:
         self.numbers: dict[CallShape, int] = {first: 0}
 
     def find(self, shape: CallShape) -> int | None:
-        """The shape's number; that of the most similar class once there are too many; None if it is new."""
+        """The number of the shape, or of the most similar one if there are too many; None if it is new."""
         number = self.numbers.get(shape)
-        if number is not None or len(self.numbers) < MOST_CLASSES:
+        if number is not None or len(self.numbers) < MAX_CLASSES:
             return number
-        alike = [known for known in self.numbers if known.idempotent == shape.idempotent]
-        if not alike:
+        similar = [known for known in self.numbers if known.idempotent == shape.idempotent]
+        if not similar:
             return None
-        return self.numbers[min(alike, key=shape.distance)]
+        return self.numbers[min(similar, key=shape.distance)]
 
     def add(self, shape: CallShape) -> int:
-        """The number of a new shape."""
+        """Adds a new shape and returns its number."""
         number = len(self.numbers)
         self.numbers[shape] = number
         return number
 
 
 def add_class(balancer: Balancer, settings: ClassSettings) -> None:
-    """Extend all that a Balancer keeps by class, as if it had been told of this one at its start."""
+    """Adds a class to all per-class state of a Balancer, as if it had been created with it."""
     share = AIM_SHARE * (balancer.settings.tiers - balancer.settings.tier) / balancer.settings.tiers
     balancer.settings = replace(balancer.settings, classes=(*balancer.settings.classes, settings))
     guess = settings.aim * share / 2
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -1,4 +1,4 @@
-"""What a call is expected to cost at a server, in microseconds until its first event."""
+"""The expected cost of a call at a server, in microseconds until its first event."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 from brackenladder.placement.estimate import OutputTime, PrefillRate
 from brackenladder.placement.holders import PrefixHolders
 from brackenladder.placement.load import Loads
-from brackenladder.placement.prefixes import ChainLink, chain_of, shared_tokens
+from brackenladder.placement.prefixes import ChainLink, chain_of, shared_tokens_of
 from brackenladder.placement.rendezvous import affinity_key
-from brackenladder.placement.site import ServerPlace, ServiceSite
+from brackenladder.placement.site import ServerLocation, ServiceSite
 from brackenladder.placement.traits import CallTraits
 from brackenladder.policy.server import Server
 
-IN_ZONE, CROSS_ZONE, CROSS_REGION = 400, 2_000, 90_000  # microseconds there and back
-HEAD_BYTES = 600  # of a request's and an answer's head together, measured with the clients' own headers
-OUTPUT_TOKEN_BYTES = 16  # of a stream for each token: an event's 60 to 90 bytes hold 4 or 5 of them
+IN_ZONE, CROSS_ZONE, CROSS_REGION = 400, 2_000, 90_000  # microseconds of a round trip
+HEAD_BYTES = 600  # of the headers of a request and its answer, as measured with real clients
+OUTPUT_TOKEN_BYTES = 16  # of a stream per token: an event has 60 to 90 bytes and 4 or 5 tokens
 
 
 @define(eq=False)
 class Job:
-    """An open call: what it needs, and where it was."""
+    """An open call: its requirements and its attempts so far."""
 
     traits: CallTraits
     chain: tuple[ChainLink, ...]
-    key: int | None  # by which its server is found
-    shared: int  # tokens of the parts that others have too
-    excluded: set[int] = field(factory=set)  # servers that must not take it
+    key: int | None  # hash key that assigns a server to it
+    shared_tokens: int  # tokens of the parts that other requests have too
+    excluded: set[int] = field(factory=set)  # servers that must not get it
     arrived: int = 0  # attempts that reached a server
-    ran: int = 0  # attempts that may have run
+    may_have_run: int = 0  # attempts that may have been executed
     unsent: int = 0  # attempts that reached no server
 
     @property
     def bytes(self) -> int:
-        """What goes to a server and comes back, about."""
+        """Approximate bytes sent to the server and back."""
         answer = OUTPUT_TOKEN_BYTES * self.traits.output_tokens
         return HEAD_BYTES + self.traits.request_bytes + answer
 
@@ -44,18 +44,18 @@
 
     @property
     def tokens(self) -> int:
-        """What it takes of a server's memory."""
+        """Tokens that the call needs in a server's KV cache."""
         return self.traits.prompt_tokens + self.traits.output_tokens
 
 
-def job_of(traits: CallTraits, excluded: set[int]) -> Job:
-    """The job of a fresh call."""
+def new_job(traits: CallTraits, excluded: set[int]) -> Job:
+    """The job of a new call."""
     chain = chain_of(traits.model, traits.parts)
-    return Job(traits, chain, affinity_key(traits), shared_tokens(traits), excluded)
+    return Job(traits, chain, affinity_key(traits), shared_tokens_of(traits), excluded)
 
 
 class CostModel:
-    """Costs by this gateway's own calls. The load that other gateways make is taken to be spread evenly."""
+    """Costs from this gateway's own calls. The load of other gateways is assumed to be evenly distributed."""
 
     def __init__(self, site: ServiceSite) -> None:
         self.site = site
@@ -65,80 +65,83 @@
         self.output = OutputTime()
         self.holders = PrefixHolders()
 
-    def round_trip(self, place: ServerPlace) -> int:
-        """Microseconds to a server and back."""
-        if place.zone == self.site.zone:
+    def round_trip(self, location: ServerLocation) -> int:
+        """Microseconds of a round trip to a server."""
+        if location.zone == self.site.zone:
             return IN_ZONE
-        return CROSS_ZONE if place.region == self.site.region else CROSS_REGION
+        return CROSS_ZONE if location.region == self.site.region else CROSS_REGION
 
-    def held(self, now: int, job: Job) -> tuple[int, ...]:
-        """The servers that were sent the call's shared prefix lately, by any gateway that is heard."""
-        return self.holders.recent(now, job.prefix, self.site.again)
+    def recent_holders(self, now: int, job: Job) -> tuple[int, ...]:
+        """The servers that were recently sent the call's shared prefix, by any gateway that sends notices."""
+        return self.holders.recent(now, job.prefix, self.site.reread_window)
 
-    def unread(self, now: int, server: Server, job: Job, own_server: bool) -> float:
-        """Tokens that the server is expected to read. `own_server`: all gateways send these parts there."""
-        kept: float = self._kept(server, job)
-        if own_server and self.site.gateways > 1 and not self.held(now, job):
-            kept = max(kept, self.parameters.shared_read * job.shared)
-        return max(0.0, job.traits.prompt_tokens - kept)
+    def uncached_tokens(self, now: int, server: Server, job: Job, assigned: bool) -> float:
+        """Prompt tokens that the server is expected not to have cached.
 
-    def charged(self, now: int, server: Server, job: Job, own_server: bool) -> float:
-        """Tokens that a call is charged with there. At its own server shared parts nobody keeps are free.
+        `assigned`: hashing assigns the prompt to this server, so other gateways send the same parts there.
+        """
+        cached: float = self._cached_tokens(server, job)
+        if assigned and self.site.gateways > 1 and not self.recent_holders(now, job):
+            cached = max(cached, self.parameters.shared_read * job.shared_tokens)
+        return max(0.0, job.traits.prompt_tokens - cached)
+
+    def charged_tokens(self, now: int, server: Server, job: Job, assigned: bool) -> float:
+        """Tokens whose prefill counts as cost. At the assigned server, shared parts cached nowhere are free.
 
-        Failure prevented: a subject is read for the first time, and as nobody is known to keep it, it goes to
-        whoever keeps more of the beginning, and each gateway makes another server its keeper.
+        Failure prevented: a new subject is cached nowhere, so each gateway sends it to some server that has
+        more of the beginning cached, and it ends up in the caches of several servers.
         """
-        kept = self._kept(server, job)
-        if own_server and not self.held(now, job):
-            kept = max(kept, job.shared)
-        return max(0, job.traits.prompt_tokens - kept)
-
-    def reading_again(self, now: int, server: Server, job: Job) -> float:
-        """What it costs, beside the time, that the server reads what others have just read."""
-        if not self.held(now, job):
+        cached = self._cached_tokens(server, job)
+        if assigned and not self.recent_holders(now, job):
+            cached = max(cached, job.shared_tokens)
+        return max(0, job.traits.prompt_tokens - cached)
+
+    def reread_price(self, now: int, server: Server, job: Job) -> float:
+        """The price of a prefill that other servers have just done, besides its time."""
+        if not self.recent_holders(now, job):
             return 0.0
-        return self.parameters.read_again * max(0, job.shared - self._kept(server, job))
+        return self.parameters.read_again * max(0, job.shared_tokens - self._cached_tokens(server, job))
 
-    def _kept(self, server: Server, job: Job) -> int:
+    def _cached_tokens(self, server: Server, job: Job) -> int:
         load = self.loads.servers.get(server.id)
-        return load.kept.kept(job.chain) if load is not None else 0
+        return load.cache.cached_tokens(job.chain) if load is not None else 0
 
-    def queue(self, now: int, server: Server, job: Job, base: float) -> float:
-        """Microseconds that the call waits until its prompt is read. `base`: what a call takes by itself."""
-        place = self.site.places[server.id]
+    def queue_time(self, now: int, server: Server, job: Job, base_time: float) -> float:
+        """Microseconds until the prefill of the call starts; `base_time`: of a call without queueing."""
+        location = self.site.locations[server.id]
         load = self.loads.servers.get(server.id)
         streams = tokens = 0
         wait = 0.0
         if load is not None:
             streams, tokens = load.streams, load.tokens
-            wait = self.prefill.time(load.unread) + load.others_reading(now)
-            wait += self.parameters.pressed_cost * load.pressed(now)
-        wait += base * streams / max(1.0, place.slots / self.site.gateways)
+            wait = self.prefill.time(load.pending_prefill) + load.remote_prefill_time(now)
+            wait += self.parameters.pressed_cost * load.rejection_pressure(now)
+        wait += base_time * streams / max(1.0, location.slots / self.site.gateways)
         others = (self.site.gateways - 1) / max(1, self.site.size())
-        waiting = streams + others * self.loads.streams - place.slots
+        waiting = streams + others * self.loads.streams - location.slots
         if waiting >= 0:
-            wait += (waiting + 1) / max(1, place.slots) * self.output.time(job.traits.output_tokens)
+            wait += (waiting + 1) / max(1, location.slots) * self.output.time(job.traits.output_tokens)
         if 0 < self.site.kv_tokens < tokens + others * self.loads.tokens + job.tokens:
             wait += self.parameters.memory_cost
         return wait
 
-    def cost(self, now: int, server: Server, job: Job, base: float, own_server: bool) -> float:
-        """The expected time until the first event, with what the output and the way add."""
-        place = self.site.places[server.id]
-        prefill = self.prefill.time(self.charged(now, server, job, own_server))
-        work = base + self.queue(now, server, job, base) + prefill
-        # What is being read there is in `work` already: only a silence beyond it makes the server slow.
+    def cost(self, now: int, server: Server, job: Job, base_time: float, assigned: bool) -> float:
+        """The expected time until the first event, with prices for output, distance and repeated prefill."""
+        location = self.site.locations[server.id]
+        prefill = self.prefill.time(self.charged_tokens(now, server, job, assigned))
+        work = base_time + self.queue_time(now, server, job, base_time) + prefill
+        # `work` includes the prefills in progress, so only a longer time without answers counts as slow.
         slowness = server.slowness(now, work) / server.kind_ratio.value
         load = self.loads.servers.get(server.id)
         streams = load.streams if load is not None else 0
-        price = self.reading_again(now, server, job)
-        if place.region != self.site.region:
+        price = self.reread_price(now, server, job)
+        if location.region != self.site.region:
             price += self.parameters.region_price
-        elif place.zone != self.site.zone:
+        elif location.zone != self.site.zone:
             price += self.parameters.zone_byte * job.bytes
-        crowd = self.parameters.stream_cost * streams * job.traits.output_tokens
-        return work * slowness + self.round_trip(place) + price + crowd
+        stream_load = self.parameters.stream_cost * streams * job.traits.output_tokens
+        return work * slowness + self.round_trip(location) + price + stream_load
 
-    def rereading(self, job: Job) -> float:
-        """Microseconds that a server which keeps nothing needs for the prompt."""
+    def full_prefill_time(self, job: Job) -> float:
+        """Microseconds of the prefill of the whole prompt."""
         return self.prefill.time(job.traits.prompt_tokens)
--- a/brackenladder/placement/decision_counters.py
+++ b/brackenladder/placement/decision_counters.py
@@ -1,7 +1,7 @@
-"""What placements expected and what came of them, counted by what first events were late for.
+"""Counters of the expected and actual times of placements, and of the causes of late first events.
 
-A few sums a service and latency target, kept in service: they tell an operator whether prompts are late
-because they take long to read, because they waited, or because of the way (docs/decisions.md).
+A few sums per service and latency target tell an operator whether first events are late because of the
+prefill, the queue or the network (docs/decisions.md).
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 
 from attrs import define, field
 
-from brackenladder.placement.load import Placed
+from brackenladder.placement.load import PlacedCall
 
-MOST_TARGETS = 32  # latency targets that are told apart; further ones count with the last
+MAX_TARGETS = 32  # latency targets with counters of their own; further ones count with the last
 
 
 class LateCause(Enum):
-    """The largest part of a late first event's time."""
+    """What took the largest part of the time until a late first event."""
 
-    READING = "reading"  # the prompt's own tokens that the server did not keep
-    EXPECTED_QUEUE = "expected_queue"  # a wait that was known when the server was chosen
-    UNEXPECTED = "unexpected"  # a wait, or a slow server, that was not
-    ROUND_TRIP = "way"  # to the server and back
+    READING = "reading"  # prefill of tokens that the server had not cached
+    EXPECTED_QUEUE = "expected_queue"  # queueing that was expected when the server was chosen
+    UNEXPECTED = "unexpected"  # queueing or a slow server that was not expected
+    ROUND_TRIP = "way"  # the network
     UNANSWERED = "unanswered"  # no first event came
 
 
 @define
 class DecisionSums:
-    """Times are sums in microseconds."""
+    """The counters of one latency target. Times are sums in microseconds."""
 
     calls: int = 0
     reading: float = 0.0
@@ -39,13 +39,13 @@
 
 
 class DecisionCounters:
-    """Sums by latency target, in microseconds."""
+    """The counters by latency target, in microseconds."""
 
     def __init__(self) -> None:
         self._by_target: dict[int, DecisionSums] = {}
 
-    def answered(self, placed: Placed, latency: int) -> None:
-        """A first event came after so many microseconds."""
+    def answered(self, placed: PlacedCall, latency: int) -> None:
+        """Records a first event after `latency` microseconds."""
         sums = self._sums(placed.target)
         sums.calls += 1
         sums.reading += placed.reading_time
@@ -55,26 +55,26 @@
         if latency > placed.target:
             sums.late[_cause(placed, latency)] += 1
 
-    def unanswered(self, placed: Placed) -> None:
-        """A call was given up, or broke, before its first event."""
+    def unanswered(self, placed: PlacedCall) -> None:
+        """Records a call that was cancelled or failed before its first event."""
         sums = self._sums(placed.target)
         sums.calls += 1
         sums.late[LateCause.UNANSWERED] += 1
 
     def items(self) -> Iterator[tuple[int, DecisionSums]]:
-        """The sums, the shortest target first."""
+        """The sums, in the order of targets."""
         return iter(sorted(self._by_target.items()))
 
     def _sums(self, target: int) -> DecisionSums:
         sums = self._by_target.get(target)
         if sums is None:
-            if len(self._by_target) >= MOST_TARGETS:
+            if len(self._by_target) >= MAX_TARGETS:
                 return next(reversed(self._by_target.values()))
             sums = self._by_target[target] = DecisionSums()
         return sums
 
 
-def _cause(placed: Placed, latency: int) -> LateCause:
+def _cause(placed: PlacedCall, latency: int) -> LateCause:
     known = placed.reading_time + placed.expected_queue + placed.round_trip
     parts = {
         LateCause.READING: placed.reading_time,
--- a/brackenladder/placement/estimate.py
+++ b/brackenladder/placement/estimate.py
@@ -1,21 +1,22 @@
-"""What a service's servers need for a prompt and for an answer, learned from this gateway's own calls."""
+"""Estimates of the prefill rate and output time of a service, from this gateway's own calls."""
 
 from __future__ import annotations
 
-PREFILL_GUESS = 0.040  # prompt tokens a microsecond, until measured
-PREFILL_LEAST, PREFILL_MOST = 0.008, 0.4  # an estimate beyond these is chance
-PREFILL_PRIOR = 20.0  # the guess counts for so many calls
-PREFILL_FADE = 0.98  # what earlier calls count for at each new one
-PREFILL_SPREAD = 4000.0  # tokens: two prompts that differ by so much tell of the rate
-OUTPUT_GUESS = 12_000.0  # microseconds for a token out, until measured
+PREFILL_GUESS = 0.040  # prompt tokens per microsecond, until measured
+PREFILL_LEAST, PREFILL_MOST = 0.008, 0.4  # an estimate outside of these bounds is noise
+PREFILL_PRIOR = 20.0  # number of calls that the guess counts for
+PREFILL_FADE = 0.98  # factor on the weight of earlier calls at each new call
+PREFILL_SPREAD = 4000.0  # difference in tokens between prompts that is enough to estimate the rate
+OUTPUT_GUESS = 12_000.0  # microseconds per output token, until measured
 OUTPUT_LEAST, OUTPUT_MOST = 200.0, 200_000.0
 OUTPUT_SMOOTH = 0.05
 
 
 class PrefillRate:
-    """Prompt tokens that a server reads in a microsecond: the slope of the first event's time over them.
+    """Prompt tokens that a server processes per microsecond.
 
-    A regression that forgets; the guess stands for a number of calls before the first.
+    It is the inverse slope of a linear regression of the time until the first event over the tokens, in which
+    earlier calls lose weight, and which starts with the guess.
     """
 
     def __init__(self) -> None:
@@ -27,11 +28,11 @@
         self.rate = PREFILL_GUESS
 
     def time(self, tokens: float) -> float:
-        """Microseconds that reading so many tokens takes."""
+        """Microseconds that the prefill of so many tokens takes."""
         return tokens / self.rate
 
     def add(self, tokens: float, latency: float) -> None:
-        """A first event came after so many microseconds, for so many unread tokens."""
+        """Records the time until a first event, and the tokens that were not cached."""
         self.weight = self.weight * PREFILL_FADE + 1
         step = 1 / self.weight
         off_tokens = tokens - self.mean_tokens
@@ -46,17 +47,17 @@
 
 
 class OutputTime:
-    """Microseconds of a stream for each token that it may have."""
+    """Microseconds that a stream takes per token of its maximum length."""
 
     def __init__(self) -> None:
         self.per_token = OUTPUT_GUESS
 
     def time(self, tokens: int) -> float:
-        """How long a stream of so many tokens is expected to run."""
+        """The expected duration of a stream of at most so many tokens."""
         return tokens * self.per_token
 
     def add(self, tokens: int, duration: int) -> None:
-        """A stream with up to so many tokens ran for so long."""
+        """Records the duration of a stream of at most so many tokens."""
         if tokens <= 0:
             return
         sample = min(OUTPUT_MOST, max(OUTPUT_LEAST, duration / tokens))
--- a/brackenladder/placement/holders.py
+++ b/brackenladder/placement/holders.py
@@ -1,21 +1,21 @@
-"""Which servers were sent a shared prefix lately, by whichever gateway."""
+"""Which servers have recently been sent a shared prefix, by any gateway."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MOST_KEYS = 4_096  # prefixes of a service that are remembered; the least recently used go first
-MOST_SERVERS = 8  # that are remembered for a prefix
+MOST_KEYS = 4_096  # prefixes remembered for a service; the least recently used are dropped
+MOST_SERVERS = 8  # servers remembered for a prefix
 
 
 class PrefixHolders:
-    """Servers by prefix, with the moment of the last use of each."""
+    """Servers by prefix, with the time of the last use of each."""
 
     def __init__(self) -> None:
         self._by_key: OrderedDict[int, dict[int, int]] = OrderedDict()
 
-    def used(self, at: int, key: int, server: int) -> None:
-        """A prompt that begins with the prefix went to a server."""
+    def record_use(self, at: int, key: int, server: int) -> None:
+        """Records that a prompt with this prefix was sent to a server."""
         holders = self._by_key.pop(key, None)
         if holders is None:
             holders = {}
@@ -27,12 +27,12 @@
             self._by_key.popitem(last=False)
 
     def lost(self, server: int) -> None:
-        """The server is no more, or failed: nothing is known of what it keeps."""
+        """Forgets a server that is gone or has failed."""
         for holders in self._by_key.values():
             holders.pop(server, None)
 
     def recent(self, now: int, key: int | None, within: int | None) -> tuple[int, ...]:
-        """The servers that were sent the prefix no longer ago than `within` microseconds; None: ever."""
+        """The servers that were sent the prefix within the last `within` microseconds; None: at any time."""
         if key is None:
             return ()
         holders = self._by_key.get(key)
--- a/brackenladder/placement/in_flight.py
+++ b/brackenladder/placement/in_flight.py
@@ -1,4 +1,4 @@
-"""The calls that this gateway has at servers, from their sending to the end of their streams."""
+"""The calls that this gateway has at servers, from sending them to the end of their streams."""
 
 from __future__ import annotations
 
@@ -8,28 +8,32 @@
 from brackenladder.interface import Outcome
 from brackenladder.placement.cost import CostModel, Job
 from brackenladder.placement.decision_counters import DecisionCounters
-from brackenladder.placement.load import Placed
+from brackenladder.placement.load import PlacedCall
 from brackenladder.placement.prefixes import ChainLink
 from brackenladder.placement.silent_zones import UNANSWERED_CONNECT, SilentZones
 from brackenladder.placement.site import ServiceSite
 from brackenladder.placement.unresponsive import (
     LATE_WEIGHT,
-    SILENT_TIMES,
+    UNANSWERED_FACTOR,
     UNANSWERED_WEIGHT,
-    DoubtedServers,
     FirstEventTime,
+    SuspectedServers,
 )
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
 from brackenladder.prefix_cache.messages import PrefixNotice
 
 MICROSECONDS_PER_MILLISECOND = 1_000
-STREAM_MOST = 600_000_000  # microseconds after which a stream whose end was not told is forgotten
+MAX_STREAM_TIME = 600_000_000  # microseconds after which a stream without a reported end is dropped
 
-NO_ANSWER = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMEOUT)  # these ends are no word of the server
+UNINFORMATIVE = (
+    Outcome.CANCELLED,
+    Outcome.NOT_SENT,
+    Outcome.TIMEOUT,
+)  # outcomes without any answer of the server
 
 
 class InFlight:
-    """Books what each server is given and gives back, and has other gateways told of it."""
+    """Tracks the load of each server, and queues notices about it for other gateways."""
 
     def __init__(
         self, site: ServiceSite, costs: CostModel, zones: SilentZones, announcer: PrefixAnnouncer
@@ -39,122 +43,124 @@
         self._zones = zones
         self._announcer = announcer
         self.first_event = FirstEventTime()
-        self.doubts = DoubtedServers()
+        self.suspicions = SuspectedServers()
         self.counters = DecisionCounters()
-        self.out: dict[int, Placed] = {}  # attempts without a first event, by request
-        self.streams: dict[int, Placed] = {}  # those that answer
+        self.attempts: dict[int, PlacedCall] = {}  # attempts without a first event, by request
+        self.streams: dict[int, PlacedCall] = {}  # those that are streaming, by request
 
-    def send(self, now: int, request: int, job: Job, server: int, unread: float, waiting: float) -> None:
-        """A call goes to a server that has to read so many tokens for it, after a wait of microseconds."""
-        place = self._site.places[server]
-        placed = Placed(
+    def send(
+        self, now: int, request: int, job: Job, server: int, uncached_tokens: float, queue_time: float
+    ) -> None:
+        """Records a call that is sent; `queue_time`: microseconds that it is expected to be queued."""
+        location = self._site.locations[server]
+        placed = PlacedCall(
             request=request,
             server=server,
             chain=job.chain,
-            unread=unread,
+            uncached_tokens=uncached_tokens,
             tokens=job.tokens,
             output_tokens=job.traits.output_tokens,
-            streams=job.traits.route.kind is RouteKind.STREAMING,
-            reading_time=self._costs.prefill.time(unread),
-            round_trip=self._costs.round_trip(place),
+            streaming=job.traits.route.kind is RouteKind.STREAMING,
+            reading_time=self._costs.prefill.time(uncached_tokens),
+            round_trip=self._costs.round_trip(location),
             target=job.traits.route.target_latency_ms * MICROSECONDS_PER_MILLISECOND,
-            expected_queue=waiting,
+            expected_queue=queue_time,
         )
         if self.first_event.known:
-            patience = int(placed.known_cost + waiting + self.first_event.longest)
-            placed.overdue_at = now + patience
-            placed.silent_at = now + SILENT_TIMES * patience
-        self.out[request] = placed
-        self._costs.loads.place(placed)
+            longest_wait = int(placed.known_cost + queue_time + self.first_event.longest)
+            placed.overdue_at = now + longest_wait
+            placed.unanswered_at = now + UNANSWERED_FACTOR * longest_wait
+        self.attempts[request] = placed
+        self._costs.loads.add(placed)
         self._announce(now, job, placed)
 
-    def note_silent(self, now: int) -> None:
-        """Has other gateways told of the servers at which calls are unanswered."""
-        for placed in self.out.values():
-            if 0 < placed.silent_at <= now:
+    def report_unanswered_calls(self, now: int) -> None:
+        """Reports the servers with unanswered calls to other gateways."""
+        for placed in self.attempts.values():
+            if 0 < placed.unanswered_at <= now:
                 self._report(now, placed, UNANSWERED_WEIGHT)
 
-    def _report(self, now: int, placed: Placed, weight: int) -> None:
-        """A call is late, or unanswered; told once."""
-        if placed.silent:
+    def _report(self, now: int, placed: PlacedCall, weight: int) -> None:
+        """Reports a late or unanswered call, once."""
+        if placed.reported:
             return
-        placed.silent = True
-        self.doubts.reported(now, placed.server, weight)
+        placed.reported = True
+        self.suspicions.record_report(now, placed.server, weight)
         self._announcer.report_unanswered(placed.server, weight)
 
-    def over(self, request: int, placed: Placed) -> None:
-        """The attempt has ended, or answers; another one may be out for the request by now."""
-        if self.out.get(request) is placed:
-            del self.out[request]
+    def remove_attempt(self, request: int, placed: PlacedCall) -> None:
+        """Removes an attempt that has ended or been answered, unless another one has replaced it."""
+        if self.attempts.get(request) is placed:
+            del self.attempts[request]
 
     def stream_ended(self, now: int, request: int) -> None:
-        """After a first event: the stream is over, its place and memory are free again."""
+        """After a first event: the stream is over, its location and memory are free again."""
         placed = self.streams.pop(request, None)
         if placed is None:
-            placed = self.out.get(request)
+            placed = self.attempts.get(request)
             if placed is not None:
-                placed.over = True
+                placed.stream_over = True
             return
-        self._costs.loads.end(placed)
+        self._costs.loads.remove(placed)
         self._costs.output.add(placed.output_tokens, now - placed.begun_at)
 
-    def book(self, now: int, placed: Placed, outcome: Outcome, latency: int) -> None:
-        """Books the load of an attempt that has ended, or begun to answer."""
+    def record_outcome(self, now: int, placed: PlacedCall, outcome: Outcome, latency: int) -> None:
+        """Updates the loads after an attempt has ended or its first event has arrived."""
         loads = self._costs.loads
         load = loads.of(placed.server)
-        place = self._site.places.get(placed.server)
-        if place is not None and outcome == Outcome.CONNECT_FAILED:
-            self._zones.connect_failed(now, place.zone, placed.server, latency)
+        location = self._site.locations.get(placed.server)
+        if location is not None and outcome == Outcome.CONNECT_FAILED:
+            self._zones.connect_failed(now, location.zone, placed.server, latency)
             if latency >= UNANSWERED_CONNECT:
                 self._report(now, placed, UNANSWERED_WEIGHT)
-        elif place is not None and outcome not in NO_ANSWER:
-            self._zones.answered(place.zone)
+        elif location is not None and outcome not in UNINFORMATIVE:
+            self._zones.answered(location.zone)
         if outcome == Outcome.TIMEOUT and 0 < placed.overdue_at <= now:
             self._report(now, placed, LATE_WEIGHT)
         if outcome == Outcome.REJECTED:
             load.rejected_at = now
         if outcome == Outcome.OK:
-            if placed.chain and place is not None:
-                self._costs.prefill.add(placed.unread, latency - self._costs.round_trip(place))
+            if placed.chain and location is not None:
+                self._costs.prefill.add(placed.uncached_tokens, latency - self._costs.round_trip(location))
             self.counters.answered(placed, latency)
-            if placed.streams:
+            if placed.streaming:
                 self.first_event.add(latency - placed.known_cost)
             loads.first_event(placed, now, self._site.kv_tokens)
-            if placed.streams and not placed.over:
+            if placed.streaming and not placed.stream_over:
                 self.streams[placed.request] = placed
                 return
         else:
             self.counters.unanswered(placed)
-        loads.end(placed)
+        loads.remove(placed)
 
     def apply_notices(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """Other gateways have sent prompts to servers of this service."""
+        """Takes in notices of other gateways about servers of this service."""
         for notice in notices:
             sent_at = now - notice.age
-            if notice.silent:
-                self.doubts.reported(sent_at, notice.server, notice.silent)
+            if notice.unanswered_weight:
+                self.suspicions.record_report(sent_at, notice.server, notice.unanswered_weight)
                 continue
             load = self._costs.loads.of(notice.server)
-            load.read_for_others(now, sent_at, self._costs.prefill.time(notice.unread))
+            load.add_remote_prefill(now, sent_at, self._costs.prefill.time(notice.uncached_tokens))
             if notice.keys:
                 links = [ChainLink(*link) for link in zip(notice.keys, notice.tokens, strict=False)]
-                load.kept.add(links, self._site.kv_tokens - load.tokens)
-                self._costs.holders.used(sent_at, notice.keys[-1], notice.server)
+                load.cache.add(links, self._site.kv_tokens - load.tokens)
+                self._costs.holders.record_use(sent_at, notice.keys[-1], notice.server)
 
     def forget_lost_streams(self, now: int) -> None:
-        """Ends the streams whose end nobody has told."""
+        """Drops streams whose end was never reported."""
         for request, placed in list(self.streams.items()):
-            if now - placed.begun_at > STREAM_MOST:
+            if now - placed.begun_at > MAX_STREAM_TIME:
                 del self.streams[request]
-                self._costs.loads.end(placed)
+                self._costs.loads.remove(placed)
 
-    def _announce(self, now: int, job: Job, placed: Placed) -> None:
-        """Notes what the server keeps from now on, and has other gateways told where it matters to them."""
+    def _announce(self, now: int, job: Job, placed: PlacedCall) -> None:
+        """Records what the server will have cached, and queues a notice for other gateways if useful."""
         shared = job.chain[:-1]
         if shared:
             load = self._costs.loads.of(placed.server)
-            load.kept.add(shared, self._site.kv_tokens - load.tokens)
-            self._costs.holders.used(now, shared[-1].key, placed.server)
+            load.cache.add(shared, self._site.kv_tokens - load.tokens)
+            self._costs.holders.record_use(now, shared[-1].key, placed.server)
         keys = [link.key for link in shared]
         tokens = [link.tokens for link in shared]
-        self._announcer.record_placement(now, placed.server, keys, tokens, int(placed.unread))
+        self._announcer.record_placement(now, placed.server, keys, tokens, int(placed.uncached_tokens))
--- a/brackenladder/placement/intake.py
+++ b/brackenladder/placement/intake.py
@@ -1,9 +1,9 @@
-"""A server that has just joined takes in the prefixes that traffic leans on, by single chosen requests.
+"""Seeds the prefix cache of a server that has just joined with popular prefixes, by one chosen request each.
 
-Only requests of clients may run, so a prefix is brought in by one of them: its carrier, a prompt that begins
-with the prefix and whose own subject nobody keeps, so that it has to be read wherever it goes. Until the
-carrier was sent, other prompts with the prefix go to servers that keep it. Gateways agree without a message:
-each has its own moment for a server and a prefix, and the first one's notice tells the others.
+Only requests of clients may run, so a prefix is seeded by one of them: a prompt that begins with the prefix
+and whose last shared part is cached nowhere, so that it needs a prefill at any server. Until such a request
+has been sent, other prompts with the prefix go to servers that have it cached. Gateways coordinate without
+extra messages: each has its own delay for a server and prefix, and the first one's notice tells the others.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 from brackenladder.policy.server import Server
 from brackenladder.policy.subset import mix
 
-FRESH_TIME = 20_000_000  # microseconds after which a server that has joined is like any other
-TURN_TIME = 1_000_000  # microseconds over which the gateways' moments are spread
+FRESH_TIME = 20_000_000  # microseconds after joining in which a server is seeded
+SPREAD_TIME = 1_000_000  # microseconds over which the gateways' delays are distributed
 HASH_RANGE = 2.0**64
-AWAIT_TIME = 3_000_000  # microseconds after which its ordinary calls wait for no carrier
-LEAST_TOKENS = 500  # of a prefix that is worth a carrier
+AWAIT_TIME = 3_000_000  # microseconds after joining in which other prompts avoid an unseeded server
+LEAST_TOKENS = 500  # of a prefix that is worth seeding
 US_PER_MS = 1_000
-AIM_PART = 0.6  # of its aim that a carrier may be expected to take
+AIM_PART = 0.6  # of its latency target that a seeding request may be expected to take
 
-Able = Callable[[Server], bool]
-Base = Callable[[Server], float]
+Usable = Callable[[Server], bool]
+BaseTime = Callable[[Server], float]
 
 
-class PrefixIntake:
-    """The servers of a service that have just joined, and what they still lack."""
+class PrefixSeeding:
+    """The servers of a service that have just joined, and the prefixes that they are missing."""
 
     def __init__(self, site: ServiceSite, costs: CostModel, gateway: int) -> None:
-        """`gateway`: a number by which this gateway differs from the others."""
+        """`gateway`: a number that is different for each gateway."""
         self._site = site
         self._costs = costs
         self._gateway = gateway
         self._uses = PrefixUses()
         self._listed: frozenset[int] = frozenset()
-        self._joined: dict[int, int] = {}  # moment by server
+        self._joined: dict[int, int] = {}  # time of joining by server
 
-    def listed(self, now: int, servers: Iterable[int]) -> None:
-        """The servers that may be used from now on. Those of a gateway's first list are not fresh."""
+    def set_servers(self, now: int, servers: Iterable[int]) -> None:
+        """Sets the usable servers. Those of a gateway's first list do not count as having just joined."""
         current = frozenset(servers)
         if self._listed:
             self._joined.update(dict.fromkeys(current - self._listed, now))
@@ -51,64 +51,70 @@
         }
         self._listed = current
 
-    def asked(self, now: int, job: Job) -> None:
-        """A request came, wherever it will go."""
+    def record_request(self, now: int, job: Job) -> None:
+        """Records a request, whichever server it will be sent to."""
         self._uses.add(now, job.chain[:-1])
 
-    def carrier_for(
-        self, now: int, job: Job, servers: Sequence[Server], able: Able, base: Base
+    def server_to_seed(
+        self, now: int, job: Job, servers: Sequence[Server], usable: Usable, base_time: BaseTime
     ) -> Server | None:
-        """The server that this request is to bring a prefix to; None where it is an ordinary one.
+        """The server that this request should seed with a prefix; None if it should not.
 
-        `servers`: those of the region; `base`: a call's own time at a server, microseconds.
+        `servers`: of this region; `base_time`: microseconds that a call takes without queueing and prefill.
         """
-        if not self._joined or len(job.chain) < 2 or self._costs.held(now, job):
+        if not self._joined or len(job.chain) < 2 or self._costs.recent_holders(now, job):
             return None
         for server in servers:
-            if self._is_due(now, server, job) and able(server) and self._in_time(now, server, job, base):
+            if (
+                self._is_due(now, server, job)
+                and usable(server)
+                and self._ends_in_time(now, server, job, base_time)
+            ):
                 return server
         return None
 
-    def awaits_carrier(self, now: int, server: Server, job: Job) -> bool:
-        """Whether an ordinary call with this prompt had better go elsewhere for a moment.
+    def awaits_seeding(self, now: int, server: Server, job: Job) -> bool:
+        """Whether a prompt should avoid the server until it has been seeded.
 
-        Failure prevented: all prompts that begin with a prefix are sent to the server that has just joined,
-        and each of them has it read anew.
+        Failure prevented: many prompts with one prefix are sent at once to the server that has just joined,
+        and each of them needs a prefill of the prefix.
         """
         joined_at = self._joined.get(server.id)
         if joined_at is None or now - joined_at >= AWAIT_TIME:
             return False
-        return self._lacking(now, server, job) is not None
+        return self._missing_prefix(now, server, job) is not None
 
     def _is_due(self, now: int, server: Server, job: Job) -> bool:
         joined_at = self._joined.get(server.id)
         if joined_at is None or now - joined_at >= FRESH_TIME:
             return False
-        lacking = self._lacking(now, server, job)
-        if lacking is None:
+        missing = self._missing_prefix(now, server, job)
+        if missing is None:
             return False
-        turn = mix(self._gateway, mix(server.id, lacking.key)) / HASH_RANGE * TURN_TIME
-        return now - joined_at >= turn
+        delay = mix(self._gateway, mix(server.id, missing.key)) / HASH_RANGE * SPREAD_TIME
+        return now - joined_at >= delay
 
-    def _lacking(self, now: int, server: Server, job: Job) -> ChainLink | None:
-        """The first shared part that the server does not keep, if traffic leans on it and others keep it."""
+    def _missing_prefix(self, now: int, server: Server, job: Job) -> ChainLink | None:
+        """The first shared part that the server has not cached, if it is popular and cached elsewhere."""
         loads = self._costs.loads.servers
         load = loads.get(server.id)
         for link in job.chain[:-1]:
-            if load is not None and link.key in load.kept.links:
+            if load is not None and link.key in load.cache.links:
                 continue
-            leaned_on = link.tokens >= LEAST_TOKENS and self._uses.leaned_on(now, link.key)
-            kept_elsewhere = any(
-                link.key in loads[other].kept.links for other in self._site.places if other in loads
+            popular = link.tokens >= LEAST_TOKENS and self._uses.is_popular(now, link.key)
+            cached_elsewhere = any(
+                link.key in loads[other].cache.links for other in self._site.locations if other in loads
             )
-            return link if leaned_on and kept_elsewhere else None
+            return link if popular and cached_elsewhere else None
         return None
 
-    def _is_kept(self, link: ChainLink) -> bool:
+    def _is_cached(self, link: ChainLink) -> bool:
         loads = self._costs.loads.servers
-        return any(number in loads and link.key in loads[number].kept.links for number in self._site.places)
+        return any(
+            number in loads and link.key in loads[number].cache.links for number in self._site.locations
+        )
 
-    def _in_time(self, now: int, server: Server, job: Job, base: Base) -> bool:
-        own = base(server)
-        expected = own + self._costs.queue(now, server, job, own) + self._costs.rereading(job)
+    def _ends_in_time(self, now: int, server: Server, job: Job, base_time: BaseTime) -> bool:
+        own = base_time(server)
+        expected = own + self._costs.queue_time(now, server, job, own) + self._costs.full_prefill_time(job)
         return expected <= AIM_PART * job.traits.route.target_latency_ms * US_PER_MS
--- a/brackenladder/placement/limit.py
+++ b/brackenladder/placement/limit.py
@@ -1,4 +1,4 @@
-"""The limit on calls in flight, which never closes a gateway while servers have free places."""
+"""The limit on calls in flight, with a floor so that no call is refused while servers have free slots."""
 
 from __future__ import annotations
 
@@ -8,18 +8,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class PlacesController(GradientController):
-    """The gradient controller with a floor: this gateway's share of the servers' free places.
-
-    The deployment-first rule: a gateway carries a few calls a second, which is too thin for a limit that is
-    learned from latency alone, and a refusal while servers have free places costs. So the limit, and that of
-    a minRTT pass, is at least the sum of the places of the servers in use, divided by the living gateways,
-    less the streams that this gateway has running there, and at least MIN_LIMIT. Beyond the floor the
-    gradient's limit holds as it stands.
+class SlotFloorController(GradientController):
+    """The gradient controller with a floor: this gateway's share of the servers' free slots.
+
+    A gateway has only a few calls a second, too few to learn a limit from latency alone, and refusing calls
+    while servers have free slots is a loss. So the limit, also that of a minRTT pass, is at least the number
+    of slots of all usable servers, divided by the number of live gateways, less the streams that this gateway
+    has running, and at least MIN_LIMIT. Above the floor the limit is that of the gradient controller.
     """
 
-    places: float = float(MIN_LIMIT)
+    free_slots: float = float(MIN_LIMIT)
 
     def effective_limit(self) -> float:
         """The limit in force."""
-        return max(GradientController.effective_limit(self), self.places, float(MIN_LIMIT))
+        return max(GradientController.effective_limit(self), self.free_slots, float(MIN_LIMIT))
--- a/brackenladder/placement/load.py
+++ b/brackenladder/placement/load.py
@@ -1,69 +1,69 @@
-"""What this gateway knows of the work on each server of a service."""
+"""The load of each server of a service, as far as this gateway knows."""
 
 from __future__ import annotations
 
 from attrs import define, field
 
-from brackenladder.placement.prefixes import ChainLink, KeptPrefixes
+from brackenladder.placement.prefixes import CachedPrefixes, ChainLink
 
-PRESSED_TIME = 1_000_000  # microseconds for which a server that turned a call away counts as full
+PRESSURE_TIME = 1_000_000  # microseconds after a rejected call in which a server counts as full
 
 
 @define(eq=False)
 class ServerLoad:
-    """One server: this gateway's own calls there, and the prompts it has read."""
+    """One server: this gateway's own calls there, and the prompts that it has cached."""
 
-    streams: int = 0  # calls that are out or answer
+    streams: int = 0  # calls that are waiting or streaming
     tokens: int = 0  # of their prompts and answers
-    unread: float = 0.0  # of the prompts whose first event is still to come
-    others_reading_until: int = 0  # when it has read the prompts that other gateways told of
-    rejected_at: int = -PRESSED_TIME
-    kept: KeptPrefixes = field(factory=KeptPrefixes)
+    pending_prefill: float = 0.0  # uncached tokens of calls without a first event
+    remote_prefill_until: int = 0  # end of the prefills that other gateways reported
+    rejected_at: int = -PRESSURE_TIME
+    cache: CachedPrefixes = field(factory=CachedPrefixes)
 
-    def pressed(self, now: int) -> float:
-        """1 just after the server turned a call away as full, 0 a while later."""
+    def rejection_pressure(self, now: int) -> float:
+        """1 just after the server rejected a call, decreasing to 0 within PRESSURE_TIME."""
         age = now - self.rejected_at
-        return 1 - age / PRESSED_TIME if age < PRESSED_TIME else 0.0
+        return 1 - age / PRESSURE_TIME if age < PRESSURE_TIME else 0.0
 
-    def others_reading(self, now: int) -> int:
-        """Microseconds until it has read what other gateways have told of."""
-        return max(0, self.others_reading_until - now)
+    def remote_prefill_time(self, now: int) -> int:
+        """Microseconds until the prefills that other gateways reported are done."""
+        return max(0, self.remote_prefill_until - now)
 
-    def read_for_others(self, now: int, since: int, duration: float) -> None:
-        """Another gateway sent it a prompt `since` then, which takes so long to read."""
-        begins = max(since, self.others_reading_until)
-        self.others_reading_until = max(now, begins + int(duration))
+    def add_remote_prefill(self, now: int, since: int, duration: float) -> None:
+        """Records a prompt that another gateway sent at `since`, with its prefill time."""
+        begins = max(since, self.remote_prefill_until)
+        self.remote_prefill_until = max(now, begins + int(duration))
 
 
 @define(eq=False)
-class Placed:
+class PlacedCall:
     """An attempt of a call at a server, until its stream has ended."""
 
     request: int
     server: int
     chain: tuple[ChainLink, ...]
-    unread: float  # estimated tokens that the server must read
+    uncached_tokens: float  # estimated prompt tokens that the server has to process
     tokens: int  # of prompt and answer
     output_tokens: int
-    streams: bool  # it goes on after its first event
-    reading_time: float  # microseconds that reading the unread tokens takes
-    round_trip: int  # microseconds there and back
+    streaming: bool  # the answer is a stream, which continues after its first event
+    reading_time: float  # microseconds of the prefill of the uncached tokens
+    round_trip: int  # microseconds
     target: int  # microseconds within which its first event is due
-    expected_queue: float  # microseconds that it was expected to wait
-    overdue_at: int = 0  # when its first event is late; 0: not known
-    silent_at: int = 0  # when it counts as unanswered
-    silent: bool = False  # that was told
-    begun_at: int = 0  # the first event
-    over: bool = False  # its stream has ended
+    expected_queue: float  # microseconds that it was expected to be queued
+    overdue_at: int = 0  # from when on its first event is late; 0: unknown
+    unanswered_at: int = 0  # from when on it counts as unanswered
+    reported: bool = False  # other gateways were told that it is late or unanswered
+    begun_at: int = 0  # time of the first event
+    stream_over: bool = False
 
     @property
     def known_cost(self) -> float:
-        """Microseconds of the first event's time that are no load: reading, and the way."""
+        """Microseconds until the first event that do not depend on load: prefill and round trip."""
         return self.reading_time + self.round_trip
 
 
 class Loads:
-    """All servers of a service."""
+    """The loads of all servers of a service."""
 
     def __init__(self) -> None:
         self.servers: dict[int, ServerLoad] = {}
@@ -77,25 +77,25 @@
             load = self.servers[server] = ServerLoad()
         return load
 
-    def place(self, placed: Placed) -> None:
-        """A call is sent."""
+    def add(self, placed: PlacedCall) -> None:
+        """Records a call that is sent."""
         load = self.of(placed.server)
         load.streams += 1
         load.tokens += placed.tokens
-        load.unread += placed.unread
+        load.pending_prefill += placed.uncached_tokens
         self.streams += 1
         self.tokens += placed.tokens
 
-    def first_event(self, placed: Placed, now: int, capacity: int) -> None:
-        """Its prompt has been read; `capacity`: tokens that the server can keep in all."""
-        self._read(placed)
+    def first_event(self, placed: PlacedCall, now: int, capacity: int) -> None:
+        """Records that its prompt has been processed; `capacity`: tokens that fit in the server's cache."""
+        self._finish_prefill(placed)
         placed.begun_at = now
         load = self.of(placed.server)
-        load.kept.add(placed.chain, capacity - load.tokens)
+        load.cache.add(placed.chain, capacity - load.tokens)
 
-    def end(self, placed: Placed) -> None:
-        """It takes no place any more."""
-        self._read(placed)
+    def remove(self, placed: PlacedCall) -> None:
+        """Records that the call has ended."""
+        self._finish_prefill(placed)
         load = self.of(placed.server)
         load.streams -= 1
         load.tokens -= placed.tokens
@@ -103,11 +103,11 @@
         self.tokens -= placed.tokens
 
     def forget(self, listed: set[int]) -> None:
-        """Drop what is known of servers that are gone and hold nothing."""
+        """Drops servers that are no longer listed and have no calls."""
         for server in [s for s, load in self.servers.items() if s not in listed and load.streams == 0]:
             del self.servers[server]
 
-    def _read(self, placed: Placed) -> None:
+    def _finish_prefill(self, placed: PlacedCall) -> None:
         load = self.of(placed.server)
-        load.unread = max(0.0, load.unread - placed.unread)
-        placed.unread = 0.0
+        load.pending_prefill = max(0.0, load.pending_prefill - placed.uncached_tokens)
+        placed.uncached_tokens = 0.0
--- a/brackenladder/placement/parameters.py
+++ b/brackenladder/placement/parameters.py
@@ -1,4 +1,4 @@
-"""The figures that placement decides by, in one checked record; docs/decisions.md names their sources."""
+"""The tunable parameters of placement, with validation; docs/decisions.md gives their sources."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 @frozen
 class PlacementParameters:
-    """The defaults are the values in service; 0 switches a mechanism off where a field says so.
+    """The defaults are the values in production; 0 disables a mechanism if the field says so.
 
-    Costs are microseconds of a first event's time.
+    Costs are in microseconds of the time until the first event.
     """
 
-    # A token that is read again, beside the time of its reading.
+    # Cost of a token whose prefill is repeated at another server, besides the prefill time.
     read_again: float = field(default=150.0, validator=_COST)
-    # A byte that goes to another zone of the region; 0: zones are told apart by their ways only.
+    # Cost of a byte sent to another zone of the region; 0: only the round-trip times of zones differ.
     zone_byte: float = field(default=3.6, validator=_COST)
-    # A call that goes to another region, beside its way.
+    # Cost of a call to another region, besides its round-trip time.
     region_price: float = field(default=100_000.0, validator=_COST)
-    # A stream that a server runs, for each token of the answer to come.
+    # Cost of each stream running at a server, per token of the expected answer.
     stream_cost: float = field(default=30.0, validator=_COST)
-    # A server that has just turned a call away as full.
+    # Cost of a server that has just rejected a call.
     pressed_cost: float = field(default=300_000.0, validator=_COST)
-    # A server whose memory would not hold the call: it would be read again.
+    # Cost of a server whose KV cache has no room for the call: its prefill would be repeated.
     memory_cost: float = field(default=1_000_000.0, validator=_COST)
-    # The part of the shared tokens that has probably been read at a prompt's own server.
+    # Part of the shared tokens that is probably cached at the server that hashing assigns to the prompt.
     shared_read: float = field(default=0.5, validator=_COST)
-    # Tokens from which on a prompt is compared at all servers of the region, not at two draws; 0: none is.
+    # Prompts with at least this many tokens are compared at all servers of the region; 0: none are.
     scanned_tokens: int = field(default=4_000, validator=validators.ge(0))
-    # The weight of late and unanswered calls that makes a server doubted; 0: none is.
+    # Weight of late and unanswered calls from which a server is suspected; 0: none is.
     doubt_weight: int = field(default=3, validator=validators.ge(0))
-    # A try that may be repeated gets what its first event may take, not half of the time that is left.
+    # An attempt that can be retried times out when its first event is overdue, not after half the time left.
     quick_retry: bool = True
 
 
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -1,4 +1,4 @@
-"""One service of one gateway: hosts its decision module and keeps it up to date with the system's view."""
+"""One service of one gateway: hosts its balancer and keeps it up to date with the system's view."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from brackenladder.interface import Actions, ListKind, ServerEntry, Settings, State
 from brackenladder.placement.balancer import PromptBalancer
 from brackenladder.placement.classes import CallShape, ClassTable, add_class, shape_of
-from brackenladder.placement.site import ServerPlace, ServiceSite
+from brackenladder.placement.site import ServerLocation, ServiceSite
 from brackenladder.placement.traits import CallTraits
 from brackenladder.platform_settings import Platform
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
@@ -27,20 +27,20 @@
 
 US_PER_S = 1_000_000
 US_PER_MS = 1_000
-# A Balancer starts with a class; no route has this one's priority, so that it ranks below all others.
+# A Balancer is created with a class. No route has this one's priority, so it ranks below all others.
 FIRST_SHAPE = CallShape(idempotent=False, aim=US_PER_S, timeout=10 * US_PER_S, priority=100)
-MOST_TRIES = 8  # attempts of a call, with those that were never sent
-MOST_RETRY_AFTER = US_PER_S
-ZONE_PRICE = 0.01  # above the policy's least: the subset has members in each zone
-INDEXES = 1 << 16  # a gateway's place among the copies that share the servers, by its name
-BEATS_AFTER_RETURN = 2.5  # heartbeats after a zone's return until its servers have told that they are cold
+MAX_ATTEMPTS = 8  # attempts of a call, including those that were never sent
+MAX_RETRY_AFTER = US_PER_S
+ZONE_PRICE = 0.01  # as high as the policy needs to select members in each zone
+INDEXES = 1 << 16  # bound of a gateway's index, a hash of its name
+BEATS_AFTER_RETURN = 2.5  # heartbeats after an evacuation's end until servers have reported being cold
 
 
 class PoolCall(Call):
-    """A call for a service. A front derives its own, which carries the payload and the conclusion.
+    """A call for a service. A frontend derives its own class with the payload and the handling of answers.
 
-    `repeat`: this gateway has sent the request to a server before, as when it takes up a broken stream; its
-    first attempt then counts against the budget of repeats.
+    `repeat`: this gateway has sent the request to a server before, for example to resume a broken stream.
+    Then its first attempt counts against the retry budget.
     """
 
     __slots__ = ("traits", "number_of_server")
@@ -48,15 +48,15 @@
     def __init__(self, traits: CallTraits, left: int, repeat: bool = False) -> None:
         super().__init__(klass=0, tenant=0, left=left, repeat=repeat)
         self.traits = traits
-        self.number_of_server = 0  # the server of the newest attempt
+        self.number_of_server = 0  # the server of the latest attempt
 
     def current_traits(self) -> CallTraits:
-        """The traits under the newest configuration; asked for before each attempt."""
+        """The traits under the latest configuration; called before each attempt."""
         return self.traits
 
 
 class _PoolUpstream:
-    """Notes the server of each attempt in its call."""
+    """Records the server of each attempt in its call."""
 
     def __init__(self, upstream: Upstream) -> None:
         self.upstream = upstream
@@ -74,7 +74,7 @@
 
 
 class ServicePool:
-    """The servers of one service, and the calls to them. The view's times are those of `clock`."""
+    """The servers of one service, and the calls to them. The times in the view are those of `clock`."""
 
     def __init__(
         self,
@@ -100,10 +100,10 @@
         self.records: dict[int, ServerRecord] = {}
         self.zones = {name: number for number, name in enumerate(sorted(platform.zones))}
         self.region_numbers: dict[str, int] = {}
-        self.listed: dict[int, ServerEntry] = {}  # as the decision module was told last
-        self.read_version = -1  # of the view's servers of this service; none was read yet
+        self.listed: dict[int, ServerEntry] = {}  # the list that the balancer has
+        self.read_version = -1  # version of the view's servers that was read last
         self.evacuated = view.evacuated
-        self.returned: dict[str, int] = {}  # zones taken back, and until when their servers may be cold
+        self.returned: dict[str, int] = {}  # end of possible coldness, by zone no longer evacuated
         self.closed = False
         settings = _settings(platform, self.zones, self.region_numbers)
         seed = random.getrandbits(32)
@@ -113,63 +113,63 @@
 
     @property
     def balancer(self) -> PromptBalancer:
-        """The decision module."""
+        """The balancer of this service."""
         module = self.host.balancer
         assert isinstance(module, PromptBalancer)
         return module
 
     @property
     def idle(self) -> bool:
-        """Whether no call is open and no stream runs that could be taken up here."""
+        """Whether there are no open calls and no running streams that may have to be resumed."""
         return not self.host.calls and not self.balancer.in_flight.streams
 
     def take(self, call: PoolCall) -> None:
-        """A call begins; its conclusion may come before this returns."""
+        """Starts a call; it may be concluded before this returns."""
         call.klass = self._class_of(call.traits)
         call.left = min(call.left, call.traits.route.timeout_ms * US_PER_MS)
         self.host.take(call)
 
     def give_up(self) -> None:
-        """The gateway ends: every open call is failed."""
+        """Fails all open calls, as the gateway shuts down."""
         for call in tuple(self.host.calls.values()):
             self.host.client_left(call)
             call.failed(Failure.GIVEN_UP)
 
     def record(self, number: int) -> ServerRecord | None:
-        """The server that an attempt names, while it is listed or drains."""
+        """The server with this number, while it is listed or draining."""
         return self.records.get(number)
 
     def region(self, record: ServerRecord) -> str:
-        """Where a server stands; empty if that is not known."""
+        """The region of a server; empty if it is unknown."""
         return self.platform.region_of(record.zone)
 
     def stream_ended(self, call: PoolCall) -> None:
-        """After `served`: the call's place and memory are free again."""
+        """Records the end of a call's stream after `served`: its slot and cache memory are free again."""
         self.host.post(self.balancer.stream_ended, call.id)
 
     def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Other gateways have told which prefixes servers have been sent, of any service."""
-        own = [notice for notice in notices if notice.server in self.site.places]
+        """Takes in notices of other gateways, and ignores those about servers of other services."""
+        own = [notice for notice in notices if notice.server in self.site.locations]
         if own:
             self.balancer.receive_prefix_notices(now, own)
 
     def refresh(self) -> None:
-        """The view has changed."""
+        """Applies changes of the view."""
         if self.closed:
             return
-        moved = self.evacuated != self.view.evacuated
-        self._note_returns()
+        evacuation_changed = self.evacuated != self.view.evacuated
+        self._update_returned_zones()
         self._read_service()
         changed = self.view.by_service.changed_since(self.service, self.read_version)
         self.read_version = self.view.by_service.version(self.service)
-        if moved or changed is None:
+        if evacuation_changed or changed is None:
             self._read_all()
         elif changed:
             self._read_changes(changed)
         self._share()
 
     def cold_until(self, server_id: str) -> int:
-        """When a server is warm; servers of a zone that was just taken back may be cold unsaid."""
+        """When a server will be warm. After an evacuation of its zone it may be cold without a report yet."""
         until = self.view.cold_until(server_id)
         if self.returned:
             record = self.view.servers.get(server_id)
@@ -178,38 +178,38 @@
         return until
 
     def close(self) -> None:
-        """No more calls; those that are open go on."""
+        """Stops following the view; open calls go on."""
         self.closed = True
 
     def _read_all(self) -> None:
         records = self.view.by_service.of(self.service).values()
         self.records = {number_of(record.id): record for record in records}
         usable = {number: r for number, r in self.records.items() if self._usable(r)}
-        self.site.places = {number: self._place(record) for number, record in usable.items()}
+        self.site.locations = {number: self._place(record) for number, record in usable.items()}
         entries = {number: self._entry(number, record) for number, record in sorted(usable.items())}
         if entries != self.listed:
             self.listed = entries
             self.host.server_list(ListKind.FULL, tuple(entries.values()))
 
     def _read_changes(self, server_ids: Iterable[str]) -> None:
-        """What a change costs must not grow with the number of servers."""
+        """Applies changes of some servers; its cost does not depend on the number of all servers."""
         known = self.view.by_service.of(self.service)
-        news = [self._read_one(number_of(server_id), known.get(server_id)) for server_id in server_ids]
-        entries = tuple([entry for entry in news if entry is not None])
+        changes = [self._read_one(number_of(server_id), known.get(server_id)) for server_id in server_ids]
+        entries = tuple([entry for entry in changes if entry is not None])
         if entries:
             self.host.server_list(ListKind.CHANGES, entries)
 
     def _read_one(self, number: int, record: ServerRecord | None) -> ServerEntry | None:
-        """Take in one server; what the decision module has to be told, None if it knows."""
+        """Applies the state of one server; returns the entry for the balancer, None if it is unchanged."""
         if record is None:
             self.records.pop(number, None)
         else:
             self.records[number] = record
         if record is None or not self._usable(record):
-            self.site.places.pop(number, None)
+            self.site.locations.pop(number, None)
             listed = self.listed.pop(number, None)
             return replace(listed, state=State.GONE) if listed is not None else None
-        self.site.places[number] = self._place(record)
+        self.site.locations[number] = self._place(record)
         entry = self._entry(number, record)
         if self.listed.get(number) == entry:
             return None
@@ -237,9 +237,9 @@
     def _usable(self, record: ServerRecord) -> bool:
         return record.state is ServerState.READY and record.zone not in self.view.evacuated
 
-    def _place(self, record: ServerRecord) -> ServerPlace:
+    def _place(self, record: ServerRecord) -> ServerLocation:
         region = self.region(record)
-        return ServerPlace(record.id, record.zone, region, record.slots, self.view.ends_at(record.id))
+        return ServerLocation(record.id, record.zone, region, record.slots, self.view.ends_at(record.id))
 
     def _entry(self, number: int, record: ServerRecord) -> ServerEntry:
         zone = numbered(self.zones, record.zone)
@@ -253,7 +253,7 @@
             self.site.gateways = gateways
             self.host.set_instances(gateways)
 
-    def _note_returns(self) -> None:
+    def _update_returned_zones(self) -> None:
         now = self.clock.now()
         until = now + int(BEATS_AFTER_RETURN * self.platform.heartbeat_ms * US_PER_MS)
         self.returned = {zone: at for zone, at in self.returned.items() if at > now}
@@ -262,12 +262,12 @@
         self.evacuated = self.view.evacuated
 
     def _read_service(self) -> None:
-        """What the configuration says of the service. One that has been removed is left as it was."""
+        """Applies the configuration of the service; a removed service keeps its last one."""
         service = self._configured()
         if service is None:
             return
         again = int(self.platform.bounds.again_s * US_PER_S)
-        self.site.again = again or None  # 0: there is no such time, every reading again is priced
+        self.site.reread_window = again or None  # 0: no limit, every repeated prefill has a price
         self.site.kv_tokens = service.engine.kv_tokens if service.engine is not None else 0
         bounds = self.platform.bounds
         bound = None
@@ -296,9 +296,9 @@
         classes=(FIRST_SHAPE.settings(),),
         zone=numbered(zones, platform.zone),
         index=number_of(platform.node_name) % INDEXES,
-        max_attempts=MOST_TRIES,
+        max_attempts=MAX_ATTEMPTS,
         cancel=True,
         retry_after=True,
-        max_retry_after=MOST_RETRY_AFTER,
+        max_retry_after=MAX_RETRY_AFTER,
         cross_zone_price=ZONE_PRICE,
     )
--- a/brackenladder/placement/prefix_uses.py
+++ b/brackenladder/placement/prefix_uses.py
@@ -1,4 +1,4 @@
-"""How much this gateway's traffic leans on each shared prefix: a bounded, decaying count."""
+"""How often this gateway's requests use each shared prefix: a bounded, decaying count."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from brackenladder.placement.prefixes import ChainLink
 
-MOST_PREFIXES = 512  # the least recently used go first
+MOST_PREFIXES = 512  # of more, the least recently used are dropped
 HALF_LIFE = 15_000_000  # microseconds after which a use counts for half
-LEAST_USES = 2.0  # of a prefix that traffic leans on
-LEAST_PART = 0.05  # of all tokens of shared parts that are asked for
+LEAST_USES = 2.0  # decayed uses of a popular prefix
+LEAST_PART = 0.05  # its least part of all requested tokens of shared parts
 
 
 @define
@@ -23,19 +23,19 @@
 
 
 class PrefixUses:
-    """Counts how often each link of a prompt's shared part is asked for.
+    """Counts how often each link of the shared parts of prompts is requested.
 
-    A link that was never dropped has its exact decayed count; one that was begins anew, so a count may be too
-    low and never too high. The total is exact but for what decays between two uses of a dropped link.
+    A link that was never dropped has its exact decayed count. A dropped one starts again at 0, so a count may
+    be too low but never too high. The total is exact except for the decay between two uses of a dropped link.
     """
 
     def __init__(self) -> None:
         self._links: OrderedDict[int, _Uses] = OrderedDict()
-        self._total = 0.0  # decayed tokens of shared parts that were asked for
+        self._total = 0.0  # decayed number of requested tokens of shared parts
         self._total_at = 0
 
     def add(self, now: int, shared: Iterable[ChainLink]) -> None:
-        """A prompt with these shared parts was asked for."""
+        """Records a request for a prompt with these shared parts."""
         self._total *= _decay(now - self._total_at)
         self._total_at = now
         for link in shared:
@@ -46,8 +46,8 @@
         while len(self._links) > MOST_PREFIXES:
             self._links.popitem(last=False)
 
-    def leaned_on(self, now: int, key: int) -> bool:
-        """Whether the prefix is among those that much of the traffic needs."""
+    def is_popular(self, now: int, key: int) -> bool:
+        """Whether a considerable part of the traffic uses the prefix."""
         known = self._links.get(key)
         if known is None:
             return False
--- a/brackenladder/placement/prefixes.py
+++ b/brackenladder/placement/prefixes.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers of the prompt parts that each server keeps."""
+"""A gateway's estimate of which prompt parts each server has in its prefix cache."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 from brackenladder.placement.traits import CallTraits, PromptPart
 
-MOST_PARTS = 512  # of one server: a bound on this gateway's own memory
+MOST_PARTS = 512  # remembered for one server, to bound this gateway's memory
 KEY_BYTES = 8  # of a link's key
 
 
 @frozen
 class ChainLink:
-    """A part of a prompt with all that comes before it: a part is kept only behind the parts before it."""
+    """A part of a prompt and all parts before it, since a part can be cached only after those."""
 
     key: int  # the same at every gateway
     tokens: int
 
 
 def chain_of(model: str, parts: Sequence[PromptPart]) -> tuple[ChainLink, ...]:
-    """The links of a prompt, for the model whose weights read it."""
+    """The links of a prompt, which are specific to the model."""
     links = []
     key = _digest(b"", model)
     for part in parts:
@@ -36,20 +36,20 @@
     return blake2b(before + name.encode(errors="surrogatepass"), digest_size=KEY_BYTES).digest()
 
 
-def shared_tokens(traits: CallTraits) -> int:
-    """The tokens of the parts that other requests have as well: all but the last."""
+def shared_tokens_of(traits: CallTraits) -> int:
+    """The tokens of the parts that other requests may share: all but the last part."""
     return sum([part.tokens for part in traits.parts[:-1]])
 
 
-class KeptPrefixes:
-    """The links that one server keeps as far as this gateway knows; the least recently used go first."""
+class CachedPrefixes:
+    """The links cached by one server as far as this gateway knows, the least recently used first."""
 
     def __init__(self) -> None:
         self.links: OrderedDict[int, int] = OrderedDict()  # tokens by key
         self.tokens = 0
 
-    def kept(self, chain: Sequence[ChainLink]) -> int:
-        """How many tokens of a prompt the server need not read."""
+    def cached_tokens(self, chain: Sequence[ChainLink]) -> int:
+        """The number of tokens of a prompt that are cached."""
         tokens = 0
         for link in chain:
             if link.key not in self.links:
@@ -58,8 +58,8 @@
         return tokens
 
     def add(self, chain: Sequence[ChainLink], capacity: int) -> None:
-        """The server has read the prompt; `capacity`: tokens that it can keep beside what it runs."""
-        for link in reversed(chain):  # so that a chain's first links are given up last
+        """Records a prompt that the server has read; `capacity`: tokens it can cache besides its calls."""
+        for link in reversed(chain):  # so that the first links of a chain are evicted last
             self.tokens += link.tokens - self.links.pop(link.key, 0)
             self.links[link.key] = link.tokens
         while self.links and (self.tokens > capacity or len(self.links) > MOST_PARTS):
--- a/brackenladder/placement/regions.py
+++ b/brackenladder/placement/regions.py
@@ -1,14 +1,14 @@
-"""How long calls take in each region, so that a region that is crowded is left in time."""
+"""How long calls take in each region, so that calls leave an overloaded region in time."""
 
 from __future__ import annotations
 
 from attrs import define
 
 SMOOTH = 0.1  # weight of the newest sample
-FORGET = 1.002  # a sample makes the best of what was measured this much worse
-FADE = 5_000_000  # microseconds without a sample after which a region is taken to be at its best
-RATIO_GUESS = 0.1  # of the target, until anything better is measured
-RATIO_MOST = 8.0  # a call counts as so many times its target at most
+BEST_DECAY = 1.002  # each sample raises the remembered best ratio by this factor
+FADE = 5_000_000  # microseconds without a sample after which a region is assumed to be at its best
+INITIAL_RATIO = 0.1  # latency / target until anything better is measured
+MAX_RATIO = 8.0  # upper bound of a sample
 
 
 @define
@@ -18,30 +18,29 @@
 
 
 class RegionTimes:
-    """Calls' times by region, relative to what their class can bear.
+    """Mean latency of calls by region, relative to the target of their class.
 
-    Failure prevented: all servers of a small region are crowded alike, none of them stands out among those
-    that are visited, and the calls stay. A region that is not visited is taken to do as well as any did at
-    its best.
+    Failure prevented: all servers of a small region are overloaded alike, none is slow compared with the
+    others, and calls stay there. A region without calls is assumed to be as fast as the best one ever was.
     """
 
     def __init__(self) -> None:
         self._regions: dict[str, _RegionTime] = {}
-        self._best = RATIO_GUESS
+        self._best = INITIAL_RATIO
 
-    def heard(self, now: int, region: str, ratio: float) -> None:
-        """A call there took so many times its target."""
-        ratio = min(ratio, RATIO_MOST)
+    def record(self, now: int, region: str, ratio: float) -> None:
+        """Records the latency of a call in a region, as a ratio to its target."""
+        ratio = min(ratio, MAX_RATIO)
         known = self._regions.get(region)
         if known is None:
             known = self._regions[region] = _RegionTime(ratio, now)
         known.value = self.ratio(now, region)
         known.value += SMOOTH * (ratio - known.value)
         known.at = now
-        self._best = min(known.value, self._best * FORGET)
+        self._best = min(known.value, self._best * BEST_DECAY)
 
     def ratio(self, now: int, region: str) -> float:
-        """What a call there is expected to take, relative to its target."""
+        """The expected latency of a call in the region, as a ratio to its target."""
         known = self._regions.get(region)
         if known is None or now - known.at >= FADE:
             return self._best
--- a/brackenladder/placement/rendezvous.py
+++ b/brackenladder/placement/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: all gateways find the same server for a prompt without a message."""
+"""Rendezvous hashing: all gateways choose the same server for a prompt without communication."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 def affinity_key(traits: CallTraits) -> int | None:
-    """What a prompt is placed by: its last shared part, the subject; a lone part; None without parts.
+    """The hash key of a prompt: its last shared part, or its only part; None without parts.
 
-    The first part alone would not do: a few texts begin most prompts, and a few servers would take them all.
+    The first part is no good key: most prompts begin with one of a few texts, and a few servers would get
+    nearly all of them.
     """
     parts = traits.parts
     if not parts:
@@ -23,5 +24,5 @@
 
 
 def order(key: int, servers: Iterable[Server], most: int) -> list[Server]:
-    """The servers with the highest weights for a key, the highest first."""
+    """The servers with the highest weights for a key, in descending order."""
     return nlargest(most, servers, key=lambda server: mix(server.id, key))
--- a/brackenladder/placement/silent_zones.py
+++ b/brackenladder/placement/silent_zones.py
@@ -1,12 +1,12 @@
-"""Zones of which nothing answers any more, by what this gateway's own calls have met there."""
+"""Detects zones in which no server answers any more, from this gateway's own calls."""
 
 from __future__ import annotations
 
 from attrs import define, field
 
-SERVERS = 2  # so many servers of a zone must give no answer, one of them to a connect, before it is left
-DOUBT_TIME = 2_500_000  # microseconds for which a server's silence counts
-UNANSWERED_CONNECT = 400_000  # microseconds: a connect that failed sooner was refused by a host that lives
+MIN_SERVERS = 2  # unanswering servers, at least one of them to a connect, that make a zone silent
+DOUBT_TIME = 2_500_000  # microseconds for which an unanswered call counts
+UNANSWERED_CONNECT = 400_000  # microseconds: a connect that fails sooner was refused by a running host
 
 
 @define
@@ -17,35 +17,35 @@
 
 @define(eq=False)
 class SilentZones:
-    """Servers that gave no answer since their zone last gave one.
+    """Servers that have not answered since any server of their zone last did.
 
-    Failure prevented: a zone is without power, and until the list tells of it each call finds out anew, at
-    another of the zone's servers, that nothing answers there. A gateway of many has few calls, and no server
-    is met often enough to be set aside by itself.
+    Failure prevented: a zone loses power, and until the server list is updated each call finds out again, at
+    another server, that nothing answers there. With many gateways each has few calls, and no server fails
+    often enough at one gateway to be ejected by itself.
     """
 
     _zones: dict[str, dict[int, _Silence]] = field(factory=dict)  # by zone and server
 
     def connect_failed(self, now: int, zone: str, server: int, took: int) -> None:
-        """A connection to a server did not come up."""
+        """Records a failed connect; `took`: microseconds until it failed."""
         if took >= UNANSWERED_CONNECT:
             self._zones.setdefault(zone, {})[server] = _Silence(now, connect=True)
         else:
             self.answered(zone)
 
     def unanswered(self, now: int, zone: str, server: int) -> None:
-        """A call has waited for longer than any should."""
+        """Records that a call has waited for too long."""
         known = self._zones.setdefault(zone, {}).setdefault(server, _Silence(now, connect=False))
         known.at = now
 
     def answered(self, zone: str) -> None:
-        """A server of the zone has said something."""
+        """Records any answer of a server of the zone."""
         self._zones.pop(zone, None)
 
     def silent(self, now: int, zone: str) -> bool:
-        """Whether calls had better go elsewhere."""
+        """Whether calls should avoid the zone."""
         known = self._zones.get(zone)
         if known is None:
             return False
         recent = [silence for silence in known.values() if now - silence.at < DOUBT_TIME]
-        return len(recent) >= SERVERS and any(silence.connect for silence in recent)
+        return len(recent) >= MIN_SERVERS and any(silence.connect for silence in recent)
--- a/brackenladder/placement/traits.py
+++ b/brackenladder/placement/traits.py
@@ -1,4 +1,4 @@
-"""What a call asks of the server that takes it."""
+"""The properties of a call that decide which server may get it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen
 class PromptPart:
-    """A part of a prompt. Requests that share a part name it by the same id."""
+    """A part of a prompt. Requests that share a part give it the same id."""
 
     id: str
     tokens: int
@@ -17,25 +17,25 @@
 
 @frozen
 class CallTraits:
-    """What decides the placement of one call."""
+    """The properties of one call that decide its placement."""
 
-    route: Route  # as it was when the request was read
-    parts: tuple[
-        PromptPart, ...
-    ] = ()  # in the prompt's order; the last one is the request's own or its session's
+    route: Route  # as configured when the request was read
+    parts: tuple[PromptPart, ...] = ()  # in order; the last one is not shared with other requests or sessions
     prompt_tokens: int = 0
-    output_tokens: int = 0  # the most that the request may get
+    output_tokens: int = 0  # upper bound of the answer
     request_bytes: int = 0  # of its body
     model: str = ""
-    idempotent: bool = False  # it may run any number of times: a safe route, or a stream that may be resumed
-    exclude: frozenset[str] = frozenset()  # ids of servers that must not take it, as those of a broken stream
-    newest: Route | None = None  # the route that it would take by now, if that is another one: both bind
+    idempotent: bool = False  # may be executed repeatedly: a safe or resumable route
+    exclude: frozenset[str] = (
+        frozenset()
+    )  # ids of servers that must not get it, such as that of a broken stream
+    newest: Route | None = None  # the route as configured now, if it has changed: both apply
 
     def permits(self, region: str) -> bool:
-        """Whether servers of a region may take it; one that is not known is no home."""
+        """Whether servers of a region may get it; an unknown region is none of the home regions."""
         return may_serve(self.route, region) and (self.newest is None or may_serve(self.newest, region))
 
 
 def may_serve(route: Route, region: str) -> bool:
-    """Whether a route's homes, if it has any, include the region."""
+    """Whether the region is one of the route's home regions, or the route has none."""
     return not route.homes or region in route.homes
--- a/brackenladder/placement/urgency.py
+++ b/brackenladder/placement/urgency.py
@@ -1,20 +1,20 @@
-"""How urgent a request is among the others at its server."""
+"""The priority of a request among the others at its server."""
 
 from __future__ import annotations
 
 from brackenladder.catalog.configuration import Route
 
 MOST_URGENT, LEAST_URGENT = 0, 9
-SHORT_PROMPT = 1024  # tokens; each fourfold of it is one step less urgent
+SHORT_PROMPT = 1024  # tokens; each factor of four above it lowers the urgency by one step
 MOST_BY_LENGTH = 3
 
 
 def urgency_of(route: Route, prompt_tokens: int, resumed: bool) -> int:
-    """The `Priority` that a server is told, 0 being the most urgent.
+    """The `Priority` that is sent to a server; 0 is the most urgent.
 
-    Failure prevented: a prompt that takes a second to read is let in first, and short ones, each of which
-    takes some hundredths, miss their aim behind it. A client that waits in the middle of a stream goes before
-    all. The steps by length are few, so that long prompts only follow and do not starve.
+    Failure prevented: a prompt with a prefill of a second is admitted first, and short ones, of some 10 ms
+    each, miss their latency target behind it. A resumed stream, whose client waits in the middle of an
+    answer, comes before all. The steps by length are few, so that long prompts do not starve.
     """
     if resumed:
         return MOST_URGENT
--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -410,8 +410,8 @@
         A single call may be a long one and counts after twice that time. `least`: the least mean round trip.
         """
         if srv.in_flight and now - srv.quiet_since > SILENT_FACTOR * least:
-            patience = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
-            if now - srv.quiet_since > patience:
+            longest = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
+            if now - srv.quiet_since > longest:
                 self.eject(now, srv, silent=True)
         return srv.ejected
 
--- a/brackenladder/prefix_cache/announcer.py
+++ b/brackenladder/prefix_cache/announcer.py
@@ -25,21 +25,21 @@
         self._told_at: OrderedDict[tuple[int, int], int] = OrderedDict()  # by server and longest prefix
 
     def record_placement(
-        self, now: int, server: int, keys: Sequence[int], tokens: Sequence[int], unread: int
+        self, now: int, server: int, keys: Sequence[int], tokens: Sequence[int], uncached_tokens: int
     ) -> None:
         """A prompt of this gateway goes to a server. `keys`, `tokens`: of its shared prefixes."""
         shares = bool(keys) and sum(tokens) >= LEAST_SHARED
         news = shares and not self._told_lately(now, server, keys[-1])
-        if not news and unread < LEAST_UNREAD:
+        if not news and uncached_tokens < LEAST_UNREAD:
             return
         told = (tuple(keys), tuple(tokens)) if shares else ((), ())
         if shares:
             self._remember(now, server, keys[-1])
-        self._add(PrefixNotice(server, *told, unread=unread))
+        self._add(PrefixNotice(server, *told, uncached_tokens=uncached_tokens))
 
     def report_unanswered(self, server: int, weight: int) -> None:
         """A call of this gateway was late at a server, or left unanswered."""
-        self._add(PrefixNotice(server, silent=weight))
+        self._add(PrefixNotice(server, unanswered_weight=weight))
 
     def _add(self, notice: PrefixNotice) -> None:
         first = not self._pending
--- a/brackenladder/prefix_cache/early.py
+++ b/brackenladder/prefix_cache/early.py
@@ -40,7 +40,7 @@
         current = [early for early in self._kept if now - early.at <= KEPT_TIME]
         self._kept = [early for early in current if not is_known(early.notice.server)]
         return [
-            evolve(early.notice, age=early.notice.age + now - early.at, unread=0)
+            evolve(early.notice, age=early.notice.age + now - early.at, uncached_tokens=0)
             for early in current
             if is_known(early.notice.server)
         ]
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -17,9 +17,9 @@
     server: int  # its number at every node, `core.roster.number_of` of its id
     keys: tuple[int, ...] = ()  # of the shared prefixes, the shortest first; empty: only load is told
     tokens: tuple[int, ...] = ()  # by which each prefix is longer than the one before it
-    unread: int = 0  # prompt tokens that the server had to read when it was sent
+    uncached_tokens: int = 0  # prompt tokens that the server had to read when it was sent
     age: int = 0  # microseconds since it was sent, as of when it is told
-    silent: int = 0  # the weight of a call there that was late or unanswered; 0: none was
+    unanswered_weight: int = 0  # the weight of a call there that was late or unanswered; 0: none was
 
     @property
     def shared(self) -> int:
@@ -29,7 +29,7 @@
     @property
     def weight(self) -> int:
         """What it is worth to know, in tokens."""
-        return SILENCE_WEIGHT if self.silent else self.shared + self.unread
+        return SILENCE_WEIGHT if self.unanswered_weight else self.shared + self.uncached_tokens
 
 
 @frozen
--- a/brackenladder/prefix_cache/recent.py
+++ b/brackenladder/prefix_cache/recent.py
@@ -66,7 +66,9 @@
         self._forget(now)
         entries = sorted(self._entries.values(), key=lambda entry: entry.weight(now), reverse=True)[:most]
         entries.sort(key=lambda entry: entry.used_at)
-        return tuple(evolve(entry.notice, unread=0, age=max(0, now - entry.used_at)) for entry in entries)
+        return tuple(
+            evolve(entry.notice, uncached_tokens=0, age=max(0, now - entry.used_at)) for entry in entries
+        )
 
     def _forget(self, now: int) -> None:
         old = [key for key, entry in self._entries.items() if now - entry.used_at > LONGEST_AGE]
--- a/tests/control_plane/test_control_servers.py
+++ b/tests/control_plane/test_control_servers.py
@@ -57,7 +57,7 @@
 def unread(gateway: FollowingGateway) -> set[PrefixNotice]:
     """What it was told of placements as they were made; a snapshot's notices leave nothing to read."""
     notices = [notice for message in gateway.told for notice in message.notices]
-    return {evolve(notice, age=0) for notice in notices if notice.unread}
+    return {evolve(notice, age=0) for notice in notices if notice.uncached_tokens}
 
 
 class ServersTest(IsolatedAsyncioTestCase):
@@ -111,7 +111,7 @@
         for gateway in (self.gateway, other):
             await self.first_message(gateway)
             self.assertEqual(set(gateway.told), {PrefixNotices(())})  # a relay's word that nothing is known
-        notice = PrefixNotice(server=7, keys=(1, 2), tokens=(2_000, 3_000), unread=5_000)
+        notice = PrefixNotice(server=7, keys=(1, 2), tokens=(2_000, 3_000), uncached_tokens=5_000)
 
         def told() -> bool:
             self.gateway.links.tell(PrefixNotices((notice,)))
@@ -122,7 +122,9 @@
         late = FollowingGateway(self.cluster, "gateway-3")
         self.addAsyncCleanup(late.transport.close)
         await self.first_message(late)
-        self.assertEqual([evolve(each, age=0) for each in late.told[0].notices], [evolve(notice, unread=0)])
+        self.assertEqual(
+            [evolve(each, age=0) for each in late.told[0].notices], [evolve(notice, uncached_tokens=0)]
+        )
         self.assertEqual(unread(self.gateway), set())  # a snapshot may hold it, with nothing left to read
 
     async def first_message(self, gateway: FollowingGateway) -> None:
--- a/tests/gateway/test_prefix_notices_taken.py
+++ b/tests/gateway/test_prefix_notices_taken.py
@@ -18,7 +18,7 @@
         """As above."""
 
     def tell(self, name: str) -> None:
-        notice = PrefixNotice(number_of(name), KEYS, TOKENS, unread=9_000)
+        notice = PrefixNotice(number_of(name), KEYS, TOKENS, uncached_tokens=9_000)
         self.gateway.prefixes_told(PrefixNotices((notice,)))
 
     def known(self, name: str) -> bool:
@@ -26,7 +26,7 @@
         pool = self.gateway._context.pools._pools.get(SERVICE)
         if pool is None:
             return False
-        holders = pool.balancer.costs.holders.recent(microseconds(), KEYS[-1], pool.site.again)
+        holders = pool.balancer.costs.holders.recent(microseconds(), KEYS[-1], pool.site.reread_window)
         return number_of(name) in holders
 
     async def test_one_that_comes_before_configuration_and_servers_is_taken_once_they_are_known(self) -> None:
--- a/tests/placement/placement_stage.py
+++ b/tests/placement/placement_stage.py
@@ -1,4 +1,4 @@
-"""A service's decision module with servers, gateways and a clock that the test moves."""
+"""Test helpers: a service's balancer with servers and gateways, and a clock that the test advances."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from brackenladder.placement.balancer import PromptBalancer
 from brackenladder.placement.classes import CallShape, add_class, shape_of
 from brackenladder.placement.parameters import DEFAULT_PARAMETERS, PlacementParameters
-from brackenladder.placement.site import ServerPlace, ServiceSite
+from brackenladder.placement.site import ServerLocation, ServiceSite
 from brackenladder.placement.traits import CallTraits, PromptPart
 from brackenladder.platform_settings import Platform, PortRange
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
@@ -73,7 +73,7 @@
 
 @define
 class RecordingActions:
-    """What the module asked for, in order."""
+    """Records the actions of the balancer in order."""
 
     names: dict[int, str] = field(factory=dict)
     log_lines: list[str] = field(factory=list)
@@ -115,7 +115,7 @@
 
 
 class Stage:
-    """One gateway's module. `servers`: zone by server id."""
+    """The balancer of one gateway. `servers`: zone by server id."""
 
     def __init__(
         self,
@@ -174,15 +174,15 @@
         self.list(servers)
 
     def list(self, servers: dict[str, str], ends_at: dict[str, int] | None = None) -> None:
-        """The servers that may be used from now on."""
+        """Sets the usable servers."""
         regions = sorted(set(ZONES.values()))
-        self.site.places = {}
+        self.site.locations = {}
         entries: list[ServerEntry] = []
         for server, zone in servers.items():
             number = number_of(server)
             self.actions.names[number] = server
             end = (ends_at or {}).get(server, 0)
-            self.site.places[number] = ServerPlace(server, zone, ZONES[zone], self.slots, end)
+            self.site.locations[number] = ServerLocation(server, zone, ZONES[zone], self.slots, end)
             kind = regions.index(ZONES[zone])
             entries.append(ServerEntry(number, zone=sorted(ZONES).index(zone), kind=kind))
         self.module.server_list(self.now, ListKind.FULL, entries)
@@ -190,7 +190,7 @@
     def ask(
         self, of: CallTraits | None = None, left: int = 5 * SECOND, repeat: bool = False
     ) -> Sent | Refused | Failed:
-        """A request, and the one thing that follows."""
+        """Sends a request to the balancer and returns the one action that follows."""
         of = of or traits()
         shape = shape_of(of)
         if shape not in self.shapes:
@@ -204,7 +204,7 @@
         return asked
 
     def send(self, of: CallTraits | None = None, left: int = 5 * SECOND) -> Sent:
-        """A request that is sent."""
+        """Sends a request, which must lead to an attempt."""
         asked = self.ask(of, left)
         assert isinstance(asked, Sent), asked
         return asked
@@ -212,7 +212,7 @@
     def end(
         self, sent: Sent, outcome: Outcome = Outcome.OK, latency: int = 50 * MS, attempt: int = 0
     ) -> Sent | Refused | Failed | None:
-        """An attempt's end, and what follows."""
+        """Ends an attempt and returns the action that follows, if any."""
         before = len(self.actions.asked)
         final = outcome == Outcome.OK
         server = number_of(sent.server)
@@ -221,7 +221,7 @@
         return asked[0] if asked else None
 
     def read(self, sent: Sent) -> int:
-        """The first event's time at an idle server that keeps what it has read: 40 tokens a millisecond."""
+        """Time until the first event at an idle server with a prefix cache, at 40 tokens a millisecond."""
         cache = self.caches.setdefault(sent.server, set())
         time = 40 * MS
         chain: tuple[str, ...] = ()
@@ -233,7 +233,7 @@
         return time
 
     def serve(self, of: CallTraits | None = None, latency: int | None = None) -> Sent:
-        """A request that is sent, answered, and over; as an idle server would unless a time is given."""
+        """Sends a request and answers it, after `latency` or as an idle server would."""
         sent = self.send(of)
         latency = self.read(sent) if latency is None else latency
         self.now += latency
@@ -242,11 +242,11 @@
         return sent
 
     def numbers(self) -> list[int]:
-        """The servers' numbers."""
-        return list(self.site.places)
+        """The numbers of the servers."""
+        return list(self.site.locations)
 
     def counts(self) -> dict[str, int]:
-        """How many requests went to each server."""
+        """The number of requests sent to each server."""
         found: dict[str, int] = {}
         for asked in self.actions.asked:
             if isinstance(asked, Sent):
@@ -255,7 +255,7 @@
 
 
 def servers_in(zone: str, count: int) -> dict[str, str]:
-    """So many servers of a zone."""
+    """`count` servers of a zone."""
     return {f"{zone}-server-{number}": zone for number in range(count)}
 
 
@@ -282,7 +282,7 @@
 
 
 class Loop:
-    """Timers that never fire by themselves."""
+    """An event loop whose timers never fire."""
 
     def __init__(self) -> None:
         self.timers = 0
--- a/tests/placement/test_bytes_and_scan.py
+++ b/tests/placement/test_bytes_and_scan.py
@@ -1,4 +1,4 @@
-"""What bytes between zones count for, and where long prompts go."""
+"""The cost of bytes between zones, and the comparison of all servers for long prompts."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
         self.assertEqual(set(self.zones(1.2)), {"north-1"})
         self.assertEqual(set(self.zones(0.0)), {"north-1", "north-2"})
 
-    def test_a_prompt_follows_what_is_kept_in_another_zone(self) -> None:
-        keeping = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2), zone="north-2")
-        sent = keeping.serve(traits("s"))
-        told = keeping.announcer.take()
+    def test_a_prompt_goes_to_another_zone_that_has_it_cached(self) -> None:
+        caching = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2), zone="north-2")
+        sent = caching.serve(traits("s"))
+        told = caching.announcer.take()
         assert told is not None
         stage = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2))
         stage.module.receive_prefix_notices(stage.now, told.notices)
         self.assertEqual(stage.send(traits("s", request_bytes=9_000)).server, sent.server)
 
-    def test_a_call_without_parts_stays_while_its_zone_is_not_crowded(self) -> None:
+    def test_a_call_without_parts_stays_in_its_zone_while_that_is_not_overloaded(self) -> None:
         stage = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2))
         cards = [stage.serve(traits(of=route(name="cards")), latency=40 * MS) for _ in range(20)]
         self.assertEqual({TWO_ZONES[sent.server] for sent in cards}, {"north-1"})
 
 
-class ScannedPromptTest(unittest.TestCase):
-    def test_a_long_prompt_finds_the_one_server_that_reads_nothing(self) -> None:
+class LongPromptTest(unittest.TestCase):
+    def test_a_long_prompt_finds_the_only_server_without_prefills(self) -> None:
         for scanned, found in ((4_000, 12), (0, 0)):
             idle = 0
             for seed in range(12):
@@ -52,6 +52,6 @@
                 for server, load in (
                     (server, stage.module.costs.loads.of(server)) for server in stage.numbers()
                 ):
-                    load.unread = 0.0 if stage.actions.names[server] == free else 400_000.0
+                    load.pending_prefill = 0.0 if stage.actions.names[server] == free else 400_000.0
                 idle += stage.send(traits("s")).server == free
             self.assertGreaterEqual(idle, found)
--- a/tests/placement/test_call_classes.py
+++ b/tests/placement/test_call_classes.py
@@ -1,4 +1,4 @@
-"""Classes that are added while a Balancer runs."""
+"""Request classes that are added to a running Balancer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from placement_stage import FIRST, SECOND, RecordingActions, route, traits
 
 from brackenladder.interface import Effect, ListKind, Outcome, ServerEntry, Settings
-from brackenladder.placement.classes import MOST_CLASSES, CallShape, ClassTable, add_class, shape_of
+from brackenladder.placement.classes import MAX_CLASSES, CallShape, ClassTable, add_class, shape_of
 from brackenladder.policy.balancer import Balancer
 
 SHAPES = [
@@ -27,7 +27,7 @@
 
 
 def play(balancer: Balancer) -> list[object]:
-    """Requests of all classes, through passes and windows."""
+    """Plays requests of all classes over several passes and windows; returns the actions and state."""
     now = 0
     actions = balancer.actions
     assert isinstance(actions, RecordingActions)
@@ -37,24 +37,24 @@
         balancer.request(now, request, request % 4, 0, 5 * SECOND, False)
         for asked in actions.asked[before:]:
             if request in balancer.requests:
-                out = balancer.requests[request].out
-                assert out is not None
+                server = balancer.requests[request].current_server
+                assert server is not None
                 outcome = Outcome.RESET if request % 17 == 0 else Outcome.OK
-                balancer.outcome(now, request, 0, out.id, outcome, 9_000 + request * 400, True, ())
+                balancer.outcome(now, request, 0, server.id, outcome, 9_000 + request * 400, True, ())
             assert asked is not None
     return [*actions.asked, balancer.stats(), balancer.mean_rtt, balancer.controller.target, balancer.rank]
 
 
 class ClassGrowthTest(unittest.TestCase):
-    def test_a_grown_balancer_is_as_one_told_of_all_at_its_start(self) -> None:
+    def test_added_classes_are_equivalent_to_classes_given_at_creation(self) -> None:
         grown = a_balancer([FIRST])
         for shape in SHAPES:
             add_class(grown, shape.settings())
-        told = a_balancer([FIRST, *SHAPES])
-        self.assertEqual(grown.settings, told.settings)
-        self.assertEqual(play(grown), play(told))
+        created = a_balancer([FIRST, *SHAPES])
+        self.assertEqual(grown.settings, created.settings)
+        self.assertEqual(play(grown), play(created))
 
-    def test_a_class_may_come_in_the_midst(self) -> None:
+    def test_a_class_can_be_added_after_requests(self) -> None:
         balancer = a_balancer([FIRST])
         play(balancer)
         for shape in SHAPES:
@@ -76,14 +76,14 @@
         self.assertIsNone(table.find(shape_of(traits(of=route(target_latency_ms=801)))))
         self.assertIsNone(table.find(shape_of(traits(idempotent=True))))
 
-    def test_beyond_the_most_the_most_similar_one_is_used(self) -> None:
+    def test_with_too_many_classes_the_most_similar_one_is_used(self) -> None:
         table = ClassTable(FIRST)
-        for number in range(1, MOST_CLASSES):
+        for number in range(1, MAX_CLASSES):
             table.add(CallShape(False, number * 10_000, SECOND, 1))
         self.assertEqual(table.find(CallShape(False, 123_456, SECOND, 1)), 12)
         self.assertIsNone(table.find(CallShape(True, 123_456, SECOND, 1)))
 
-    def test_what_may_be_repeated_and_what_is_urgent(self) -> None:
+    def test_effect_and_worth_follow_the_route(self) -> None:
         self.assertEqual(shape_of(traits(idempotent=True)).settings().effect, Effect.SAFE)
         self.assertEqual(shape_of(traits()).settings().effect, Effect.UNSAFE)
         urgent = replace(shape_of(traits(of=route(priority=0))).settings())
--- a/tests/placement/test_decision_counters.py
+++ b/tests/placement/test_decision_counters.py
@@ -1,4 +1,4 @@
-"""Sums of what placements expected, and what late first events are put down to."""
+"""Counters of expected placement times, and the causes of late first events."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from brackenladder.interface import Outcome
 from brackenladder.invariants import Invariant
 from brackenladder.placement.decision_counters import (
-    MOST_TARGETS,
+    MAX_TARGETS,
     DecisionCounters,
     DecisionSums,
     LateCause,
 )
-from brackenladder.placement.load import Placed
+from brackenladder.placement.load import PlacedCall
 
 
-def placed(target: int = 800 * MS, reading: int = 0, queue: int = 0, way: int = 0) -> Placed:
-    return Placed(
+def placed(target: int = 800 * MS, reading: int = 0, queue: int = 0, round_trip: int = 0) -> PlacedCall:
+    return PlacedCall(
         request=1,
         server=1,
         chain=(),
-        unread=0,
+        uncached_tokens=0,
         tokens=0,
         output_tokens=0,
-        streams=True,
+        streaming=True,
         reading_time=reading,
-        round_trip=way,
+        round_trip=round_trip,
         target=target,
         expected_queue=queue,
     )
@@ -42,12 +42,12 @@
         ((_, sums),) = self.counters.items()
         return sums
 
-    def test_in_time_nothing_is_late(self) -> None:
+    def test_a_first_event_in_time_is_not_late(self) -> None:
         self.counters.answered(placed(reading=100 * MS, round_trip=2 * MS), 300 * MS)
         self.assertEqual((self.sums().calls, sum(self.sums().late.values())), (1, 0))
         self.assertEqual((self.sums().reading, self.sums().first_event), (100 * MS, 300 * MS))
 
-    def test_late_ones_are_put_down_to_their_largest_part(self) -> None:
+    def test_a_late_first_event_is_attributed_to_its_largest_part(self) -> None:
         cases = {
             LateCause.READING: placed(reading=700 * MS, queue=100 * MS),
             LateCause.EXPECTED_QUEUE: placed(reading=100 * MS, queue=700 * MS),
@@ -62,12 +62,12 @@
         self.counters.unanswered(placed())
         self.assertEqual(self.sums().late[LateCause.UNANSWERED], 1)
 
-    def test_its_own_memory_is_bounded(self) -> None:
-        for target in range(1, 3 * MOST_TARGETS):
+    def test_the_number_of_targets_is_bounded(self) -> None:
+        for target in range(1, 3 * MAX_TARGETS):
             self.counters.answered(placed(target=target * MS), 1)
-        self.assertEqual(len(list(self.counters.items())), MOST_TARGETS)
+        self.assertEqual(len(list(self.counters.items())), MAX_TARGETS)
 
-    def test_a_gateways_module_counts_each_attempt_once(self) -> None:
+    def test_the_balancer_counts_each_attempt_once(self) -> None:
         stage = Stage(servers_in("north-1", 4))
         stage.serve(traits("s"))
         sent = stage.send(traits("s"))
@@ -76,7 +76,7 @@
         self.assertEqual((target, sums.calls), (800 * MS, 2))
         self.assertEqual(sums.late[LateCause.UNANSWERED], 1)
 
-    def test_the_figures_as_text(self) -> None:
+    def test_the_counters_are_exported_as_metrics(self) -> None:
         self.counters.answered(placed(reading=700 * MS, round_trip=2 * MS), 900 * MS)
         text = metrics_text(iter([("llm", self.counters)]), {Invariant.SERVER_KEEPS_HOMES: 2})
         self.assertIn('placement_calls_total{service="llm",target_ms="800"} 1\n', text)
--- a/tests/placement/test_placement_parts.py
+++ b/tests/placement/test_placement_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a placement by themselves."""
+"""Unit tests of the parts of the placement package."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from placement_stage import MS, SECOND, traits
 
 from brackenladder.placement.estimate import OutputTime, PrefillRate
-from brackenladder.placement.load import PRESSED_TIME, ServerLoad
-from brackenladder.placement.prefixes import MOST_PARTS, KeptPrefixes, chain_of, shared_tokens
+from brackenladder.placement.load import PRESSURE_TIME, ServerLoad
+from brackenladder.placement.prefixes import MOST_PARTS, CachedPrefixes, chain_of, shared_tokens_of
 from brackenladder.placement.regions import FADE, RegionTimes
 from brackenladder.placement.rendezvous import affinity_key
 from brackenladder.placement.traits import PromptPart
@@ -19,35 +19,35 @@
     return tuple([PromptPart(name, 100) for name in names])
 
 
-class KeptPrefixesTest(unittest.TestCase):
-    def test_a_part_is_kept_only_behind_the_parts_before_it(self) -> None:
-        kept = KeptPrefixes()
-        kept.add(chain_of("m", parts("a", "b", "c")), 1000)
-        self.assertEqual(kept.kept(chain_of("m", parts("a", "b", "x"))), 200)
-        self.assertEqual(kept.kept(chain_of("m", parts("b", "c"))), 0)
-        self.assertEqual(kept.kept(chain_of("other", parts("a", "b"))), 0)
-
-    def test_the_least_recently_used_go_and_a_chains_end_before_its_beginning(self) -> None:
-        kept = KeptPrefixes()
-        kept.add(chain_of("m", parts("a", "b", "c")), 500)
-        kept.add(chain_of("m", parts("x", "y")), 500)
-        kept.add(chain_of("m", parts("a", "z")), 500)
-        self.assertEqual(kept.tokens, 500)
-        self.assertEqual(kept.kept(chain_of("m", parts("a", "b", "c"))), 200)
-        self.assertEqual(kept.kept(chain_of("m", parts("x", "y"))), 200)
-
-    def test_its_own_memory_is_bounded(self) -> None:
-        kept = KeptPrefixes()
+class CachedPrefixesTest(unittest.TestCase):
+    def test_a_part_is_cached_only_after_the_parts_before_it(self) -> None:
+        cache = CachedPrefixes()
+        cache.add(chain_of("m", parts("a", "b", "c")), 1000)
+        self.assertEqual(cache.cached_tokens(chain_of("m", parts("a", "b", "x"))), 200)
+        self.assertEqual(cache.cached_tokens(chain_of("m", parts("b", "c"))), 0)
+        self.assertEqual(cache.cached_tokens(chain_of("other", parts("a", "b"))), 0)
+
+    def test_the_least_recently_used_links_are_evicted_from_the_end_of_a_chain(self) -> None:
+        cache = CachedPrefixes()
+        cache.add(chain_of("m", parts("a", "b", "c")), 500)
+        cache.add(chain_of("m", parts("x", "y")), 500)
+        cache.add(chain_of("m", parts("a", "z")), 500)
+        self.assertEqual(cache.tokens, 500)
+        self.assertEqual(cache.cached_tokens(chain_of("m", parts("a", "b", "c"))), 200)
+        self.assertEqual(cache.cached_tokens(chain_of("m", parts("x", "y"))), 200)
+
+    def test_the_number_of_links_is_bounded(self) -> None:
+        cache = CachedPrefixes()
         for number in range(3 * MOST_PARTS):
-            kept.add(chain_of("m", (PromptPart(str(number), 1),)), 10**9)
-        self.assertEqual(len(kept.links), MOST_PARTS)
+            cache.add(chain_of("m", (PromptPart(str(number), 1),)), 10**9)
+        self.assertEqual(len(cache.links), MOST_PARTS)
 
     def test_the_subject_is_the_last_shared_part(self) -> None:
         one, two = traits("subject", "one"), traits("subject", "two")
         self.assertEqual(affinity_key(one), affinity_key(two))
         self.assertNotEqual(affinity_key(one), affinity_key(traits("another", "one")))
         self.assertIsNone(affinity_key(traits()))
-        self.assertEqual(shared_tokens(one), 4500)
+        self.assertEqual(shared_tokens_of(one), 4500)
 
 
 class EstimateTest(unittest.TestCase):
@@ -62,14 +62,14 @@
                 found.append(rate.rate / true)
             self.assertAlmostEqual(sum(found[300:]) / 300, 1, delta=0.1)
 
-    def test_prompts_of_one_size_tell_nothing(self) -> None:
+    def test_prompts_of_one_size_do_not_change_the_rate(self) -> None:
         rate = PrefillRate()
         rng = Random(2)
         for _ in range(1000):
             rate.add(500, rng.uniform(10, 200) * MS)
         self.assertTrue(0.02 < rate.rate < 0.08)
 
-    def test_the_time_of_a_token_is_learned(self) -> None:
+    def test_the_time_per_output_token_is_learned(self) -> None:
         output = OutputTime()
         for _ in range(200):
             output.add(100, 700 * MS)
@@ -78,10 +78,10 @@
 
 
 class RegionTimesTest(unittest.TestCase):
-    def test_a_region_that_is_not_visited_is_taken_to_be_at_its_best(self) -> None:
+    def test_a_region_without_calls_is_assumed_to_be_at_its_best(self) -> None:
         times = RegionTimes()
         for _ in range(50):
-            times.heard(0, "near", 3.0)
+            times.record(0, "near", 3.0)
         self.assertGreater(times.ratio(0, "near"), 2.5)
         self.assertLess(times.ratio(0, "far"), 0.2)
         self.assertLess(times.ratio(FADE, "near"), 0.2)
@@ -89,12 +89,12 @@
 
 
 class ServerLoadTest(unittest.TestCase):
-    def test_a_server_is_pressed_for_a_while_after_it_turned_a_call_away(self) -> None:
+    def test_the_pressure_decays_after_a_rejected_call(self) -> None:
         load = ServerLoad()
-        self.assertEqual(load.pressed(0), 0)
+        self.assertEqual(load.rejection_pressure(0), 0)
         load.rejected_at = 5 * SECOND
-        self.assertEqual(load.pressed(5 * SECOND), 1)
-        self.assertEqual(load.pressed(5 * SECOND + PRESSED_TIME), 0)
+        self.assertEqual(load.rejection_pressure(5 * SECOND), 1)
+        self.assertEqual(load.rejection_pressure(5 * SECOND + PRESSURE_TIME), 0)
 
 
 if __name__ == "__main__":
--- a/tests/placement/test_prompt_attempts.py
+++ b/tests/placement/test_prompt_attempts.py
@@ -1,4 +1,4 @@
-"""What a service's module refuses, sends again, books, and sends to cold servers."""
+"""Refusals, retries, load accounting and cold servers in the balancer of a service."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 class LimitTest(unittest.TestCase):
-    def test_nothing_is_refused_while_servers_have_free_places(self) -> None:
+    def test_nothing_is_refused_while_servers_have_free_slots(self) -> None:
         stage = Stage(servers_in("north-1", 5), gateways=7)
         rng = Random(3)
         out: list[Sent] = []
-        for _ in range(2000):  # in clumps, with slow answers now and then, and minRTT passes between
+        for _ in range(2000):  # in bursts, with some slow answers and minRTT passes
             stage.now += int(rng.expovariate(4.0) * SECOND)
             for _ in range(3):
                 out.append(stage.send(traits(f"s-{rng.randrange(50)}", str(rng.random()))))
@@ -44,7 +44,7 @@
                 stage.module.stream_ended(stage.now, sent.request)
         self.assertGreater(stage.module.controller.passes, 3)
 
-    def test_beyond_the_share_of_the_places_calls_are_refused_at_once(self) -> None:
+    def test_calls_beyond_the_share_of_the_slots_are_refused_at_once(self) -> None:
         stage = Stage(servers_in("north-1", 5), gateways=7)
         asked = []
         for _ in range(120):
@@ -57,14 +57,14 @@
         assert isinstance(last, Refused)
         self.assertEqual(last.retry_after, 100 * MS)
 
-    def test_servers_that_turn_calls_away_have_no_free_places(self) -> None:
+    def test_servers_that_reject_calls_have_no_free_slots(self) -> None:
         stage = Stage(servers_in("north-1", 5), gateways=7)
         for _ in range(30):
             sent = stage.ask()
             if isinstance(sent, Sent):
                 stage.end(sent, Outcome.REJECTED, latency=MS)
-        self.assertLess(stage.module.free_places(stage.now), 10)
-        self.assertEqual(stage.module.free_places(stage.now + 2 * SECOND), 5 * 64 / 7)
+        self.assertLess(stage.module.free_slots(stage.now), 10)
+        self.assertEqual(stage.module.free_slots(stage.now + 2 * SECOND), 5 * 64 / 7)
 
     def test_less_urgent_calls_are_refused_first(self) -> None:
         stage = Stage(servers_in("north-1", 2), gateways=7, slots=32)
@@ -76,7 +76,7 @@
                 refused[one.route.priority] += isinstance(stage.ask(one), Refused)
         self.assertGreater(refused[2], refused[0])
 
-    def test_a_long_prompt_is_no_overload(self) -> None:
+    def test_a_long_prompt_does_not_look_like_overload(self) -> None:
         stage = Stage(NORTH, gateways=2)
         for number in range(200):
             long = traits(f"subject-{number}", f"own-{number}")
@@ -85,13 +85,13 @@
         self.assertLess(stage.module.mean_rtt[1], 0.3 * target)
         self.assertLess(stage.module.controller.sample_rtt, 0.5)
 
-    def test_what_is_larger_than_a_servers_memory_is_refused_at_once(self) -> None:
+    def test_a_prompt_larger_than_a_server_s_cache_is_refused_at_once(self) -> None:
         stage = Stage(NORTH, kv_tokens=5000)
         self.assertIsInstance(stage.ask(traits("subject")), Refused)
         self.assertEqual((stage.module.jobs, stage.module.requests), ({}, {}))
 
 
-class RepeatsTest(unittest.TestCase):
+class RetriesTest(unittest.TestCase):
     def unsafe(self, attempts: int = 2) -> Stage:
         stage = Stage(NORTH)
         self.traits = traits(of=route(kind=RouteKind.UNSAFE, max_attempts=attempts))
@@ -99,12 +99,12 @@
             stage.serve(self.traits)
         return stage
 
-    def test_an_unsafe_call_that_may_have_run_is_not_repeated(self) -> None:
+    def test_an_unsafe_call_that_may_have_run_is_not_retried(self) -> None:
         for outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.UNKNOWN):
             stage = self.unsafe()
             self.assertIsInstance(stage.end(stage.send(self.traits), outcome), Failed)
 
-    def test_what_never_ran_goes_to_another_server(self) -> None:
+    def test_a_call_that_never_ran_is_retried_at_another_server(self) -> None:
         for outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
             stage = self.unsafe(attempts=1)
             sent = stage.send(self.traits)
@@ -112,13 +112,13 @@
             assert isinstance(again, Sent)
             self.assertNotEqual(again.server, sent.server)
 
-    def test_turned_away_twice_it_is_refused(self) -> None:
+    def test_a_call_rejected_twice_is_refused(self) -> None:
         stage = self.unsafe(attempts=1)
         again = stage.end(stage.send(self.traits), Outcome.REJECTED)
         assert isinstance(again, Sent)
         self.assertIsInstance(stage.end(again, Outcome.REJECTED, attempt=1), Refused)
 
-    def test_turned_away_and_then_lost_it_is_not_promised_not_to_have_run(self) -> None:
+    def test_a_call_rejected_and_then_reset_is_failed_not_refused(self) -> None:
         stage = self.unsafe(attempts=2)
         again = stage.end(stage.send(self.traits), Outcome.REJECTED)
         assert isinstance(again, Sent)
@@ -131,36 +131,36 @@
         assert isinstance(again, Sent)
         self.assertIsInstance(stage.end(again, Outcome.RESET, attempt=1), Refused)
 
-    def test_its_first_try_leaves_time_for_the_second(self) -> None:
+    def test_the_first_attempt_leaves_time_for_a_retry(self) -> None:
         stage = Stage(NORTH)
         safe = traits(of=route(max_attempts=2, resumable=True), idempotent=True)
         self.assertLess(stage.send(safe, left=3 * SECOND).timeout, 2 * SECOND)
         once = traits(of=route(max_attempts=1, resumable=True), idempotent=True)
         self.assertEqual(stage.send(once, left=3 * SECOND).timeout, 3 * SECOND)
 
-    def test_repeats_keep_to_the_budget_and_unsent_ones_are_free(self) -> None:
+    def test_retries_respect_the_budget_and_unsent_attempts_are_free(self) -> None:
         stage = Stage(servers_in("north-1", 12), gateways=7)
-        repeats = 0
+        retries = 0
         for _ in range(200):
             sent = stage.ask()
             if isinstance(sent, Sent):
                 stage.now += 10 * MS
-                repeats += isinstance(stage.end(sent, Outcome.REJECTED, latency=MS), Sent)
-        self.assertGreater(repeats, 2)
-        self.assertLessEqual(repeats, 0.5 * BUDGET.ratio * 200 + 0.7 * BUDGET.slack / 7)
+                retries += isinstance(stage.end(sent, Outcome.REJECTED, latency=MS), Sent)
+        self.assertGreater(retries, 2)
+        self.assertLessEqual(retries, 0.5 * BUDGET.ratio * 200 + 0.7 * BUDGET.slack / 7)
         stage.now += 20 * SECOND
         unsent = [stage.end(stage.send(), Outcome.CONNECT_FAILED, latency=MS) for _ in range(2)]
         self.assertTrue(all(isinstance(one, Sent) for one in unsent))
 
-    def test_gateways_that_do_not_know_how_many_they_are_repeat_nothing(self) -> None:
+    def test_without_the_number_of_gateways_nothing_is_retried(self) -> None:
         stage = Stage(NORTH)
         stage.site.gateways_known = False
         self.assertIsInstance(stage.end(stage.send(), Outcome.REJECTED, latency=MS), Refused)
         stage.site.gateways_known = True
         self.assertIsInstance(stage.end(stage.send(), Outcome.REJECTED, latency=MS), Sent)
 
-    def test_a_resumed_stream_takes_from_the_budget(self) -> None:
-        stage = Stage(NORTH, gateways=54)  # 0.7 of a repeat from the slack
+    def test_a_resumed_stream_uses_the_retry_budget(self) -> None:
+        stage = Stage(NORTH, gateways=54)  # 0.7 of a retry from the slack
         first = next(iter(NORTH))
         resumed = traits(
             of=route(max_attempts=2, resumable=True), idempotent=True, exclude=frozenset((first,))
@@ -171,7 +171,7 @@
         self.assertIsInstance(stage.ask(resumed), Sent)
         self.assertIsInstance(stage.ask(resumed), Refused)
 
-    def test_a_resumed_stream_keeps_to_the_attempts_of_its_route(self) -> None:
+    def test_a_resumed_stream_respects_the_attempt_limit_of_its_route(self) -> None:
         stage = Stage(NORTH)
         first, second, *_ = NORTH
         asked = traits(
@@ -179,21 +179,21 @@
         )
         self.assertIsInstance(stage.ask(asked), Refused)
 
-    def test_a_trial_leaves_neither_the_homes_nor_the_cold_share(self) -> None:
+    def test_a_trial_respects_home_regions_and_the_cold_share(self) -> None:
         stage = Stage(NORTH, cold=COLD)
-        aside = next(iter(NORTH))
-        server = stage.module.servers[number_of(aside)]
+        ejected = next(iter(NORTH))
+        server = stage.module.servers[number_of(ejected)]
         stage.module.eject(stage.now, server, silent=False)
         stage.now += 20 * SECOND
         elsewhere = traits(of=route(homes=("isle",), resumable=True), idempotent=True)
         self.assertIsInstance(stage.ask(elsewhere), Refused)
-        stage.cold_until[aside] = stage.now + 3 * SECOND
+        stage.cold_until[ejected] = stage.now + 3 * SECOND
         safe = traits(of=route(resumable=True), idempotent=True)
-        self.assertNotEqual(stage.serve(safe).server, aside)
-        stage.cold_until[aside] = 0
-        self.assertEqual(stage.serve(safe).server, aside)
+        self.assertNotEqual(stage.serve(safe).server, ejected)
+        stage.cold_until[ejected] = 0
+        self.assertEqual(stage.serve(safe).server, ejected)
 
-    def test_a_server_set_aside_gets_a_trial_though_all_calls_are_unsafe(self) -> None:
+    def test_an_ejected_server_gets_a_trial_even_if_all_calls_are_unsafe(self) -> None:
         stage = self.unsafe()
         bad = next(iter(NORTH))
         stage.module.eject(stage.now, stage.module.servers[number_of(bad)], silent=False)
@@ -205,7 +205,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    def test_all_that_was_booked_is_given_back(self) -> None:
+    def test_all_load_is_released_when_calls_have_ended(self) -> None:
         stage = Stage(NORTH | SOUTH, gateways=3)
         rng = Random(5)
         out: list[Sent] = []
@@ -222,7 +222,7 @@
                     stage.end(sent, Outcome.CANCELLED)
                 elif rng.random() < 0.2:
                     stage.end(sent, Outcome.RESET)
-                elif rng.random() < 0.2:  # the stream is over before the module hears of its first event
+                elif rng.random() < 0.2:  # the stream ends before its first event is reported
                     stage.module.stream_ended(stage.now, sent.request)
                     stage.end(sent)
                 else:
@@ -236,10 +236,10 @@
         self.assertEqual((loads.streams, loads.tokens), (0, 0))
         self.assertTrue(all(load.streams == load.tokens == 0 for load in loads.servers.values()))
         self.assertEqual(
-            (stage.module.jobs, stage.module.in_flight.out, stage.module.in_flight.streams), ({}, {}, {})
+            (stage.module.jobs, stage.module.in_flight.attempts, stage.module.in_flight.streams), ({}, {}, {})
         )
 
-    def test_loads_of_servers_that_are_gone_are_forgotten(self) -> None:
+    def test_loads_of_removed_servers_are_dropped(self) -> None:
         stage = Stage(NORTH)
         stage.serve(traits("subject"))
         stage.list(SOUTH)
@@ -264,7 +264,7 @@
         warm = Counter(stage.serve(latency=5 * MS).server for _ in range(200))
         self.assertGreater(warm[cold], 25)
 
-    def test_gateways_that_do_not_know_how_many_they_are_keep_the_sum(self) -> None:
+    def test_without_the_number_of_gateways_the_cold_bound_holds(self) -> None:
         sent = Counter[str]()
         for number in range(7):
             stage = Stage(NORTH, name=f"front-{number}", seed=number, cold=COLD)
@@ -276,7 +276,7 @@
                 sent[stage.serve(latency=MS).server] += 1
         self.assertLessEqual(sent[cold], COLD.calls)
 
-    def test_where_all_are_cold_and_have_had_their_share_calls_are_refused(self) -> None:
+    def test_calls_are_refused_if_all_servers_are_cold_and_their_shares_used(self) -> None:
         stage = Stage(NORTH, gateways=7, cold=COLD)
         for server in NORTH:
             stage.cold_until[server] = stage.now + 3 * SECOND
--- a/tests/placement/test_service_pool.py
+++ b/tests/placement/test_service_pool.py
@@ -1,4 +1,4 @@
-"""A pool with its host: the view's changes, the calls' conclusions, the classes that come with routes."""
+"""A pool with its host: changes of the view, conclusions of calls, and classes added with routes."""
 
 from __future__ import annotations
 
@@ -115,13 +115,13 @@
         return call
 
     def answer(self, call: RecordingCall) -> None:
-        """The first event of the newest attempt, and the stream's end."""
+        """Reports the first event of the latest attempt and the end of its stream."""
         self.clock.at += 40 * MS
         self.upstream.attempts[-1].done(Outcome.OK, "answer", ())
         self.pool.stream_ended(call)
 
     def used(self, count: int = 40) -> set[str]:
-        """The servers that so many calls went to."""
+        """The servers that `count` calls were sent to."""
         found = set()
         for _ in range(count):
             call = self.take()
@@ -135,7 +135,7 @@
 
 
 class ServicePoolTest(PoolTestCase):
-    def test_a_call_is_served_and_leaves_nothing_behind(self) -> None:
+    def test_a_served_call_leaves_no_state(self) -> None:
         call = self.take()
         self.assertEqual(call.number_of_server, self.upstream.attempts[0].server)
         self.assertEqual(self.upstream.attempts[0].timeout, 5.0)
@@ -145,13 +145,13 @@
         self.assertEqual(self.pool.balancer.jobs, {})
         self.assertEqual(self.pool.balancer.costs.loads.streams, 0)
 
-    def test_the_number_of_gateways_reaches_the_module(self) -> None:
+    def test_the_number_of_gateways_is_passed_to_the_balancer(self) -> None:
         self.assertEqual(self.pool.balancer.settings.instances, 7)
         self.view.set_gateways(9)
         self.assertEqual(self.pool.balancer.settings.instances, 9)
         self.assertEqual(self.pool.host.settings.instances, 9)
 
-    def test_whether_that_number_is_known_reaches_it_too(self) -> None:
+    def test_whether_the_number_of_gateways_is_known_is_passed_on(self) -> None:
         self.assertTrue(self.pool.site.gateways_known)
         self.view = SystemView()
         pool = self.new_pool()
@@ -166,20 +166,20 @@
     def test_the_own_region_serves(self) -> None:
         self.assertEqual(self.used(), {"a", "b"})
 
-    def test_a_draining_server_gets_nothing_new_and_stays_known(self) -> None:
+    def test_a_draining_server_gets_no_new_calls_but_stays_known(self) -> None:
         self.tell([a_server("a", "north-1", state=ServerState.DRAINING, seq=2)])
         self.assertEqual(self.used(), {"b"})
         self.assertIsNotNone(self.pool.record(number_of("a")))
 
-    def test_other_services_servers_are_none_of_its(self) -> None:
+    def test_servers_of_other_services_are_not_used(self) -> None:
         self.tell([a_server("x", "north-1", service="other")])
         self.assertNotIn("x", self.used())
 
-    def test_an_evacuated_zone_gets_nothing(self) -> None:
+    def test_an_evacuated_zone_gets_no_calls(self) -> None:
         self.view.set_catalog(2, self.view.configuration, frozenset(("north-1",)))
         self.assertEqual(self.used(), {"c"})
 
-    def test_a_zone_that_was_taken_back_counts_as_cold_until_its_servers_have_spoken(self) -> None:
+    def test_after_an_evacuation_servers_count_as_cold_until_they_have_reported(self) -> None:
         self.view.set_catalog(2, self.view.configuration, frozenset(("north-1",)))
         self.view.set_catalog(3, self.view.configuration, frozenset())
         self.assertGreater(self.pool.cold_until("a"), self.clock.at)
@@ -187,21 +187,21 @@
         self.clock.at += 4 * SECOND
         self.assertLess(self.pool.cold_until("a"), self.clock.at)
 
-    def test_homes_bind(self) -> None:
+    def test_a_call_is_refused_outside_its_home_regions(self) -> None:
         homed = traits(of=route(homes=("isle",)))
         self.assertEqual(len(self.take(homed).refusals), 1)
 
-    def test_it_keeps_to_the_routes_time_out(self) -> None:
+    def test_the_timeout_of_the_route_is_respected(self) -> None:
         self.take(traits(of=route(timeout_ms=1500)))
         self.assertEqual(self.upstream.attempts[-1].timeout, 1.5)
 
-    def test_classes_come_with_their_first_request(self) -> None:
+    def test_classes_are_added_with_their_first_request(self) -> None:
         for timeout in (1000, 2000, 3000, 2000):
             self.answer(self.take(traits(of=route(timeout_ms=timeout))))
-        self.assertEqual(len(self.pool.balancer.settings.classes), 4)  # and the one it starts with
+        self.assertEqual(len(self.pool.balancer.settings.classes), 4)  # plus the initial one
         self.assertIs(self.pool.host.settings, self.pool.balancer.settings)
 
-    def test_a_client_that_leaves_gives_its_place_back(self) -> None:
+    def test_the_slot_of_a_client_that_left_is_released(self) -> None:
         call = self.take()
         self.pool.host.client_left(call)
         self.assertEqual(self.pool.host.calls, {})
@@ -213,18 +213,18 @@
         self.view.set_catalog(2, a_configuration(2, cold_per_s=0.0), frozenset())
         self.assertIsNone(self.pool.cold.bound)
 
-    def test_a_cold_server_gets_little(self) -> None:
+    def test_a_cold_server_gets_few_calls(self) -> None:
         cold = [a_server(name, "north-1", cold_for=3 * SECOND, seq=2) for name in ("a", "b")]
         self.tell(cold)
         numbers = {number_of(record.id) for record in cold}
         sent = 0
-        for _ in range(40):  # within two seconds, of which each may take about two calls
+        for _ in range(40):  # within two seconds; each server may get about two calls a second
             call = self.take()
             sent += call.number_of_server in numbers
             self.answer(call)
         self.assertLessEqual(sent, 2 * 4)
 
-    def test_a_pool_that_followed_changes_knows_what_a_new_one_knows(self) -> None:
+    def test_a_pool_updated_by_changes_equals_a_new_one(self) -> None:
         random = Random(5)
         zones = ("north-1", "north-2", "south-1")
         for seq in range(2, 300):
@@ -240,22 +240,22 @@
         fresh = self.new_pool()
         self.assertEqual(self.pool.listed, fresh.listed)
         self.assertEqual(self.pool.records, fresh.records)
-        self.assertEqual(self.pool.site.places, fresh.site.places)
+        self.assertEqual(self.pool.site.locations, fresh.site.locations)
         listed = {number for number, server in self.pool.balancer.servers.items() if server.in_list}
         self.assertEqual(listed, set(fresh.listed))
-        self.assertEqual(set(self.pool.site.places), set(fresh.listed))
+        self.assertEqual(set(self.pool.site.locations), set(fresh.listed))
 
-    def test_another_services_change_is_none_of_its(self) -> None:
+    def test_changes_of_other_services_are_ignored(self) -> None:
         seen = self.pool.read_version
         self.tell([a_server("x", "north-1", service="other")])
         self.assertEqual(self.pool.read_version, seen)
 
-    def test_an_unchanged_view_costs_no_new_list(self) -> None:
+    def test_an_unchanged_view_creates_no_new_list(self) -> None:
         before = self.pool.listed
         self.pool.refresh()
         self.assertIs(self.pool.listed, before)
 
-    def test_after_its_close_it_stands_still(self) -> None:
+    def test_a_closed_pool_ignores_changes(self) -> None:
         self.pool.close()
         self.view.set_catalog(2, self.view.configuration, frozenset(ZONES))
         self.assertTrue(self.pool.listed)
--- a/tests/prefix_cache/test_announcer.py
+++ b/tests/prefix_cache/test_announcer.py
@@ -62,10 +62,10 @@
 
     def test_a_long_prompt_is_told_for_its_load_whatever_it_shares(self) -> None:
         self.announcer.record_placement(AT, 1, (), (), LEAST_UNREAD)
-        self.placed(shared=1, unread=LEAST_UNREAD)
+        self.placed(shared=1, uncached_tokens=LEAST_UNREAD)
         self.placed()
         self.told()
-        self.placed(unread=LEAST_UNREAD)  # its prefix was told a moment ago
+        self.placed(uncached_tokens=LEAST_UNREAD)  # its prefix was told a moment ago
         self.assertEqual([notice.unread for notice in self.told()], [LEAST_UNREAD])
 
     def test_the_host_is_asked_once_for_each_message(self) -> None:
--- a/tests/prefix_cache/test_early.py
+++ b/tests/prefix_cache/test_early.py
@@ -11,7 +11,7 @@
 
 
 def notice(server: int, age: int = 0) -> PrefixNotice:
-    return PrefixNotice(server, (1,), (3_000,), unread=9_000, age=age)
+    return PrefixNotice(server, (1,), (3_000,), uncached_tokens=9_000, age=age)
 
 
 class EarlyNoticesTest(unittest.TestCase):
--- a/tests/prefix_cache/test_recent.py
+++ b/tests/prefix_cache/test_recent.py
@@ -27,7 +27,7 @@
         self.assertAlmostEqual(self.recent.weight(AT + 2 * HALF_LIFE, 1, 7), 3_000 * 0.75)
 
     def test_the_heaviest_are_told_with_nothing_left_to_read(self) -> None:
-        self.recent.add(AT, PrefixNotice(1, (7,), (9_000,), unread=9_000))
+        self.recent.add(AT, PrefixNotice(1, (7,), (9_000,), uncached_tokens=9_000))
         self.recent.add(AT + 1, notice(1, 8, shared=1_000))
         self.recent.add(AT + 2, notice(2, 9, shared=5_000))
         told = self.recent.snapshot(AT + 10, most=2)
@@ -39,7 +39,7 @@
         self.assertEqual(len(self.recent), 0)
 
     def test_a_notice_of_load_alone_is_no_prefix(self) -> None:
-        self.recent.add(AT, PrefixNotice(1, unread=9_000))
+        self.recent.add(AT, PrefixNotice(1, uncached_tokens=9_000))
         self.assertEqual(len(self.recent), 0)
 
     def test_counts_are_exact_for_what_was_never_dropped_and_never_too_high(self) -> None:
--- a/tests/prefix_cache/test_relay.py
+++ b/tests/prefix_cache/test_relay.py
@@ -20,7 +20,7 @@
 
 
 def notice(server: int, shared: int = 3_000, age: int = 0) -> PrefixNotice:
-    return PrefixNotice(server, (1, server), (1_000, shared - 1_000), unread=shared, age=age)
+    return PrefixNotice(server, (1, server), (1_000, shared - 1_000), uncached_tokens=shared, age=age)
 
 
 class RelayTest(unittest.TestCase):
