--- a/benchmarks/capacity/prefix_probes.py
+++ b/benchmarks/capacity/prefix_probes.py
@@ -13,7 +13,7 @@
 from brackenladder.placement.site import ServerLocation, ServiceSite
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices
-from brackenladder.prefix_cache.relay import INTERVAL, MOST_NOTICES, PrefixRelay, Receiver
+from brackenladder.prefix_cache.relay import INTERVAL, MAX_NOTICES, PrefixRelay, Receiver
 from brackenladder.transport.framing import PREFIX_BYTES
 from capacity.target import Size
 from capacity.timing import best_of, memory_of
@@ -25,7 +25,7 @@
 
 @frozen
 class PrefixCosts:
-    """A full message of notices, of `MOST_NOTICES`."""
+    """A full message of notices, of `MAX_NOTICES`."""
 
     message_bytes: int
     relay_us: float  # taken from a gateway, told to the gateways of one control node, each encoded
@@ -82,7 +82,7 @@
 
 def _notices(size: Size, random: Random) -> tuple[PrefixNotice, ...]:
     notices = []
-    for _ in range(MOST_NOTICES):
+    for _ in range(MAX_NOTICES):
         prefix = random.randrange(PREFIXES)
         server = _server(random.randrange(size.servers))
         notices.append(PrefixNotice(server, (1 << 63, (1 << 62) + prefix), (2_500, 3_800), 9_000))
--- a/brackenladder/core/__init__.py
+++ b/brackenladder/core/__init__.py
@@ -1,1 +1,1 @@
-"""The host of one pool: calls, attempts, timers and the clock, with no word of any protocol."""
+"""The host of one pool: calls, attempts, timers and the clock, independent of any protocol."""
--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -1,4 +1,4 @@
-"""What passes between a front, the core and an upstream."""
+"""The interfaces between a frontend, which takes calls, the core, and an upstream, which sends them."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 from brackenladder.interface import Outcome
 
-FRESH = 1_000  # microseconds from the taking in which a client's end need not be looked for
+FRESH = 1_000  # microseconds after its acceptance in which a call is not checked for a disconnected client
 NEVER = 1 << 62
 
 
 class Failure(Enum):
-    """Why a call was not served, with no promise about effects."""
+    """Why a call was not served; it may have had effects."""
 
-    GIVEN_UP = 0  # by the module
-    EXPIRED = 1  # by the guard: the module had left it open
-    FAULT = 2  # of this node
+    GIVEN_UP = 0  # the balancer failed it
+    EXPIRED = 1  # its deadline passed, and the balancer had not concluded it
+    FAULT = 2  # an internal error of this node
 
 
 class Call:
-    """A call that a front has taken, of a class and a tenant, with `left` microseconds of its client's time.
+    """A call accepted by a frontend, with its class and tenant; `left`: microseconds that its client waits.
 
-    A front derives its own, which carries the payload and passes the conclusion on. Exactly one of `served`,
-    `refused` and `failed` is called, once, unless the client has left before.
+    A frontend derives its own class with the payload and the handling of the conclusion. Exactly one of
+    `served`, `refused` and `failed` is called, once, unless the client disconnects before.
     """
 
     __slots__ = (
@@ -50,92 +50,96 @@
         self.left = left
         self.repeat = repeat
         self.deadline = 0
-        self.open = True  # the client waits
+        self.open = True  # the client is still waiting
         self.attempts = 0
         self.current_attempt: Attempt | None = None
         self.in_doubt = False  # an attempt may have run
-        self.single_attempt = False  # nobody waits for an answer: one attempt, and its end is the call's
-        self.accepted_at = 0  # by the core's clock
-        self.write_by = NEVER  # a repeat that is written later may run a second time
+        self.single_attempt = False  # no answer is expected: the call ends with its only attempt
+        self.accepted_at = 0  # time by the clock of the core
+        self.write_by = NEVER  # a retry written later may run a second time
 
     def may_be_written(self, now: int) -> bool:
-        """Whether its first byte may go to a server at this moment of the core's clock.
+        """Whether its first byte may be sent to a server at `now`, by the clock of the core.
 
-        Failure prevented: it waited, behind others or for a connection, its client has left meanwhile, and
-        it is sent on all the same.
+        Failure prevented: a call waits in a queue or for a connection, its client disconnects meanwhile, and
+        the call is still sent.
         """
         if not self.open or now >= self.write_by:
             return False
         return now - self.accepted_at < FRESH or not self.gone()
 
     def gone(self) -> bool:
-        """Whether the client has left, though nobody has been told: its end waits in the socket.
+        """Checks whether the client has disconnected, which may be unread in its socket.
 
-        If so the call is over when this returns.
+        If so, the call is ended before this returns.
         """
         return False
 
     def released(self) -> None:
-        """Nothing more is owed: called before the conclusion, or alone if the client has left."""
+        """Called when the call ends: before the conclusion, or alone if the client has disconnected."""
 
     def served(self, answer: object) -> None:
-        """Concludes with what the upstream gave with its outcome."""
+        """Concludes the call with the answer that the upstream passed with its outcome."""
         raise NotImplementedError
 
     def refused(self, retry_after: int) -> None:
-        """Concludes: a retry is harmless, after so many microseconds if more than 0.
+        """Concludes the call: a retry is harmless, after `retry_after` microseconds if that is above 0.
 
-        That says nothing of whether the call has run: `in_doubt` does.
+        Whether the call may have run is told by `in_doubt`.
         """
         raise NotImplementedError
 
     def failed(self, why: Failure) -> None:
-        """Concludes: nothing is promised."""
+        """Concludes the call without an answer; it may have had effects."""
         raise NotImplementedError
 
 
 class Attempt(Protocol):
-    """An attempt that an upstream makes; its `done` is called exactly once after `start`."""
+    """An attempt of an upstream; its `done` is called exactly once after `start`."""
 
     def start(self, timeout: float) -> None:
-        """Begins; the whole attempt may take `timeout` seconds. May end at once."""
+        """Starts the attempt, which may take `timeout` seconds and may end before this returns."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Gives it up: it ends with this outcome, unless it has ended."""
+        """Aborts the attempt with this outcome, unless it has ended."""
 
 
-Done = Callable[[Outcome, object, Sequence[float]], None]  # outcome, answer, load report
-Probed = Callable[[bool, Sequence[float]], None]  # whether the server is well, load report
+Done = Callable[
+    [Outcome, object, Sequence[float]], None
+]  # called with the outcome, the answer and the load report
+Probed = Callable[
+    [bool, Sequence[float]], None
+]  # called with whether the server is healthy, and the load report
 
 
 class Upstream(Protocol):
-    """The side towards the servers of one pool. It chooses no server and repeats nothing."""
+    """Sends calls to the servers of one pool. It does not choose servers or retry."""
 
     def attempt(self, server: int, call: Call, expires: int, done: Done) -> Attempt | None:
-        """An attempt at a server, to be started; None if nothing may be sent there.
+        """Creates an attempt at a server, to be started; None if nothing may be sent there.
 
-        Nothing is written once the call is no longer open, or after `expires` of the core's clock.
+        Nothing is written after the call has ended, or after `expires` by the clock of the core.
         """
 
     def probe(self, server: int, done: Probed) -> None:
-        """Asks a server how it is."""
+        """Checks the health of a server."""
 
     def close_idle(self, server: int) -> None:
-        """Closes the connections to a server that carry nothing."""
+        """Closes the idle connections to a server."""
 
 
 class Directory(Protocol):
-    """The source of the server list, as the module sees it."""
+    """The source of the server list, as used by the balancer."""
 
     def watch(self, on: bool) -> None:
-        """Begins or ends the watch."""
+        """Subscribes to changes of the list, or unsubscribes."""
 
     def fetch(self) -> None:
-        """Asks for the whole list once."""
+        """Requests the full list once."""
 
 
 class Messenger(Protocol):
-    """The way to the other nodes of the tier."""
+    """Sends messages to the other nodes of the tier."""
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Sends a short message to a peer, or to all (-1)."""
+        """Sends a short message to a peer, or to all of them (-1)."""
--- a/brackenladder/core/clock.py
+++ b/brackenladder/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock that a node's pools share."""
+"""The clock shared by the pools of a node."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Unix time at the start plus what has passed since, in microseconds: it never goes back."""
+    """Unix time at the start plus the monotonic time since then, in microseconds: it never decreases."""
 
     def __init__(self) -> None:
         self.origin = time_ns() - monotonic_ns()
--- a/brackenladder/core/ending.py
+++ b/brackenladder/core/ending.py
@@ -1,4 +1,4 @@
-"""How a node that has been told to end does so; the same for its sockets and for the model of a fleet."""
+"""The time limits of a node's shutdown, used by real nodes and by the simulation of a fleet."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from brackenladder.interface import ClassSettings
 
-TAKING = 0.5  # seconds after SIGTERM in which new connections are still taken
-HANDOVER = 2.0  # seconds after SIGTERM in which connections stay open to further calls, at most
-LONGEST = 3_000_000  # microseconds: a node has the longest deadline for its end, at most so long...
-KILL_AFTER = 700_000  # ...and so much more
-KILL_MARGIN = 300_000
+TAKING = 0.5  # seconds after SIGTERM in which new connections are still accepted
+HANDOVER = 2.0  # most seconds after SIGTERM in which open connections still accept calls
+LONGEST = 3_000_000  # microseconds: upper bound of the longest deadline, in the time allowed for a shutdown
+KILL_AFTER = 700_000  # microseconds that a shutdown may take besides the longest deadline
+KILL_MARGIN = 300_000  # microseconds before SIGKILL by which all calls must be concluded
 
 
 def kill_after(classes: Sequence[ClassSettings]) -> int:
-    """Microseconds from SIGTERM to the SIGKILL that may follow it."""
+    """Microseconds after SIGTERM at which SIGKILL may follow."""
     return min(max(c.deadline for c in classes), LONGEST) + KILL_AFTER
 
 
 def handover(classes: Sequence[ClassSettings]) -> float:
-    """Seconds after SIGTERM in which connections stay open to further calls.
+    """Seconds after SIGTERM in which open connections still accept calls.
 
-    Failure prevented: where deadlines are short the process is killed while clients still send to it.
+    Failure prevented: with short deadlines the process is killed while clients still send calls to it.
     """
     return min(HANDOVER, max(TAKING, (kill_after(classes) - 2 * KILL_MARGIN) / 1e6))
 
 
 def last_moment(now: int, classes: Sequence[ClassSettings]) -> int:
-    """The time by which all that is taken from `now` on must be concluded, in microseconds.
+    """The time by which all calls accepted from `now` on must be concluded, in microseconds.
 
-    Failure prevented: what is taken in the meantime is still open when the process is killed.
+    Failure prevented: calls accepted during the shutdown are still open when the process is killed.
     """
     return now + kill_after(classes) - KILL_MARGIN
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -1,4 +1,4 @@
-"""Hosts a Balancer: owns the clock, the timers, the calls and their attempts, and makes no decision."""
+"""Hosts a Balancer: owns the clock, the timers, the calls and their attempts. It makes no decisions."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 )
 from brackenladder.policy.balancer import Balancer
 
-OK = Outcome.OK  # an enumeration's members are slow to look up, and this one is for every attempt
-GUARD = 10_000  # microseconds after the deadline: a call that the module has left open is failed
-GUARD_STEP = 5_000  # by which that may come later
+OK = Outcome.OK  # a module constant, since enum members are slow to look up and this is needed per attempt
+GUARD = 10_000  # microseconds after its deadline at which a call that the balancer left open is failed
+GUARD_STEP = 5_000  # microseconds by which that may be late, so that calls can share timers
 
 
 class Host:
-    """Implements `Actions` for the Balancer of one pool, and hands it all events.
+    """Implements `Actions` for the Balancer of one pool, and passes all events to it.
 
-    `module`: makes what decides; another one than the Balancer in experiments only.
+    `module`: creates the balancer; only experiments use another one than Balancer.
     """
 
     def __init__(
@@ -53,22 +53,24 @@
         self.events: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self.busy = False
         self.max_open = settings.max_open
-        self.at = 0  # the time of the event that the module handles
+        self.at = 0  # time of the event being handled
         self.calls: dict[int, Call] = {}
         self.last_id = 0
         self.expired_count = 0
-        self.guards: dict[int, list[int]] = {}  # calls by the step of time at which they must be over
-        self.conclude_by = 1 << 62  # the time by which all that is taken must be concluded
+        self.guards: dict[
+            int, list[int]
+        ] = {}  # ids of calls, by the time step at which they are failed if still open
+        self.conclude_by = 1 << 62  # time by which all calls must be concluded
         self.balancer = module(settings, seed, self)
 
     # ---- events ---------------------------------------------------------------------------------------
 
     def post(self, event: Callable[..., None], *args: Any) -> None:
-        """Hands the module an event, after the one it is handling, if any."""
+        """Passes an event to the balancer, after the one being handled, if any."""
         self.post_at(0, event, args)
 
     def post_at(self, now: int, event: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """The same at a time that was just taken (0: it is to be taken)."""
+        """Like `post`, with the present time if the caller has just read the clock (0: it has not)."""
         if self.busy:
             self.events.append((event, args))
             return
@@ -79,7 +81,7 @@
                 now = 0
                 try:
                     event(self.at, *args)
-                except Exception as e:  # one event's failure must not end the node or other calls
+                except Exception as e:  # a failure in one event must not affect the node or other calls
                     self.log_line(f"{event.__name__}: {type(e).__name__}: {e}")
                     if event in (self.balancer.request, self.balancer.outcome):
                         call = self.release(args[0])
@@ -92,15 +94,15 @@
             self.busy = False
 
     def start(self) -> None:
-        """The module begins to run."""
+        """Starts the balancer."""
         self.post(self.balancer.start)
 
     def server_list(self, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """News of the servers, once the upstream has taken note of them."""
+        """Passes on a server list or its changes, which the upstream already has."""
         self.post(self.balancer.server_list, kind, entries)
 
     def set_instances(self, number: int) -> None:
-        """So many nodes share the servers: the module's settings say so from now on."""
+        """Sets the number of nodes that share the servers, in the settings of the balancer."""
         self.post(self.apply_instances, number)
 
     def apply_instances(self, now: int, number: int) -> None:
@@ -111,15 +113,15 @@
             self.balancer.update_members(now)
 
     def peer_message(self, peer: int, data: bytes) -> None:
-        """A peer's message."""
+        """Passes on the message of a peer."""
         self.post(self.balancer.peer_message, peer, data)
 
     def full(self) -> bool:
-        """Whether there is no room for a further call."""
+        """Whether the maximum number of calls is open."""
         return len(self.calls) >= self.max_open
 
     def take(self, call: Call) -> None:
-        """A call begins; its conclusion may come before this returns."""
+        """Starts a call; it may be concluded before this returns."""
         now = self.now()
         left = call.left
         if now + left > self.conclude_by:
@@ -133,31 +135,31 @@
         self.post_at(now, self.balancer.request, (call.id, call.klass, call.tenant, left, call.repeat))
 
     def guard(self, call: Call, now: int) -> None:
-        """Sees to it that the call is concluded a little after its deadline, whatever the module does.
+        """Makes sure that the call is concluded shortly after its deadline, whatever the balancer does.
 
-        Calls that end at about one time share a timer, since nearly all are concluded long before it.
+        Calls with nearly the same deadline share a timer, since almost all are concluded long before it.
         """
         step = (call.deadline + GUARD) // GUARD_STEP + 1
         if step in self.guards:
             self.guards[step].append(call.id)
         else:
             self.guards[step] = [call.id]
-            self.loop.call_later((step * GUARD_STEP - now) / 1e6, self.look, step)
+            self.loop.call_later((step * GUARD_STEP - now) / 1e6, self.expire_step, step)
 
-    def look(self, step: int) -> None:
-        """The guard's time has come for these calls."""
+    def expire_step(self, step: int) -> None:
+        """Fails those calls of a time step that are still open."""
         for number in self.guards.pop(step):
             call = self.calls.get(number)
             if call is not None and call.open:
                 self.expire(call)
 
     def client_left(self, call: Call) -> None:
-        """The client has gone: nothing is owed."""
+        """Ends a call without a conclusion, because its client has disconnected."""
         if self.release(call.id) is not None:
             self.post(self.balancer.client_left, call.id)
 
     def expire(self, call: Call) -> None:
-        """The guard: a call still open after its deadline. The module should have concluded it."""
+        """Fails a call that is still open after its deadline, which is an error of the balancer."""
         self.expired_count += 1
         self.log_line(f"guard: request {call.id} was still open at its deadline")
         if self.release(call.id) is not None:
@@ -165,7 +167,7 @@
         self.post(self.balancer.client_left, call.id)
 
     def release(self, number: int) -> Call | None:
-        """Ends what is owed for a call; the call, if it was open."""
+        """Marks a call as ended; returns it if it was open."""
         call = self.calls.get(number)
         if call is None or not call.open:
             return None
@@ -178,7 +180,7 @@
     # ---- Actions --------------------------------------------------------------------------------------
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Starts the call's next attempt. What may not be sent ends as NOT_SENT, after this event."""
+        """Starts the next attempt of a call. If it may not be sent, it ends as NOT_SENT after this event."""
         call = self.calls.get(request)
         number = 0
         attempt = None
@@ -212,7 +214,7 @@
         answer: object,
         report: Sequence[float],
     ) -> None:
-        """An attempt's end: an answer goes to the client at once, then the module hears of it."""
+        """Handles the end of an attempt: passes an answer to the client, then the outcome to the balancer."""
         call.current_attempt = None
         if outcome == OK:
             if self.release(call.id) is not None:
@@ -231,10 +233,10 @@
         self.post_at(now, self.balancer.outcome, what)
 
     def limit_repeats(self, call: Call, began: int) -> None:
-        """An attempt that began then may have run: its group remembers a keyed one for the class's window.
+        """Limits the retries of a keyed call, which may have run, to the window of its class after `began`.
 
-        Failure prevented: a repeat is decided within the window, waits for its connection, and is written
-        when the first is forgotten.
+        Failure prevented: a retry is started within the window, waits for a connection, and is written after
+        the servers have forgotten the first attempt.
         """
         if call.klass < len(self.settings.classes):
             settings = self.settings.classes[call.klass]
@@ -242,26 +244,26 @@
                 call.write_by = began + settings.window
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Gives an attempt up; its outcome follows after this event."""
+        """Aborts an attempt; its outcome follows after this event."""
         call = self.calls.get(request)
         if call is not None and call.current_attempt is not None and attempt == call.attempts - 1:
             call.current_attempt.stop(Outcome.CANCELLED)
 
     def refuse(self, request: int, retry_after: int) -> None:
-        """Concludes a call: a retry is harmless."""
+        """Concludes a call as refused: a retry is harmless."""
         call = self.release(request)
         if call is not None:
             call.in_doubt = call.in_doubt or call.current_attempt is not None
             call.refused(retry_after)
 
     def fail(self, request: int) -> None:
-        """Concludes a call: nothing is promised."""
+        """Concludes a call as failed: it may have had effects."""
         call = self.release(request)
         if call is not None:
             call.failed(Failure.GIVEN_UP)
 
     def probe(self, server: int) -> None:
-        """Asks a server how it is."""
+        """Checks the health of a server."""
         began = self.now()
 
         def done(ok: bool, report: Sequence[float]) -> None:
@@ -270,19 +272,19 @@
         self.upstream.probe(server, done)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Hands `token` back after `delay`."""
+        """Passes `token` back to the balancer after `delay`."""
         self.loop.call_later(max(0, delay) / 1e6, self.post, self.balancer.timer, token)
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Sends a message to a peer, or to all."""
+        """Sends a message to a peer, or to all of them."""
         self.messenger.tell(peer, data)
 
     def watch(self, on: bool) -> None:
-        """Begins or ends the watch on the server list."""
+        """Subscribes to changes of the server list, or unsubscribes."""
         self.directory.watch(on)
 
     def fetch(self) -> None:
-        """Asks for the whole server list."""
+        """Requests the full server list."""
         self.directory.fetch()
 
     def close(self, server: int) -> None:
--- a/brackenladder/core/roster.py
+++ b/brackenladder/core/roster.py
@@ -1,4 +1,4 @@
-"""The list's names as the core's numbers: what a list says, for upstream and module."""
+"""Converts server lists with names into server lists with numbers, for the upstream and the balancer."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from brackenladder.interface import ListKind, ServerEntry
 from brackenladder.membership.listing import Line, Listing
 
-MOST_NAMES = 256  # zones, and kinds of machine, that are told apart
+MAX_NAMES = 256  # zones, and kinds of machine, with numbers of their own
 
 
 def numbered(names: dict[str, int], name: str) -> int:
-    """A name's number. Those beyond MOST_NAMES share the last one.
+    """The number of a name; all names beyond MAX_NAMES share the last one.
 
-    Failure prevented: a list that names machines by kinds of their own makes the node grow without end.
+    Failure prevented: a list that gives each machine a kind of its own makes the node's memory grow forever.
     """
-    return names.setdefault(name, len(names)) if len(names) < MOST_NAMES else names.get(name, MOST_NAMES - 1)
+    return names.setdefault(name, len(names)) if len(names) < MAX_NAMES else names.get(name, MAX_NAMES - 1)
 
 
 class ServerListConsumer(Protocol):
-    """An upstream that is told of its pool's servers."""
+    """An upstream that receives the server list of its pool."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
-        """Takes note of a list or its changes, each server once."""
+        """Applies a list or its changes, with each server once."""
 
 
 class Roster:
-    """Maps the list's names to the core's numbers, and tells upstream and core of its news."""
+    """Maps the names in server lists to numbers, and passes the lists to the upstream and the host."""
 
     def __init__(
         self, host: Host, upstream: ServerListConsumer, zones: Sequence[str], kinds: Sequence[str]
@@ -40,7 +40,7 @@
         self.kinds = {name: i for i, name in enumerate(kinds)}
 
     def apply_listing(self, listing: Listing | None) -> None:
-        """A list or its changes; None if a call to discovery failed."""
+        """Applies a list or its changes; None if the request to discovery failed."""
         if listing is None:
             self.host.server_list(ListKind.FAILED, ())
             return
@@ -49,8 +49,8 @@
         self.host.server_list(listing.kind, entries)
 
     def read(self, listing: Listing) -> tuple[Mapping[int, Line], Sequence[ServerEntry]]:
-        """A list's lines by their servers' numbers, and as the module has them."""
-        latest = {number_of(line.id): line for line in listing.lines}  # a server twice: the last holds
+        """The lines of a list by server number, and the entries for the balancer."""
+        latest = {number_of(line.id): line for line in listing.lines}  # the last line of a server counts
         return latest, [self.entry(number, line) for number, line in latest.items()]
 
     def entry(self, number: int, line: Line) -> ServerEntry:
@@ -66,5 +66,5 @@
 
 
 def number_of(name: str) -> int:
-    """A server's number: the same at every node, since all copies share one shuffle of the numbers."""
+    """A server's number, the same on every node: a hash of its name."""
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big")
--- a/brackenladder/interface.py
+++ b/brackenladder/interface.py
@@ -233,7 +233,7 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        """An attempt has ended. There is exactly one such event for each `send`, also after the request's end.
+        """An attempt has ended. There is exactly one such event per `send`, also after the request's end.
 
         `final`: the request is finished, for example because its answer was forwarded. If it is false and the
         request is open, the Balancer answers it or starts another attempt at once.
--- a/brackenladder/placement/__init__.py
+++ b/brackenladder/placement/__init__.py
@@ -1,5 +1,5 @@
-"""Which server takes a call of one gateway: the decision module with prompts, regions and shares in view.
+"""Which server gets a call of a gateway: load balancing that considers prefix caches and regions.
 
-`pool.py` hosts one service, `balancer.py` decides; every other module is a part of the decision that stands
-by itself.
+`pool.py` hosts one service and `balancer.py` makes the decisions; the other modules are its components, which
+do not depend on each other's state.
 """
--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -314,8 +314,8 @@
                 self.end_window(now)
         failure = 0.0 if ok or outcome in (TIMEOUT, REJECTED) else 1.0
         self.record_result(srv, failure)
-        # Failed connections do not count. Failure prevented: a zone is lost, half of all connects fail, which
-        # is no load on any server, and the lower limit keeps calls from the servers that are left.
+        # Failure prevented: a zone is lost, and its failed connects, which are no load on any server, lower
+        # the limit for the servers that are left.
         if not srv.ejected and outcome not in (REJECTED, CONNECT_FAILED):
             ctl.lost += SMOOTH_ALL * ((0.0 if ok else 1.0) - ctl.lost)
             if failure and req is not None and ctl.lost > OVERLOAD_LOSS:
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -119,7 +119,7 @@
 
         A node that carries many calls sees the load that it causes and uses the filter's formulas. Where each
         carries hardly a call, the headroom is divided by the number of nodes, as the floor always is, and the
-        pass limit by the root of it. A pass limit is at most PASS_FLOORS floors, or MIN_LIMIT.
+        pass limit by the root of it, with PASS_FLOORS floors at most.
         """
         self.sharing = max(1.0, self.copies / (1 + self.usual))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.copies)
--- a/brackenladder/policy/load_shedding.py
+++ b/brackenladder/policy/load_shedding.py
@@ -25,8 +25,7 @@
     seen: float = 0.0  # requests of the last TENANT_TIME, decaying
     due: float = 1.0  # requests allowed by the quota in that time, and one to start with
 
-    def fade(self, now: int) -> None:
-        """Decays the counts and adds the quota for the time since the last call."""
+    def decay(self, now: int) -> None:  # and adds the quota for the time since the last call
         span = now - self.at
         keep = 1 - span / TENANT_TIME if span < TENANT_TIME else 0.0
         self.seen *= keep
@@ -54,7 +53,7 @@
             return False, False
         mine = self.tenants[tenant]
         for t in self.tenants:
-            t.fade(now)
+            t.decay(now)
         mine.seen += 1
         parts = sorted([(t.seen - sqrt(t.seen)) / t.due for t in self.tenants if t.rate > 0])
         due = mine.due * max(1.0, parts[(len(parts) - 1) // 2])
--- a/brackenladder/prefix_cache/__init__.py
+++ b/brackenladder/prefix_cache/__init__.py
@@ -1,1 +1,1 @@
-"""Which server keeps which prompt prefixes: gateways tell one another, control nodes relay it. Pure."""
+"""Notices between gateways, relayed by control nodes, of which servers have which prefixes cached."""
--- a/brackenladder/prefix_cache/announcer.py
+++ b/brackenladder/prefix_cache/announcer.py
@@ -1,4 +1,4 @@
-"""A gateway's end: which of its own placements the other gateways are told."""
+"""Decides which of a gateway's own placements are announced to the other gateways."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices, heaviest
 
-# Tokens of a prefix that is worth a notice: reading 300 again costs 45 ms (placement/parameters.py), a notice
-# of 45 bytes that goes to some sixty gateways 10 ms.
+# Least tokens of a prefix that is worth a notice: a repeated prefill of 300 tokens costs 45 ms (see
+# placement/parameters.py), a notice of 45 bytes to some sixty gateways costs 10 ms.
 LEAST_SHARED = 300
-LEAST_UNREAD = 4_000  # tokens of a prompt whose reading keeps others waiting, whatever it shares
-REPEAT_AFTER = 3_000_000  # microseconds after which a prefix that is still used is told again
-MOST_REMEMBERED = 2_048  # prefixes at servers, of which it is known when they were told
-MOST_NOTICES = 32  # of one message
+LEAST_UNCACHED = 4_000  # uncached tokens of a prompt that is announced because its prefill delays other calls
+REPEAT_AFTER = 3_000_000  # microseconds after which a prefix that is still used is announced again
+MAX_REMEMBERED = 2_048  # pairs of server and prefix whose last announcement is remembered
+MAX_NOTICES = 32  # of one message
 
 
 class PrefixAnnouncer:
-    """Collects notices until the host takes them; `on_pending` asks it to, once for each message."""
+    """Collects notices until the host takes them; `on_pending` is called once per message to be taken."""
 
     def __init__(self, on_pending: Callable[[], None]) -> None:
         self._on_pending = on_pending
         self._pending: list[PrefixNotice] = []
-        self._told_at: OrderedDict[tuple[int, int], int] = OrderedDict()  # by server and longest prefix
+        self._announced_at: OrderedDict[tuple[int, int], int] = OrderedDict()  # by server and longest prefix
 
     def record_placement(
         self, now: int, server: int, keys: Sequence[int], tokens: Sequence[int], uncached_tokens: int
     ) -> None:
-        """A prompt of this gateway goes to a server. `keys`, `tokens`: of its shared prefixes."""
+        """Records that a prompt is sent to a server. `keys`, `tokens`: of its shared prefixes."""
         shares = bool(keys) and sum(tokens) >= LEAST_SHARED
-        news = shares and not self._told_lately(now, server, keys[-1])
-        if not news and uncached_tokens < LEAST_UNREAD:
+        is_new = shares and not self._announced_recently(now, server, keys[-1])
+        if not is_new and uncached_tokens < LEAST_UNCACHED:
             return
-        told = (tuple(keys), tuple(tokens)) if shares else ((), ())
+        prefixes = (tuple(keys), tuple(tokens)) if shares else ((), ())
         if shares:
             self._remember(now, server, keys[-1])
-        self._add(PrefixNotice(server, *told, uncached_tokens=uncached_tokens))
+        self._add(PrefixNotice(server, *prefixes, uncached_tokens=uncached_tokens))
 
     def report_unanswered(self, server: int, weight: int) -> None:
-        """A call of this gateway was late at a server, or left unanswered."""
+        """Announces that a call at a server was late or unanswered."""
         self._add(PrefixNotice(server, unanswered_weight=weight))
 
     def _add(self, notice: PrefixNotice) -> None:
@@ -48,24 +48,24 @@
             self._on_pending()
 
     def record_received(self, now: int, notice: PrefixNotice) -> None:
-        """Another gateway has told of a prefix, so that it need not be told again for a while."""
+        """Records a notice of another gateway, so that its prefix is not announced again for some time."""
         if notice.keys:
             self._remember(now - notice.age, notice.server, notice.keys[-1])
 
     def take(self) -> PrefixNotices | None:
-        """What is to be told now; None if nothing is."""
+        """The message to send now; None if there is nothing to announce."""
         if not self._pending:
             return None
-        notices = heaviest(self._pending, MOST_NOTICES)
+        notices = heaviest(self._pending, MAX_NOTICES)
         self._pending = []
         return PrefixNotices(tuple(notices))
 
-    def _told_lately(self, now: int, server: int, key: int) -> bool:
-        told_at = self._told_at.get((server, key))
-        return told_at is not None and now - told_at < REPEAT_AFTER
+    def _announced_recently(self, now: int, server: int, key: int) -> bool:
+        announced_at = self._announced_at.get((server, key))
+        return announced_at is not None and now - announced_at < REPEAT_AFTER
 
     def _remember(self, at: int, server: int, key: int) -> None:
-        known = self._told_at.pop((server, key), at)
-        self._told_at[server, key] = max(known, at)
-        if len(self._told_at) > MOST_REMEMBERED:
-            self._told_at.popitem(last=False)
+        known = self._announced_at.pop((server, key), at)
+        self._announced_at[server, key] = max(known, at)
+        if len(self._announced_at) > MAX_REMEMBERED:
+            self._announced_at.popitem(last=False)
--- a/brackenladder/prefix_cache/early.py
+++ b/brackenladder/prefix_cache/early.py
@@ -1,4 +1,4 @@
-"""Notices of servers that this gateway does not know yet, as while it starts."""
+"""Holds notices about servers that this gateway does not know yet, for example while it starts."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from brackenladder.prefix_cache.messages import PrefixNotice
 
-KEPT_TIME = 3_000_000  # microseconds in which a server may become known
-MOST_KEPT = 512
+HOLD_TIME = 3_000_000  # microseconds that a notice waits for its server to become known
+MAX_HELD = 512
 
 
 @frozen
@@ -19,26 +19,26 @@
 
 
 class EarlyNotices:
-    """Keeps them until their servers are known, or for `KEPT_TIME`."""
+    """Holds notices until their servers are known, or for HOLD_TIME."""
 
     def __init__(self) -> None:
-        self._kept: list[_Early] = []
+        self._held: list[_Early] = []
 
     def __bool__(self) -> bool:
-        return bool(self._kept)
+        return bool(self._held)
 
     def add(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """Keep notices; of too many the oldest are dropped."""
-        self._kept.extend(_Early(notice, now) for notice in notices)
-        del self._kept[:-MOST_KEPT]
+        """Adds notices; if there are too many, the oldest are dropped."""
+        self._held.extend(_Early(notice, now) for notice in notices)
+        del self._held[:-MAX_HELD]
 
     def take(self, now: int, is_known: Callable[[int], bool]) -> list[PrefixNotice]:
-        """Those whose servers are known by now, with their ages as of now.
+        """Removes and returns the notices whose servers are known now, with their present ages.
 
-        What there was to read of them has been read, or is told again.
+        Their uncached tokens are set to 0, since the prefill is over or will be announced again.
         """
-        current = [early for early in self._kept if now - early.at <= KEPT_TIME]
-        self._kept = [early for early in current if not is_known(early.notice.server)]
+        current = [early for early in self._held if now - early.at <= HOLD_TIME]
+        self._held = [early for early in current if not is_known(early.notice.server)]
         return [
             evolve(early.notice, age=early.notice.age + now - early.at, uncached_tokens=0)
             for early in current
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -1,46 +1,48 @@
-"""What gateways tell one another of prompts that servers have read or are about to read.
+"""Messages between gateways about prompts that were sent to servers and are cached there.
 
-Notices are hints: one that is lost costs a prefix that is read again, one that is wrong costs a longer way.
+Notices are hints: a lost one costs a repeated prefill, a wrong one a call to a more distant server.
 """
 
 from __future__ import annotations
 
 from attrs import frozen
 
-SILENCE_WEIGHT = 1_000_000  # a server that does not answer is told of before any prefix
+UNANSWERED_PRIORITY = 1_000_000  # weight of notices about unanswered calls, above that of any prefix
 
 
 @frozen
 class PrefixNotice:
-    """A prompt was sent to a server, which keeps the prompt's shared prefixes from then on."""
+    """Says that a prompt was sent to a server, which then has the prompt's shared prefixes cached."""
 
-    server: int  # its number at every node, `core.roster.number_of` of its id
-    keys: tuple[int, ...] = ()  # of the shared prefixes, the shortest first; empty: only load is told
-    tokens: tuple[int, ...] = ()  # by which each prefix is longer than the one before it
-    uncached_tokens: int = 0  # prompt tokens that the server had to read when it was sent
-    age: int = 0  # microseconds since it was sent, as of when it is told
-    unanswered_weight: int = 0  # the weight of a call there that was late or unanswered; 0: none was
+    server: int  # the server's number: `core.roster.number_of` of its id
+    keys: tuple[
+        int, ...
+    ] = ()  # of the shared prefixes, the shortest first; empty: the notice is about load only
+    tokens: tuple[int, ...] = ()  # tokens that each prefix adds to the one before it
+    uncached_tokens: int = 0  # prompt tokens that the server had to process
+    age: int = 0  # microseconds since the prompt was sent, when the notice is sent
+    unanswered_weight: int = 0  # weight of a late or unanswered call there; 0: none
 
     @property
     def shared(self) -> int:
-        """The tokens of the longest prefix."""
+        """The number of tokens of the longest prefix."""
         return sum(self.tokens)
 
     @property
     def weight(self) -> int:
-        """What it is worth to know, in tokens."""
-        return SILENCE_WEIGHT if self.unanswered_weight else self.shared + self.uncached_tokens
+        """The value of the notice, in tokens."""
+        return UNANSWERED_PRIORITY if self.unanswered_weight else self.shared + self.uncached_tokens
 
 
 @frozen
 class PrefixNotices:
-    """Notices of one sender, the oldest first."""
+    """The notices of one sender, the oldest first."""
 
     notices: tuple[PrefixNotice, ...]
 
 
 def heaviest(notices: list[PrefixNotice], most: int) -> list[PrefixNotice]:
-    """At most so many of the notices, those that are worth most, in their order."""
+    """The notices of highest weight, `most` at most, in their original order."""
     if len(notices) <= most:
         return notices
     kept = sorted(range(len(notices)), key=lambda index: notices[index].weight, reverse=True)[:most]
--- a/brackenladder/prefix_cache/recent.py
+++ b/brackenladder/prefix_cache/recent.py
@@ -1,4 +1,4 @@
-"""The prefixes that traffic leans on most, for a node that has just joined: a bounded, decaying sketch."""
+"""The most used prefixes, for gateways that have just joined: bounded, decaying counts of uses."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from brackenladder.prefix_cache.messages import PrefixNotice
 
-MOST_PREFIXES = 512  # that are remembered, with the server that keeps each
+MAX_PREFIXES = 512  # remembered pairs of server and prefix
 HALF_LIFE = 15_000_000  # microseconds after which a use counts for half
-LONGEST_AGE = 60_000_000  # microseconds without a use after which a prefix is forgotten
+LONGEST_AGE = 60_000_000  # microseconds without a use after which a prefix is dropped
 
 
 @define
 class _Entry:
     notice: PrefixNotice
     used_at: int
-    uses: float  # decayed, as of `used_at`
+    uses: float  # decayed number of uses at the time `used_at`
 
     def weight(self, now: int) -> float:
-        """Tokens times uses, decayed until now."""
+        """Tokens times uses, decayed to the present."""
         return self.notice.shared * self.uses * _decay(now - self.used_at)
 
 
@@ -29,10 +29,10 @@
 
 
 class RecentPrefixes:
-    """Counts uses of (server, prefix) pairs; of too many the one that was not used for longest is dropped.
+    """Counts uses of (server, prefix) pairs; if there are too many, the least recently used one is dropped.
 
-    Error: a pair that was never dropped has its exact decayed count. A dropped pair that comes back begins
-    anew, so a count may be too low, never too high, by at most what it had been when it was dropped.
+    A pair that was never dropped has its exact decayed count. A dropped pair starts again at 0, so a count
+    may be too low, but never too high, by at most its count when it was dropped.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         return len(self._entries)
 
     def add(self, now: int, notice: PrefixNotice) -> None:
-        """A notice that names a prefix counts as one use."""
+        """Records a notice; if it has a prefix, it counts as one use of it."""
         if not notice.keys:
             return
         used_at = now - notice.age
@@ -53,16 +53,16 @@
             uses += known.uses * _decay(used_at - known.used_at)
             used_at = max(used_at, known.used_at)
         self._entries[key] = _Entry(notice, used_at, uses)
-        if len(self._entries) > MOST_PREFIXES:
+        if len(self._entries) > MAX_PREFIXES:
             self._entries.popitem(last=False)
 
     def weight(self, now: int, server: int, key: int) -> float:
-        """How much traffic leans on a prefix at a server: tokens times decayed uses."""
+        """The weight of a prefix at a server: tokens times decayed uses."""
         entry = self._entries.get((server, key))
         return entry.weight(now) if entry is not None else 0.0
 
     def snapshot(self, now: int, most: int) -> tuple[PrefixNotice, ...]:
-        """The heaviest prefixes, each with its age, those used last at the end. Nothing is left to read."""
+        """Notices for the prefixes of highest weight, least recently used first, without uncached tokens."""
         self._forget(now)
         entries = sorted(self._entries.values(), key=lambda entry: entry.weight(now), reverse=True)[:most]
         entries.sort(key=lambda entry: entry.used_at)
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -1,8 +1,8 @@
-"""A control node's end: hands gateways' notices on to the gateways it serves and to the other control nodes.
+"""Relays the notices of gateways, at a control node, to its own gateways and to the other control nodes.
 
-Each gateway has one control node as its relay. Notices of a gateway go to the others of the same relay and
-to the control nodes, which hand them to theirs; so every gateway gets each notice once. What a receiver is
-sent is bounded: while much is told, the heaviest notices go first and the others are dropped.
+Each gateway has one control node as its relay. Notices of a gateway go to the other gateways of the same
+relay and to the other control nodes, which forward them to their gateways, so that every gateway gets each
+notice once. The rate per receiver is limited: of too many notices those of lowest weight are dropped.
 """
 
 from __future__ import annotations
@@ -17,40 +17,40 @@
 
 INTERVAL = 50_000  # microseconds between two messages to gateways
 PEER_INTERVAL = 100_000  # microseconds between two messages to control nodes
-MOST_TAKEN = 32  # notices of one message that are looked at
-# What a node is told at the most, 160 and 80 notices a second: 7 KB a second and 0.4% of a core at a gateway.
-MOST_NOTICES = 8  # of one message to a gateway
-MOST_PEER_NOTICES = 8  # of one message to a control node
-MOST_PENDING = 256  # notices that wait for their interval
-MOST_SNAPSHOT = 256  # notices for a gateway that has just come
+MAX_ACCEPTED = 32  # notices of one message that are processed
+# These allow 160 notices a second to a gateway, which take 7 KB and 0.4% of a core, and 80 to a control node.
+MAX_NOTICES = 8  # of one message to a gateway
+MAX_PEER_NOTICES = 8  # of one message to a control node
+MAX_PENDING = 256  # notices that wait for the next message
+MAX_SNAPSHOT = 256  # notices for a gateway that has just subscribed
 
 
 class Receiver(Enum):
-    """Who a message is for."""
+    """The kind of receiver of a message."""
 
-    GATEWAY = auto()  # by the subscriber's name
+    GATEWAY = auto()  # one gateway, by its name
     PEERS = auto()  # all connected control nodes
 
 
 @frozen
 class RelayedNotices:
-    """A message of the relay."""
+    """A message for a receiver."""
 
     receiver: Receiver
-    name: str  # empty: all peers
+    name: str  # of the gateway; empty: all other control nodes
     message: PrefixNotices
 
 
 @frozen
 class _Pending:
     notice: PrefixNotice
-    origin: str  # the subscriber that told it; empty: a peer did
+    origin: str  # the gateway that sent it; empty: another control node
     at: int
 
 
 @define(eq=False)
 class _Queue:
-    """Notices that wait until the interval is over."""
+    """Notices that wait for the end of the interval."""
 
     interval: int
     sent_at: int
@@ -58,11 +58,11 @@
 
     def add(self, pending: _Pending) -> None:
         self.pending.append(pending)
-        if len(self.pending) > MOST_PENDING:
-            del self.pending[: MOST_PENDING // 2]
+        if len(self.pending) > MAX_PENDING:
+            del self.pending[: MAX_PENDING // 2]
 
     def take(self, now: int) -> list[_Pending]:
-        """All that waits, if it is time; empty otherwise."""
+        """Removes and returns all notices if the interval is over, else none."""
         if not self.pending or now - self.sent_at < self.interval:
             return []
         self.sent_at = now
@@ -71,83 +71,83 @@
 
 
 class PrefixRelay:
-    """Decides who is told which notices. `take` is due after every notice and a few times a second."""
+    """Decides which notices are sent to whom. Call `take` after each notice and periodically."""
 
     def __init__(self, now: int) -> None:
         self._recent = RecentPrefixes()
         self._gateways: set[str] = set()
-        self._new: dict[str, None] = {}  # gateways that wait for what was told before they came
+        self._awaiting_snapshot: dict[str, None] = {}  # new gateways that have not got a snapshot yet
         self._to_gateways = _Queue(INTERVAL, now - INTERVAL)
         self._to_peers = _Queue(PEER_INTERVAL, now - PEER_INTERVAL)
 
     def restore(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """What was told before this node's restart; servers keep prefixes over it."""
+        """Restores notices from before a restart of this node; servers still have the prefixes cached."""
         for notice in notices:
             self._recent.add(now, notice)
 
     def heaviest(self, now: int) -> tuple[PrefixNotice, ...]:
-        """The prefixes that traffic leans on most, each with its age."""
-        return self._recent.snapshot(now, MOST_SNAPSHOT)
+        """Notices for the prefixes of highest weight, with their ages."""
+        return self._recent.snapshot(now, MAX_SNAPSHOT)
 
     def set_subscribed(self, subscriber: str, wanted: bool) -> None:
-        """A gateway says whether this node is its relay."""
+        """Subscribes or unsubscribes a gateway that says whether this node is its relay."""
         if not wanted:
             self.unsubscribe(subscriber)
         elif subscriber not in self._gateways:
             self._gateways.add(subscriber)
-            self._new[subscriber] = None
+            self._awaiting_snapshot[subscriber] = None
 
     def unsubscribe(self, subscriber: str) -> None:
-        """A gateway's link has gone."""
+        """Removes a gateway, for example because its connection is lost."""
         self._gateways.discard(subscriber)
-        self._new.pop(subscriber, None)
+        self._awaiting_snapshot.pop(subscriber, None)
 
     def from_gateway(self, now: int, subscriber: str, message: PrefixNotices) -> None:
-        """A gateway tells of its placements."""
-        for notice in message.notices[:MOST_TAKEN]:
+        """Takes in the notices of a gateway."""
+        for notice in message.notices[:MAX_ACCEPTED]:
             self._recent.add(now, notice)
             pending = _Pending(notice, subscriber, now - max(0, notice.age))
             self._to_gateways.add(pending)
             self._to_peers.add(pending)
 
     def from_peer(self, now: int, message: PrefixNotices) -> None:
-        """A control node hands on what its gateways have told."""
-        for notice in message.notices[:MOST_TAKEN]:
+        """Takes in notices that another control node forwards from its gateways."""
+        for notice in message.notices[:MAX_ACCEPTED]:
             self._recent.add(now, notice)
             self._to_gateways.add(_Pending(notice, "", now - max(0, notice.age)))
 
     def take(self, now: int) -> tuple[RelayedNotices, ...]:
-        """Return what is due."""
+        """Removes and returns the messages that are due."""
         due = [*self._snapshots(now), *self._relayed(now)]
         to_peers = self._to_peers.take(now)
         if to_peers:
-            message = _message(now, to_peers, MOST_PEER_NOTICES)
+            message = _message(now, to_peers, MAX_PEER_NOTICES)
             due.append(RelayedNotices(Receiver.PEERS, "", message))
         return tuple(due)
 
     def _snapshots(self, now: int) -> Iterable[RelayedNotices]:
-        if not self._new:
+        if not self._awaiting_snapshot:
             return
-        new, self._new = self._new, {}
-        notices = self.heaviest(now)  # an empty one says that nothing is known
-        for subscriber in new:
+        subscribers, self._awaiting_snapshot = self._awaiting_snapshot, {}
+        notices = self.heaviest(now)  # sent even if empty
+        for subscriber in subscribers:
             yield RelayedNotices(Receiver.GATEWAY, subscriber, PrefixNotices(notices))
 
     def _relayed(self, now: int) -> Iterable[RelayedNotices]:
         pending = self._to_gateways.take(now)
         if not pending:
             return
-        whole = _message(now, pending, MOST_NOTICES)
-        origins = {each.origin for each in pending}
+        whole = _message(now, pending, MAX_NOTICES)
+        origins = {entry.origin for entry in pending}
         for subscriber in self._gateways:
             message = whole
             if subscriber in origins:
-                others = [each for each in pending if each.origin != subscriber]
-                message = _message(now, others, MOST_NOTICES)
+                others = [entry for entry in pending if entry.origin != subscriber]
+                message = _message(now, others, MAX_NOTICES)
             if message.notices:
                 yield RelayedNotices(Receiver.GATEWAY, subscriber, message)
 
 
 def _message(now: int, pending: list[_Pending], most: int) -> PrefixNotices:
-    notices = [evolve(each.notice, age=now - each.at) for each in pending]
+    notices = [evolve(entry.notice, age=now - entry.at) for entry in pending]
     return PrefixNotices(tuple(heaviest(notices, most)))
--- a/brackenladder/prefix_cache/relay_choice.py
+++ b/brackenladder/prefix_cache/relay_choice.py
@@ -1,4 +1,4 @@
-"""Which control node a gateway has its notices relayed by: the nearest of those that it is linked to."""
+"""Which control node relays a gateway's notices: the nearest one that the gateway is connected to."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @frozen
 class RelayChoice:
-    """One gateway's place. `regions`: region by zone."""
+    """Chooses the relay of one gateway. `regions`: region by zone."""
 
     node: str
     zone: str
     regions: Mapping[str, str]
 
     def nearest(self, linked: Iterable[str], zones: Mapping[str, str]) -> str:
-        """The address of the relay among the linked control nodes; empty without one.
+        """The address of the relay among the connected control nodes; empty if there is none.
 
-        The own zone goes first, then the own region. Gateways spread over those that are equally near, and a
-        node that leaves moves only its own gateways.
+        Nodes of the own zone are preferred, then those of the own region. Among equally near nodes a hash
+        decides, so that gateways are distributed and the loss of a node moves only its own gateways.
         """
         return max(linked, key=lambda address: self._rank(address, zones.get(address, "")), default="")
 
     def _rank(self, address: str, zone: str) -> tuple[bool, bool, bytes]:
         region = self.regions.get(self.zone)
         in_region = region is not None and self.regions.get(zone) == region
-        draw = blake2b(f"{self.node} {address}".encode(), digest_size=8).digest()
-        return (zone == self.zone, in_region, draw)
+        tie_breaker = blake2b(f"{self.node} {address}".encode(), digest_size=8).digest()
+        return (zone == self.zone, in_region, tie_breaker)
--- a/brackenladder/recovery/__init__.py
+++ b/brackenladder/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""How a node comes back: what it may still believe, whom it asks. Pure; time and random numbers come in."""
+"""Recovery of the desired state from other nodes after a restart. Without I/O or a clock."""
--- a/brackenladder/recovery/fetch.py
+++ b/brackenladder/recovery/fetch.py
@@ -1,7 +1,7 @@
-"""A state that a peer has, brought over in pieces of a datagram: what is asked for, when, from whom. Pure.
+"""Transfer of a state from other nodes in pieces of datagram size: which pieces to request, when, from whom.
 
-The bound is on what is asked: PIECES_A_TICK at a time, from holders by chance, so that a fleet that comes
-back together asks no node for more than its part. The whole counts only if its digest is the wanted one.
+At most PIECES_A_TICK are requested at a time, from random holders, so that a fleet that restarts together
+does not overload any node. The state is used only if its digest is the expected one.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from brackenladder.recovery.generation import DIGEST, Generation
 
-PIECE = 160  # bytes of a piece: a frame holds one beside its head
-MOST_BYTES = 1 << 20  # of a state
-PIECES_A_TICK = 8  # that are asked for at once
-AGAIN = 400_000  # microseconds after which a piece that has not come is asked for again, elsewhere
-MOST_TRIES = 40  # of one piece, after which this state cannot be had
+PIECE = 160  # bytes of a piece, so that a frame holds one besides its header
+MAX_BYTES = 1 << 20  # of a state
+PIECES_A_TICK = 8  # most pieces requested at once
+RETRY_TIME = 400_000  # microseconds after which a missing piece is requested again
+MAX_TRIES = 40  # requests of one piece after which the transfer fails
 
 
 class PieceRequest(NamedTuple):
-    """Ask that member for the piece at `offset`."""
+    """A request to a node for the piece at `offset`."""
 
     holder: int
     offset: int
 
 
 class StateFetch:
-    """One state on its way. `size` is known with the first piece."""
+    """The transfer of one state. `size` is known after the first piece."""
 
     def __init__(self, wanted: Generation, rng: Random) -> None:
         self.wanted = wanted
@@ -45,28 +45,28 @@
         return [at for at in range(0, max(self.size, 1), PIECE) if at not in self.pieces]
 
     def due_requests(self, holders: Sequence[int], now: int) -> list[PieceRequest]:
-        """What to ask for now."""
+        """The requests to send now."""
         if not holders or self.failed:
             return []
-        due = [at for at in self.missing() if now - self.asked.get(at, -AGAIN) >= AGAIN]
-        out = []
+        due = [at for at in self.missing() if now - self.asked.get(at, -RETRY_TIME) >= RETRY_TIME]
+        requests = []
         for at in due[:PIECES_A_TICK]:
             self.asked[at] = now
             self.tries[at] = self.tries.get(at, 0) + 1
-            if self.tries[at] > MOST_TRIES:
+            if self.tries[at] > MAX_TRIES:
                 self.failed = f"the piece at {at} never came"
                 return []
-            out.append(PieceRequest(self.rng.choice(holders), at))
-        return out
+            requests.append(PieceRequest(self.rng.choice(holders), at))
+        return requests
 
     def receive_piece(self, digest: str, offset: int, size: int, data: bytes) -> bytes | None:
-        """A piece has come; the whole state, once it is whole and what was wanted.
+        """Adds a piece; returns the state when it is complete and has the expected digest.
 
-        A piece of another state, another size or a wrong place is dropped; a whole that is not what was
-        wanted begins anew, since somebody gave a wrong piece.
+        A piece of another state, with another size or a wrong offset is ignored. If the digest of the
+        complete state is wrong, some piece was wrong, and the transfer starts again.
         """
         fits = 0 <= offset < max(size, 1) and offset % PIECE == 0 and len(data) == min(PIECE, size - offset)
-        if digest != self.wanted.digest or not 0 < size <= MOST_BYTES or not fits:
+        if digest != self.wanted.digest or not 0 < size <= MAX_BYTES or not fits:
             return None
         if self.size not in (-1, size):
             return None
@@ -82,7 +82,7 @@
 
 
 def piece_of(state: bytes, offset: int) -> bytes | None:
-    """The piece of a state at a place, if there is one."""
+    """The piece of a state at an offset, None if there is none."""
     if offset < 0 or offset % PIECE or offset >= len(state):
         return None
     return state[offset : offset + PIECE]
--- a/brackenladder/recovery/generation.py
+++ b/brackenladder/recovery/generation.py
@@ -1,8 +1,8 @@
-"""Which of two desired states is the newer one: a counter and a digest, and what to do where they differ.
+"""Which of two desired states is newer: each has a generation, which is a counter and a digest.
 
-A generation is raised by one with each change that is applied, on the node that applies it. Two states with
-one counter are a conflict: two operators, or two sides of a cut, changed the same state. Nobody changes by
-itself then, and everybody says so.
+The counter is raised by one with each change, on the node that applies it. Two different states with the same
+counter are a conflict: two operators, or both sides of a network partition, changed the same state. Then no
+node changes its state by itself, and all report the conflict.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class Generation(NamedTuple):
-    """`digest`: of the canonical state, in hexadecimal. Counter 0: nothing was applied."""
+    """Identifies a state. `digest`: of its canonical form, in hex. Counter 0: no change was applied."""
 
     counter: int
     digest: str
 
 
 class Comparison(Enum):
-    """How one's own generation stands to another's."""
+    """How this node's generation compares with another one."""
 
     SAME = "same"
-    NEWER = "newer"  # mine
+    NEWER = "newer"  # this node's generation is newer
     OLDER = "older"
     CONFLICT = "conflict"
 
@@ -36,7 +36,7 @@
 
 
 class KnownGenerations:
-    """What one node has heard of the others' generations, by number; the last word of each holds."""
+    """The latest known generations of the other nodes, by node number."""
 
     def __init__(self) -> None:
         self.heard: dict[int, Generation] = {}
@@ -48,16 +48,16 @@
         self.heard.pop(number, None)
 
     def newest(self, mine: Generation) -> Generation:
-        """The highest counter's; of two with one counter one's own, if it is one, since neither wins."""
+        """The generation with the highest counter; in a conflict this node's own one is preferred."""
         top = max([mine, *self.heard.values()], key=lambda g: (g.counter, g == mine))
         return top
 
     def holders(self, wanted: Generation) -> list[int]:
-        """Who has a generation."""
+        """The nodes that have the generation."""
         return [number for number, theirs in self.heard.items() if theirs == wanted]
 
     def conflicts(self, mine: Generation) -> list[int]:
-        """Who has another state under the newest counter: named, never decided here."""
+        """The nodes that have the newest counter with another state; the conflict is only reported."""
         top = self.newest(mine)
         others = [n for n, theirs in self.heard.items() if compare(top, theirs) == Comparison.CONFLICT]
         return sorted(others)
--- a/brackenladder/recovery/startup.py
+++ b/brackenladder/recovery/startup.py
@@ -1,9 +1,9 @@
-"""What a node does between its start and its first request: asking others for the newest state. Pure.
+"""The phases between a node's start and its first request, in which it gets the newest state from others.
 
-Phases: `asking` until somebody was heard, or PATIENCE is over; `fetching` while a newer state comes; then
-`current`, `alone` (nobody was heard, and `alone = "serve"`), `refusing` (nobody was heard, and it must not
-serve on what it cannot know), `behind` (the newest state could not be had, or not be taken), or `conflict`.
-Some seconds after its start a node takes no state from others any more: a change comes from an operator.
+`asking` until another node has answered or ASK_TIMEOUT is over; `fetching` while a newer state is
+transferred; then `current`, `alone` (no node answered, and `alone = "serve"`), `refusing` (no node answered,
+and the node must not serve a state that may be out of date), `behind` (the newest state could not be fetched
+or applied), or `conflict`. SETTLE_TIME after its start a node takes a new state from an operator only.
 """
 
 from __future__ import annotations
@@ -12,59 +12,59 @@
 
 from brackenladder.recovery.generation import Comparison, Generation, KnownGenerations, compare
 
-PATIENCE = 2_000_000  # microseconds for somebody to be heard
-FETCHING = 5_000_000  # and for a newer state to come, after which the node is behind
-SETTLING = 10_000_000  # from the start, in which a newer state that is heard of late is still taken
+ASK_TIMEOUT = 2_000_000  # microseconds to wait for an answer of any node
+FETCH_TIMEOUT = 5_000_000  # microseconds to fetch a newer state, after which the node is `behind`
+SETTLE_TIME = 10_000_000  # microseconds after the start in which a newer state is still taken from others
 
 Phase = Literal["asking", "fetching", "current", "alone", "refusing", "behind", "conflict"]
 
 
 class StartupRecovery:
-    """One start. `alone`: whether to serve without having heard anybody."""
+    """One start of a node. `alone`: whether it serves if no other node answers."""
 
     def __init__(self, now: int, peers: int, alone: bool) -> None:
-        self.since = now
+        self.started_at = now
         self.peers = peers
         self.alone = alone
-        self.first_word = -1
-        self.fetching_since = -1
-        self.settled = False  # from now on a state comes from an operator only
-        self.was_current = False  # requests have been taken on what was known
+        self.first_answer_at = -1
+        self.fetch_started_at = -1
+        self.settled = False  # a new state is taken from an operator only
+        self.was_current = False  # has been in phase `current`, and taken requests
         self.phase: Phase = "asking" if peers else "current"
 
     def update(
         self, now: int, mine: Generation, known: KnownGenerations, refused: str, unheard: int
     ) -> Phase:
-        """The phase now.
+        """Updates and returns the phase.
 
-        `refused`: why the newest state cannot be taken; `unheard`: how many others may be there.
-        Failure prevented: most nodes start together, hear one another first, and settle on nothing before
-        the one that has the state is heard.
+        `refused`: why the newest state cannot be applied; `unheard`: number of nodes that have not answered.
+        Failure prevented: most nodes start together, get answers from each other first, and agree on having
+        no state before the node that has one answers.
         """
         if not self.peers:
             return "current"
-        if known.heard and self.first_word < 0:
-            self.first_word = now
-        if self.first_word < 0:
-            if now - self.since >= PATIENCE:
+        if known.heard and self.first_answer_at < 0:
+            self.first_answer_at = now
+        if self.first_answer_at < 0:
+            if now - self.started_at >= ASK_TIMEOUT:
                 self.phase = "alone" if self.alone else "refusing"
             return self.phase
         newest = known.newest(mine)
         if compare(mine, newest) == Comparison.OLDER:
-            if self.fetching_since < 0:
-                self.fetching_since = now
-            late = now - self.fetching_since >= FETCHING
+            if self.fetch_started_at < 0:
+                self.fetch_started_at = now
+            late = now - self.fetch_started_at >= FETCH_TIMEOUT
             self.phase = "behind" if refused or late or self.settled else "fetching"
         elif known.conflicts(mine):
-            self.phase, self.fetching_since, self.settled = "conflict", -1, True
-        elif self.phase == "asking" and unheard and now - self.since < PATIENCE:
-            pass  # some words are not the fleet's
+            self.phase, self.fetch_started_at, self.settled = "conflict", -1, True
+        elif self.phase == "asking" and unheard and now - self.started_at < ASK_TIMEOUT:
+            pass  # more answers may come
         else:
-            self.phase, self.fetching_since, self.was_current = "current", -1, True
-            self.settled = self.settled or now - self.since >= SETTLING
+            self.phase, self.fetch_started_at, self.was_current = "current", -1, True
+            self.settled = self.settled or now - self.started_at >= SETTLE_TIME
         return self.phase
 
     @property
     def serves(self) -> bool:
-        """Whether requests are taken in this phase. Who is behind serves what it has, and says so."""
+        """Whether requests are accepted in this phase; a node that is `behind` serves its old state."""
         return self.was_current or self.phase not in ("asking", "fetching", "refusing")
--- a/brackenladder/routing/__init__.py
+++ b/brackenladder/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pools of servers, and which request goes to which: no I/O, no clock."""
+"""Pools of servers, and the routing of requests to them; without I/O or a clock."""
--- a/brackenladder/routing/pools.py
+++ b/brackenladder/routing/pools.py
@@ -1,4 +1,4 @@
-"""A pool: servers of discovery's list that are chosen by zone, kind, cell, id or a share of them. Pure."""
+"""Pools: subsets of the discovered servers by zone, kind, cell, id or a hashed part. Without I/O."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-DEFAULT = "default"  # the pool of whatever no route names
+DEFAULT = "default"  # the pool of requests that no route matches
 MOST_WEIGHT = 10.0
-MAX_CACHED_POSITIONS = 20_000  # servers whose places are kept
+MAX_CACHED_POSITIONS = 20_000  # servers whose hash positions are cached
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[a-z0-9][a-z0-9_-]*$")]
 Text = Annotated[str, Meta(min_length=1, max_length=256)]
@@ -25,11 +25,11 @@
 
 
 class PoolSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What an operator says of a pool. A server has to fit every list that is not empty.
+    """An operator's definition of a pool. A server must match every list that is not empty.
 
-    `part`: from and up to where on a circle of length 1, on which servers lie by the hash of their id.
-    `weights`: by `kind:NAME` or `server:ID`, which wins; 1 where none is set, 0 takes nothing new.
-    `limit`: calls open in the pool at once; 0: as many as the node has room for.
+    `part`: the range of hash positions, from 0 up to 1, that the ids of its servers must lie in.
+    `weights`: by `kind:NAME` or `server:ID`, which takes precedence; default 1; with 0 a server is drained.
+    `limit`: most open calls in the pool; 0: as many as the node allows.
     """
 
     zones: tuple[Text, ...] = ()
@@ -42,7 +42,7 @@
 
 
 def hash_position(name: str) -> float:
-    """Where a name lies on the circle: the same at every node, and for every list."""
+    """The hash of a name as a number from 0 up to 1, the same on every node."""
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big") / 2**64
 
 
@@ -52,7 +52,7 @@
 
 
 def contains(spec: PoolSpec, line: Line) -> bool:
-    """Whether a server is of the pool, in whatever state it is."""
+    """Whether a server belongs to the pool, regardless of its state."""
     low, high = spec.part
     return (
         (not spec.zones or line.zone in spec.zones)
@@ -64,21 +64,21 @@
 
 
 def weight(spec: PoolSpec, line: Line) -> float:
-    """What an operator wants the server to take, beside others of the pool."""
+    """The weight of a server relative to the others of the pool."""
     weights = spec.weights
     return weights.get(f"server:{line.id}", weights.get(f"kind:{line.kind}", 1.0)) if weights else 1.0
 
 
 def pool_listing(spec: PoolSpec, listing: Listing) -> Listing:
-    """The list as the pool has it. A weight of 0 is a drain that only this pool sees.
+    """The list for one pool. A server with weight 0 is draining in this pool only.
 
-    Failure prevented: a server that left the pool by a change of its zone or kind stays in it: what is not of
-    the pool is news too, that it is gone.
+    In a list of changes, servers that do not belong to the pool are marked as gone. Failure prevented: a
+    server that no longer belongs to the pool because its zone or kind has changed stays in it.
     """
     lines = []
     for line in listing.lines:
         if not contains(spec, line):
-            if listing.kind == ListKind.CHANGES:  # a whole list says so by leaving it out
+            if listing.kind == ListKind.CHANGES:  # a full list just omits it
                 lines.append(replace(line, state=State.GONE))
         elif line.state == State.READY and weight(spec, line) == 0:
             lines.append(replace(line, state=State.DRAINING))
@@ -88,5 +88,5 @@
 
 
 def capacity(spec: PoolSpec, lines: Iterable[Line]) -> float:
-    """The sum of the weights of the pool's ready servers."""
+    """The sum of the weights of the ready servers of a pool."""
     return sum(weight(spec, line) for line in lines if line.state == State.READY and contains(spec, line))
--- a/brackenladder/routing/routes.py
+++ b/brackenladder/routing/routes.py
@@ -1,4 +1,4 @@
-"""Which pool a request goes to: the first route that fits, and within it a share. Pure."""
+"""Which pool a request is sent to: by the first matching route and its shares. Without I/O."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 from brackenladder.routing.pools import DEFAULT, Name, Part, Text, hash_position
 
-SUM_SLACK = 1e-6  # by which the shares of a route may miss 1
+SUM_SLACK = 1e-6  # most by which the sum of the shares of a route may differ from 1
 
 
 class RouteSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What an operator says of a route. Empty lists and an empty prefix fit everything.
+    """An operator's definition of a route. Empty lists and an empty prefix match everything.
 
-    `to`: pools and their shares. `sticky`: requests of one object or tenant stay in one pool for as long as
-    the shares do; a raised share takes more over and gives none back.
+    `to`: pools and their shares. `sticky`: requests of one object or tenant go to the same pool as long as
+    the shares are the same; a pool whose share is raised keeps those that it had.
     """
 
     classes: tuple[Text, ...] = ()
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledRoute:
-    """A route as it is looked up."""
+    """A route in the form used for lookups."""
 
     prefix: bytes
     pools: tuple[str, ...]
-    ends: tuple[float, ...]  # of each pool's share on a line of length 1
+    ends: tuple[float, ...]  # cumulative shares of the pools
     sticky: str
 
 
 class Router:
-    """Routes by class and tenant, so that a request looks at those alone that can fit it.
+    """Routes by class and tenant, so that each lookup considers only routes that can match.
 
-    `tenants`: their names, by number; any other is a stranger, who fits routes that name no tenant.
+    `tenants`: names by number; any other tenant matches only routes without a list of tenants.
     """
 
     def __init__(self, routes: Sequence[RouteSpec], classes: Sequence[str], tenants: Sequence[str]) -> None:
@@ -51,34 +51,35 @@
         ]
 
     def route(self, klass: int, tenant: int, path: bytes, key: str, draw: float) -> str:
-        """The name of a pool. `key`: of what is sticky; `draw`: from 0 up to 1, for what is not."""
-        by_tenant = self.table[klass]
-        for leg in by_tenant[tenant if tenant < len(by_tenant) else -1]:
-            if path.startswith(leg.prefix):
-                if len(leg.pools) == 1:
-                    return leg.pools[0]
-                at = hash_position(key) if leg.sticky else draw
-                for pool, end in zip(leg.pools, leg.ends, strict=True):
+        """The name of a pool. `key`: for a sticky route; `draw`: a random number in [0, 1) for others."""
+        routes_by_tenant = self.table[klass]
+        for route in routes_by_tenant[tenant if tenant < len(routes_by_tenant) else -1]:
+            if path.startswith(route.prefix):
+                if len(route.pools) == 1:
+                    return route.pools[0]
+                at = hash_position(key) if route.sticky else draw
+                for pool, end in zip(route.pools, route.ends, strict=True):
                     if at < end:
                         return pool
-                return leg.pools[-1]
+                return route.pools[-1]
         return DEFAULT
 
     def sticky(self, klass: int, tenant: int, path: bytes) -> str:
-        """What the request's route is sticky by; nothing if it is not."""
-        by_tenant = self.table[klass]
-        for leg in by_tenant[tenant if tenant < len(by_tenant) else -1]:
-            if path.startswith(leg.prefix):
-                return leg.sticky if len(leg.pools) > 1 else ""
+        """What the request's route is sticky by; empty if it is not sticky."""
+        routes_by_tenant = self.table[klass]
+        for route in routes_by_tenant[tenant if tenant < len(routes_by_tenant) else -1]:
+            if path.startswith(route.prefix):
+                return route.sticky if len(route.pools) > 1 else ""
         return ""
 
 
 def compile_routes(routes: Sequence[RouteSpec], klass: str, tenant: str) -> list[CompiledRoute]:
-    """Those that can fit, up to the first that always does."""
+    """The routes that can match, up to the first that always does."""
     found: list[CompiledRoute] = []
     for route in routes:
         if (not route.classes or klass in route.classes) and (not route.tenants or tenant in route.tenants):
-            # The default last: a canary's share begins at 0, and as it grows it takes over from the default.
+            # The default pool is last, so a canary's share starts at 0 and grows at the expense of the
+            # default.
             order = sorted(route.to, key=lambda name: (name == DEFAULT, name))
             ends = tuple(accumulate(route.to[name] for name in order))
             found.append(CompiledRoute(route.prefix.encode(), tuple(order), ends, route.sticky))
@@ -88,20 +89,20 @@
 
 
 def used_pools(routes: Sequence[RouteSpec]) -> set[str]:
-    """Pools that take anything."""
+    """The pools that get any requests."""
     return {DEFAULT} | {name for route in routes for name, share in route.to.items() if share > 0}
 
 
 def reachable_pools(routes: Sequence[RouteSpec], klass: str, tenants: Sequence[str]) -> Mapping[str, float]:
-    """Pools that requests of a class may come to, of any tenant, each with its largest share."""
+    """The pools that requests of a class of any tenant may be sent to, each with its largest share."""
     found: dict[str, float] = {}
     for tenant in (*tenants, ""):
-        all_legs = compile_routes(routes, klass, tenant)
-        for leg in all_legs:
-            starts = (0.0, *leg.ends[:-1])
-            for pool, start, end in zip(leg.pools, starts, leg.ends, strict=True):
+        compiled = compile_routes(routes, klass, tenant)
+        for route in compiled:
+            starts = (0.0, *route.ends[:-1])
+            for pool, start, end in zip(route.pools, starts, route.ends, strict=True):
                 if end > start:
                     found[pool] = max(found.get(pool, 0.0), end - start)
-        if not all_legs or all_legs[-1].prefix:
+        if not compiled or compiled[-1].prefix:
             found[DEFAULT] = 1.0
     return found
--- a/brackenladder/shares/__init__.py
+++ b/brackenladder/shares/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway's part of the bounds that hold for the sum over all gateways."""
+"""A gateway's share of bounds that hold for all gateways together."""
--- a/brackenladder/shares/cold_share.py
+++ b/brackenladder/shares/cold_share.py
@@ -1,9 +1,10 @@
-"""A gateway's part of what a cold server may be sent.
+"""A gateway's share of the calls that may be sent to a cold server.
 
-The sum over all gateways that arrives at a cold server in any one second is bounded. Each gateway that sends
-keeps a bucket of one call, refilled at `rate`: in any second it sends no more than 1 + rate calls. The parts
-of all gateways together stay within SAFE_PART of the bound. Where the gateways are so many that each had
-hardly a call a second, only a few of them send, by a hash that all of them share.
+The number of calls that all gateways together send to a cold server in any second is bounded. Each gateway
+that sends has a token bucket of one call, refilled at `rate`, so it sends at most 1 + rate calls in any
+second. The shares of all gateways together stay within SAFE_PART of the bound. If there are so many gateways
+that each would have hardly a call a second, only a few of them send, chosen by a hash that all gateways
+compute alike.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 from brackenladder.policy.subset import mix
 
 US_PER_S = 1_000_000
-SAFE_PART = 0.75  # of the bound; the rest is for calls that a slow link delivers together
-LEAST_RATE = 1.0  # calls a second: with less for each gateway, only some of them send
-CALLS_EACH = 3.0  # of the bound, for each gateway that sends
-DEVIATIONS = 4.0  # standard deviations of a random number of senders that are provided for
+SAFE_PART = 0.75  # part of the bound that is used; the rest allows for calls that a slow link delivers late
+LEAST_RATE = 1.0  # calls a second: if each gateway would have less, only some gateways send
+CALLS_EACH = 3.0  # calls of the bound for each gateway, if only some send
+DEVIATIONS = 4.0  # standard deviations added to the expected number of random senders, to stay safe
 HASH_RANGE = 2.0**64
-FORGET_TIME = 30 * US_PER_S  # a bucket is full again long before
+FORGET_TIME = 30 * US_PER_S  # microseconds after which an unused bucket is dropped; it has long been full
 
 
 @frozen
 class ColdBound:
-    """What all gateways together may send a cold server in any second."""
+    """How much all gateways together may send to a cold server in any second."""
 
-    per_s: float  # what it bears
-    overshoot: float  # multiple of that
-    slack: float  # calls beside it
+    per_s: float  # calls a second that a cold server can take
+    overshoot: float  # multiple of `per_s` that is allowed
+    slack: float  # calls allowed in addition
 
     @property
     def calls(self) -> float:
-        """The bound, in calls."""
+        """The bound on calls in any second."""
         return self.per_s * self.overshoot + self.slack
 
 
 @frozen
 class ColdPart:
-    """One gateway's part of a cold server's calls."""
+    """One gateway's share of the calls to a cold server."""
 
     sends: bool
-    rate: float = 0.0  # calls a second, beside a burst of one
+    rate: float = 0.0  # calls a second, besides a burst of one
 
 
 NO_PART = ColdPart(sends=False)
@@ -57,7 +58,7 @@
 
 
 class ColdShare:
-    """The buckets of one gateway and service. Without a bound everything is allowed."""
+    """The token buckets of one gateway and service. Without a bound everything is allowed."""
 
     def __init__(self, gateway: str, bound: ColdBound | None) -> None:
         self.gateway = gateway
@@ -68,7 +69,7 @@
         self._parts_for: tuple[ColdBound | None, int, tuple[str, ...]] = (None, 0, ())
 
     def part(self, server: int, gateways: int, names: Sequence[str] = ()) -> ColdPart:
-        """This gateway's part. `gateways`: the living ones; `names`: theirs, this one's too, if known."""
+        """This gateway's share. `gateways`: number of live ones; `names`: their names, if known."""
         known_for = (self.bound, gateways, tuple(names))
         if known_for != self._parts_for:
             self._parts.clear()
@@ -100,27 +101,27 @@
         return part.sends and self._fill(now, server, part.rate).tokens >= 1
 
     def take(self, now: int, server: int, gateways: int, names: Sequence[str] = ()) -> None:
-        """A call goes to a cold server."""
+        """Records a call that is sent to a cold server."""
         if self.bound is None:
             return
         part = self.part(server, gateways, names)
         self._fill(now, server, part.rate).tokens -= 1
 
     def forget(self, now: int) -> None:
-        """Drop the buckets that nothing has been taken from, or asked of, for a while."""
+        """Drops buckets that have not been used for FORGET_TIME."""
         for server in [s for s, bucket in self._buckets.items() if now - bucket.at > FORGET_TIME]:
             del self._buckets[server]
         self._parts.clear()
 
     def _elected(self, server: int, names: Sequence[str], senders: int, calls: float) -> ColdPart:
         mine = mix(self._number, server)
-        ahead = sum([mix(number_of(name), server) > mine for name in names])
-        if ahead >= senders:
+        higher = sum([mix(number_of(name), server) > mine for name in names])
+        if higher >= senders:
             return NO_PART
         return ColdPart(sends=True, rate=calls / senders - 1)
 
     def _drawn(self, server: int, gateways: int, senders: int, calls: float) -> ColdPart:
-        """Each gateway is a sender by its own hash: so many are provided for as hardly ever come together."""
+        """Decides by this gateway's own hash whether it sends, and divides by a safe number of senders."""
         wanted = senders / 2
         most = max(1.0, min(wanted + DEVIATIONS * sqrt(wanted), float(gateways)))
         while calls / most <= 1 and wanted > 1 / 8:
@@ -133,7 +134,7 @@
     def _fill(self, now: int, server: int, rate: float) -> _Bucket:
         bucket = self._buckets.get(server)
         if bucket is None:
-            # Failure prevented: the gateways' buckets fill together, and all send at one moment.
+            # Failure prevented: the buckets of all gateways fill at the same moment, and all send at once.
             phase = mix(server, self._number) / HASH_RANGE
             bucket = self._buckets[server] = _Bucket(phase, now)
         bucket.tokens = min(1.0, bucket.tokens + rate * (now - bucket.at) / US_PER_S)
--- a/tests/core/test_host.py
+++ b/tests/core/test_host.py
@@ -1,4 +1,4 @@
-"""The core alone: a front, an upstream and a module that do as the test says, and a clock that it moves."""
+"""Unit tests of the core, with a frontend, an upstream and a balancer that are controlled by the test."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Loop:
-    """Timers that run when the test says."""
+    """An event loop whose timers run when the test calls `fire`."""
 
     def __init__(self) -> None:
         self.timers: list[tuple[float, Callable[..., None], tuple[Any, ...], Timer]] = []
@@ -86,7 +86,7 @@
 
 
 class Module:
-    """Notes the events; `then` acts on them."""
+    """Records the events; `then` has functions that react to them."""
 
     def __init__(self) -> None:
         self.events: list[tuple[Any, ...]] = []
@@ -102,28 +102,28 @@
                 self.then[name](*args)
 
         event.__name__ = name
-        setattr(self, name, event)  # the same each time it is asked for
+        setattr(self, name, event)  # so that each access returns the same function
         return event
 
 
-class Told(Call):
-    """A call that notes its conclusions."""
+class RecordingCall(Call):
+    """A call that records its conclusions."""
 
     def __init__(self, left: int = SECOND) -> None:
         super().__init__(0, 0, left, False)
-        self.told: list[Any] = []
+        self.conclusions: list[Any] = []
 
     def released(self) -> None:
-        self.told.append("released")
+        self.conclusions.append("released")
 
     def served(self, answer: object) -> None:
-        self.told.append(answer)
+        self.conclusions.append(answer)
 
     def refused(self, retry_after: int) -> None:
-        self.told.append(retry_after)
+        self.conclusions.append(retry_after)
 
     def failed(self, why: Failure) -> None:
-        self.told.append(why)
+        self.conclusions.append(why)
 
 
 class Stage:
@@ -135,13 +135,13 @@
         self.module = Module()
         self.host.balancer = self.module  # type: ignore[assignment]
 
-    def take(self, left: int = SECOND) -> Told:
-        call = Told(left)
+    def take(self, left: int = SECOND) -> RecordingCall:
+        call = RecordingCall(left)
         self.host.take(call)
         return call
 
     def outcomes(self) -> list[tuple[Any, ...]]:
-        """Attempt, outcome and whether it was final, of each that the module heard of."""
+        """Attempt, outcome and finality of each outcome that the balancer received."""
         return [(e[2], e[4], e[6]) for e in self.module.events if e[0] == "outcome"]
 
 
@@ -150,10 +150,10 @@
     return Stage()
 
 
-def test_an_answer_goes_out_before_the_module_hears_of_it(stage: Stage) -> None:
+def test_an_answer_is_passed_on_before_the_balancer_gets_the_outcome(stage: Stage) -> None:
     call = stage.take()
     seen: list[Any] = []
-    stage.module.then["outcome"] = lambda *args: seen.extend(call.told)
+    stage.module.then["outcome"] = lambda *args: seen.extend(call.conclusions)
     stage.host.send(call.id, 7, SECOND)
     stage.upstream.attempts[0].stop(Outcome.OK, "answer")
     assert seen == ["released", "answer"]
@@ -168,17 +168,17 @@
     stage.host.fail(call.id)
     stage.host.client_left(call)
     stage.loop.fire()
-    assert call.told == ["released", 5]
+    assert call.conclusions == ["released", 5]
     assert not stage.host.calls and not stage.log
 
 
-def test_a_late_answer_meets_nobody(stage: Stage) -> None:
+def test_a_late_answer_is_ignored(stage: Stage) -> None:
     call = stage.take()
     stage.host.send(call.id, 7, SECOND)
     stage.host.fail(call.id)
-    assert stage.host.calls  # its attempt is still out
+    assert stage.host.calls  # its attempt is still in flight
     stage.upstream.attempts[0].stop(Outcome.OK, "answer")
-    assert call.told == ["released", Failure.GIVEN_UP]
+    assert call.conclusions == ["released", Failure.GIVEN_UP]
     assert stage.outcomes() == [(0, Outcome.OK, True)] and not stage.host.calls
 
 
@@ -196,7 +196,7 @@
     ]
 
 
-def test_two_attempts_are_never_out_at_once(stage: Stage) -> None:
+def test_there_is_at_most_one_attempt_in_flight(stage: Stage) -> None:
     call = stage.take()
     stage.host.send(call.id, 7, SECOND)
     stage.host.send(call.id, 8, SECOND)
@@ -204,7 +204,7 @@
     assert stage.outcomes() == [(1, Outcome.NOT_SENT, False)]
 
 
-def test_nothing_is_sent_for_a_call_that_is_over_or_to_who_is_not_ready(stage: Stage) -> None:
+def test_nothing_is_sent_for_an_ended_call_or_to_an_unusable_server(stage: Stage) -> None:
     call = stage.take()
     stage.upstream.ready = False
     stage.host.send(call.id, 7, SECOND)
@@ -215,7 +215,7 @@
     assert not stage.upstream.attempts
 
 
-def test_an_attempt_may_end_as_it_starts(stage: Stage) -> None:
+def test_an_attempt_may_end_while_it_starts(stage: Stage) -> None:
     call = stage.take()
     stage.upstream.at_once = Outcome.CONNECT_FAILED
     stage.host.send(call.id, 7, SECOND)
@@ -229,7 +229,7 @@
     assert started is not None and 0 < started <= 0.5
 
 
-def test_only_the_attempt_that_is_out_is_cancelled(stage: Stage) -> None:
+def test_only_the_attempt_in_flight_is_cancelled(stage: Stage) -> None:
     call = stage.take()
     stage.host.send(call.id, 7, SECOND)
     stage.upstream.attempts[0].stop(Outcome.REJECTED)
@@ -240,26 +240,26 @@
     assert stage.outcomes()[-1] == (1, Outcome.CANCELLED, False)
 
 
-def test_the_guard_fails_what_the_module_leaves_open(stage: Stage) -> None:
+def test_calls_left_open_by_the_balancer_fail_after_their_deadline(stage: Stage) -> None:
     call = stage.take()
     ((delay, *_),) = stage.loop.timers
     assert (SECOND + GUARD) / 1e6 <= delay <= (SECOND + GUARD + GUARD_STEP) / 1e6
     stage.loop.fire()
-    assert call.told == ["released", Failure.EXPIRED]
+    assert call.conclusions == ["released", Failure.EXPIRED]
     assert stage.host.expired_count == 1 and stage.module.events[-1] == ("client_left", call.id)
 
 
-def test_a_client_that_leaves_is_owed_nothing(stage: Stage) -> None:
+def test_the_call_of_a_client_that_left_ends_without_a_conclusion(stage: Stage) -> None:
     call = stage.take()
     stage.host.send(call.id, 7, SECOND)
     stage.host.client_left(call)
-    assert call.told == ["released"] and stage.module.events[-1] == ("client_left", call.id)
+    assert call.conclusions == ["released"] and stage.module.events[-1] == ("client_left", call.id)
     stage.upstream.attempts[0].stop(Outcome.OK, "answer")
-    assert call.told == ["released"] and not stage.host.calls
+    assert call.conclusions == ["released"] and not stage.host.calls
 
 
 @pytest.mark.parametrize("event", ["request", "outcome"])
-def test_a_fault_of_the_module_fails_its_call_alone(stage: Stage, event: str) -> None:
+def test_an_error_in_the_balancer_fails_only_its_call(stage: Stage, event: str) -> None:
     other = stage.take()
 
     def fault(*args: Any) -> None:
@@ -270,12 +270,12 @@
     if event == "outcome":
         stage.host.send(call.id, 7, SECOND)
         stage.upstream.attempts[0].stop(Outcome.RESET)
-    assert call.told == ["released", Failure.FAULT] and other.told == []
+    assert call.conclusions == ["released", Failure.FAULT] and other.conclusions == []
     assert stage.log == [f"{event}: RuntimeError: oops"]
 
 
-def test_events_that_an_event_brings_about_wait_for_its_end(stage: Stage) -> None:
-    """Failure prevented: the module is entered again while it works on an event."""
+def test_events_caused_by_an_event_are_handled_after_it(stage: Stage) -> None:
+    """Failure prevented: the balancer is called again while it handles an event."""
     order: list[str] = []
 
     def request(number: int, *args: Any) -> None:
@@ -289,14 +289,14 @@
     assert order == ["request ends", "outcome"]
 
 
-def test_after_sigterm_calls_have_the_time_that_is_left(stage: Stage) -> None:
+def test_during_a_shutdown_calls_get_only_the_remaining_time(stage: Stage) -> None:
     stage.host.conclude_by = stage.host.now() + SECOND // 10
     stage.take()
     left = stage.module.events[-1][4]
     assert 0 <= left <= SECOND // 10
 
 
-def test_the_room_for_calls(stage: Stage) -> None:
+def test_the_number_of_open_calls_is_bounded(stage: Stage) -> None:
     calls = []
     for _ in range(3):
         assert not stage.host.full()
@@ -319,8 +319,8 @@
     assert stage.upstream.closed == [7]
 
 
-def test_the_core_names_no_protocol() -> None:
-    """The seam: no header, status, method or msgid, and nothing of the packages that have them."""
+def test_the_core_is_independent_of_protocols() -> None:
+    """The core has no protocol terms and does not import the packages of the protocols."""
     from pathlib import Path
 
     import brackenladder.core
--- a/tests/placement/test_prefix_notices.py
+++ b/tests/placement/test_prefix_notices.py
@@ -20,12 +20,12 @@
 ]  # of the prompt "head", "s", "own" for the model "m"
 
 
-def notice(stage: Stage, subject: str, server: str, age: int = 0, unread: int = 0) -> PrefixNotice:
+def notice(stage: Stage, subject: str, server: str, age: int = 0, uncached_tokens: int = 0) -> PrefixNotice:
     """The notice of another gateway that has sent a prompt with the subject to a server."""
     shared = new_job(traits(subject), set()).chain[:-1]
     keys = tuple(link.key for link in shared)
     tokens = tuple(link.tokens for link in shared)
-    return PrefixNotice(number_of(server), keys, tokens, uncached_tokens=unread, age=age)
+    return PrefixNotice(number_of(server), keys, tokens, uncached_tokens=uncached_tokens, age=age)
 
 
 class PrefixNoticesTest(unittest.TestCase):
--- a/tests/prefix_cache/test_relay.py
+++ b/tests/prefix_cache/test_relay.py
@@ -1,4 +1,4 @@
-"""Who is told which notices by control nodes."""
+"""Which notices control nodes relay to whom, and which relay a gateway chooses."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices
 from brackenladder.prefix_cache.relay import (
     INTERVAL,
-    MOST_NOTICES,
-    MOST_PENDING,
-    MOST_SNAPSHOT,
+    MAX_NOTICES,
+    MAX_PENDING,
+    MAX_SNAPSHOT,
     PEER_INTERVAL,
     PrefixRelay,
     Receiver,
@@ -27,12 +27,12 @@
     def setUp(self) -> None:
         self.relay = PrefixRelay(AT)
         for name in ("a", "b", "c"):
-            self.relay.serve(name, wanted=True)
+            self.relay.set_subscribed(name, wanted=True)
         self.assertEqual(self.take(AT), {"a": [], "b": [], "c": []})  # nothing is known yet
         self.assertEqual(self.take(AT), {})
 
     def take(self, now: int) -> dict[str, list[PrefixNotice]]:
-        """Notices by the gateway's name; those for peers under an empty one."""
+        """The notices that are due, by gateway name; an empty name for other control nodes."""
         due = self.relay.take(now)
         for each in due:
             self.assertEqual(each.receiver is Receiver.PEERS, each.name == "")
@@ -48,7 +48,7 @@
         self.relay.from_peer(AT, PrefixNotices((notice(1),)))
         self.assertEqual(set(self.take(AT)), {"a", "b", "c"})
 
-    def test_notices_of_one_interval_travel_together_and_tell_their_age(self) -> None:
+    def test_notices_of_one_interval_are_sent_together_with_their_ages(self) -> None:
         self.relay.from_gateway(AT, "a", PrefixNotices((notice(1),)))
         self.take(AT)
         self.relay.from_gateway(AT + 1_000, "a", PrefixNotices((notice(2),)))
@@ -60,38 +60,38 @@
         self.assertEqual(told, {"a": [third], "b": [second], "c": [second, third]})
         self.assertEqual([each.server for each in self.take(AT + PEER_INTERVAL)[""]], [2, 3])
 
-    def test_one_that_no_longer_wants_notices_or_is_lost_gets_none(self) -> None:
-        self.relay.serve("b", wanted=False)
-        self.relay.lost("c")
+    def test_an_unsubscribed_or_lost_gateway_gets_no_notices(self) -> None:
+        self.relay.set_subscribed("b", wanted=False)
+        self.relay.unsubscribe("c")
         self.relay.from_peer(AT, PrefixNotices((notice(1),)))
         self.assertEqual(set(self.take(AT)), {"a"})
 
-    def test_one_that_comes_is_told_what_traffic_leaned_on(self) -> None:
+    def test_a_new_gateway_gets_a_snapshot(self) -> None:
         self.relay.from_gateway(AT, "a", PrefixNotices((notice(1), notice(2))))
         self.take(AT)
-        self.relay.serve("d", wanted=True)
-        self.relay.serve("d", wanted=True)
+        self.relay.set_subscribed("d", wanted=True)
+        self.relay.set_subscribed("d", wanted=True)
         told = self.take(AT + 5_000)["d"]
         self.assertEqual(
-            [(each.server, each.unread, each.age) for each in told], [(1, 0, 5_000), (2, 0, 5_000)]
+            [(each.server, each.uncached_tokens, each.age) for each in told], [(1, 0, 5_000), (2, 0, 5_000)]
         )
         self.assertEqual(self.take(AT + 10_000), {})
 
-    def test_what_a_receiver_is_sent_is_bounded_and_the_heaviest_is_kept(self) -> None:
+    def test_messages_are_bounded_and_have_the_highest_weights(self) -> None:
         self.relay.from_gateway(AT, "a", PrefixNotices((notice(0),)))
         self.take(AT)
         for number in range(1, 200):
             self.relay.from_gateway(AT + 1, "a", PrefixNotices((notice(number, shared=2_000 + number),)))
         told = self.take(AT + PEER_INTERVAL)
-        self.assertEqual([each.server for each in told["b"]], list(range(200 - MOST_NOTICES, 200)))
+        self.assertEqual([each.server for each in told["b"]], list(range(200 - MAX_NOTICES, 200)))
 
-    def test_a_flood_does_not_make_it_grow(self) -> None:
-        for number in range(20 * MOST_PENDING):
+    def test_a_flood_of_notices_does_not_use_more_memory(self) -> None:
+        for number in range(20 * MAX_PENDING):
             self.relay.from_peer(AT, PrefixNotices((notice(number),)))
-        self.assertLessEqual(len(self.relay._to_gateways.pending), MOST_PENDING)
+        self.assertLessEqual(len(self.relay._to_gateways.pending), MAX_PENDING)
         self.take(AT)
-        self.relay.serve("d", wanted=True)
-        self.assertEqual(len(self.take(AT)["d"]), MOST_SNAPSHOT)
+        self.relay.set_subscribed("d", wanted=True)
+        self.assertEqual(len(self.take(AT)["d"]), MAX_SNAPSHOT)
 
 
 class RelayChoiceTest(unittest.TestCase):
@@ -101,13 +101,13 @@
     def nearest(self, zone: str, *linked: str) -> str:
         return RelayChoice("front-1", zone, self.REGIONS).nearest(linked, self.ZONES)
 
-    def test_the_own_zone_goes_before_the_own_region_and_that_before_others(self) -> None:
+    def test_the_own_zone_is_preferred_then_the_own_region(self) -> None:
         self.assertEqual(self.nearest("hall-b", "s1", "n1", "n2"), "n2")
         self.assertEqual(self.nearest("hall-b", "s1", "n1"), "n1")
         self.assertEqual(self.nearest("hall-b", "s1"), "s1")
         self.assertEqual(self.nearest("hall-b"), "")
 
-    def test_gateways_spread_over_equally_near_ones(self) -> None:
+    def test_gateways_are_distributed_over_equally_near_nodes(self) -> None:
         zones = {f"n{number}": "hall-a" for number in range(4)}
         choices = {
             RelayChoice(f"front-{number}", "hall-a", self.REGIONS).nearest(zones, zones)
--- a/tests/recovery/test_generation.py
+++ b/tests/recovery/test_generation.py
@@ -1,4 +1,4 @@
-"""Generations, the pieces of a state, and the phases of a start."""
+"""Generations, the transfer of a state in pieces, and the phases of a start."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenladder.recovery.fetch import AGAIN, PIECE, StateFetch, piece_of
+from brackenladder.recovery.fetch import PIECE, RETRY_TIME, StateFetch, piece_of
 from brackenladder.recovery.generation import Comparison, Generation, KnownGenerations, compare
-from brackenladder.recovery.startup import FETCHING, PATIENCE, SETTLING, StartupRecovery
+from brackenladder.recovery.startup import ASK_TIMEOUT, FETCH_TIMEOUT, SETTLE_TIME, StartupRecovery
 
 GENERATIONS = st.builds(Generation, st.integers(0, 3), st.sampled_from("abc"))
 MINE, NEWER, OTHER = Generation(2, "a"), Generation(3, "b"), Generation(2, "c")
 
 
 @given(GENERATIONS, GENERATIONS)
-def test_one_is_newer_than_the_other_or_they_are_the_same_or_in_conflict(one, other):
+def test_generations_are_ordered_equal_or_in_conflict(one, other):
     both = {compare(one, other), compare(other, one)}
     assert both in ({Comparison.NEWER, Comparison.OLDER}, {Comparison.SAME}, {Comparison.CONFLICT})
     assert (both == {Comparison.CONFLICT}) == (one.counter == other.counter and one != other)
 
 
 @given(GENERATIONS, st.lists(GENERATIONS, max_size=4))
-def test_nothing_older_is_ever_the_newest_and_a_conflict_moves_nobody(mine, theirs):
+def test_the_newest_generation_has_the_highest_counter_and_is_the_own_one_in_a_conflict(mine, theirs):
     known = KnownGenerations()
     for number, generation in enumerate(theirs):
         known.record(number, generation)
@@ -37,25 +37,25 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.5])
 @pytest.mark.parametrize("size", [1, PIECE, PIECE + 1, 10 * PIECE + 7])
-def test_a_state_comes_whole_through_loss_and_in_any_order(size, loss):
+def test_a_state_is_transferred_in_spite_of_loss_and_reordering(size, loss):
     rng = Random(size)
     state = rng.randbytes(size)
     wanted = Generation(1, blake2b(state, digest_size=12).hexdigest())
     fetch, now, whole = StateFetch(wanted, rng), 0, None
     for _ in range(200):
-        asked = fetch.due_requests([4, 5], now)
-        rng.shuffle(asked)
-        for want in asked:
-            piece = piece_of(state, want.offset)
+        requests = fetch.due_requests([4, 5], now)
+        rng.shuffle(requests)
+        for request in requests:
+            piece = piece_of(state, request.offset)
             if piece is not None and rng.random() >= loss:
-                whole = fetch.receive_piece(wanted.digest, want.offset, size, piece) or whole
+                whole = fetch.receive_piece(wanted.digest, request.offset, size, piece) or whole
         if whole is not None:
             break
-        now += AGAIN
+        now += RETRY_TIME
     assert whole == state
 
 
-def test_a_wrong_piece_costs_a_new_beginning_and_nothing_else():
+def test_a_wrong_piece_only_restarts_the_transfer():
     state = bytes(2 * PIECE)
     wanted = Generation(1, blake2b(state, digest_size=12).hexdigest())
     fetch = StateFetch(wanted, Random(1))
@@ -77,35 +77,35 @@
 @pytest.mark.parametrize(
     ("alone", "said", "unheard", "after", "phase", "serves"),
     [
-        (True, [], 4, PATIENCE - 1, "asking", False),
-        (True, [], 4, PATIENCE, "alone", True),
-        (False, [], 4, PATIENCE, "refusing", False),
-        (True, [MINE], 3, PATIENCE - 1, "asking", False),  # some words are not the fleet's
+        (True, [], 4, ASK_TIMEOUT - 1, "asking", False),
+        (True, [], 4, ASK_TIMEOUT, "alone", True),
+        (False, [], 4, ASK_TIMEOUT, "refusing", False),
+        (True, [MINE], 3, ASK_TIMEOUT - 1, "asking", False),  # others may still answer
         (True, [MINE], 0, 1, "current", True),
-        (True, [MINE], 3, PATIENCE, "current", True),
+        (True, [MINE], 3, ASK_TIMEOUT, "current", True),
         (True, [MINE, NEWER], 2, 1, "fetching", False),
-        (True, [NEWER], 0, FETCHING, "behind", True),
+        (True, [NEWER], 0, FETCH_TIMEOUT, "behind", True),
         (True, [OTHER], 0, 1, "conflict", True),
         (True, [Generation(1, "z")], 0, 1, "current", True),
     ],
 )
 def test_the_phases_of_a_start(alone, said, unheard, after, phase, serves):
-    asking = StartupRecovery(0, 4, alone)
-    asking.update(0, MINE, heard(*said), "", 4)
-    assert asking.update(after, MINE, heard(*said), "", unheard) == phase and asking.serves == serves
+    startup = StartupRecovery(0, 4, alone)
+    startup.update(0, MINE, heard(*said), "", 4)
+    assert startup.update(after, MINE, heard(*said), "", unheard) == phase and startup.serves == serves
 
 
-def test_whoever_heard_nobody_takes_on_what_it_hears_later():
-    asking = StartupRecovery(0, 4, True)
-    assert asking.update(PATIENCE, MINE, KnownGenerations(), "", 4) == "alone"
-    assert asking.update(PATIENCE + 1, MINE, heard(NEWER), "", 3) == "fetching" and not asking.serves
-    assert asking.update(PATIENCE + 2, NEWER, heard(NEWER), "", 3) == "current"
+def test_a_node_without_answers_takes_a_newer_state_later():
+    startup = StartupRecovery(0, 4, True)
+    assert startup.update(ASK_TIMEOUT, MINE, KnownGenerations(), "", 4) == "alone"
+    assert startup.update(ASK_TIMEOUT + 1, MINE, heard(NEWER), "", 3) == "fetching" and not startup.serves
+    assert startup.update(ASK_TIMEOUT + 2, NEWER, heard(NEWER), "", 3) == "current"
 
 
-def test_a_late_word_is_taken_for_a_while_and_then_only_an_operators():
-    asking = StartupRecovery(0, 4, True)
-    assert asking.update(1, MINE, heard(MINE), "", 0) == "current"
-    assert asking.update(2, MINE, heard(NEWER), "", 0) == "fetching" and asking.serves
-    assert asking.update(SETTLING, NEWER, heard(NEWER), "", 0) == "current"
+def test_a_newer_state_is_taken_only_within_the_settle_time():
+    startup = StartupRecovery(0, 4, True)
+    assert startup.update(1, MINE, heard(MINE), "", 0) == "current"
+    assert startup.update(2, MINE, heard(NEWER), "", 0) == "fetching" and startup.serves
+    assert startup.update(SETTLE_TIME, NEWER, heard(NEWER), "", 0) == "current"
     newest = Generation(4, "d")
-    assert asking.update(SETTLING + 1, NEWER, heard(newest), "", 0) == "behind" and asking.serves
+    assert startup.update(SETTLE_TIME + 1, NEWER, heard(newest), "", 0) == "behind" and startup.serves
--- a/tests/recovery/test_processes.py
+++ b/tests/recovery/test_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program, a plan applied to all, most of them killed at once: who acts on what?"""
+"""Several real processes: a plan is applied, most of them are killed, and they recover the state."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from brackenladder.rehearsal.runner import Run
 from brackenladder.routing.pools import DEFAULT, PoolSpec
 
-PATIENCE = 30.0  # seconds for a condition; a machine under load takes its time
+PATIENCE = 30.0  # seconds for a condition, with allowance for a loaded machine
 NODES = 5
 
 
@@ -43,7 +43,7 @@
     plan = planned(live, msgspec.convert(msgspec.to_builtins(desired), Desired))
     try:
         return str(ask(node.control, "apply", written(plan).decode())["digest"])
-    except NodeError as e:  # just started, it has taken the state from another meanwhile
+    except NodeError as e:  # the node has taken the state from another one meanwhile
         assert "already applied" in str(e) or "the node is in state" in str(e)
         return plan.result
 
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("how", ["peers", "store"])
-def test_most_killed_at_once_come_back_with_the_state_that_was_applied(tmp_path: Path, how: str) -> None:
+def test_killed_nodes_recover_the_state_that_was_applied(tmp_path: Path, how: str) -> None:
     async def play(run: Run) -> None:
         server = run.plan.servers[0].id
         digests = {await asyncio.to_thread(apply, node, 0.0, server) for node in run.nodes}
@@ -88,14 +88,14 @@
         (digest,) = digests
         await killed(run.nodes[1:])
         await one_state(run.nodes, digest)
-        if how == "store":  # all of them, so that only what was kept can tell
+        if how == "store":  # all nodes, so that only their stores have the state
             await killed(run.nodes)
             await one_state(run.nodes, digest)
 
     scene(tmp_path, how, play)
 
 
-def test_two_states_under_one_generation_are_named_and_nobody_changes_by_itself(tmp_path: Path) -> None:
+def test_a_conflict_is_reported_and_no_node_changes_its_state(tmp_path: Path) -> None:
     async def play(run: Run) -> None:
         async def settled() -> bool:
             return all([(await shown(node))["recovery"]["settled"] for node in run.nodes])
@@ -106,8 +106,8 @@
             asyncio.to_thread(apply, run.nodes[0], 0.0, first),
             asyncio.to_thread(apply, run.nodes[1], 0.0, second),
         )
-        told = [await shown(node) for node in run.nodes[:2]]
-        if told[0]["recovery"]["generation"] == told[1]["recovery"]["generation"]:  # both before they heard
+        statuses = [await shown(node) for node in run.nodes[:2]]
+        if statuses[0]["recovery"]["generation"] == statuses[1]["recovery"]["generation"]:  # in conflict
             await one_state(run.nodes[:1], one, "conflict")
             await one_state(run.nodes[1:2], other, "conflict")
         assert [(await shown(node))["digest"] for node in run.nodes[:2]] == [one, other]
@@ -115,19 +115,19 @@
     scene(tmp_path, "peers", play)
 
 
-def test_a_node_that_was_away_takes_nothing_until_it_has_the_newest_state(tmp_path: Path) -> None:
-    """Its log has the phases in their order; it was ready only behind them."""
+def test_a_restarted_node_serves_only_after_it_has_the_newest_state(tmp_path: Path) -> None:
+    """The recorded phases show that it was ready only at the end."""
 
     async def play(run: Run) -> None:
-        away = run.nodes[-1]
-        await killed([away], again=False)
+        restarted = run.nodes[-1]
+        await killed([restarted], again=False)
         server = run.plan.servers[0].id
         for node in run.nodes[:-1]:
             digest = await asyncio.to_thread(apply, node, 2.0, server)
-        await away.start()  # returns once /ready says 200
-        told = await shown(away)
-        assert told["digest"] == digest and told["recovery"]["generation"] >= 1
-        phases = [entry["phase"] for entry in told["recovery"]["phases"]]
+        await restarted.start()  # returns once /ready says 200
+        status = await shown(restarted)
+        assert status["digest"] == digest and status["recovery"]["generation"] >= 1
+        phases = [entry["phase"] for entry in status["recovery"]["phases"]]
         assert phases[0] == "asking" and phases[-1] == "current" and "fetching" in phases
 
     scene(tmp_path, "peers", play)
--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -1,4 +1,4 @@
-"""The store under power cuts, and what it passes over."""
+"""The state store under power loss, full disks and invalid files."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Failing(DiskFiles):
-    """A disk whose power goes at a step; a write that is cut leaves a part of the bytes."""
+    """A disk that fails at a given step; an interrupted write leaves a part of the bytes."""
 
     def __init__(self, at: int, part: float = 0.5, error: type[Exception] = PowerCut) -> None:
         self.at = at
@@ -60,7 +60,7 @@
     return StateStore(str(folder), owner, lines.append, files), lines
 
 
-def test_a_power_cut_at_any_step_leaves_the_state_before_or_after(tmp_path: Path) -> None:
+def test_a_power_loss_at_any_step_leaves_the_old_or_the_new_state(tmp_path: Path) -> None:
     cuts = 0
     for at in range(1, 20):
         for part in (0.0, 0.5, 1.0):
@@ -82,14 +82,14 @@
     assert cuts == 15 * 3  # five writes of three steps
 
 
-def test_a_full_disk_is_a_line_and_no_more(tmp_path: Path) -> None:
+def test_a_full_disk_is_logged_and_counted(tmp_path: Path) -> None:
     for at in (1, 2, 3):
         full, lines = store(tmp_path, Failing(at, error=OSError))
         assert not full.save(kept(1)) and full.failures == 1 and "not kept" in lines[0]
 
 
 @pytest.mark.parametrize("how", ["cut", "flipped", "other node", "later format", "empty", "a folder"])
-def test_what_does_not_fit_is_named_and_the_older_file_is_taken(tmp_path: Path, how: str) -> None:
+def test_an_invalid_file_is_logged_and_the_older_one_is_used(tmp_path: Path, how: str) -> None:
     first, _ = store(tmp_path)
     first.save(kept(1))
     first.save(kept(2))
@@ -114,16 +114,16 @@
     again, lines = store(tmp_path)
     found = again.load()
     assert found is not None and found.counter == 1 and len(lines) == 1 and "passed over" in lines[0]
-    if how != "a folder":  # which takes no file's place
+    if how != "a folder":  # a folder cannot be replaced by a file
         assert again.save(kept(3)) and store(tmp_path)[0].load() == kept(3)
 
 
 @given(st.binary(max_size=400))
-def test_no_file_can_crash_a_start(data: bytes) -> None:
+def test_no_file_contents_can_crash_a_start(data: bytes) -> None:
     lines: list[str] = []
     probe = StateStore("/nowhere", OWNER, lines.append)
     try:
         probe.decode(data)
     except ValueError:
         return
-    raise AssertionError("garbage was taken for a state")
+    raise AssertionError("random bytes were accepted as a state")
--- a/tests/shares/test_cold_share.py
+++ b/tests/shares/test_cold_share.py
@@ -1,4 +1,4 @@
-"""The sum of what all gateways send a cold server, in any second."""
+"""The number of calls that all gateways together send to a cold server in any second."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def play(gateways: int, server: int, named: bool, rate: float, seed: int) -> list[int]:
-    """When all gateways together send to one cold server that each of them wants to send to so often."""
+    """The times at which all gateways send to a cold server, if each wants to send at `rate`."""
     rng = Random(seed)
     names = [f"front-{n}" for n in range(gateways)]
     shares = [ColdShare(name, BOUND) for name in names]
@@ -41,7 +41,7 @@
 
 
 class ColdShareTest(unittest.TestCase):
-    def test_the_sum_stays_under_the_bound(self) -> None:
+    def test_the_calls_of_all_gateways_stay_below_the_bound(self) -> None:
         for gateways in (1, 2, 7, 12, 30, 89, 300):
             for named in (False, True):
                 for seed in range(4):
@@ -49,7 +49,7 @@
                     sent = play(gateways, server, named, rate=20.0, seed=seed)
                     self.assertLessEqual(most_in_a_second(sent), 0.76 * BOUND.calls, (gateways, named))
 
-    def test_waves_that_reach_all_gateways_at_once_stay_under_it(self) -> None:
+    def test_simultaneous_bursts_at_all_gateways_stay_below_the_bound(self) -> None:
         for gateways in (7, 89):
             for number in range(20):
                 server = number_of(f"server-{number}")
@@ -62,7 +62,7 @@
                             sent.append(now)
                 self.assertLessEqual(most_in_a_second(sent), 0.76 * BOUND.calls)
 
-    def test_a_cold_server_gets_a_good_part_of_what_it_bears(self) -> None:
+    def test_a_cold_server_gets_a_large_part_of_its_capacity(self) -> None:
         for gateways in (1, 7, 89):
             rates = []
             for number in range(10):
@@ -70,21 +70,21 @@
                 rates.append(len(sent) / 10)
             self.assertGreater(sum(rates) / len(rates), 0.5 * BOUND.per_s)
 
-    def test_an_unnamed_fleet_sends_something_too(self) -> None:
+    def test_gateways_without_known_names_send_too(self) -> None:
         sent = [len(play(89, number_of(f"server-{n}"), False, 20.0, n)) / 10 for n in range(30)]
         self.assertGreater(sum(sent) / len(sent), 1.0)
 
-    def test_without_a_bound_all_is_allowed(self) -> None:
+    def test_without_a_bound_everything_is_allowed(self) -> None:
         share = ColdShare("front-1", None)
         for _ in range(100):
             self.assertTrue(share.allows(0, 1, 89))
             share.take(0, 1, 89)
 
-    def test_too_small_a_bound_allows_nothing(self) -> None:
+    def test_a_bound_that_is_too_small_allows_nothing(self) -> None:
         share = ColdShare("front-1", ColdBound(per_s=0.1, overshoot=1.0, slack=1.0))
         self.assertFalse(any(share.allows(now, 1, 7) for now in range(0, 60 * SECOND, SECOND)))
 
-    def test_old_buckets_are_forgotten(self) -> None:
+    def test_unused_buckets_are_dropped(self) -> None:
         share = ColdShare("front-1", BOUND)
         share.allows(0, 1, 1)
         share.forget(10 * SECOND)
