--- a/benchmarks/capacity/server_probes.py
+++ b/benchmarks/capacity/server_probes.py
@@ -198,7 +198,7 @@
     registry.expire(3 * BEAT - 1)
 
     def scan() -> None:
-        registry._end_check_at = 0  # as after the earliest end was put off by a heartbeat
+        registry._expiry_check_at = 0  # as after the earliest end was put off by a heartbeat
         registry._suspect_check_at = 0
         registry.expire(2 * BEAT)
         registry.take_suspects(2 * BEAT)
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -242,7 +242,7 @@
             log.info("stood still for {} ms", gap // 1000)
             self._servers.compensate_pause(now, gap)
             self._gateways.compensate_pause(now, gap)
-        for record in self._servers.expire(now, trusted=self._in_touch()):
+        for record in self._servers.expire(now, in_touch=self._in_touch()):
             log.info("server {} silent, gone", record.id)
         self._gateways.remove_expired(now)
         self._count_gateways()
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -91,7 +91,7 @@
 
     def expire(self, now: int) -> None:
         """Drop servers whose announced end has passed, and what is remembered of those long gone."""
-        self._show(self._registry.expire(now, trusted=False))
+        self._show(self._registry.expire(now, in_touch=False))
 
     def set_gateways(self, number: int, known: bool = True) -> None:
         """Take the living number of gateways; once it is known it stays so."""
--- a/brackenladder/registry/__init__.py
+++ b/brackenladder/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Servers known by their heartbeats: merging, ageing, what gateways are told; no I/O, no clock."""
+"""Registries of servers and gateways: merging, expiry, replication between nodes; no I/O, no clock."""
--- a/brackenladder/registry/directory.py
+++ b/brackenladder/registry/directory.py
@@ -1,4 +1,4 @@
-"""Which gateways a client is sent to."""
+"""Selects the gateways whose addresses a client receives."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from brackenladder.registry.gateways import GatewayRecord, GatewayState
 
-MAX_ADDRESSES = 64  # of one answer
+MAX_ADDRESSES = 64  # in one answer
 
 
 class Proximity(Enum):
-    """How far from a client the gateways of an answer are."""
+    """How close to the client the gateways in an answer are."""
 
     ZONE = "its zone"
     REGION = "its region"
     ELSEWHERE = "other regions"
-    NOWHERE = "none"  # there is no gateway to be named
+    NOWHERE = "none"  # no gateway is available
 
 
-OWN_REGION = (Proximity.ZONE, Proximity.REGION)  # gateways of the client's own region
+OWN_REGION = (Proximity.ZONE, Proximity.REGION)  # values that mean the client's own region
 
 
 @frozen
 class ClientLocation:
-    """Where a client is, and the host that it wants to reach."""
+    """The region and zone of a client, and the host name that it resolves."""
 
     host: str
     region: str
@@ -35,15 +35,15 @@
 
 @frozen
 class ResolvedGateways:
-    """The gateways that a client gets, by their front addresses."""
+    """The result of a lookup: front addresses of gateways."""
 
     addresses: tuple[str, ...] = ()
     proximity: Proximity = Proximity.NOWHERE
-    regions: frozenset[str] = frozenset()  # of these gateways
+    regions: frozenset[str] = frozenset()  # the regions of these gateways
 
     @property
     def in_client_region(self) -> bool:
-        """Whether they are of the client's own region."""
+        """Whether the gateways are in the client's own region."""
         return self.proximity in OWN_REGION
 
 
@@ -60,11 +60,11 @@
     limit: int = MAX_ADDRESSES,
     offset: int = 0,
 ) -> ResolvedGateways:
-    """Return the front addresses for a client.
+    """Return the front addresses of ready gateways for a client.
 
-    They are the ready ones of its zone if there are any, else those of its region, else those of the regions
-    that are `permitted` to the host's clients from elsewhere, else none. Where there are more than `limit`,
-    `offset` turns the list, so that callers who vary it spread their clients over all.
+    Gateways in the client's zone are preferred, then those in its region, then those in other regions for
+    which `permitted` returns True. If there are more than `limit`, the sorted list is rotated by `offset`:
+    callers that vary the offset spread their clients over all gateways.
     """
     ready = [gateway for gateway in gateways if gateway.state is GatewayState.READY]
     proximity, chosen = _nearest(ready, client, permitted)
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -1,65 +1,65 @@
-"""All that one node knows of one server, and the rule by which two nodes' knowledge is merged."""
+"""The registry entry of one server, and the rules for merging entries of different nodes."""
 
 from __future__ import annotations
 
 from attrs import define, evolve
 
-from brackenladder.registry.records import HeardServer, ServerRecord, ServerState, states_the_same
+from brackenladder.registry.records import HeardServer, ServerRecord, ServerState, same_content
 
-NO_SEQ = -1  # below every seq that a server sends
-NEVER = 0  # a moment that was not told
-COLD_LATER = 50_000  # microseconds: a cold time that ends later by more is a change
-COLD_EARLIER = 500_000  # microseconds: one that ends earlier by more is a change
-END_TOLERANCE = 300_000  # microseconds: an announced end that moves by more is a change
+NO_SEQ = -1  # lower than any sequence number that a server sends
+NEVER = 0  # a point in time that is not known
+COLD_LATER = 50_000  # microseconds; if the cold period ends later by more than this, the record has changed
+COLD_EARLIER = 500_000  # microseconds; the same limit for a cold period that ends earlier
+END_TOLERANCE = 300_000  # microseconds; if an announced end moves by more than this, the record has changed
 
 
 @define
 class ServerEntry:
-    """The newest statement of a server, the evidence of its life and of its end.
+    """The newest record of a server, its last heartbeat, and whether it has ended.
 
-    Each part only rises (highest seq of a statement, of a heartbeat heard, of a silence; deregistered or
-    not), so the result of merging does not depend on the order in which records come.
+    Every part only increases: the highest sequence number (seq) of a record, of a heartbeat and of a timeout,
+    and the deregistered flag. Merging therefore gives the same result in whatever order records arrive.
     """
 
     id: str
-    heard_at: int  # when this node, or a peer by its word, last heard the server
-    statement: ServerRecord | None = None  # without `cold_for` and `remaining`; None: only its end is known
-    changed_seq: int = NO_SEQ  # the lowest seq known to have stated the same
-    heard_seq: int = NO_SEQ
+    heard_at: int  # when this node, or a peer by its own account, last received a heartbeat of the server
+    last_record: ServerRecord | None = None  # without `cold_for` and `remaining`; None: only its end is known
+    changed_seq: int = NO_SEQ  # the lowest seq known to have reported the same content
+    heartbeat_seq: int = NO_SEQ
     cold_until: int = NEVER
     ends_at: int = NEVER
-    expired_seq: int = NO_SEQ  # silent after this seq
+    expired_seq: int = NO_SEQ  # the last seq before the server timed out
     deregistered: bool = False
-    gone_at: int = NEVER  # when this node learned of its end
-    suspected_at: int = NEVER  # the `heard_at` after which peers were asked whether they have heard it since
-    version: int = 0  # of the registry, at the last change that is worth telling
+    gone_at: int = NEVER  # when this node learned that the server has ended
+    suspected_at: int = NEVER  # the value of `heard_at` for which peers were last asked about the server
+    version: int = 0  # of the registry, at the last change that had to be propagated
 
     @property
-    def stated_seq(self) -> int:
-        """The seq of the newest statement known here."""
-        return NO_SEQ if self.statement is None else self.statement.seq
+    def record_seq(self) -> int:
+        """The seq of the newest record known here."""
+        return NO_SEQ if self.last_record is None else self.last_record.seq
 
     @property
     def gone(self) -> bool:
-        """Whether the server has ended, as far as is known here."""
+        """Whether this node considers the server ended."""
         if self.deregistered:
             return True
-        return self.expired_seq != NO_SEQ and self.expired_seq >= max(self.stated_seq, self.heard_seq)
+        return self.expired_seq != NO_SEQ and self.expired_seq >= max(self.record_seq, self.heartbeat_seq)
 
     @property
     def suspected(self) -> bool:
-        """Whether peers were asked about the server since it was last heard."""
+        """Whether peers were asked about the server since its last heartbeat."""
         return self.suspected_at == self.heard_at and not self.gone
 
     @property
     def known(self) -> bool:
-        """Whether there is anything to tell: a statement or an end."""
-        return self.statement is not None or self.gone
+        """Whether there is anything to propagate: a record or an end."""
+        return self.last_record is not None or self.gone
 
     def merge(self, now: int, record: ServerRecord) -> bool:
-        """Take in a record; whether anything changed that is worth telling."""
+        """Merge a record; return whether anything changed that has to be propagated."""
         if record.state is not ServerState.GONE:
-            return self._merge_statement(now, record)
+            return self._merge_record(now, record)
         was_gone = self.gone
         if record.expired:
             self.expired_seq = max(self.expired_seq, record.seq)
@@ -68,38 +68,38 @@
         self._note_end(now, was_gone)
         return self.gone != was_gone
 
-    def hear(self, seq: int, heard_at: int) -> None:
-        """Take in a heartbeat's evidence."""
-        if seq >= self.heard_seq:
-            self.heard_seq = seq
+    def note_heartbeat(self, seq: int, heard_at: int) -> None:
+        """Note that the server was alive at `heard_at`."""
+        if seq >= self.heartbeat_seq:
+            self.heartbeat_seq = seq
             self.heard_at = max(self.heard_at, heard_at)
 
     def confirm(self, heard: HeardServer) -> bool:
-        """Take a peer's word that a statement still holds; False if that statement is not known here."""
-        if self.statement is None or self.statement.seq < heard.changed_seq:
+        """Note that a peer saw the current record repeated; False if that record is not known here."""
+        if self.last_record is None or self.last_record.seq < heard.changed_seq:
             return False
-        if heard.seq > self.statement.seq:
-            self.statement = evolve(self.statement, seq=heard.seq)
+        if heard.seq > self.last_record.seq:
+            self.last_record = evolve(self.last_record, seq=heard.seq)
         return True
 
     def expire(self, now: int) -> None:
-        """End the server by its silence: only a heartbeat that nobody has heard yet revives it."""
-        self.expired_seq = max(self.stated_seq, self.heard_seq)
+        """Mark the server as timed out; only a heartbeat that no node has received yet revives it."""
+        self.expired_seq = max(self.record_seq, self.heartbeat_seq)
         self._note_end(now, was_gone=False)
 
     def record(self, now: int) -> ServerRecord:
-        """What is told of the server at `now`."""
+        """Return the record to propagate, with `cold_for` and `remaining` as of `now`."""
         if self.gone:
             return self._tombstone()
-        assert self.statement is not None
+        assert self.last_record is not None
         cold_for = max(0, self.cold_until - now)
         remaining = max(0, self.ends_at - now) if self.ends_at != NEVER else -1
         if not cold_for and remaining < 0:
-            return self.statement
-        return evolve(self.statement, cold_for=cold_for, remaining=remaining)
+            return self.last_record
+        return evolve(self.last_record, cold_for=cold_for, remaining=remaining)
 
     def _tombstone(self) -> ServerRecord:
-        base = self.statement or ServerRecord(self.id, "", "", "", 0, ServerState.GONE, 0)
+        base = self.last_record or ServerRecord(self.id, "", "", "", 0, ServerState.GONE, 0)
         seq = base.seq if self.deregistered else self.expired_seq
         return evolve(base, state=ServerState.GONE, seq=seq, expired=not self.deregistered)
 
@@ -107,25 +107,25 @@
         if self.gone and not was_gone:
             self.gone_at = now
 
-    def _merge_statement(self, now: int, record: ServerRecord) -> bool:
-        known = self.statement
+    def _merge_record(self, now: int, record: ServerRecord) -> bool:
+        known = self.last_record
         if known is not None and (record.seq, record.state) < (known.seq, known.state):
             return False
         was_gone = self.gone
-        passes = record.cold_for or record.remaining >= 0
-        bare = evolve(record, cold_for=0, remaining=-1) if passes else record
-        same = known is not None and states_the_same(known, bare)
-        repeated = known is not None and known.seq == bare.seq
+        has_times = record.cold_for or record.remaining >= 0
+        timeless = evolve(record, cold_for=0, remaining=-1) if has_times else record
+        same = known is not None and same_content(known, timeless)
+        repeated = known is not None and known.seq == timeless.seq
         moved = self._merge_times(now, record, repeated)
-        self.statement = bare
-        self.changed_seq = self.changed_seq if same and not moved else bare.seq
-        self.heard_seq = max(self.heard_seq, bare.seq)
+        self.last_record = timeless
+        self.changed_seq = self.changed_seq if same and not moved else timeless.seq
+        self.heartbeat_seq = max(self.heartbeat_seq, timeless.seq)
         return (was_gone or not same or moved) and not self.gone
 
     def _merge_times(self, now: int, record: ServerRecord, repeated: bool) -> bool:
-        """Take in when the server turns warm and when it ends; whether either moved by more than jitter.
+        """Merge when the server turns warm and when it ends; True if either moved beyond its tolerance.
 
-        Of two tellings of one statement the later moments hold, whatever their order.
+        If the same record arrives twice, the later times hold, whatever the order of arrival.
         """
         cold_until = now + record.cold_for if record.cold_for else NEVER
         ends_at = now + record.remaining if record.remaining >= 0 else NEVER
@@ -140,13 +140,13 @@
         return moved
 
 
-def _cold_moved(now: int, known: int, told: int) -> bool:
-    if known <= now and told <= now:
+def _cold_moved(now: int, known: int, received: int) -> bool:
+    if known <= now and received <= now:
         return False
-    return told > known + COLD_LATER or told < known - COLD_EARLIER
+    return received > known + COLD_LATER or received < known - COLD_EARLIER
 
 
-def _end_moved(known: int, told: int) -> bool:
-    if known == NEVER or told == NEVER:
-        return known != told
-    return abs(known - told) > END_TOLERANCE
+def _end_moved(known: int, received: int) -> bool:
+    if known == NEVER or received == NEVER:
+        return known != received
+    return abs(known - received) > END_TOLERANCE
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways known by their presence messages: which of them clients may be sent to, and how many there are."""
+"""Gateways known from their presence messages: which ones clients may use, and how many are alive."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from attrs import define, frozen
 
-OFFER_TIMEOUT = 2_500_000  # microseconds without a word after which a gateway is not offered to clients
-# The same for one that has a link to this node: links that have nothing else to say send pings.
+OFFER_TIMEOUT = 2_500_000  # microseconds without a message after which clients are not sent to a gateway
+# The same for a gateway that is linked to this node: an idle link sends pings, so timeout shows sooner.
 LINKED_OFFER_TIMEOUT = 1_100_000
-RELAY_DELAY = 1_000_000  # microseconds by which peers' word of a gateway is newer only because it goes round
-LIVENESS_WINDOW = 20_000_000  # microseconds in which a gateway that was heard counts as living
-# Silence of a known process after which another one of its node takes its place, whatever the incarnation:
-# the time of day may have been stepped back between their starts.
+RELAY_DELAY = 1_000_000  # microseconds by which presence from peers may be newer just because it was relayed
+LIVENESS_WINDOW = 20_000_000  # microseconds after its last message for which a gateway counts as alive
+# Microseconds of timeout after which another process of the same node replaces the known one, even with a
+# lower incarnation: the wall clock may have been set back between the two starts.
 SUCCESSION_TIMEOUT = 1_500_000
-SETTLE_TIME = 1_500_000  # microseconds in which every gateway has found a control node that just started
+SETTLE_TIME = 1_500_000  # microseconds within which every gateway connects to a new control node
 
 
 class GatewayState(IntEnum):
-    """A gateway's own word about itself."""
+    """The state that a gateway reports of itself."""
 
     STARTING = 0
     READY = 1
@@ -28,9 +28,9 @@
 
 @frozen
 class GatewayRecord:
-    """One gateway. Of two records of a node the one with the higher (`incarnation`, `seq`) holds.
+    """One gateway. Of two records of the same node, the one with the higher (`incarnation`, `seq`) wins.
 
-    Of two incarnations heard more than `SUCCESSION_TIMEOUT` apart the one that was heard last holds.
+    Exception: of two incarnations heard at least `SUCCESSION_TIMEOUT` apart, the one heard last wins.
     """
 
     node: str
@@ -38,53 +38,53 @@
     zone: str
     region: str
     state: GatewayState
-    incarnation: int  # time of day at which the process started, microseconds
+    incarnation: int  # Unix time at which the process started, microseconds
     seq: int
 
 
 @frozen
 class HeardGateway:
-    """A gateway and how long ago it was heard, as control nodes tell one another."""
+    """A gateway and the age of its last message, as exchanged between control nodes."""
 
     gateway: GatewayRecord
-    age: int  # microseconds, as of when it is told
+    age: int  # microseconds, at the time of sending
 
 
 @define
-class _Known:
+class _KnownGateway:
     gateway: GatewayRecord
-    heard_at: int  # by any control node
-    heard_here_at: int | None = None
+    heard_at: int  # last message to any control node
+    heard_here_at: int | None = None  # last message to this node
 
     def offered(self, now: int) -> bool:
-        """Whether clients may be sent to it."""
+        """Whether clients may be sent to this gateway."""
         here = self.heard_here_at
-        silence = OFFER_TIMEOUT
+        timeout = OFFER_TIMEOUT
         if here is not None and self.heard_at - here < RELAY_DELAY:
-            silence = LINKED_OFFER_TIMEOUT
-        return self.gateway.state is GatewayState.READY and now - self.heard_at < silence
+            timeout = LINKED_OFFER_TIMEOUT
+        return self.gateway.state is GatewayState.READY and now - self.heard_at < timeout
 
 
 class GatewayRegistry:
-    """Merges presence that this node heard itself with what its peers heard."""
+    """Merges presence messages that this node received itself with those received by its peers."""
 
     def __init__(self) -> None:
-        self._known: dict[str, _Known] = {}
+        self._known: dict[str, _KnownGateway] = {}
         self._first_heard_at: int | None = None
         self._synchronized = False
         self._local_changes: dict[str, None] = {}
         self._local_heard: dict[str, None] = {}
 
     def record_presence(self, now: int, gateway: GatewayRecord, tell_peers: bool = True) -> bool:
-        """Take a gateway's own word; True if it changes what clients or peers are told.
+        """Merge a presence message of a gateway; True if it changes what is sent to clients or peers.
 
-        `tell_peers`: peers are also told of a word that changes nothing, as evidence that the gateway lives.
+        `tell_peers`: forward a message that changes nothing too, to show peers that the gateway is alive.
         """
         if self._first_heard_at is None:
             self._first_heard_at = now
         changed = self._merge(gateway, now)
         known = self._known[gateway.node]
-        # the word of a process that does not hold yet must not keep its predecessor alive
+        # A process that has not replaced its predecessor yet must not keep that predecessor alive.
         known.heard_here_at = now if known.gateway.incarnation == gateway.incarnation else None
         if changed:
             self._local_changes[gateway.node] = None
@@ -93,21 +93,24 @@
         return changed
 
     def record_link_activity(self, node: str, heard_at: int) -> None:
-        """A gateway's link brought something at that time, if only a ping."""
+        """Note that something, possibly only a ping, arrived on a gateway's link at `heard_at`."""
         known = self._known.get(node)
         if known is not None and known.heard_here_at is not None:
             known.heard_here_at = max(known.heard_here_at, heard_at)
             known.heard_at = max(known.heard_at, heard_at)
 
     def merge(self, now: int, heard: Iterable[HeardGateway], full: bool = False) -> bool:
-        """Take what a peer tells (`full`: all that it knows); True if anything changed."""
+        """Merge records of a peer; True if anything changed. `full`: these are all that the peer knows."""
         changes = [self._merge(one.gateway, now - one.age) for one in heard]
         self._synchronized = self._synchronized or full
         return any(changes)
 
     def ready(self, now: int) -> tuple[GatewayRecord, ...]:
-        """The gateways that clients may be sent to, each at an address that no other was heard at since."""
-        heard: dict[str, int] = {}  # when somebody was last heard at a front address
+        """Return the gateways that clients may use.
+
+        A gateway is left out if another one has used the same front address more recently.
+        """
+        heard: dict[str, int] = {}  # time of the last message of any gateway, by front address
         for known in self._known.values():
             address = known.gateway.front_address
             heard[address] = max(heard.get(address, known.heard_at), known.heard_at)
@@ -118,17 +121,17 @@
         )
 
     def settled(self, now: int) -> bool:
-        """Whether this node had time to hear of every gateway: before that its answers may leave some out."""
+        """Whether this node has had time to learn of every gateway; until then its answers may omit some."""
         if self._synchronized:
             return True
         return self._first_heard_at is not None and now - self._first_heard_at >= SETTLE_TIME
 
     def count_living(self, now: int) -> int:
-        """How many distinct gateways were heard within `LIVENESS_WINDOW`, in whatever state."""
+        """Count the distinct gateways, in any state, heard from within `LIVENESS_WINDOW`."""
         return sum(now - known.heard_at < LIVENESS_WINDOW for known in self._known.values())
 
     def list_living(self, now: int) -> tuple[HeardGateway, ...]:
-        """All living gateways, for a peer."""
+        """Return all live gateways, to be sent to a peer."""
         return tuple(
             HeardGateway(known.gateway, max(0, now - known.heard_at))
             for known in self._known.values()
@@ -136,24 +139,24 @@
         )
 
     def remove_expired(self, now: int) -> None:
-        """Drop the gateways that count no more."""
+        """Remove the gateways that no longer count as alive."""
         old = [node for node, known in self._known.items() if now - known.heard_at >= LIVENESS_WINDOW]
         for node in old:
             del self._known[node]
 
     def compensate_pause(self, now: int, gap: int) -> None:
-        """This node stood still for `gap` microseconds: what it missed is not held against the gateways."""
+        """Shift times by the `gap` microseconds of a pause of this process, so that no gateway times out."""
         for known in self._known.values():
             known.heard_at = min(now, known.heard_at + gap)
             if known.heard_here_at is not None:
                 known.heard_here_at = min(now, known.heard_here_at + gap)
 
     def take_local_changes(self, now: int) -> tuple[HeardGateway, ...]:
-        """Gateways whose own word changed something since the last call."""
+        """Return the gateways whose presence messages to this node changed something since the last call."""
         return self._take(now, self._local_changes)
 
     def take_local_presences(self, now: int) -> tuple[HeardGateway, ...]:
-        """Gateways that this node heard itself since the last call."""
+        """Return the gateways that sent this node an unchanged presence message since the last call."""
         return self._take(now, self._local_heard)
 
     def _take(self, now: int, nodes: dict[str, None]) -> tuple[HeardGateway, ...]:
@@ -164,28 +167,28 @@
     def _merge(self, gateway: GatewayRecord, heard_at: int) -> bool:
         known = self._known.get(gateway.node)
         if known is None:
-            self._known[gateway.node] = _Known(gateway, heard_at)
+            self._known[gateway.node] = _KnownGateway(gateway, heard_at)
             return True
-        if not _succeeds(gateway, known.gateway, heard_at - known.heard_at):
+        if not _replaces(gateway, known.gateway, heard_at - known.heard_at):
             return False
-        changed = not _says_the_same(known.gateway, gateway)
+        changed = not _same_content(known.gateway, gateway)
         known.gateway = gateway
         known.heard_at = max(known.heard_at, heard_at)
         return changed
 
 
-def _succeeds(told: GatewayRecord, known: GatewayRecord, later: int) -> bool:
-    """Whether a record takes a known one's place; it was heard `later` microseconds after that."""
-    if told.incarnation != known.incarnation and abs(later) >= SUCCESSION_TIMEOUT:
+def _replaces(received: GatewayRecord, known: GatewayRecord, later: int) -> bool:
+    """Whether a record replaces the known one, which was heard `later` microseconds before it."""
+    if received.incarnation != known.incarnation and abs(later) >= SUCCESSION_TIMEOUT:
         return later > 0
-    return _rank(told) >= _rank(known)
+    return _rank(received) >= _rank(known)
 
 
 def _rank(gateway: GatewayRecord) -> tuple[int, int, int]:
     return (gateway.incarnation, gateway.seq, gateway.state)
 
 
-def _says_the_same(one: GatewayRecord, other: GatewayRecord) -> bool:
+def _same_content(one: GatewayRecord, other: GatewayRecord) -> bool:
     return (
         one.state == other.state
         and one.front_address == other.front_address
--- a/brackenladder/registry/messages.py
+++ b/brackenladder/registry/messages.py
@@ -1,4 +1,4 @@
-"""What control nodes tell one another of servers and gateways."""
+"""Messages between control nodes about servers and gateways."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @frozen
 class ServersTold:
-    """Servers, and for those alive how long ago they were heard."""
+    """Server records, and for live servers the latest heartbeat."""
 
     records: tuple[ServerRecord, ...]
     heard: tuple[HeardServer, ...] = ()
@@ -25,17 +25,17 @@
 
 @frozen
 class ServersWanted:
-    """The sender lacks news of these servers, which the receiver may have."""
+    """Asks the receiver for its records of these servers."""
 
     ids: tuple[str, ...]
 
 
 @frozen
 class GatewaysTold:
-    """Gateways that changed or were heard.
+    """Gateways that changed or sent a presence message.
 
-    It is `settled` at the end of all that the sender knows, of servers too, if the sender has run for long
-    enough to know them all.
+    `settled` is True in the message that ends a full transfer of servers and gateways, if the sender has run
+    long enough to know them all.
     """
 
     gateways: tuple[HeardGateway, ...]
--- a/brackenladder/registry/records.py
+++ b/brackenladder/registry/records.py
@@ -1,4 +1,4 @@
-"""What is known of one server, as nodes tell one another."""
+"""Server records, as exchanged between nodes."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class ServerState(IntEnum):
-    """A server's own word about itself, and its end."""
+    """The state that a server reports of itself, or its end."""
 
     READY = 0
     DRAINING = 1
-    GONE = 2  # a tombstone: deregistered, or silent for longer than the registry waits
+    GONE = 2  # a tombstone: the server deregistered or timed out
 
 
 @frozen
 class ServerRecord:
-    """One incarnation of a server. Of two records of an id the one with the higher `seq` holds.
+    """One incarnation of a server. Of two records with the same id, the one with the higher `seq` wins.
 
-    GONE is final, except where it is `expired`: such a tombstone ends the server up to its `seq` only, and a
-    heartbeat with a higher one revives it.
+    GONE is final, unless the record is `expired`: that tombstone covers heartbeats up to its `seq` only, and
+    one with a higher `seq` revives the server.
     """
 
     id: str
@@ -31,24 +31,24 @@
     state: ServerState
     seq: int
     software: str = ""
-    cold_for: int = 0  # microseconds that it stays cold, as of when the record is told
-    remaining: int = -1  # microseconds until it is gone whatever it runs; -1: not told
+    cold_for: int = 0  # microseconds for which the server remains cold, at the time of sending
+    remaining: int = -1  # microseconds until it shuts down even if requests are running; -1: not announced
     models: tuple[str, ...] = ()
-    expired: bool = False  # of a GONE record: it ended by silence, not by its own word
+    expired: bool = False  # in a GONE record: the server timed out and did not deregister
 
 
 @frozen
 class HeardServer:
-    """A heartbeat that a node heard: evidence that a server is alive, without what it said."""
+    """A heartbeat that a node received: shows that a server is alive, without the content of its record."""
 
     id: str
     seq: int
-    age: int  # microseconds since it was heard, as of when it is told
-    changed_seq: int  # the lowest `seq` that is known to have said the same
+    age: int  # microseconds since it was received, at the time of sending
+    changed_seq: int  # the lowest `seq` known to have reported the same content
 
 
-def states_the_same(one: ServerRecord, other: ServerRecord) -> bool:
-    """Whether two records of an id say the same, apart from `seq` and what passes with time."""
+def same_content(one: ServerRecord, other: ServerRecord) -> bool:
+    """Whether two records of an id have the same content, apart from `seq` and the remaining times."""
     return (
         one.state == other.state
         and one.address == other.address
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -1,8 +1,8 @@
-"""The servers that a node knows of, from heartbeats that it heard itself and from what other nodes tell.
+"""The servers that a node knows, from heartbeats that it received itself and from records of other nodes.
 
-A record is merged by id; the highest seq holds. A server ends when it deregisters, which is final, or when
-nobody has heard it for a while, which a later heartbeat undoes. A registry that knows nothing of a server
-says nothing of it.
+Records are merged by id; the highest sequence number wins. A server expiry_times when it deregisters, which is final,
+or when no node has received a heartbeat for a while, which a later heartbeat undoes. An unknown server is not
+reported at all, so a node that has just started does not declare servers gone.
 """
 
 from __future__ import annotations
@@ -12,94 +12,94 @@
 from attrs import frozen
 
 from brackenladder.registry.entries import NEVER, ServerEntry
-from brackenladder.registry.records import HeardServer, ServerRecord, ServerState, states_the_same
+from brackenladder.registry.records import HeardServer, ServerRecord, ServerState, same_content
 
-TOMBSTONE_LIFETIME = 300_000_000  # microseconds that the end of a server is remembered
-SETTLE_TIME = 2_000_000  # microseconds with all evidence at hand before silence counts again
-END_SLACK = 300_000  # microseconds after its announced end at which a server that is silent counts as gone
-SUSPECT_LEAD = 800_000  # microseconds before a silence ends a server at which peers are asked about it
-FOREVER = 1 << 62  # a silence that never ends a server
+TOMBSTONE_LIFETIME = 300_000_000  # microseconds for which the end of a server is remembered
+SETTLE_TIME = 2_000_000  # microseconds in touch with the peers after which servers may time out again
+END_SLACK = 300_000  # microseconds after its announced end at which a server without heartbeats is gone
+SUSPECT_LEAD = 800_000  # microseconds before a server times out at which peers are asked about it
+FOREVER = 1 << 62  # a timeout that never elapses
 
 
 @frozen
 class LocalUpdates:
-    """Ids that this node has news of by itself, for its peers."""
+    """Ids of servers about which this node received something itself, for its peers."""
 
     changed: tuple[str, ...]
-    heartbeats: tuple[str, ...]  # heartbeats that changed nothing
+    heartbeats: tuple[str, ...]  # ids of servers whose heartbeats changed nothing
 
 
 class ServerRegistry:
-    """Merges what is known of servers. Every change that is worth telling raises `version`."""
+    """Merges server records. Every change that has to be propagated increments `version`."""
 
-    def __init__(self, silence: int = FOREVER) -> None:
-        """Count a server as gone after `silence` microseconds in which nobody heard it."""
-        self._silence = silence
-        self._entries: dict[str, ServerEntry] = {}  # in the order of their `version`
-        self._trusted_since: int | None = None
+    def __init__(self, timeout: int = FOREVER) -> None:
+        """`timeout`: microseconds without a heartbeat to any node after which a server is gone."""
+        self._timeout = timeout
+        self._entries: dict[str, ServerEntry] = {}  # ordered by `version`
+        self._in_touch_since: int | None = None
         self._settled = False
-        self._end_check_at = FOREVER  # no server ends before
-        self._suspect_check_at = FOREVER  # no server is suspected before
-        self._forget_check_at = FOREVER  # nothing is forgotten before
-        self._forgotten_version = 0
+        self._expiry_check_at = FOREVER  # no server times out before this time
+        self._suspect_check_at = FOREVER  # no server becomes suspect before this time
+        self._cleanup_check_at = FOREVER  # no entry is removed before this time
+        self._removed_version = 0  # the highest version among removed entries
         self._local_changes: dict[str, None] = {}
         self._local_heard: dict[str, None] = {}
         self.version = 0
 
     def heartbeat(self, now: int, record: ServerRecord) -> bool:
-        """Take a server's own heartbeat; True if it changes what was known, so that it is told at once."""
+        """Merge a heartbeat that this node received; True if it changed anything that peers have to know."""
         entry = self._entry(record.id, heard_at=now)
-        if entry.deregistered or record.seq < entry.stated_seq:
+        if entry.deregistered or record.seq < entry.record_seq:
             return False
         changed = entry.merge(now, record)
-        entry.hear(record.seq, now)
+        entry.note_heartbeat(record.seq, now)
         if changed:
-            self._changed_here(entry)
+            self._mark_changed_locally(entry)
         else:
             self._local_heard[record.id] = None
         return changed
 
     def deregister(self, now: int, server_id: str) -> bool:
-        """Take a server's word that it ends; False if that was known."""
+        """Record that a server deregistered; False if that was known."""
         entry = self._entry(server_id, heard_at=now)
         if entry.deregistered:
             return False
-        entry.merge(now, ServerRecord(server_id, "", "", "", 0, ServerState.GONE, entry.stated_seq))
-        self._changed_here(entry)
+        entry.merge(now, ServerRecord(server_id, "", "", "", 0, ServerState.GONE, entry.record_seq))
+        self._mark_changed_locally(entry)
         return True
 
     def merge(
         self, now: int, records: Iterable[ServerRecord], ages: Mapping[str, int] | None = None
     ) -> tuple[ServerRecord, ...]:
-        """Take what another node tells; return what changed here, as it is known now.
+        """Merge records of another node; return the records that changed here, as they are now.
 
-        `ages` tells by id how long ago that node knew the server to be alive. A tombstone of silence that is
-        refuted by what is known here counts as a change: those who took it have to hear the opposite.
+        `ages`: microseconds since that node last knew the server to be alive, by id. An expired tombstone
+        that newer heartbeats refute counts as a change: nodes that accepted it have to be corrected.
         """
         ages = ages or {}
         changed = [entry for record in records if (entry := self._merge(now, record, ages.get(record.id, 0)))]
         return tuple(entry.record(now) for entry in changed if entry.known)
 
     def merge_heartbeats(self, now: int, heard: Iterable[HeardServer]) -> tuple[str, ...]:
-        """Take heartbeats that another node heard; return the ids whose statement is not known here."""
-        return tuple(one.id for one in heard if not self._hear(now, one))
+        """Merge heartbeats that another node received; return the ids whose record is not known here."""
+        return tuple(one.id for one in heard if not self._merge_heartbeat(now, one))
 
-    def expire(self, now: int, trusted: bool = True) -> tuple[ServerRecord, ...]:
-        """End the servers that nobody has heard for too long, and forget old tombstones.
+    def expire(self, now: int, in_touch: bool = True) -> tuple[ServerRecord, ...]:
+        """Mark servers without heartbeats as timed out, return their records, and remove old tombstones.
 
-        `trusted` says that this node hears its peers, so that its own silence is everybody's. Silence counts
-        only once that has held for `SETTLE_TIME`.
+        `in_touch`: this node receives its peers' messages, so a heartbeat missing here is missing everywhere.
+        Servers time out only after `in_touch` was True for `SETTLE_TIME`; an announced end always counts.
         """
-        self._note_trust(now, trusted)
-        ended = self._take_ended(now)
-        for entry in ended:
+        self._update_settled(now, in_touch)
+        expired = self._take_expired(now)
+        for entry in expired:
             entry.expire(now)
-            self._changed_here(entry)
-        self._forget(now)
-        return tuple(entry.record(now) for entry in ended)
+            self._mark_changed_locally(entry)
+        self._remove_old_entries(now)
+        return tuple(entry.record(now) for entry in expired)
 
     def take_suspects(self, now: int) -> tuple[str, ...]:
-        """The servers that are about to end by silence, each once: a peer may hear them over others."""
+        """Return servers that are about to time out, once each; a peer may have received their heartbeats."""
         if now < self._suspect_check_at:
             return ()
         suspects = [entry for entry in self._entries.values() if now > self._suspect_after(entry)]
@@ -111,57 +111,57 @@
         return tuple(entry.id for entry in suspects)
 
     def compensate_pause(self, now: int, gap: int) -> None:
-        """This node stood still for `gap` microseconds: what it missed is not held against the servers."""
+        """Shift times by the `gap` microseconds of a pause of this process, so that no server times out."""
         for entry in self._entries.values():
             entry.heard_at = min(now, entry.heard_at + gap)
-        self._trusted_since = None
+        self._in_touch_since = None
 
     def remove(self, server_id: str) -> bool:
-        """Forget a server without a word to anyone; False if it was not known."""
+        """Remove a server without propagating its end; False if it was not known."""
         entry = self._entries.pop(server_id, None)
         if entry is None:
             return False
-        self._forgotten_version = max(self._forgotten_version, entry.version)
+        self._removed_version = max(self._removed_version, entry.version)
         return True
 
     def records(self, now: int) -> tuple[ServerRecord, ...]:
-        """Everything that can be told, tombstones included; `cold_for` and `remaining` as of `now`."""
+        """Return all records, tombstones included, with `cold_for` and `remaining` as of `now`."""
         return tuple(entry.record(now) for entry in self._entries.values() if entry.known)
 
     def alive(self, now: int) -> tuple[ServerRecord, ...]:
-        """The READY and the DRAINING servers."""
+        """Return the READY and the DRAINING servers."""
         return tuple(entry.record(now) for entry in self._entries.values() if entry.known and not entry.gone)
 
     def get(self, now: int, server_id: str) -> ServerRecord | None:
-        """What can be told of one server; None if nothing."""
+        """Return the record of one server; None if it is not known."""
         entry = self._entries.get(server_id)
         return entry.record(now) if entry is not None and entry.known else None
 
     def cold_until(self, server_id: str) -> int:
-        """When a server is warm, in this host's microseconds; 0: it was not told to be cold."""
+        """When a server turns warm, on this host's clock in microseconds; 0: it was not reported cold."""
         entry = self._entries.get(server_id)
         return NEVER if entry is None else entry.cold_until
 
     def ends_at(self, server_id: str) -> int:
-        """When a server said that it ends, in this host's microseconds; 0: it did not."""
+        """The announced end of a server, on this host's clock in microseconds; 0: none was announced."""
         entry = self._entries.get(server_id)
         return NEVER if entry is None else entry.ends_at
 
     def age(self, now: int, server_id: str) -> int:
-        """How long ago anybody heard a server, as far as is known here; 0 if it is not known."""
+        """Microseconds since the last known heartbeat of a server to any node; 0 if it is not known."""
         entry = self._entries.get(server_id)
         return 0 if entry is None else max(0, now - entry.heard_at)
 
     def latest_heartbeat(self, now: int, server_id: str) -> HeardServer | None:
-        """The newest heartbeat of a server, as peers are told of it."""
+        """Return the newest heartbeat of a server, in the form sent to peers."""
         entry = self._entries.get(server_id)
-        if entry is None or entry.statement is None:
+        if entry is None or entry.last_record is None:
             return None
-        return HeardServer(server_id, entry.stated_seq, max(0, now - entry.heard_at), entry.changed_seq)
+        return HeardServer(server_id, entry.record_seq, max(0, now - entry.heard_at), entry.changed_seq)
 
     def changed_since(self, now: int, version: int) -> tuple[ServerRecord, ...] | None:
-        """What changed after `version`; None if that cannot be told any more, so that all has to be."""
-        if version < self._forgotten_version:
+        """Return what changed after `version`; None if that is no longer known and a full list is needed."""
+        if version < self._removed_version:
             return None
         changed = []
         for entry in reversed(self._entries.values()):
@@ -172,7 +172,7 @@
         return tuple(changed)
 
     def newer_records(self, now: int, records: Iterable[ServerRecord]) -> tuple[ServerRecord, ...]:
-        """Of servers that another node told of, the ones of which something newer is known here."""
+        """Return the records known here that are newer than those another node sent."""
         entries = ((self._entries.get(record.id), record) for record in records)
         return tuple(
             entry.record(now)
@@ -181,7 +181,7 @@
         )
 
     def take_local_updates(self) -> LocalUpdates:
-        """What this node learned by itself since the last call."""
+        """Return what this node received from servers itself since the last call."""
         news = LocalUpdates(
             changed=tuple(self._local_changes),
             heartbeats=tuple(one for one in self._local_heard if one not in self._local_changes),
@@ -194,103 +194,103 @@
         entry = self._entries.get(server_id)
         if entry is None:
             entry = ServerEntry(server_id, heard_at)
-            self._touch(entry)
+            self._mark_changed(entry)
         return entry
 
-    def _touch(self, entry: ServerEntry) -> None:
+    def _mark_changed(self, entry: ServerEntry) -> None:
         self._entries.pop(entry.id, None)
         self.version += 1
         entry.version = self.version
         self._entries[entry.id] = entry
-        self._end_check_at = min(self._end_check_at, self._ends_after(entry, settled=True))
+        self._expiry_check_at = min(self._expiry_check_at, self._expires_after(entry, settled=True))
         self._suspect_check_at = min(self._suspect_check_at, self._suspect_after(entry))
-        self._forget_check_at = min(self._forget_check_at, _forgotten_after(entry))
+        self._cleanup_check_at = min(self._cleanup_check_at, _removed_after(entry))
 
-    def _changed_here(self, entry: ServerEntry) -> None:
-        self._touch(entry)
+    def _mark_changed_locally(self, entry: ServerEntry) -> None:
+        self._mark_changed(entry)
         self._local_changes[entry.id] = None
 
     def _merge(self, now: int, record: ServerRecord, age: int) -> ServerEntry | None:
-        """Merge one record; return its entry if there is something to tell."""
-        if record.id not in self._entries and record.state is not ServerState.GONE and age > self._silence:
-            return None  # nobody has heard it for too long: it ended before this node knew of it
+        """Merge one record; return its entry if it changed."""
+        if record.id not in self._entries and record.state is not ServerState.GONE and age > self._timeout:
+            return None  # it timed out before this node knew of it
         entry = self._entry(record.id, heard_at=now - age)
         changed = entry.merge(now, record)
         if record.state is not ServerState.GONE:
-            entry.hear(record.seq, now - age)
+            entry.note_heartbeat(record.seq, now - age)
         refuted = record.state is ServerState.GONE and not entry.gone
         if not (changed or refuted):
             return None
-        self._touch(entry)
+        self._mark_changed(entry)
         return entry
 
-    def _hear(self, now: int, heard: HeardServer) -> bool:
-        """Take one heartbeat that a peer heard; False if its statement is not known here."""
+    def _merge_heartbeat(self, now: int, heard: HeardServer) -> bool:
+        """Merge one heartbeat that a peer received; False if its record is not known here."""
         entry = self._entries.get(heard.id)
         if entry is None:
             return False
         if entry.deregistered:
             return True
         was_gone = entry.gone
-        entry.hear(heard.seq, now - heard.age)
+        entry.note_heartbeat(heard.seq, now - heard.age)
         confirmed = entry.confirm(heard)
         if confirmed and was_gone and not entry.gone:
-            self._touch(entry)
+            self._mark_changed(entry)
         return confirmed
 
-    def _note_trust(self, now: int, trusted: bool) -> None:
-        if not trusted:
-            self._trusted_since = None
-        elif self._trusted_since is None:
-            self._trusted_since = now
-        settled = self._trusted_since is not None and now - self._trusted_since >= SETTLE_TIME
+    def _update_settled(self, now: int, in_touch: bool) -> None:
+        if not in_touch:
+            self._in_touch_since = None
+        elif self._in_touch_since is None:
+            self._in_touch_since = now
+        settled = self._in_touch_since is not None and now - self._in_touch_since >= SETTLE_TIME
         if settled and not self._settled:
-            self._end_check_at = now
+            self._expiry_check_at = now
         self._settled = settled
 
-    def _take_ended(self, now: int) -> list[ServerEntry]:
-        """The servers that end by now; looks at all of them only when one may."""
-        if now < self._end_check_at:
+    def _take_expired(self, now: int) -> list[ServerEntry]:
+        """Return the servers that have timed out; scans all entries only if one may have."""
+        if now < self._expiry_check_at:
             return []
-        ends = [(self._ends_after(entry, self._settled), entry) for entry in self._entries.values()]
-        self._end_check_at = min((after for after, _ in ends if after >= now), default=FOREVER)
-        return [entry for after, entry in ends if now > after]
+        expiry_times = [(self._expires_after(entry, self._settled), entry) for entry in self._entries.values()]
+        self._expiry_check_at = min((after for after, _ in expiry_times if after >= now), default=FOREVER)
+        return [entry for after, entry in expiry_times if now > after]
 
-    def _ends_after(self, entry: ServerEntry, settled: bool) -> int:
-        """The moment after which a server counts as gone if nobody hears it."""
-        if entry.statement is None or entry.gone:
+    def _expires_after(self, entry: ServerEntry, settled: bool) -> int:
+        """The time after which a server without a further heartbeat is gone."""
+        if entry.last_record is None or entry.gone:
             return FOREVER
-        silent = entry.heard_at + self._silence if settled else FOREVER
+        times_out_at = entry.heard_at + self._timeout if settled else FOREVER
         if entry.ends_at == NEVER or entry.heard_at >= entry.ends_at:
-            return silent
-        return min(silent, entry.ends_at + END_SLACK)
+            return times_out_at
+        return min(times_out_at, entry.ends_at + END_SLACK)
 
     def _suspect_after(self, entry: ServerEntry) -> int:
-        """The moment after which peers are asked about a server if nobody hears it."""
-        if entry.statement is None or entry.gone or entry.suspected:
+        """The time after which peers are asked about a server without a further heartbeat."""
+        if entry.last_record is None or entry.gone or entry.suspected:
             return FOREVER
-        return entry.heard_at + self._silence - SUSPECT_LEAD
+        return entry.heard_at + self._timeout - SUSPECT_LEAD
 
-    def _forget(self, now: int) -> None:
-        if now < self._forget_check_at:
+    def _remove_old_entries(self, now: int) -> None:
+        if now < self._cleanup_check_at:
             return
-        old = [entry.id for entry in self._entries.values() if now > _forgotten_after(entry)]
+        old = [entry.id for entry in self._entries.values() if now > _removed_after(entry)]
         for server_id in old:
             self.remove(server_id)
-        self._forget_check_at = min(map(_forgotten_after, self._entries.values()), default=FOREVER)
+        self._cleanup_check_at = min(map(_removed_after, self._entries.values()), default=FOREVER)
 
 
-def _forgotten_after(entry: ServerEntry) -> int:
-    """The moment after which nothing is kept of a server."""
+def _removed_after(entry: ServerEntry) -> int:
+    """The time after which the entry of a server is removed."""
     if entry.gone:
         return entry.gone_at + TOMBSTONE_LIFETIME
     return FOREVER if entry.known else entry.heard_at + TOMBSTONE_LIFETIME
 
 
 def _supersedes(entry: ServerEntry, record: ServerRecord) -> bool:
-    """Whether what is known here overrules what another node told."""
+    """Whether an entry known here overrides a record that another node sent."""
     if record.state is ServerState.GONE:
         return not entry.gone or (entry.deregistered and record.expired)
-    if entry.gone or entry.statement is None:
+    if entry.gone or entry.last_record is None:
         return entry.gone
-    return entry.statement.seq > record.seq and not states_the_same(entry.statement, record)
+    return entry.last_record.seq > record.seq and not same_content(entry.last_record, record)
--- a/brackenladder/registry/remembered_servers.py
+++ b/brackenladder/registry/remembered_servers.py
@@ -1,7 +1,7 @@
-"""Servers that a control node remembers over its restart, as a list of whom to ask.
+"""The server list that a control node keeps on disk across a restart.
 
-A remembered server counts for nothing until it has answered a health check with its own id: the list only
-saves the wait for its next heartbeat. What the check says replaces what was remembered.
+A remembered server is not used until it has answered a health check with its own id: the list only saves
+waiting for the next heartbeat. The answer overrides the remembered data.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from brackenladder.registry.records import ServerRecord, ServerState
 
-MOST_SERVERS = 1_024  # that are remembered
+MAX_SERVERS = 1_024  # in the list
 
 
 @frozen
 class RememberedServer:
-    """A server that was ready, and where its health is asked for."""
+    """A server that was ready, and the path of its health check."""
 
     record: ServerRecord
     health_path: str
@@ -26,17 +26,17 @@
 
 @frozen
 class HealthAnswer:
-    """What a server has answered to a health check."""
+    """A server's answer to a health check."""
 
-    server_id: str  # empty: it did not say who it is
-    cold_for: int = 0  # microseconds that it stays cold
+    server_id: str  # empty: the answer named no server
+    cold_for: int = 0  # microseconds for which the server remains cold
 
 
 def verify(server: RememberedServer, answer: HealthAnswer) -> ServerRecord | None:
-    """The record of a server that is there and warm; None if its heartbeat has to be waited for.
+    """Return the record of a server that answered as itself and is warm; None: wait for its heartbeat.
 
-    Failure prevented: a cold server is named to gateways that do not know yet how many they are, and the sum
-    of what they send it is too much.
+    Failure prevented: after a restart, gateways do not know yet how many they are and so cannot divide a cold
+    server's load limit among them; together they would overload it.
     """
     if answer.server_id != server.record.id or answer.cold_for > 0:
         return None
@@ -44,7 +44,7 @@
 
 
 class ServerListTracker:
-    """Decides which servers are worth remembering, and knows which are in the list written last."""
+    """Selects the servers to remember, and tracks which are in the list that was written last."""
 
     def __init__(self) -> None:
         self._written: frozenset[tuple[str, str]] = frozenset()  # ids and addresses
@@ -52,24 +52,24 @@
     def select(
         self, servers: Iterable[ServerRecord], health_paths: Mapping[str, str]
     ) -> tuple[RememberedServer, ...]:
-        """Those to remember; cold ones, and those that drain or end soon, are left out.
+        """Return the servers to remember: ready ones that have not announced their end.
 
-        `health_paths` gives the path by service.
+        `health_paths`: path of the health check by service; servers of other services are left out.
         """
         return tuple(
             RememberedServer(record, health_paths[record.service])
-            for record in islice(servers, MOST_SERVERS)
+            for record in islice(servers, MAX_SERVERS)
             if record.state is ServerState.READY and record.remaining < 0 and record.service in health_paths
         )
 
     def changed(self, servers: Iterable[RememberedServer]) -> bool:
-        """Whether the list written last has others."""
-        return _names(servers) != self._written
+        """Whether these servers differ from the list that was written last."""
+        return _identities(servers) != self._written
 
     def mark_written(self, servers: Iterable[RememberedServer]) -> None:
-        """The list is being written."""
-        self._written = _names(servers)
+        """Note that a list of these servers is being written."""
+        self._written = _identities(servers)
 
 
-def _names(servers: Iterable[RememberedServer]) -> frozenset[tuple[str, str]]:
+def _identities(servers: Iterable[RememberedServer]) -> frozenset[tuple[str, str]]:
     return frozenset((server.record.id, server.record.address) for server in servers)
--- a/tests/delivery/test_publisher.py
+++ b/tests/delivery/test_publisher.py
@@ -185,7 +185,7 @@
         self.gateway.take()
         in_flight = self.servers.version
         self.servers.deregister(AT, "i-1")
-        self.servers.expire(AT + TOMBSTONE_LIFETIME + 1, trusted=False)
+        self.servers.expire(AT + TOMBSTONE_LIFETIME + 1, in_touch=False)
         self.gateway.acknowledge(Ack(UpdateKind.SERVERS, in_flight))
         (update,) = self.gateway.take()
         self.assertTrue(update.full)
--- a/tests/registry/control_mesh.py
+++ b/tests/registry/control_mesh.py
@@ -1,4 +1,4 @@
-"""Control nodes that exchange what they know, in a test; links can be cut, nodes can be restarted."""
+"""A mesh of control nodes in memory, for tests; links can be cut and nodes restarted."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ControlNode:
-    """One node's registries and exchange."""
+    """The registries of one control node, and their replication to its peers."""
 
     def __init__(self, now: int) -> None:
         self.servers = ServerRegistry(SILENCE)
@@ -27,9 +27,9 @@
 
 
 class ControlMesh:
-    """Nodes with a link between every two; messages arrive at the next step, in sequence.
+    """Nodes with a link between every two; messages arrive in order, at the next step.
 
-    With a `leader`, who hears it trusts its peers' silence; else only who hears all.
+    A node counts as in touch with its peers if it is linked to the `leader`; without one, if linked to all.
     """
 
     def __init__(self, names: str = "abc", leader: str = "") -> None:
@@ -38,22 +38,22 @@
         self.leader = leader
         self.cuts: set[frozenset[str]] = set()
         self.sent = 0
-        self._wires: dict[tuple[str, str], deque[object]] = {}
+        self._in_transit: dict[tuple[str, str], deque[object]] = {}
         for name in names:
             self._link_all(name)
 
     def cut(self, one: str, other: str) -> None:
-        """Both ends see their link close; what was under way is lost."""
+        """Close a link at both ends; messages in transit are lost."""
         self.cuts.add(frozenset((one, other)))
         self._unlink(one, other)
 
     def heal(self, one: str, other: str) -> None:
-        """Both ends have a new link."""
+        """Open a new link between two nodes."""
         self.cuts.discard(frozenset((one, other)))
         self._link(one, other)
 
     def restart(self, name: str) -> None:
-        """A node loses all that it knew."""
+        """Restart a node, which loses its state."""
         others = [other for other in self.nodes if other != name]
         for other in others:
             self._unlink(name, other)
@@ -61,39 +61,39 @@
         self._link_all(name)
 
     def heartbeat(self, name: str, record: ServerRecord) -> None:
-        """A server's heartbeat reaches a node, which tells its peers at once."""
+        """Deliver a server's heartbeat to a node, which sends what is due to its peers at once."""
         self.nodes[name].servers.heartbeat(self.now, record)
         self._send(name)
 
     def step(self) -> None:
-        """Deliver what is under way, then let time pass."""
-        wires, self._wires = self._wires, {}
-        for (sender, receiver), messages in wires.items():
+        """Deliver the messages in transit, then advance the time."""
+        in_transit, self._in_transit = self._in_transit, {}
+        for (sender, receiver), messages in in_transit.items():
             for message in messages:
                 assert self.nodes[receiver].exchange.receive(self.now, sender, message)
         self.now += STEP
         for name in self.nodes:
-            self.nodes[name].servers.expire(self.now, trusted=self.trusted(name))
+            self.nodes[name].servers.expire(self.now, in_touch=self.in_touch(name))
             self._send(name)
 
     def run(self, time: int) -> None:
-        """Let time pass."""
+        """Advance the time step by step."""
         for _ in range(time // STEP):
             self.step()
 
-    def trusted(self, name: str) -> bool:
-        """Whether a node takes the silence that it observes for everybody's."""
+    def in_touch(self, name: str) -> bool:
+        """Whether a node may take a heartbeat missing here for one missing everywhere."""
         if self.leader:
             return frozenset((name, self.leader)) not in self.cuts
         return not any(name in cut for cut in self.cuts)
 
     def _send(self, name: str) -> None:
         for delivery in self.nodes[name].exchange.take_messages(self.now):
-            self._wire(name, delivery)
+            self._queue(name, delivery)
 
-    def _wire(self, name: str, delivery: PeerMessage) -> None:
+    def _queue(self, name: str, delivery: PeerMessage) -> None:
         self.sent += 1
-        self._wires.setdefault((name, delivery.peer), deque()).append(delivery.message)
+        self._in_transit.setdefault((name, delivery.peer), deque()).append(delivery.message)
 
     def _link_all(self, name: str) -> None:
         for other in self.nodes:
@@ -107,5 +107,5 @@
     def _unlink(self, one: str, other: str) -> None:
         self.nodes[one].exchange.peer_disconnected(other)
         self.nodes[other].exchange.peer_disconnected(one)
-        self._wires.pop((one, other), None)
-        self._wires.pop((other, one), None)
+        self._in_transit.pop((one, other), None)
+        self._in_transit.pop((other, one), None)
--- a/tests/registry/registry_samples.py
+++ b/tests/registry/registry_samples.py
@@ -1,4 +1,4 @@
-"""Servers and gateways for the tests of the registry and of delivery."""
+"""Sample servers and gateways for the tests of registry and delivery."""
 
 from __future__ import annotations
 
--- a/tests/registry/test_peer_exchange.py
+++ b/tests/registry/test_peer_exchange.py
@@ -1,4 +1,4 @@
-"""Control nodes tell one another what they hear."""
+"""Replication of servers and gateways between control nodes."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from registry.control_mesh import STEP, ControlMesh, ControlNode
 from registry.registry_samples import MS, SECOND, SILENCE, draining, gateway, server
 
-from brackenladder.registry.exchange import HEARTBEAT_BATCH_INTERVAL, MOST_RECORDS, SETTLE_TIME, PeerMessage
+from brackenladder.registry.exchange import HEARTBEAT_BATCH_INTERVAL, MAX_RECORDS, SETTLE_TIME, PeerMessage
 from brackenladder.registry.gateways import HeardGateway
 from brackenladder.registry.messages import GatewaysTold, ServersHeard, ServersTold, ServersWanted
 from brackenladder.registry.records import HeardServer, ServerRecord, ServerState
-from brackenladder.registry.registry import DOUBT_LEAD
+from brackenladder.registry.registry import SUSPECT_LEAD
 
 AT = 100 * SECOND
 BEAT = 1200 * MS
@@ -23,8 +23,8 @@
     return [delivery.message for delivery in deliveries]
 
 
-class TellingTest(unittest.TestCase):
-    """One node with one peer that knows all."""
+class ServerExchangeTest(unittest.TestCase):
+    """One node with one connected peer, to which everything known has been sent."""
 
     def setUp(self) -> None:
         self.node = ControlNode(AT)
@@ -32,26 +32,26 @@
         self.node.exchange.peer_connected("b")
         self.first = self.node.exchange.take_messages(AT)
 
-    def test_a_new_peer_is_told_all(self) -> None:
-        told, gateways = messages(self.first)
-        self.assertEqual(told, ServersTold((server(),), (HeardServer("i-1", 1, 0, 1),)))
+    def test_a_new_peer_receives_everything(self) -> None:
+        sent, gateways = messages(self.first)
+        self.assertEqual(sent, ServersTold((server(),), (HeardServer("i-1", 1, 0, 1),)))
         self.assertEqual(gateways, GatewaysTold((), settled=False))
         self.assertEqual(self.node.exchange.take_messages(AT), ())
 
-    def test_a_change_is_told_at_once(self) -> None:
+    def test_a_change_is_sent_at_once(self) -> None:
         self.node.servers.heartbeat(AT + MS, draining(seq=2))
-        (told,) = messages(self.node.exchange.take_messages(AT + MS))
-        self.assertEqual(told, ServersTold((draining(seq=2),), (HeardServer("i-1", 2, 0, 2),)))
+        (sent,) = messages(self.node.exchange.take_messages(AT + MS))
+        self.assertEqual(sent, ServersTold((draining(seq=2),), (HeardServer("i-1", 2, 0, 2),)))
 
-    def test_heartbeats_that_change_nothing_go_in_batches(self) -> None:
+    def test_unchanged_heartbeats_are_sent_in_batches(self) -> None:
         self.node.servers.heartbeat(AT + MS, server(seq=2))
         self.assertEqual(self.node.exchange.take_messages(AT + MS), ())
-        (told,) = messages(self.node.exchange.take_messages(AT + HEARTBEAT_BATCH_INTERVAL))
-        self.assertEqual(told, ServersHeard((HeardServer("i-1", 2, HEARTBEAT_BATCH_INTERVAL - MS, 1),)))
+        (sent,) = messages(self.node.exchange.take_messages(AT + HEARTBEAT_BATCH_INTERVAL))
+        self.assertEqual(sent, ServersHeard((HeardServer("i-1", 2, HEARTBEAT_BATCH_INTERVAL - MS, 1),)))
         self.assertEqual(self.node.exchange.take_messages(AT + 2 * HEARTBEAT_BATCH_INTERVAL), ())
 
-    def test_peers_are_asked_once_before_a_server_ends(self) -> None:
-        asked_at = AT + SILENCE - DOUBT_LEAD + 1
+    def test_peers_are_asked_once_before_a_server_times_out(self) -> None:
+        asked_at = AT + SILENCE - SUSPECT_LEAD + 1
         self.assertEqual(self.node.exchange.take_messages(asked_at - 1), ())
         self.assertEqual(messages(self.node.exchange.take_messages(asked_at)), [ServersWanted(("i-1",))])
         self.assertEqual(self.node.exchange.take_messages(asked_at + MS), ())
@@ -60,53 +60,53 @@
         again = self.node.exchange.take_messages(asked_at + MS + SILENCE)
         self.assertEqual(messages(again), [ServersWanted(("i-1",))])
 
-    def test_what_peers_told_is_not_passed_on(self) -> None:
+    def test_records_of_peers_are_not_forwarded(self) -> None:
         self.node.exchange.receive(AT, "c", ServersTold((server("i-2"),)))
         self.assertEqual(self.node.exchange.take_messages(AT + SECOND), ())
 
-    def test_a_statement_that_is_not_known_is_asked_for(self) -> None:
+    def test_an_unknown_record_is_requested(self) -> None:
         self.node.exchange.receive(AT, "b", ServersHeard((HeardServer("i-2", 4, 0, 1),)))
         self.assertEqual(self.node.exchange.take_messages(AT), (PeerMessage("b", ServersWanted(("i-2",))),))
 
-    def test_it_answers_what_it_is_asked_for(self) -> None:
+    def test_requested_records_are_sent(self) -> None:
         self.node.exchange.receive(AT, "b", ServersWanted(("i-1", "i-9")))
-        (told,) = messages(self.node.exchange.take_messages(AT))
-        self.assertEqual(told, ServersTold((server(),), (HeardServer("i-1", 1, 0, 1),)))
+        (sent,) = messages(self.node.exchange.take_messages(AT))
+        self.assertEqual(sent, ServersTold((server(),), (HeardServer("i-1", 1, 0, 1),)))
 
-    def test_a_peer_that_is_behind_is_put_right(self) -> None:
+    def test_a_peer_with_an_older_record_is_corrected(self) -> None:
         self.node.servers.heartbeat(AT, draining(seq=5))
         self.node.exchange.take_messages(AT)
         self.node.exchange.receive(AT, "b", ServersTold((server(seq=2),)))
-        (told,) = messages(self.node.exchange.take_messages(AT))
-        self.assertEqual(told.records, (draining(seq=5),))
+        (sent,) = messages(self.node.exchange.take_messages(AT))
+        self.assertEqual(sent.records, (draining(seq=5),))
 
-    def test_nothing_is_kept_for_a_lost_peer(self) -> None:
+    def test_pending_replies_of_a_disconnected_peer_are_dropped(self) -> None:
         self.node.exchange.receive(AT, "b", ServersWanted(("i-1",)))
         self.node.exchange.peer_disconnected("b")
         self.assertEqual(self.node.exchange.take_messages(AT + SECOND), ())
 
-    def test_long_news_come_in_parts(self) -> None:
+    def test_long_updates_are_split(self) -> None:
         node = ControlNode(AT)
-        for number in range(MOST_RECORDS + 1):
+        for number in range(MAX_RECORDS + 1):
             node.servers.heartbeat(AT, server(f"i-{number}"))
         node.exchange.peer_connected("b")
-        told = [one for one in messages(node.exchange.take_messages(AT)) if isinstance(one, ServersTold)]
-        self.assertEqual([len(one.records) for one in told], [MOST_RECORDS, 1])
+        sent = [one for one in messages(node.exchange.take_messages(AT)) if isinstance(one, ServersTold)]
+        self.assertEqual([len(one.records) for one in sent], [MAX_RECORDS, 1])
 
-    def test_other_messages_are_refused(self) -> None:
+    def test_other_message_types_are_refused(self) -> None:
         self.assertFalse(self.node.exchange.receive(AT, "b", object()))
 
 
-class GatewayNewsTest(unittest.TestCase):
+class GatewayExchangeTest(unittest.TestCase):
     def setUp(self) -> None:
         self.node = ControlNode(AT)
         self.node.exchange.peer_connected("b")
         self.node.exchange.take_messages(AT)
 
-    def test_a_change_is_told_at_once_and_the_rest_each_second(self) -> None:
+    def test_a_change_is_sent_at_once_and_the_rest_each_second(self) -> None:
         self.node.gateways.record_presence(AT, gateway(seq=1))
-        told = GatewaysTold((HeardGateway(gateway(seq=1), 0),))
-        self.assertEqual(messages(self.node.exchange.take_messages(AT)), [told])
+        sent = GatewaysTold((HeardGateway(gateway(seq=1), 0),))
+        self.assertEqual(messages(self.node.exchange.take_messages(AT)), [sent])
         self.node.gateways.record_presence(AT, gateway(seq=2))
         self.assertEqual(self.node.exchange.take_messages(AT), ())
         (batch,) = messages(self.node.exchange.take_messages(AT + SECOND))
@@ -119,14 +119,14 @@
         self.assertFalse(node.exchange.settled(AT + SETTLE_TIME - 1))
         self.assertTrue(node.exchange.settled(AT + SETTLE_TIME))
 
-    def test_or_once_a_peer_that_knows_them_has_told_all(self) -> None:
+    def test_or_once_a_settled_peer_has_sent_everything(self) -> None:
         node = ControlNode(AT)
         node.exchange.receive(AT, "b", GatewaysTold((), settled=False))
         self.assertFalse(node.exchange.settled(AT))
         node.exchange.receive(AT, "b", GatewaysTold((), settled=True))
         self.assertTrue(node.exchange.settled(AT))
 
-    def test_two_that_start_at_once_do_not_take_each_others_word(self) -> None:
+    def test_two_nodes_that_start_together_do_not_settle_each_other(self) -> None:
         mesh = ControlMesh("ab")
         mesh.run(SECOND)
         self.assertFalse(mesh.nodes["a"].exchange.settled(mesh.now))
@@ -137,56 +137,56 @@
 
 
 class MeshTest(unittest.TestCase):
-    """Three nodes, a server that calls one of them."""
+    """Three nodes, and a server that sends its heartbeats to one of them."""
 
     def setUp(self) -> None:
         self.mesh = ControlMesh()
         self.seq = 0
 
-    def beat_for(self, time: int, name: str = "a") -> None:
+    def send_heartbeats(self, time: int, name: str = "a") -> None:
         end = self.mesh.now + time
         while self.mesh.now < end:
             self.seq += 1
             self.mesh.heartbeat(name, server(seq=self.seq))
             self.mesh.run(BEAT)
 
-    def everywhere(self, state: ServerState) -> None:
+    def assert_state_everywhere(self, state: ServerState) -> None:
         for name, node in self.mesh.nodes.items():
             self.assertEqual(node.states(self.mesh.now), {"i-1": state}, name)
 
-    def test_a_server_that_calls_one_node_lives_on_all(self) -> None:
-        self.beat_for(30 * SECOND)
-        self.everywhere(ServerState.READY)
+    def test_heartbeats_to_one_node_keep_a_server_alive_on_all(self) -> None:
+        self.send_heartbeats(30 * SECOND)
+        self.assert_state_everywhere(ServerState.READY)
 
     def test_a_change_is_known_everywhere_one_step_later(self) -> None:
-        self.beat_for(3 * SECOND)
+        self.send_heartbeats(3 * SECOND)
         self.mesh.heartbeat("b", draining(seq=self.seq + 1))
         self.mesh.step()
-        self.everywhere(ServerState.DRAINING)
+        self.assert_state_everywhere(ServerState.DRAINING)
 
-    def test_a_server_that_falls_silent_ends_everywhere(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_a_silent_server_times_out_everywhere(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.run(6 * SECOND)
-        self.everywhere(ServerState.GONE)
+        self.assert_state_everywhere(ServerState.GONE)
 
-    def test_a_server_may_change_the_node_that_it_calls(self) -> None:
+    def test_a_server_may_change_the_node_that_receives_its_heartbeats(self) -> None:
         for name in "abcabc":
-            self.beat_for(2 * SECOND, name)
-        self.everywhere(ServerState.READY)
+            self.send_heartbeats(2 * SECOND, name)
+        self.assert_state_everywhere(ServerState.READY)
 
-    def test_a_node_that_is_cut_off_keeps_what_it_knew(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_a_node_without_links_keeps_its_servers(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.cut("a", "c")
         self.mesh.cut("b", "c")
-        self.beat_for(20 * SECOND)
-        self.everywhere(ServerState.READY)
+        self.send_heartbeats(20 * SECOND)
+        self.assert_state_everywhere(ServerState.READY)
         self.mesh.heal("a", "c")
         self.mesh.heal("b", "c")
-        self.beat_for(20 * SECOND)
-        self.everywhere(ServerState.READY)
+        self.send_heartbeats(20 * SECOND)
+        self.assert_state_everywhere(ServerState.READY)
 
-    def test_what_ended_during_a_cut_ends_after_it(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_a_deregistration_during_a_cut_arrives_after_it(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.cut("a", "c")
         self.mesh.cut("b", "c")
         self.mesh.nodes["a"].servers.deregister(self.mesh.now, "i-1")
@@ -194,33 +194,33 @@
         self.assertEqual(self.mesh.nodes["c"].states(self.mesh.now), {"i-1": ServerState.READY})
         self.mesh.heal("a", "c")
         self.mesh.run(SECOND)
-        self.everywhere(ServerState.GONE)
+        self.assert_state_everywhere(ServerState.GONE)
 
-    def test_a_node_that_restarts_learns_all_and_ends_nobody(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_a_restarted_node_learns_all_servers_and_times_out_none(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.restart("a")
         self.mesh.step()
         self.mesh.step()
-        self.everywhere(ServerState.READY)
-        self.beat_for(20 * SECOND, "b")
-        self.everywhere(ServerState.READY)
+        self.assert_state_everywhere(ServerState.READY)
+        self.send_heartbeats(20 * SECOND, "b")
+        self.assert_state_everywhere(ServerState.READY)
 
-    def test_a_revived_server_is_revived_everywhere(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_a_heartbeat_revives_a_server_everywhere(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.run(6 * SECOND)
-        self.beat_for(3 * SECOND, "b")
-        self.everywhere(ServerState.READY)
+        self.send_heartbeats(3 * SECOND, "b")
+        self.assert_state_everywhere(ServerState.READY)
 
-    def test_a_restarted_node_is_told_of_ends(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_a_restarted_node_receives_tombstones(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.nodes["a"].servers.deregister(self.mesh.now, "i-1")
         self.mesh.run(SECOND)
         self.mesh.restart("c")
         self.mesh.run(SECOND)
-        self.everywhere(ServerState.GONE)
+        self.assert_state_everywhere(ServerState.GONE)
 
-    def test_nodes_that_agree_fall_silent(self) -> None:
-        self.beat_for(5 * SECOND)
+    def test_nodes_that_agree_send_nothing(self) -> None:
+        self.send_heartbeats(5 * SECOND)
         self.mesh.run(10 * SECOND)
         before = self.mesh.sent
         self.mesh.run(10 * SECOND)
@@ -228,7 +228,7 @@
 
 
 class PartialCutTest(unittest.TestCase):
-    """Two nodes are cut from each other, but both hear the leader."""
+    """Two nodes have no link to each other, but both are linked to the leader."""
 
     def setUp(self) -> None:
         self.mesh = ControlMesh("abc", leader="a")
@@ -237,7 +237,7 @@
         self.mesh.step()
         self.mesh.cut("b", "c")
 
-    def test_a_server_that_only_one_of_them_hears_lives_on_all(self) -> None:
+    def test_heartbeats_to_one_of_them_keep_a_server_alive_on_all(self) -> None:
         for seq in range(1, 30):
             self.mesh.heartbeat("c", server(seq=seq))
             for _ in range(BEAT // STEP):
@@ -245,13 +245,13 @@
                 for name, node in self.mesh.nodes.items():
                     self.assertEqual(node.states(self.mesh.now), {"i-1": ServerState.READY}, name)
 
-    def test_once_it_is_silent_it_ends_on_all(self) -> None:
+    def test_once_it_is_silent_it_times_out_on_all(self) -> None:
         self.mesh.heartbeat("c", server(seq=1))
         self.mesh.run(SILENCE + SECOND)
         for name, node in self.mesh.nodes.items():
             self.assertEqual(node.states(self.mesh.now), {"i-1": ServerState.GONE}, name)
 
-    def test_a_server_that_drains_is_known_to_drain(self) -> None:
+    def test_draining_becomes_known_to_the_other_one(self) -> None:
         self.mesh.heartbeat("c", draining(seq=1))
         self.mesh.run(SILENCE)
         node = self.mesh.nodes["b"]
@@ -272,15 +272,15 @@
 
 
 class ConvergenceTest(unittest.TestCase):
-    """Whatever happened: once connected, all nodes know who lives, and what it says, and nobody else.
+    """After any sequence of events, connected nodes agree on the live servers and on their state.
 
-    What a node missed of a server it learns at the latest by the next heartbeat that anybody hears; of one
-    that has ended by the silence. So the servers that live go on with their heartbeats here.
+    A node learns what it missed about a server at the latest with the next heartbeat that any node receives,
+    or, if the server has ended, by its timeout. The test therefore keeps sending heartbeats of live servers.
     """
 
     @settings(max_examples=150, deadline=None)
     @given(EVENTS)
-    def test_connected_nodes_know_who_lives(self, events: list[tuple[str, str, str]]) -> None:
+    def test_connected_nodes_agree_on_live_servers(self, events: list[tuple[str, str, str]]) -> None:
         self.mesh = ControlMesh()
         self.seqs = {"i-1": 0, "i-2": 0}
         self.ended: set[str] = set()
@@ -319,7 +319,7 @@
             self.mesh.heartbeat(name, self._newest(server_id))
 
     def _newest(self, server_id: str) -> ServerRecord:
-        """What a server says: it drains from its fourth heartbeat on."""
+        """The newest record of a server, which drains from its fourth heartbeat on."""
         seq = self.seqs[server_id]
         return server(server_id, seq) if seq < 4 else draining(server_id, seq)
 
--- a/tests/registry/test_resolve.py
+++ b/tests/registry/test_resolve.py
@@ -1,4 +1,4 @@
-"""Which gateways a client is sent to."""
+"""The choice of gateways for a client."""
 
 from __future__ import annotations
 
@@ -34,57 +34,59 @@
     return ClientLocation(host, region, zone)
 
 
-def nodes(offer: ResolvedGateways) -> list[str]:
-    return [address.split(":")[0] for address in offer.addresses]
+def node_names(resolved: ResolvedGateways) -> list[str]:
+    return [address.split(":")[0] for address in resolved.addresses]
 
 
 class ResolveTest(unittest.TestCase):
-    def test_those_of_the_zone(self) -> None:
+    def test_gateways_of_the_zone_come_first(self) -> None:
         self.assertEqual(
-            nodes(resolve([C1, B1, A2, A1], client("north", "hall-a"), everywhere)), ["a1", "a2"]
+            node_names(resolve([C1, B1, A2, A1], client("north", "hall-a"), everywhere)), ["a1", "a2"]
         )
 
-    def test_else_those_of_the_region(self) -> None:
-        self.assertEqual(nodes(resolve([C1, B1, A1], client("north", "hall-x"), everywhere)), ["a1", "b1"])
+    def test_then_gateways_of_the_region(self) -> None:
+        self.assertEqual(
+            node_names(resolve([C1, B1, A1], client("north", "hall-x"), everywhere)), ["a1", "b1"]
+        )
 
-    def test_else_all(self) -> None:
+    def test_then_all_gateways(self) -> None:
         self.assertEqual(
-            nodes(resolve([C1, B1, A1], client("east", "hall-x"), everywhere)), ["a1", "b1", "c1"]
+            node_names(resolve([C1, B1, A1], client("east", "hall-x"), everywhere)), ["a1", "b1", "c1"]
         )
 
-    def test_of_other_regions_the_permitted_ones_only(self) -> None:
-        offer = resolve([C1, B1, A1], client("east", "hall-x"), lambda region: region == "south")
-        self.assertEqual((nodes(offer), offer.regions), (["c1"], {"south"}))
+    def test_only_permitted_other_regions_are_used(self) -> None:
+        resolved = resolve([C1, B1, A1], client("east", "hall-x"), lambda region: region == "south")
+        self.assertEqual((node_names(resolved), resolved.regions), (["c1"], {"south"}))
 
-    def test_nobody_where_no_region_is_permitted(self) -> None:
+    def test_no_gateways_if_no_region_is_permitted(self) -> None:
         self.assertEqual(resolve([C1, B1], client("east", "hall-x"), nowhere), NO_GATEWAYS)
 
     def test_the_own_region_needs_no_permission(self) -> None:
-        self.assertEqual(nodes(resolve([C1, B1], client("north", "hall-a"), nowhere)), ["b1"])
+        self.assertEqual(node_names(resolve([C1, B1], client("north", "hall-a"), nowhere)), ["b1"])
 
-    def test_near_are_those_of_the_region(self) -> None:
+    def test_in_client_region(self) -> None:
         self.assertTrue(resolve([C1, B1], client("north", "hall-b"), everywhere).in_client_region)
         self.assertTrue(resolve([C1, B1], client("north", "hall-x"), everywhere).in_client_region)
         self.assertFalse(resolve([C1, B1], client("east", "hall-x"), everywhere).in_client_region)
 
-    def test_how_far_they_are(self) -> None:
+    def test_proximity(self) -> None:
         self.assertIs(resolve([C1, B1], client("north", "hall-b"), everywhere).proximity, Proximity.ZONE)
         self.assertIs(resolve([C1, B1], client("north", "hall-x"), everywhere).proximity, Proximity.REGION)
         self.assertIs(resolve([C1, B1], client("east", "hall-x"), everywhere).proximity, Proximity.ELSEWHERE)
         self.assertIs(resolve([], client("east", "hall-x"), everywhere).proximity, Proximity.NOWHERE)
 
-    def test_only_ready_ones(self) -> None:
+    def test_only_ready_gateways(self) -> None:
         leaving = gateway("a3", state=GatewayState.LEAVING)
         starting = gateway("a4", state=GatewayState.STARTING)
         self.assertEqual(
-            nodes(resolve([leaving, starting, B1], client("north", "hall-a"), everywhere)), ["b1"]
+            node_names(resolve([leaving, starting, B1], client("north", "hall-a"), everywhere)), ["b1"]
         )
         self.assertEqual(
             resolve([leaving, starting], client("north", "hall-a"), everywhere).addresses,
             NO_GATEWAYS.addresses,
         )
 
-    def test_no_more_than_the_limit_and_all_in_turn(self) -> None:
+    def test_the_limit_and_rotation_by_offset(self) -> None:
         many = [gateway(f"n{number:03}") for number in range(100)]
         first = resolve(many, client("north", "hall-a"), everywhere).addresses
         second = resolve(many, client("north", "hall-a"), everywhere, offset=MAX_ADDRESSES).addresses
--- a/tests/registry/test_server_merging.py
+++ b/tests/registry/test_server_merging.py
@@ -1,4 +1,4 @@
-"""Merging does not depend on the order in which records come, nor on how often they come."""
+"""Merging gives the same result in whatever order records arrive, and when they arrive repeatedly."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 IDS = ("i-1", "i-2")
 
 
-def stated(server_id: str, seq: int) -> ServerRecord:
-    """What a server states with a `seq`: the same whoever tells it. It drains from 6 on."""
+def record_at(server_id: str, seq: int) -> ServerRecord:
+    """The record of a server at a `seq`, the same from every node; the server drains from `seq` 6 on."""
     return server(server_id, seq) if seq < 6 else draining(server_id, seq)
 
 
-def evidence(server_id: str, seq: int) -> HeardServer:
-    """A heartbeat of such a server, as a node tells that knows when it last said something else."""
+def heartbeat_at(server_id: str, seq: int) -> HeardServer:
+    """A heartbeat of such a server, with the `seq` at which its record last changed."""
     return HeardServer(server_id, seq, age=0, changed_seq=0 if seq < 6 else 6)
 
 
 SEQS = st.integers(min_value=0, max_value=10)
-STATEMENTS = st.builds(stated, st.sampled_from(IDS), SEQS)
-SILENCES = st.builds(silent, st.sampled_from(IDS), SEQS)
-ENDS = st.builds(deregistered, st.sampled_from(IDS), SEQS)
-EVIDENCE = st.builds(evidence, st.sampled_from(IDS), SEQS)
-RECORDS = st.lists(st.one_of(STATEMENTS, SILENCES, ENDS), max_size=12)
-NEWS = st.lists(st.one_of(STATEMENTS, STATEMENTS, SILENCES, EVIDENCE), max_size=12)
+LIVE_RECORDS = st.builds(record_at, st.sampled_from(IDS), SEQS)
+EXPIRED_RECORDS = st.builds(silent, st.sampled_from(IDS), SEQS)
+DEREGISTERED_RECORDS = st.builds(deregistered, st.sampled_from(IDS), SEQS)
+HEARTBEATS = st.builds(heartbeat_at, st.sampled_from(IDS), SEQS)
+RECORDS = st.lists(st.one_of(LIVE_RECORDS, EXPIRED_RECORDS, DEREGISTERED_RECORDS), max_size=12)
+UPDATES = st.lists(st.one_of(LIVE_RECORDS, LIVE_RECORDS, EXPIRED_RECORDS, HEARTBEATS), max_size=12)
 
 
-def shown(registry: ServerRegistry) -> dict[str, tuple[ServerState, int]]:
-    """What can be seen of a registry's servers; a final end has no seq of its own."""
+def visible_state(registry: ServerRegistry) -> dict[str, tuple[ServerState, int]]:
+    """State and seq of each server in a registry; seq counts as 0 for a final end, where it may differ."""
     return {
         record.id: (
             record.state,
@@ -57,32 +57,32 @@
     def test_any_order_gives_the_same(self, records: list[ServerRecord], random: object) -> None:
         shuffled = list(records)
         random.shuffle(shuffled)  # type: ignore[attr-defined]
-        self.assertEqual(shown(merged(records)), shown(merged(shuffled)))
+        self.assertEqual(visible_state(merged(records)), visible_state(merged(shuffled)))
 
     @given(RECORDS)
-    def test_twice_is_once(self, records: list[ServerRecord]) -> None:
+    def test_merging_twice_changes_nothing(self, records: list[ServerRecord]) -> None:
         once = merged(records)
         version = once.version
-        before = shown(once)
+        before = visible_state(once)
         refuted = [record for record in records if once.newer_records(NOW, [record])]
         changed = once.merge(NOW, records)
-        self.assertEqual(shown(once), before)
+        self.assertEqual(visible_state(once), before)
         self.assertLessEqual(len(changed), len(refuted))
         self.assertLessEqual(once.version - version, len(refuted))
 
     @given(RECORDS, RECORDS)
-    def test_two_nodes_that_tell_each_other_agree(
+    def test_two_nodes_that_exchange_records_agree(
         self, here: list[ServerRecord], there: list[ServerRecord]
     ) -> None:
         one, other = merged(here), merged(there)
         told = one.records(NOW)
         one.merge(NOW, other.records(NOW))
         other.merge(NOW, told)
-        self.assertEqual(shown(one), shown(other))
+        self.assertEqual(visible_state(one), visible_state(other))
 
     @given(RECORDS)
-    def test_the_newest_statement_holds_unless_it_ended(self, records: list[ServerRecord]) -> None:
-        view = shown(merged(records))
+    def test_the_newest_record_holds_unless_the_server_ended(self, records: list[ServerRecord]) -> None:
+        view = visible_state(merged(records))
         for server_id in IDS:
             own = [record for record in records if record.id == server_id]
             alive = [record.seq for record in own if record.state is not ServerState.GONE]
@@ -90,31 +90,31 @@
             if any(record.state is ServerState.GONE and not record.expired for record in own):
                 self.assertEqual(view[server_id][0], ServerState.GONE)
             elif alive and max(alive) > max(ended, default=-1):
-                self.assertEqual(view[server_id], (stated(server_id, max(alive)).state, max(alive)))
+                self.assertEqual(view[server_id], (record_at(server_id, max(alive)).state, max(alive)))
             elif ended:
                 self.assertEqual(view[server_id], (ServerState.GONE, max(ended)))
 
 
-class EvidenceOrderTest(unittest.TestCase):
-    @given(NEWS, st.randoms(use_true_random=False))
-    def test_with_what_was_asked_for_any_order_gives_the_same_state(
-        self, news: list[ServerRecord | HeardServer], random: object
+class HeartbeatOrderTest(unittest.TestCase):
+    @given(UPDATES, st.randoms(use_true_random=False))
+    def test_with_requested_records_any_order_gives_the_same_state(
+        self, updates: list[ServerRecord | HeardServer], random: object
     ) -> None:
-        shuffled = list(news)
+        shuffled = list(updates)
         random.shuffle(shuffled)  # type: ignore[attr-defined]
-        self.assertEqual(self._states(news), self._states(shuffled))
+        self.assertEqual(self._states(updates), self._states(shuffled))
 
-    @given(NEWS)
-    def test_old_words_are_never_passed_on_as_newer(self, news: list[ServerRecord | HeardServer]) -> None:
+    @given(UPDATES)
+    def test_an_old_record_never_gets_a_newer_seq(self, updates: list[ServerRecord | HeardServer]) -> None:
         registry = ServerRegistry(SILENCE)
-        for one in news:
+        for one in updates:
             self._take(registry, one, answer=False)
         for record in registry.alive(NOW):
-            self.assertEqual(record.state, stated(record.id, record.seq).state)
+            self.assertEqual(record.state, record_at(record.id, record.seq).state)
 
-    def _states(self, news: list[ServerRecord | HeardServer]) -> dict[str, ServerState]:
+    def _states(self, updates: list[ServerRecord | HeardServer]) -> dict[str, ServerState]:
         registry = ServerRegistry(SILENCE)
-        for one in news:
+        for one in updates:
             self._take(registry, one, answer=True)
         return {record.id: record.state for record in registry.records(NOW)}
 
@@ -124,4 +124,4 @@
             return
         wanted = registry.merge_heartbeats(NOW, [one])
         if answer and wanted:
-            registry.merge(NOW, [stated(one.id, one.seq)])
+            registry.merge(NOW, [record_at(one.id, one.seq)])
