--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -1,6 +1,6 @@
 """The servers that a node knows, from heartbeats that it received itself and from records of other nodes.
 
-Records are merged by id; the highest sequence number wins. A server expiry_times when it deregisters, which is final,
+Records are merged by id; the highest sequence number wins. A server ends when it deregisters, which is final,
 or when no node has received a heartbeat for a while, which a later heartbeat undoes. An unknown server is not
 reported at all, so a node that has just started does not declare servers gone.
 """
@@ -252,9 +252,9 @@
         """Return the servers that have timed out; scans all entries only if one may have."""
         if now < self._expiry_check_at:
             return []
-        expiry_times = [(self._expires_after(entry, self._settled), entry) for entry in self._entries.values()]
-        self._expiry_check_at = min((after for after, _ in expiry_times if after >= now), default=FOREVER)
-        return [entry for after, entry in expiry_times if now > after]
+        expiries = [(self._expires_after(entry, self._settled), entry) for entry in self._entries.values()]
+        self._expiry_check_at = min((after for after, _ in expiries if after >= now), default=FOREVER)
+        return [entry for after, entry in expiries if now > after]
 
     def _expires_after(self, entry: ServerEntry, settled: bool) -> int:
         """The time after which a server without a further heartbeat is gone."""
