--- a/brackenladder/delivery/__init__.py
+++ b/brackenladder/delivery/__init__.py
@@ -1,1 +1,1 @@
-"""Telling gateways what the control nodes know, and control nodes what their peers know; no I/O, no clock."""
+"""Delivery of configuration and server lists from control nodes to gateways; no I/O, no clock."""
--- a/brackenladder/delivery/documents.py
+++ b/brackenladder/delivery/documents.py
@@ -1,4 +1,4 @@
-"""The configuration document on its way: compressing it, and parsing it once however often it is told."""
+"""Compression of the configuration document, and parsing it once even if several control nodes send it."""
 
 from __future__ import annotations
 
@@ -21,40 +21,40 @@
 
 @frozen
 class PackedDocument:
-    """A document as it is sent."""
+    """A document in the form in which it is sent."""
 
     data: bytes = b""
     compressed: bool = False
 
 
 def pack(document: bytes) -> PackedDocument:
-    """Compress a document if it is long."""
+    """Compress a document that is longer than `COMPRESS_ABOVE`."""
     if len(document) <= COMPRESS_ABOVE:
         return PackedDocument(document)
     return PackedDocument(zlib.compress(document), compressed=True)
 
 
 def parse_document(document: bytes) -> Result[Configuration, object]:
-    """Parse a document as the catalog holds it."""
+    """Parse a configuration document."""
     from brackenladder.catalog.configuration import parse_configuration
 
     return parse_configuration(document)
 
 
 class CatalogReader:
-    """Turns updates into configurations; keeps the newest one."""
+    """Parses the documents of catalog updates; keeps the newest configuration."""
 
     def __init__(self, parse: DocumentParser = parse_document) -> None:
         self.configuration: Configuration | None = None
-        self.unreadable_revision = 0  # the newest whose document could not be parsed; 0: none
+        self.unreadable_revision = 0  # the newest revision whose document could not be parsed; 0: none
         self._parse = parse
-        self._revision = 0  # of the newest update that was read
+        self._revision = 0  # revision of the newest update that was read
 
     def read(self, update: CatalogUpdate) -> bool:
-        """Take a newer update; False if it leaves out a document that is not here.
+        """Read a newer update; False if it omits a document that is not known here.
 
-        A document that cannot be parsed, which only a newer program would send, leaves the configuration as
-        it was: what else the update tells still holds.
+        A document that cannot be parsed, which only a newer program version would send, leaves the
+        configuration unchanged; the rest of the update still applies.
         """
         if update.document_revision > self._revision:
             if not update.document:
--- a/brackenladder/delivery/gateway_count.py
+++ b/brackenladder/delivery/gateway_count.py
@@ -1,10 +1,10 @@
-"""The highest number of gateways that any control node told lately."""
+"""The highest number of gateways that any control node reported recently."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
-HOLD_TIME = 20_000_000  # microseconds that a number holds after it was replaced by a lower one
+HOLD_TIME = 20_000_000  # microseconds for which a number still counts after a lower one replaced it
 
 
 @frozen
@@ -14,33 +14,36 @@
 
 
 class HighestCount:
-    """Rises at once and falls late, so that parts of a shared sum never add up to more than the sum."""
+    """The number of gateways among which shared limits are divided.
+
+    It rises at once and falls with a delay, so that the shares of all gateways never exceed the limit.
+    """
 
     def __init__(self) -> None:
-        self._told: dict[str, int] = {}  # by control node, while it is connected
+        self._reported: dict[str, int] = {}  # by control node, while it is connected
         self._held: list[_Held] = []
         self._last = 1
-        self.known = False  # a control node has told it that had heard all
+        self.known = False  # a control node that knew of all gateways has reported the number
 
-    def told(self, now: int, control_node: str, number: int, settled: bool = True) -> None:
-        """Take the number that a connected control node tells; not `settled`: there may be more."""
+    def report(self, now: int, control_node: str, number: int, settled: bool = True) -> None:
+        """Take the number that a connected control node reports; not `settled`: there may be more."""
         self.known = self.known or settled
-        before = self._told.get(control_node, 0)
+        before = self._reported.get(control_node, 0)
         if before > number:
             self._held.append(_Held(before, now + HOLD_TIME))
-        self._told[control_node] = number
+        self._reported[control_node] = number
 
-    def lost(self, now: int, control_node: str) -> None:
-        """A control node is no longer connected: its number holds for a while."""
-        number = self._told.pop(control_node, 0)
+    def disconnected(self, now: int, control_node: str) -> None:
+        """Handle a lost control node: its number still counts for `HOLD_TIME`."""
+        number = self._reported.pop(control_node, 0)
         if number:
             self._held.append(_Held(number, now + HOLD_TIME))
 
     def highest(self, now: int) -> int:
-        """The number to count with; with no control node connected it stays as it was."""
-        if not self._told:
+        """Return the number to use; while no control node is connected it stays as it was."""
+        if not self._reported:
             return self._last
         self._held = [held for held in self._held if held.until > now]
         held = (one.number for one in self._held)
-        self._last = max(1, *self._told.values(), *held)
+        self._last = max(1, *self._reported.values(), *held)
         return self._last
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -1,4 +1,4 @@
-"""What gateways and control nodes tell one another; the types of all messages of delivery and registry."""
+"""Messages between gateways and control nodes, and the list of all message types of delivery and registry."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from brackenladder.registry.messages import GatewaysTold, ServersHeard, ServersTold, ServersWanted
 from brackenladder.registry.records import ServerRecord
 
-UNKNOWN_AGE = 1 << 62  # microseconds: the leader was never heard
-FRESH_AGE = 1_000_000  # microseconds since contact with the leader up to which a control node's word is fresh
+UNKNOWN_AGE = 1 << 62  # microseconds; there was no contact with the leader yet
+FRESH_AGE = 1_000_000  # microseconds since leader contact up to which a control node's data counts as fresh
 
 
 class UpdateKind(IntEnum):
-    """What a control node keeps a gateway informed of; of each kind one update is in flight at a time."""
+    """The kinds of updates for gateways; of each kind, one update is in flight at a time."""
 
     CATALOG = 0
     SERVERS = 1
@@ -26,7 +26,7 @@
 
 @frozen
 class Subscribe:
-    """A gateway's presence: the first one on a link asks for updates, later ones say that it lives."""
+    """A gateway's presence message: the first one on a link subscribes, later ones show that it is alive."""
 
     node: str
     incarnation: int
@@ -35,12 +35,12 @@
     region: str
     state: GatewayState
     seq: int
-    have_revision: int = 0  # of the catalog that the gateway has
-    relay: bool = False  # this control node is to relay prefix notices to and from the gateway
+    have_revision: int = 0  # revision of the catalog that the gateway has
+    relay: bool = False  # the receiver is the nearest control node and relays prefix notices for the gateway
 
     @property
     def gateway(self) -> GatewayRecord:
-        """The presence as the gateway registry takes it."""
+        """The message as a record for the gateway registry."""
         return GatewayRecord(
             node=self.node,
             front_address=self.front_address,
@@ -54,10 +54,10 @@
 
 @frozen
 class Ack:
-    """A gateway has taken an update, or could not (`taken` is False): it then needs the whole."""
+    """Acknowledges an update; with `taken` False the gateway could not apply it and needs a full one."""
 
     kind: UpdateKind
-    number: int  # the update's `revision` or `sequence`
+    number: int  # `revision` or `sequence` of the update
     taken: bool = True
 
 
@@ -65,20 +65,20 @@
 class CatalogUpdate:
     """The newest configuration and the evacuated zones.
 
-    `document` is left out where the gateway has it: the configuration last changed at `document_revision`.
+    `document` is empty if the gateway already has it, that is, has at least `document_revision`.
     """
 
     revision: int  # log index of the last change; 0: there was none
-    document_revision: int
+    document_revision: int  # revision at which the document last changed
     document: bytes = b""
-    compressed: bool = False  # by zlib
+    compressed: bool = False  # with zlib
     evacuated: tuple[str, ...] = ()
-    leader_contact_age: int = UNKNOWN_AGE  # microseconds, as of when it is told
+    leader_contact_age: int = UNKNOWN_AGE  # microseconds, at the time of sending
 
 
 @frozen
 class CatalogChange:
-    """The orders that lead from one revision to another, for a gateway that has the first."""
+    """The commands that lead from one revision to another, for a gateway that has the first."""
 
     from_revision: int
     to_revision: int
@@ -88,7 +88,7 @@
 
 @frozen
 class ServersUpdate:
-    """Servers that changed, or all of them (`full`), tombstones included. A long one comes in parts."""
+    """Servers that changed, or all of them (`full`), including tombstones. A long update is sent in parts."""
 
     sequence: int
     full: bool
@@ -100,27 +100,27 @@
 
 @frozen
 class Freshness:
-    """How long ago the control node had contact with the leader; told when it becomes fresh or stale."""
+    """Time since the control node's last leader contact; sent when its data becomes fresh or stale."""
 
     leader_contact_age: int
 
 
 @frozen
 class ControlNodes:
-    """Where the control nodes listen for other nodes."""
+    """The addresses at which control nodes accept connections from other nodes."""
 
     revision: int
     addresses: tuple[str, ...]  # "ip:port"
-    zones: tuple[str, ...] = ()  # of the addresses; empty where the sender does not know
+    zones: tuple[str, ...] = ()  # by address; empty if the sender does not know them
 
 
 @frozen
 class GatewayCount:
-    """How many gateways live, as the control node knows."""
+    """The number of live gateways known to the control node."""
 
     sequence: int
     number: int
-    settled: bool = True  # False: the control node has just started and may not have heard all of them
+    settled: bool = True  # False: the control node has just started and may not know all of them yet
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -1,75 +1,78 @@
-"""Servers that no connected control node tells any more, without a word of their end."""
+"""Servers that all connected control nodes omit from their lists, although none reported their end."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-DISOWNED_TIME = 10_000_000  # microseconds, if one of the control nodes had told the server before
-UNTOLD_TIME = 60_000_000  # microseconds, if only others had
+# Microseconds after which an omitted server is removed:
+RETRACTED_TIMEOUT = 10_000_000  # if one of the control nodes that omit it had listed it before
+OMITTED_TIMEOUT = 60_000_000  # otherwise
 
 
 class OmittedServers:
-    """Decides when a server that is merely left out counts as gone.
+    """Decides when a server counts as gone because control nodes omit it from their lists.
 
-    A control node that restarts has lost what it knew; its first full update leaves out whatever has not been
-    heard since. The server is given up only once every connected control node has left it out for long.
+    A control node that restarts has lost its state; its first full update omits every server without a
+    heartbeat since. A server is removed only after all connected control nodes have omitted it for some time.
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, set[str]] = {}  # by connected control node that told all it knows
-        self._told_before: dict[str, set[str]] = {}  # by control node, what it had told when it was lost
-        self._disowned: set[str] = set()
-        self._missing_since: dict[str, int] = {}
+        self._lists: dict[str, set[str]] = {}  # by connected control node that has sent a full update
+        self._last_lists: dict[str, set[str]] = {}  # by control node, its list when the link was lost
+        self._retracted: set[str] = set()  # omitted by a control node that had listed them before
+        self._missing_since: dict[str, int] = {}  # by server id
 
-    def full(self, now: int, control_node: str, told: set[str], known: Iterable[str]) -> None:
-        """A control node tells all the servers that it knows; `known` are the gateway's own."""
-        before = self._told.get(control_node) or self._told_before.get(control_node, set())
-        self._disowned |= before - told
-        self._told_before.pop(control_node, None)
-        self._told[control_node] = told
-        self._suspect(now, known)
+    def apply_full_list(
+        self, now: int, control_node: str, server_ids: set[str], known: Iterable[str]
+    ) -> None:
+        """Handle a full update from a control node; `known`: ids of the servers that the gateway knows."""
+        before = self._lists.get(control_node) or self._last_lists.get(control_node, set())
+        self._retracted |= before - server_ids
+        self._last_lists.pop(control_node, None)
+        self._lists[control_node] = server_ids
+        self._note_missing(now, known)
 
-    def told(self, control_node: str, server_id: str) -> None:
-        """A control node tells a server that is alive."""
-        if control_node in self._told:
-            self._told[control_node].add(server_id)
+    def listed(self, control_node: str, server_id: str) -> None:
+        """Handle the record of a live server from a control node."""
+        if control_node in self._lists:
+            self._lists[control_node].add(server_id)
 
     def ended(self, server_id: str) -> None:
-        """A server has ended by a tombstone."""
-        for told in self._told.values():
-            told.discard(server_id)
-        for told in self._told_before.values():
-            told.discard(server_id)
+        """Handle the tombstone of a server."""
+        for server_ids in self._lists.values():
+            server_ids.discard(server_id)
+        for server_ids in self._last_lists.values():
+            server_ids.discard(server_id)
         self._forget(server_id)
 
-    def lost(self, now: int, control_node: str, known: Iterable[str]) -> None:
-        """A control node is no longer connected."""
-        told = self._told.pop(control_node, None)
-        if told is not None:
-            self._told_before[control_node] = told
-        if self._told:
-            self._suspect(now, known)
+    def disconnected(self, now: int, control_node: str, known: Iterable[str]) -> None:
+        """Handle the loss of the link to a control node."""
+        server_ids = self._lists.pop(control_node, None)
+        if server_ids is not None:
+            self._last_lists[control_node] = server_ids
+        if self._lists:
+            self._note_missing(now, known)
         else:
             self._missing_since.clear()
 
     def take_due(self, now: int) -> tuple[str, ...]:
-        """The servers to give up."""
+        """Return the servers to remove, and stop tracking them."""
         due = []
         for server_id, since in tuple(self._missing_since.items()):
-            if self._is_told(server_id):
+            if self._is_listed(server_id):
                 self._forget(server_id)
-            elif now - since > (DISOWNED_TIME if server_id in self._disowned else UNTOLD_TIME):
+            elif now - since > (RETRACTED_TIMEOUT if server_id in self._retracted else OMITTED_TIMEOUT):
                 self._forget(server_id)
                 due.append(server_id)
         return tuple(due)
 
-    def _suspect(self, now: int, known: Iterable[str]) -> None:
-        for server_id in set(known).difference(*self._told.values()):
+    def _note_missing(self, now: int, known: Iterable[str]) -> None:
+        for server_id in set(known).difference(*self._lists.values()):
             self._missing_since.setdefault(server_id, now)
 
-    def _is_told(self, server_id: str) -> bool:
-        return any(server_id in told for told in self._told.values())
+    def _is_listed(self, server_id: str) -> bool:
+        return any(server_id in server_ids for server_ids in self._lists.values())
 
     def _forget(self, server_id: str) -> None:
         self._missing_since.pop(server_id, None)
-        self._disowned.discard(server_id)
+        self._retracted.discard(server_id)
--- a/brackenladder/delivery/presence.py
+++ b/brackenladder/delivery/presence.py
@@ -1,46 +1,46 @@
-"""What a gateway says of itself to the control nodes, and when."""
+"""The presence messages that a gateway sends to control nodes, and when it sends them."""
 
 from __future__ import annotations
 
 from brackenladder.delivery.messages import Subscribe
 from brackenladder.registry.gateways import GatewayState
 
-PRESENCE_INTERVAL = 800_000  # microseconds between two messages while nothing changes
+PRESENCE_INTERVAL = 800_000  # microseconds between two messages if nothing changes
 
 
 class Presence:
-    """Builds the presence messages of one process; each one has a higher `seq`."""
+    """Builds the presence messages of one process, with increasing `seq`."""
 
     def __init__(self, node: str, front_address: str, zone: str, region: str, incarnation: int) -> None:
-        """`incarnation` is the time of day at the start of the process, in microseconds."""
+        """`incarnation`: Unix time at the start of the process, in microseconds."""
         self._node = node
         self._front_address = front_address
         self._zone = zone
         self._region = region
         self._incarnation = incarnation
         self._seq = 0
-        self._told_at: int | None = None
+        self._announced_at: int | None = None
         self.state = GatewayState.STARTING
 
     def set_state(self, state: GatewayState) -> bool:
-        """Change the state; True if it is worth telling at once."""
+        """Change the state; True if it changed, so that a message is due at once."""
         if state is self.state:
             return False
         self.state = state
-        self._told_at = None
+        self._announced_at = None
         return True
 
     def due(self, now: int) -> bool:
-        """Whether all control nodes have to be told."""
-        return self._told_at is None or now - self._told_at >= PRESENCE_INTERVAL
+        """Whether a message to all control nodes is due."""
+        return self._announced_at is None or now - self._announced_at >= PRESENCE_INTERVAL
 
     def announce(self, now: int, have_revision: int) -> Subscribe:
-        """The message for all control nodes."""
-        self._told_at = now
+        """Build the periodic message to all control nodes."""
+        self._announced_at = now
         return self.message(have_revision)
 
     def message(self, have_revision: int) -> Subscribe:
-        """The message for one control node that was just reached."""
+        """Build the message to one control node that has just connected."""
         self._seq += 1
         return Subscribe(
             node=self._node,
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -1,7 +1,7 @@
-"""A control node's end of delivery: what each gateway has, and what it is told next.
+"""The control node's side of delivery: tracks what each gateway has, and builds its next updates.
 
-Of each kind of update one is in flight per subscriber; what changes meanwhile goes out, as one update, after
-the ack. Messages are shared: subscribers that lack the same are told by the same object.
+Of each kind of update one is in flight per subscriber; changes made meanwhile are sent as one update after
+the ack. Subscribers that need the same update share one message object.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from brackenladder.registry.records import ServerRecord
 from brackenladder.registry.registry import ServerRegistry
 
-MOST_RECORDS = 1000  # of one message
+MAX_RECORDS = 1000  # in one message
 
 
 @frozen
 class SubscriberMessage:
-    """A message for one subscriber."""
+    """A message to be sent to one subscriber."""
 
     subscriber: str
     message: object
@@ -39,13 +39,13 @@
 
 @define
 class _Round:
-    """One call of `take`: what it tells of freshness, and the server updates that it has built."""
+    """The state of one call of `take_messages`, with the updates built so far for reuse."""
 
     now: int
     leader_contact_age: int
-    tells_catalog: bool
-    server_updates: dict[int, tuple[ServersUpdate, ...]] = field(factory=dict)  # by what the subscriber has
-    catalog_updates: dict[bool, CatalogUpdate] = field(factory=dict)  # by: has the document?
+    may_send_catalog: bool
+    server_updates: dict[int, tuple[ServersUpdate, ...]] = field(factory=dict)  # by acknowledged version
+    catalog_updates: dict[bool, CatalogUpdate] = field(factory=dict)  # by whether the document is omitted
 
     @property
     def fresh(self) -> bool:
@@ -53,22 +53,22 @@
 
 
 class Publisher:
-    """Decides what every subscriber is told. The host names subscribers, by one name a link."""
+    """Decides which messages each subscriber gets. Callers give each link its own subscriber name."""
 
     def __init__(self, servers: ServerRegistry) -> None:
         self._servers = servers
         self._servers_version = 0
         self._subscriptions: dict[str, Subscription] = {}
-        self._dirty: dict[str, None] = {}  # subscribers that something may be due to
+        self._dirty: dict[str, None] = {}  # subscribers for which messages may be due
         self._catalog = CatalogUpdate(revision=0, document_revision=0)
         self._document = PackedDocument()
         self._control_nodes = ControlNodes(revision=NOTHING, addresses=())
         self._gateways = GatewayCount(sequence=0, number=0, settled=False)
         self._fresh = False
-        self._tells_catalog = False
+        self._may_send_catalog = False
 
     def subscribed(self, subscriber: str, message: Subscribe) -> None:
-        """Take a presence message: the first one of a subscriber opens its subscription."""
+        """Handle a presence message; the first one of a subscriber opens its subscription."""
         subscription = self._subscriptions.get(subscriber)
         if subscription is None:
             self._subscriptions[subscriber] = Subscription(message.have_revision)
@@ -80,23 +80,23 @@
         self._subscriptions[subscriber].nearest = message.relay
 
     def acknowledged(self, subscriber: str, ack: Ack) -> None:
-        """Take a subscriber's ack; what changed since is then due."""
+        """Handle an ack; changes made since the update was sent are then due."""
         subscription = self._subscriptions.get(subscriber)
         if subscription is not None and subscription.acknowledged(ack):
             self._dirty[subscriber] = None
 
     def revision_of(self, subscriber: str) -> int:
-        """The catalog that a subscriber says or has acknowledged to have; 0: none."""
+        """The revision of the catalog that a subscriber has, by its messages and acks; 0: none."""
         subscription = self._subscriptions.get(subscriber)
         return 0 if subscription is None else subscription.have_revision
 
     def disconnected(self, subscriber: str) -> None:
-        """The link of a subscriber is down, or would not take a message: it has to subscribe anew."""
+        """Handle a link that is down or refused a message: the subscriber has to subscribe again."""
         self._subscriptions.pop(subscriber, None)
         self._dirty.pop(subscriber, None)
 
     def set_catalog(self, revision: int, document: bytes, evacuated: frozenset[str]) -> None:
-        """Take the catalog as of its newest revision; an older one is ignored."""
+        """Set the catalog; an older revision is ignored."""
         if revision <= self._catalog.revision:
             return
         packed = pack(document)
@@ -112,46 +112,48 @@
     def set_control_nodes(
         self, revision: int, addresses: tuple[str, ...], zones: tuple[str, ...] = ()
     ) -> None:
-        """Take where the control nodes listen, as of a log index; the same or an older one is ignored."""
+        """Set the addresses of the control nodes as of a log index; unchanged or older ones are ignored."""
         if revision <= self._control_nodes.revision or addresses == self._control_nodes.addresses:
             return
         self._control_nodes = ControlNodes(revision, addresses, zones)
         self._mark_all()
 
     def set_gateways(self, number: int, settled: bool = True) -> None:
-        """Take the living number of gateways; not `settled`: there may be more."""
+        """Set the number of live gateways; not `settled`: there may be more."""
         if (number, settled) == (self._gateways.number, self._gateways.settled):
             return
         self._gateways = GatewayCount(self._gateways.sequence + 1, number, settled)
         self._mark_all()
 
     def take_messages(
-        self, now: int, leader_contact_age: int, tells_catalog: bool = True
+        self, now: int, leader_contact_age: int, may_send_catalog: bool = True
     ) -> tuple[SubscriberMessage, ...]:
-        """Return what is due; to be called after every change and ack, and a few times a second.
+        """Return the messages that are due. To be called after every change and ack, and some times a second.
 
-        `leader_contact_age` is told along: gateways that start rely on a control node whose leader contact is
-        at most `FRESH_AGE` old. It is to be `UNKNOWN_AGE` while this node knows that it lacks entries or
-        servers. The catalog is held back while it may have been replaced without this node's knowledge:
-        `tells_catalog` is then False.
+        `leader_contact_age` is sent along: a starting gateway relies on control nodes whose leader contact is
+        at most `FRESH_AGE` old. Callers pass `UNKNOWN_AGE` while this node knows that it lacks log entries or
+        servers, and `tells_catalog=False` while the catalog may have been replaced without its knowledge: no
+        catalog is sent then.
         """
-        this_round = _Round(now, leader_contact_age, tells_catalog)
-        self._mark_changes(this_round)
+        this_round = _Round(now, leader_contact_age, may_send_catalog)
+        self._mark_if_changed(this_round)
         due = tuple(
             SubscriberMessage(subscriber, message)
             for subscriber in self._dirty
             for message in self._messages(this_round, self._subscriptions[subscriber])
         )
-        held = [name for name in self._dirty if self._subscriptions[name].document_held_since is not None]
-        self._dirty = dict.fromkeys(held)
+        deferred = [
+            name for name in self._dirty if self._subscriptions[name].document_deferred_since is not None
+        ]
+        self._dirty = dict.fromkeys(deferred)
         return due
 
-    def _mark_changes(self, this_round: _Round) -> None:
-        told = (this_round.fresh, this_round.tells_catalog, self._servers.version)
-        if told != (self._fresh, self._tells_catalog, self._servers_version):
+    def _mark_if_changed(self, this_round: _Round) -> None:
+        state = (this_round.fresh, this_round.may_send_catalog, self._servers.version)
+        if state != (self._fresh, self._may_send_catalog, self._servers_version):
             self._mark_all()
         self._fresh = this_round.fresh
-        self._tells_catalog = this_round.tells_catalog
+        self._may_send_catalog = this_round.may_send_catalog
         self._servers_version = self._servers.version
 
     def _mark_all(self) -> None:
@@ -172,12 +174,12 @@
 
     def _catalog_messages(self, this_round: _Round, subscription: Subscription) -> Iterator[CatalogUpdate]:
         channel = subscription.channels[UpdateKind.CATALOG]
-        if not this_round.tells_catalog or not channel.due(self._catalog.revision):
+        if not this_round.may_send_catalog or not channel.due(self._catalog.revision):
             return
         has_document = subscription.have_revision >= self._catalog.document_revision
-        if not has_document and subscription.holds_document(this_round.now):
+        if not has_document and subscription.defers_document(this_round.now):
             return
-        subscription.document_held_since = None
+        subscription.document_deferred_since = None
         channel.in_flight = self._catalog.revision
         if has_document not in this_round.catalog_updates:
             this_round.catalog_updates[has_document] = self._build_catalog_update(this_round, has_document)
@@ -214,13 +216,13 @@
     def _parts(
         self, this_round: _Round, records: tuple[ServerRecord, ...], full: bool
     ) -> tuple[ServersUpdate, ...]:
-        """Split an update so that no message grows too long."""
-        starts = range(0, max(1, len(records)), MOST_RECORDS)
+        """Split an update into messages of at most `MAX_RECORDS` records."""
+        starts = range(0, max(1, len(records)), MAX_RECORDS)
         return tuple(
             ServersUpdate(
                 sequence=self._servers.version,
                 full=full,
-                records=records[start : start + MOST_RECORDS],
+                records=records[start : start + MAX_RECORDS],
                 leader_contact_age=this_round.leader_contact_age,
                 first=start == 0,
                 last=start == starts[-1],
--- a/brackenladder/delivery/service_servers.py
+++ b/brackenladder/delivery/service_servers.py
@@ -1,4 +1,4 @@
-"""The living servers of a view by service, and which of them changed since a reader last looked."""
+"""The live servers of a view by service, with a change log for readers that process changes only."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from brackenladder.registry.records import ServerRecord
 
-MOST_CHANGES = 1_024  # of a service that are remembered; who lags further reads all
+MAX_CHANGES = 1_024  # kept per service; a reader that is further behind has to read all servers
 
 NO_SERVERS: Mapping[str, ServerRecord] = MappingProxyType({})
 
 
 @define(eq=False)
-class _Service:
+class _ServiceIndex:
     records: dict[str, ServerRecord] = field(factory=dict)
     changes: deque[str] = field(factory=deque)  # ids, the newest at the right
     version: int = 0  # counts the changes
@@ -24,29 +24,29 @@
     def note(self, server_id: str) -> None:
         self.version += 1
         self.changes.append(server_id)
-        if len(self.changes) > MOST_CHANGES:
+        if len(self.changes) > MAX_CHANGES:
             self.changes.popleft()
 
 
 class ServiceServers:
-    """An index over records that its owner sets and removes."""
+    """An index of server records by service, maintained by its owner."""
 
     def __init__(self) -> None:
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceIndex] = {}
         self._service_of: dict[str, str] = {}
 
     def set(self, record: ServerRecord) -> None:
-        """A server is new or has changed."""
+        """Add or replace the record of a server."""
         before = self._service_of.get(record.id)
         if before is not None and before != record.service:
             self.remove(record.id)
         self._service_of[record.id] = record.service
-        service = self._services.setdefault(record.service, _Service())
+        service = self._services.setdefault(record.service, _ServiceIndex())
         service.records[record.id] = record
         service.note(record.id)
 
     def remove(self, server_id: str) -> None:
-        """A server is no more; one that is not known is no matter."""
+        """Remove a server; an unknown id is ignored."""
         name = self._service_of.pop(server_id, None)
         if name is None:
             return
@@ -55,17 +55,17 @@
         service.note(server_id)
 
     def of(self, service: str) -> Mapping[str, ServerRecord]:
-        """The servers of a service by id."""
+        """Return the servers of a service by id."""
         known = self._services.get(service)
         return known.records if known is not None else NO_SERVERS
 
     def version(self, service: str) -> int:
-        """How often the service's servers have changed."""
+        """The number of changes to the service's servers so far."""
         known = self._services.get(service)
         return known.version if known is not None else 0
 
     def changed_since(self, service: str, version: int) -> tuple[str, ...] | None:
-        """The ids that changed after `version`, each once; None if that is not known any more."""
+        """Return the ids that changed after `version`, each once; None if the change log is too short."""
         known = self._services.get(service)
         lag = known.version - version if known is not None else 0
         if known is None or lag == 0:
--- a/brackenladder/delivery/subscriptions.py
+++ b/brackenladder/delivery/subscriptions.py
@@ -1,4 +1,4 @@
-"""What a control node remembers of one subscribed gateway."""
+"""The state that a control node keeps for one subscribed gateway."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 from brackenladder.delivery.messages import Ack, UpdateKind
 
-NOTHING = -1  # below the number of every update
-# Microseconds after which a control node tells a document that the gateway's nearest one has not brought: a
-# way between regions and back, and two rounds of a control node's clock, with room; a tenth of `ConfigMs`.
+NOTHING = -1  # lower than the number of any update
+# Microseconds after which a control node sends a document that the gateway's nearest control node has not
+# delivered: a round trip between regions plus two timer ticks of a control node, with a margin. It is a tenth
+# of the setting `ConfigMs`.
 STANDBY_TIME = 300_000
 
 
 @define
 class Channel:
-    """One kind of update of one subscriber: at most one is in flight."""
+    """One kind of update for one subscriber; at most one is in flight."""
 
-    have: int = NOTHING
-    in_flight: int | None = None
+    have: int = NOTHING  # number of the last update that the subscriber applied
+    in_flight: int | None = None  # number of the update that was sent and not acknowledged yet
 
     def due(self, newest: int) -> bool:
         """Whether an update with the number `newest` can and should be sent."""
         return self.in_flight is None and self.have < newest
 
     def acknowledged(self, ack: Ack) -> bool:
-        """Take an ack; False if it is not for what is in flight."""
+        """Handle an ack; False if it is not for the update in flight."""
         if ack.number != self.in_flight:
             return False
         self.in_flight = None
@@ -34,16 +35,16 @@
 
 @define
 class Subscription:
-    """What one subscriber has."""
+    """What one subscriber has received."""
 
-    have_revision: int  # of the catalog, from any control node
-    nearest: bool = False  # the gateway has no control node nearer than this one
-    document_held_since: int | None = None  # a document that its nearest control node is to bring
-    fresh: bool = False  # this control node's freshness, as it was last told
+    have_revision: int  # revision of the subscriber's catalog, received from any control node
+    nearest: bool = False  # this control node is the gateway's nearest one
+    document_deferred_since: int | None = None  # when a document was first left to the nearest control node
+    fresh: bool = False  # the freshness that was last sent
     channels: dict[UpdateKind, Channel] = field(factory=lambda: {kind: Channel() for kind in UpdateKind})
 
     def acknowledged(self, ack: Ack) -> bool:
-        """Take an ack; whether a further update may be due. A catalog may have come from another node."""
+        """Handle an ack, also of a catalog from another node; return whether a further update may be due."""
         if ack.kind is UpdateKind.CATALOG and ack.taken:
             self.have_revision = max(self.have_revision, ack.number)
         if not self.channels[ack.kind].acknowledged(ack):
@@ -52,16 +53,16 @@
             self.have_revision = 0
         return True
 
-    def holds_document(self, now: int) -> bool:
-        """Whether a changed document is left to the gateway's nearest control node for a moment more."""
+    def defers_document(self, now: int) -> bool:
+        """Whether sending a changed document is still left to the gateway's nearest control node."""
         if self.nearest or self.have_revision == 0:
             return False
-        if self.document_held_since is None:
-            self.document_held_since = now
-        return now - self.document_held_since < STANDBY_TIME
+        if self.document_deferred_since is None:
+            self.document_deferred_since = now
+        return now - self.document_deferred_since < STANDBY_TIME
 
     @property
     def settled(self) -> bool:
-        """Whether it took all that it was sent of catalog and servers."""
+        """Whether no update of catalog or servers is in flight."""
         kinds = (UpdateKind.CATALOG, UpdateKind.SERVERS)
         return all(self.channels[kind].in_flight is None for kind in kinds)
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of the system: the configuration, the servers, how many gateways there are."""
+"""A gateway's view of the system: the configuration, the servers and the number of gateways."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
 
 
 class SystemView:
-    """The merged knowledge of one gateway.
+    """The merged view of one gateway.
 
-    Readers use the attributes and `subscribe`; the subscriber, and tests, write by `set_catalog`,
-    `merge_servers`, `remove_servers` and `set_gateways`, each of which tells the listeners.
+    Readers use the attributes and `subscribe`. The subscriber and tests write with `set_catalog`,
+    `merge_servers`, `remove_servers` and `set_gateways`, each of which notifies the listeners.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.configuration: Configuration | None = None
         self.evacuated: frozenset[str] = frozenset()
-        self.gateways = 1  # the highest living number of the last 20 s
-        self.gateways_known = False  # it was told by a control node that had heard all of them
+        self.gateways = 1  # the highest number of live gateways in the last 20 s
+        self.gateways_known = False  # a control node that knew of all gateways has reported the number
         self._servers: dict[str, ServerRecord] = {}
         self.servers: Mapping[str, ServerRecord] = MappingProxyType(
             self._servers
         )  # READY and DRAINING, by id
-        self.by_service = ServiceServers()  # the same, for readers that follow changes
+        self.by_service = ServiceServers()  # the same servers, for readers that process changes only
         self._registry = ServerRegistry()
         self._listeners: list[Callable[[ViewChange], None]] = []
 
     def cold_until(self, server_id: str) -> int:
-        """When a server is warm, in this host's microseconds (perhaps past); 0: it was not cold."""
+        """When a server turns warm, on this host's clock in microseconds (may be past); 0: was not cold."""
         return self._registry.cold_until(server_id)
 
     def ends_at(self, server_id: str) -> int:
-        """When a server said that it is gone whatever it runs, in this host's microseconds; 0: it did not."""
+        """The announced end of a server, on this host's clock in microseconds; 0: none was announced."""
         return self._registry.ends_at(server_id)
 
     def subscribe(self, on_change: Callable[[ViewChange], None]) -> Callable[[], None]:
-        """Call `on_change` after each change; the returned function ends that."""
+        """Call `on_change` after each change; the returned function unsubscribes it."""
         self._listeners.append(on_change)
 
         def unsubscribe() -> None:
@@ -65,7 +65,7 @@
     def set_catalog(
         self, revision: int, configuration: Configuration | None, evacuated: frozenset[str]
     ) -> bool:
-        """Take a newer catalog; False, and nothing changes, if it is not newer."""
+        """Set the catalog; False, without a change, if `revision` is not newer."""
         if revision <= self.revision:
             return False
         self.revision = revision
@@ -75,13 +75,13 @@
         return True
 
     def merge_servers(self, now: int, records: Iterable[ServerRecord]) -> tuple[ServerRecord, ...]:
-        """Merge what a control node tells of servers; return what changed."""
+        """Merge server records of a control node; return the records that changed."""
         changed = self._registry.merge(now, records)
-        self._show(changed)
+        self._apply_changes(changed)
         return changed
 
     def remove_servers(self, server_ids: Iterable[str]) -> None:
-        """Forget servers that no control node knows any more."""
+        """Remove servers that no control node lists any more."""
         removed = [server_id for server_id in server_ids if self._registry.remove(server_id)]
         for server_id in removed:
             self._servers.pop(server_id, None)
@@ -90,11 +90,11 @@
             self._notify(ViewChange.SERVERS)
 
     def expire(self, now: int) -> None:
-        """Drop servers whose announced end has passed, and what is remembered of those long gone."""
-        self._show(self._registry.expire(now, in_touch=False))
+        """Remove servers whose announced end has passed, and old tombstones."""
+        self._apply_changes(self._registry.expire(now, in_touch=False))
 
     def set_gateways(self, number: int, known: bool = True) -> None:
-        """Take the living number of gateways; once it is known it stays so."""
+        """Set the number of live gateways; `known` stays True once it was."""
         known = known or self.gateways_known
         if (number, known) == (self.gateways, self.gateways_known):
             return
@@ -102,7 +102,7 @@
         self.gateways_known = known
         self._notify(ViewChange.GATEWAYS)
 
-    def _show(self, changed: tuple[ServerRecord, ...]) -> None:
+    def _apply_changes(self, changed: tuple[ServerRecord, ...]) -> None:
         for record in changed:
             if record.state is ServerState.GONE:
                 self._servers.pop(record.id, None)
--- a/tests/delivery/delivery_samples.py
+++ b/tests/delivery/delivery_samples.py
@@ -1,4 +1,4 @@
-"""Messages, a parser and a publisher's outlet for the tests of delivery."""
+"""Sample messages, a parser and a message collector for the tests of delivery."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from brackenladder.registry.gateways import GatewayState
 
 AT = 100 * SECOND
-FRESH = 100_000  # microseconds since the leader was heard
+FRESH = 100_000  # microseconds since leader contact
 UNREADABLE = b"unreadable"
 
 
 def parse(document: bytes) -> Result[Any, object]:
-    """A parser whose configurations are the documents themselves."""
+    """A parser that returns the document itself as the configuration."""
     return Failure("unreadable") if document == UNREADABLE else Success(document)
 
 
 def subscribe(have_revision: int = 0, seq: int = 1, relay: bool = True) -> Subscribe:
-    """A gateway's presence; by default told to its nearest control node."""
+    """A gateway's presence message, by default to its nearest control node."""
     return Subscribe(
         node="front-1",
         incarnation=1,
@@ -36,8 +36,8 @@
     )
 
 
-class Delivered:
-    """What a publisher tells one subscriber, collected."""
+class MessageCollector:
+    """Collects the messages of a publisher to one subscriber."""
 
     def __init__(self, publisher: Publisher, name: str = "gateway") -> None:
         self._publisher = publisher
--- a/tests/delivery/test_delivery.py
+++ b/tests/delivery/test_delivery.py
@@ -1,4 +1,4 @@
-"""Several control nodes and one gateway, messages slow, links lost, control nodes restarted."""
+"""Several control nodes and one gateway with slow messages, lost links and restarts of control nodes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def document(revision: int) -> bytes:
-    """The configuration as of a revision: each third change is an evacuation and leaves it as it was."""
+    """The document at a revision; every third change is an evacuation and leaves the document unchanged."""
     return b"{%d}" % (revision - 1 if revision % 3 == 0 else revision)
 
 
@@ -30,33 +30,33 @@
     return HALL if revision % 3 == 0 else frozenset()
 
 
-class Control:
-    """A control node: what it has applied of the log, what it knows of servers, its link to the gateway."""
+class ControlNode:
+    """A control node: its position in the log, its servers and its link to the gateway."""
 
     def __init__(self) -> None:
         self.servers = ServerRegistry(SILENCE)
         self.publisher = Publisher(self.servers)
         self.applied = 0
         self.linked = False
-        self.down: deque[object] = deque()  # to the gateway
-        self.up: deque[Ack] = deque()
+        self.down: deque[object] = deque()  # messages in transit to the gateway
+        self.up: deque[Ack] = deque()  # acks in transit to the control node
 
     def apply(self, revision: int) -> None:
-        """Apply the log up to a revision, one by one."""
+        """Apply the log up to a revision, entry by entry."""
         for index in range(self.applied + 1, revision + 1):
             self.publisher.set_catalog(index, document(index), evacuated(index))
         self.applied = max(self.applied, revision)
 
 
-class Scene:
-    """The gateway before its control nodes."""
+class Scenario:
+    """One gateway and its control nodes."""
 
     def __init__(self) -> None:
         self.now = AT
         self.revision = 0
         self.seqs = {"i-1": 0, "i-2": 0}
         self.subscriber = Subscriber(parse)
-        self.controls = {name: Control() for name in NAMES}
+        self.controls = {name: ControlNode() for name in NAMES}
         self.revisions: list[int] = []
         self.subscriber.view.subscribe(lambda _: self.revisions.append(self.subscriber.view.revision))
         for name in NAMES:
@@ -81,11 +81,11 @@
 
     def restart(self, name: str) -> None:
         self.unlink(name)
-        self.controls[name] = Control()
+        self.controls[name] = ControlNode()
         self.link(name)
 
     def change(self, name: str) -> None:
-        """The catalog changes, and one control node has applied it."""
+        """Change the catalog, and apply the change at one control node."""
         self.revision += 1
         self.controls[name].apply(self.revision)
 
@@ -98,7 +98,7 @@
         return server(server_id, seq) if seq < 3 else draining(server_id, seq)
 
     def step(self, name: str) -> None:
-        """One message and one ack of a control node's link arrive."""
+        """Deliver the next message, or else the next ack, on a control node's link."""
         control = self.controls[name]
         if control.down:
             replies = self.subscriber.receive(self.now, name, control.down.popleft())
@@ -110,7 +110,7 @@
         self.subscriber.tick(self.now)
 
     def settle(self) -> None:
-        """All links stand, all control nodes catch up and know the servers; everything arrives."""
+        """Open all links, bring all control nodes up to date, and deliver everything."""
         for name, control in self.controls.items():
             self.link(name)
             control.apply(self.revision)
@@ -134,34 +134,34 @@
 
 
 class DeliveryTest(unittest.TestCase):
-    def play(self, events: list[tuple[str, str, str]]) -> Scene:
-        scene = Scene()
+    def play(self, events: list[tuple[str, str, str]]) -> Scenario:
+        scenario = Scenario()
         for kind, name, server_id in events:
             if kind == "heartbeat":
-                scene.heartbeat(name, server_id)
+                scenario.heartbeat(name, server_id)
             else:
-                getattr(scene, kind)(name)
-        return scene
+                getattr(scenario, kind)(name)
+        return scenario
 
     @settings(max_examples=150, deadline=None)
     @given(EVENTS)
-    def test_revisions_only_rise_and_hold_what_was_decided(self, events: list[tuple[str, str, str]]) -> None:
-        scene = self.play(events)
-        view = scene.subscriber.view
-        self.assertEqual(scene.revisions, sorted(scene.revisions))
+    def test_revisions_increase_and_match_the_log(self, events: list[tuple[str, str, str]]) -> None:
+        scenario = self.play(events)
+        view = scenario.subscriber.view
+        self.assertEqual(scenario.revisions, sorted(scenario.revisions))
         if view.revision:
             self.assertEqual(view.configuration, document(view.revision))
             self.assertEqual(view.evacuated, evacuated(view.revision))
 
     @settings(max_examples=150, deadline=None)
     @given(EVENTS)
-    def test_in_the_end_the_gateway_knows_all(self, events: list[tuple[str, str, str]]) -> None:
-        scene = self.play(events)
-        scene.settle()
-        view = scene.subscriber.view
-        self.assertEqual(view.revision, scene.revision)
-        self.assertEqual(scene.subscriber.complete, view.configuration is not None)
-        expected = {server_id: scene.newest(server_id) for server_id, seq in scene.seqs.items() if seq}
+    def test_the_gateway_finally_knows_everything(self, events: list[tuple[str, str, str]]) -> None:
+        scenario = self.play(events)
+        scenario.settle()
+        view = scenario.subscriber.view
+        self.assertEqual(view.revision, scenario.revision)
+        self.assertEqual(scenario.subscriber.complete, view.configuration is not None)
+        expected = {server_id: scenario.newest(server_id) for server_id, seq in scenario.seqs.items() if seq}
         self.assertEqual(
             {server_id: record.state for server_id, record in view.servers.items()},
             {server_id: record.state for server_id, record in expected.items()},
@@ -170,22 +170,22 @@
     @settings(max_examples=100, deadline=None)
     @given(EVENTS)
     def test_a_restart_of_control_nodes_removes_no_server(self, events: list[tuple[str, str, str]]) -> None:
-        scene = Scene()
-        for server_id in scene.seqs:
-            scene.heartbeat("a", server_id)
-        scene.settle()
+        scenario = Scenario()
+        for server_id in scenario.seqs:
+            scenario.heartbeat("a", server_id)
+        scenario.settle()
         for kind, name, _ in events:
             if kind in ("link", "unlink", "restart", "step"):
-                getattr(scene, kind)(name)
-        self.assertLess(scene.now, AT + 20 * SECOND)
-        self.assertEqual(set(scene.subscriber.view.servers), {"i-1", "i-2"})
+                getattr(scenario, kind)(name)
+        self.assertLess(scenario.now, AT + 20 * SECOND)
+        self.assertEqual(set(scenario.subscriber.view.servers), {"i-1", "i-2"})
 
     def test_a_gateway_behind_by_many_changes_gets_one_update(self) -> None:
-        scene = Scene()
-        scene.unlink("a")
+        scenario = Scenario()
+        scenario.unlink("a")
         for _ in range(50):
-            scene.change("a")
-        scene.link("a")
-        (catalog, _) = scene.controls["a"].publisher.take_messages(AT, FRESH)
+            scenario.change("a")
+        scenario.link("a")
+        (catalog, _) = scenario.controls["a"].publisher.take_messages(AT, FRESH)
         self.assertIsInstance(catalog.message, CatalogUpdate)
         self.assertEqual(catalog.message.revision, 50)
--- a/tests/delivery/test_delivery_messages.py
+++ b/tests/delivery/test_delivery_messages.py
@@ -1,4 +1,4 @@
-"""Every message survives its way over a link."""
+"""Encoding and decoding of every message type."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from brackenladder.transport.codec import Codec
 
 RECORDS = (server(cold_for=5, remaining=0), draining(seq=1 << 60), deregistered(), silent())
-HEARD = (HeardServer("i-1", 3, 400_000, 1),)
+HEARTBEATS = (HeardServer("i-1", 3, 400_000, 1),)
 MESSAGES = (
     subscribe(have_revision=3),
     Ack(UpdateKind.SERVERS, 4, taken=False),
@@ -36,8 +36,8 @@
     Freshness(UNKNOWN_AGE),
     ControlNodes(0, ("10.0.0.1:7660",), ("hall-a",)),
     GatewayCount(1, 7),
-    ServersTold(RECORDS, HEARD),
-    ServersHeard(HEARD),
+    ServersTold(RECORDS, HEARTBEATS),
+    ServersHeard(HEARTBEATS),
     ServersWanted(("i-1",)),
     GatewaysTold((HeardGateway(gateway(), 5),), settled=True),
     PrefixNotices((PrefixNotice(1 << 63, (1, (1 << 64) - 1), (20, 300), 4_000, 7),)),
@@ -45,7 +45,7 @@
 
 
 class DeliveryMessagesTest(unittest.TestCase):
-    def test_every_message_is_decoded_as_it_was(self) -> None:
+    def test_every_message_survives_encoding_and_decoding(self) -> None:
         codec = Codec()
         codec.register_all(0, MESSAGE_TYPES)
         self.assertEqual([type(message) for message in MESSAGES], list(MESSAGE_TYPES))
--- a/tests/delivery/test_documents.py
+++ b/tests/delivery/test_documents.py
@@ -1,4 +1,4 @@
-"""The document that the catalog holds is the one that a gateway reads."""
+"""Packing, sending and reading the configuration document."""
 
 from __future__ import annotations
 
@@ -27,5 +27,5 @@
         self.assertEqual(configuration.version, 7)
         self.assertEqual([route.name for route in configuration.routes], ["r"])
 
-    def test_what_is_no_document_is_a_failure(self) -> None:
+    def test_parsing_an_invalid_document_fails(self) -> None:
         self.assertIsInstance(parse_document(b"no document"), Failure)
