--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -104,12 +104,8 @@
         """Aborts the attempt with this outcome, unless it has ended."""
 
 
-Done = Callable[
-    [Outcome, object, Sequence[float]], None
-]  # called with the outcome, the answer and the load report
-Probed = Callable[
-    [bool, Sequence[float]], None
-]  # called with whether the server is healthy, and the load report
+Done = Callable[[Outcome, object, Sequence[float]], None]  # with outcome, answer and load report
+Probed = Callable[[bool, Sequence[float]], None]  # with health (True if healthy) and load report
 
 
 class Upstream(Protocol):
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -24,7 +24,7 @@
 
 OK = Outcome.OK  # a module constant, since enum members are slow to look up and this is needed per attempt
 GUARD = 10_000  # microseconds after its deadline at which a call that the balancer left open is failed
-GUARD_STEP = 5_000  # microseconds by which that may be late, so that calls can share timers
+GUARD_STEP = 5_000  # microseconds by which failing such a call may be delayed, so that calls share timers
 
 
 class Host:
@@ -57,9 +57,7 @@
         self.calls: dict[int, Call] = {}
         self.last_id = 0
         self.expired_count = 0
-        self.guards: dict[
-            int, list[int]
-        ] = {}  # ids of calls, by the time step at which they are failed if still open
+        self.guards: dict[int, list[int]] = {}  # ids of calls, by the time step of their deadline
         self.conclude_by = 1 << 62  # time by which all calls must be concluded
         self.balancer = module(settings, seed, self)
 
--- a/brackenladder/interface.py
+++ b/brackenladder/interface.py
@@ -104,12 +104,12 @@
     max_retry_after: int = 0
     max_open: int = 20000
     list_on_request: bool = False  # the server list must be requested
-    list_ask_within: int = 0  # if so, the longest time allowed between two requests
+    list_ask_within: int = 0  # longest time allowed between two requests for the list
     list_weights: bool = False  # the weights of the entries are comparable
     cold_time: int = 0  # a server is warm this long after its start, at the latest
-    cold_share: float = 1.0  # it starts with at least this part of its capacity
-    fall_multiple: float = 0.0  # a server fails if it is sent more than this multiple of its capacity...
-    fall_time: int = 0  # ...for this long
+    cold_share: float = 1.0  # part of its capacity that a server has at least when it starts
+    fall_multiple: float = 0.0  # a server fails if it gets more than this multiple of its present capacity
+    fall_time: int = 0  # for how long a server must be overloaded by `fall_multiple` to fail
     answer_slack: int = 0
     cross_zone_price: float = 0.0
     over_share_worth: float = 1.0
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -44,7 +44,7 @@
 LEAST_LATENCY = 1_000  # microseconds: the lowest latency that is given to the limit
 MOST_RANK = 3  # headrooms below the limit at which the least urgent calls are refused
 SILENT_LEAST = 1_000_000  # microseconds before a server can count as silent
-TRY_PART = 0.5  # of the time left that the first attempt of a retryable call may take
+TRY_PART = 0.5  # part of the time left that an attempt may take if it can be retried
 MAX_UNSENT = 3  # further attempts of a call after attempts that were never sent
 
 NEVER_SENT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # outcomes of attempts that did not reach a server
@@ -146,7 +146,7 @@
         self.forget_job(request)
 
     def stream_ended(self, now: int, request: int) -> None:
-        """After a first event: the stream is over, its location and memory are free again."""
+        """Records the end of a stream, which frees its slot and cache memory at the server."""
         self.in_flight.stream_ended(now, request)
 
     def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -14,8 +14,8 @@
 from brackenladder.policy.server import Server
 
 IN_ZONE, CROSS_ZONE, CROSS_REGION = 400, 2_000, 90_000  # microseconds of a round trip
-HEAD_BYTES = 600  # of the headers of a request and its answer, as measured with real clients
-OUTPUT_TOKEN_BYTES = 16  # of a stream per token: an event has 60 to 90 bytes and 4 or 5 tokens
+HEAD_BYTES = 600  # size of the headers of a request and its answer, as measured with the clients used
+OUTPUT_TOKEN_BYTES = 16  # bytes of a stream per token: an event of 60 to 90 bytes has 4 or 5 tokens
 
 
 @define(eq=False)
--- a/brackenladder/placement/in_flight.py
+++ b/brackenladder/placement/in_flight.py
@@ -25,11 +25,7 @@
 MICROSECONDS_PER_MILLISECOND = 1_000
 MAX_STREAM_TIME = 600_000_000  # microseconds after which a stream without a reported end is dropped
 
-UNINFORMATIVE = (
-    Outcome.CANCELLED,
-    Outcome.NOT_SENT,
-    Outcome.TIMEOUT,
-)  # outcomes without any answer of the server
+UNINFORMATIVE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMEOUT)  # without any sign of the server
 
 
 class InFlight:
@@ -46,7 +42,7 @@
         self.suspicions = SuspectedServers()
         self.counters = DecisionCounters()
         self.attempts: dict[int, PlacedCall] = {}  # attempts without a first event, by request
-        self.streams: dict[int, PlacedCall] = {}  # those that are streaming, by request
+        self.streams: dict[int, PlacedCall] = {}  # attempts that are streaming, by request
 
     def send(
         self, now: int, request: int, job: Job, server: int, uncached_tokens: float, queue_time: float
@@ -94,7 +90,7 @@
             del self.attempts[request]
 
     def stream_ended(self, now: int, request: int) -> None:
-        """After a first event: the stream is over, its location and memory are free again."""
+        """Records the end of a stream, which frees its slot and cache memory at the server."""
         placed = self.streams.pop(request, None)
         if placed is None:
             placed = self.attempts.get(request)
--- a/brackenladder/placement/intake.py
+++ b/brackenladder/placement/intake.py
@@ -21,9 +21,9 @@
 SPREAD_TIME = 1_000_000  # microseconds over which the gateways' delays are distributed
 HASH_RANGE = 2.0**64
 AWAIT_TIME = 3_000_000  # microseconds after joining in which other prompts avoid an unseeded server
-LEAST_TOKENS = 500  # of a prefix that is worth seeding
+LEAST_TOKENS = 500  # least length of a prefix that is worth seeding
 US_PER_MS = 1_000
-AIM_PART = 0.6  # of its latency target that a seeding request may be expected to take
+AIM_PART = 0.6  # part of its latency target that a seeding request may be expected to take
 
 Usable = Callable[[Server], bool]
 BaseTime = Callable[[Server], float]
--- a/brackenladder/placement/load.py
+++ b/brackenladder/placement/load.py
@@ -14,7 +14,7 @@
     """One server: this gateway's own calls there, and the prompts that it has cached."""
 
     streams: int = 0  # calls that are waiting or streaming
-    tokens: int = 0  # of their prompts and answers
+    tokens: int = 0  # tokens of the prompts and answers of these calls
     pending_prefill: float = 0.0  # uncached tokens of calls without a first event
     remote_prefill_until: int = 0  # end of the prefills that other gateways reported
     rejected_at: int = -PRESSURE_TIME
@@ -43,11 +43,11 @@
     server: int
     chain: tuple[ChainLink, ...]
     uncached_tokens: float  # estimated prompt tokens that the server has to process
-    tokens: int  # of prompt and answer
+    tokens: int  # tokens of the prompt and the answer
     output_tokens: int
     streaming: bool  # the answer is a stream, which continues after its first event
     reading_time: float  # microseconds of the prefill of the uncached tokens
-    round_trip: int  # microseconds
+    round_trip: int  # microseconds of a network round trip
     target: int  # microseconds within which its first event is due
     expected_queue: float  # microseconds that it was expected to be queued
     overdue_at: int = 0  # from when on its first event is late; 0: unknown
--- a/brackenladder/placement/prefix_uses.py
+++ b/brackenladder/placement/prefix_uses.py
@@ -9,10 +9,10 @@
 
 from brackenladder.placement.prefixes import ChainLink
 
-MOST_PREFIXES = 512  # of more, the least recently used are dropped
+MOST_PREFIXES = 512  # prefixes that are counted; the least recently used are dropped
 HALF_LIFE = 15_000_000  # microseconds after which a use counts for half
 LEAST_USES = 2.0  # decayed uses of a popular prefix
-LEAST_PART = 0.05  # its least part of all requested tokens of shared parts
+LEAST_PART = 0.05  # part of all requested tokens of shared parts that a popular prefix has at least
 
 
 @define
--- a/brackenladder/placement/prefixes.py
+++ b/brackenladder/placement/prefixes.py
@@ -11,7 +11,7 @@
 from brackenladder.placement.traits import CallTraits, PromptPart
 
 MOST_PARTS = 512  # remembered for one server, to bound this gateway's memory
-KEY_BYTES = 8  # of a link's key
+KEY_BYTES = 8  # size of the key of a link
 
 
 @frozen
--- a/brackenladder/placement/regions.py
+++ b/brackenladder/placement/regions.py
@@ -4,11 +4,11 @@
 
 from attrs import define
 
-SMOOTH = 0.1  # weight of the newest sample
+SMOOTH = 0.1  # weight of the newest sample in the mean
 BEST_DECAY = 1.002  # each sample raises the remembered best ratio by this factor
 FADE = 5_000_000  # microseconds without a sample after which a region is assumed to be at its best
 INITIAL_RATIO = 0.1  # latency / target until anything better is measured
-MAX_RATIO = 8.0  # upper bound of a sample
+MAX_RATIO = 8.0  # upper bound of a sample of latency / target
 
 
 @define
--- a/brackenladder/placement/site.py
+++ b/brackenladder/placement/site.py
@@ -38,7 +38,7 @@
     parameters: PlacementParameters = DEFAULT_PARAMETERS
     gateways: int = 1  # number of live gateways, including this one
     gateways_known: bool = False  # if not, this gateway's part of a bound for all is unknown
-    gateway_names: tuple[str, ...] = ()  # of the live gateways, if known
+    gateway_names: tuple[str, ...] = ()  # names of the live gateways, if known
     cold_until: Callable[[str], int] = never_cold
     locations: dict[int, ServerLocation] = field(factory=dict)  # by server number
     local: list[Server] = field(factory=list)  # servers of this region
--- a/brackenladder/placement/traits.py
+++ b/brackenladder/placement/traits.py
@@ -20,15 +20,13 @@
     """The properties of one call that decide its placement."""
 
     route: Route  # as configured when the request was read
-    parts: tuple[PromptPart, ...] = ()  # in order; the last one is not shared with other requests or sessions
+    parts: tuple[PromptPart, ...] = ()  # in order; the last one belongs to this request or its session
     prompt_tokens: int = 0
-    output_tokens: int = 0  # upper bound of the answer
-    request_bytes: int = 0  # of its body
+    output_tokens: int = 0  # upper bound of the length of the answer
+    request_bytes: int = 0  # size of the request body
     model: str = ""
     idempotent: bool = False  # may be executed repeatedly: a safe or resumable route
-    exclude: frozenset[str] = (
-        frozenset()
-    )  # ids of servers that must not get it, such as that of a broken stream
+    exclude: frozenset[str] = frozenset()  # ids of servers that must not get it, e.g. after a broken stream
     newest: Route | None = None  # the route as configured now, if it has changed: both apply
 
     def permits(self, region: str) -> bool:
--- a/brackenladder/placement/unresponsive.py
+++ b/brackenladder/placement/unresponsive.py
@@ -9,13 +9,13 @@
 from attrs import define, field, frozen
 
 MEAN_GAIN = 1 / 8  # RFC 6298, section 2: alpha
-DEVIATION_GAIN = 1 / 4  # the same: beta
-DEVIATIONS = 4  # the same: K
+DEVIATION_GAIN = 1 / 4  # RFC 6298, section 2: beta
+DEVIATIONS = 4  # RFC 6298, section 2: K
 LEAST_SAMPLES = 8  # answers needed before the estimate is used
 UNANSWERED_FACTOR = 2  # a call is unanswered after this multiple of the time that a first event may take
-LATE_WEIGHT = 1  # of an attempt that timed out because its first event was late; busy servers have some
-UNANSWERED_WEIGHT = 2  # of an unanswered call
-DOUBT_TIME = 4_000_000  # microseconds for which both count
+LATE_WEIGHT = 1  # weight of an attempt that timed out as its first event was late; busy servers have some
+UNANSWERED_WEIGHT = 2  # weight of an unanswered call
+DOUBT_TIME = 4_000_000  # microseconds for which a late or unanswered call counts
 MAX_SUSPECTED = 0.5  # share of the servers; if more are suspected, all are used
 
 
--- a/brackenladder/policy/ejection.py
+++ b/brackenladder/policy/ejection.py
@@ -9,10 +9,10 @@
 
 # Module constants, because enum members are slow to look up and these are needed for every outcome.
 TIMEOUT, REJECTED, CONNECT_FAILED = Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED
-EJECT_SHARE = 0.34  # of the members that may be ejected at once
-DEAD_SHARE = 0.75  # the same limit with members that refuse connections included
-UNREACHABLE_DOUBLINGS = 1  # such a server's ejection time doubles only this often: its trials cost no work
-MAX_DOUBLINGS = 4  # how often the ejection time of any other server doubles
+EJECT_SHARE = 0.34  # largest share of the members that may be ejected, not counting unreachable ones
+DEAD_SHARE = 0.75  # largest share that may be ejected including unreachable members
+UNREACHABLE_DOUBLINGS = 1  # doublings of the ejection time if connects fail, as trials then cost no work
+MAX_DOUBLINGS = 4  # doublings of the ejection time of any other server
 EJECT_FAILS = 3  # consecutive failures, or recent calls, needed for an ejection
 EJECT_RATE = 0.3  # ejected when the failure rate exceeds that of the subset by this much
 EJECT_TIME = 2_000_000  # microseconds of the first ejection
@@ -26,7 +26,7 @@
         self.rng = rng
         self.ejected: list[Server] = []
         self.next_trial = 0
-        self.fail_rate = 0.0  # of the whole subset
+        self.fail_rate = 0.0  # failure rate of the whole subset
 
     def record_result(self, srv: Server, failure: float) -> None:
         """Updates the failure rates after a call; `failure`: 1.0 if the server failed it, else 0.0."""
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -10,7 +10,7 @@
 
 # Constants of the filter. A pass is a period with a low limit in which the minimum round trip is measured.
 WINDOW = 100_000  # microseconds: least length of a sampling window
-PERCENTILE = 0.9  # of a window's samples, and of a pass's
+PERCENTILE = 0.9  # the percentile of the samples of a window or pass that is used
 MIN_LIMIT = 3  # calls per member during a pass and, over all nodes, as the floor; least limit of a pass
 PASS_INTERVAL = 60_000_000
 PASS_JITTER = 0.1
@@ -19,19 +19,19 @@
 GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # bounds on the change of the limit by one window
 
 # Constants that the filter leaves open.
-WINDOW_SAMPLES = 80  # a window stays open until it has this many samples...
-WINDOW_STRETCH = 10  # ...or has lasted this many times its least length
-FULL_WINDOW = 8  # a window with fewer samples changes the limit in proportion only
+WINDOW_SAMPLES = 80  # a window is closed when it has this many samples
+WINDOW_STRETCH = 10  # a window with fewer samples is closed after this multiple of its least length
+FULL_WINDOW = 8  # a window with fewer samples than this changes the limit only in proportion
 LEVEL_TIME = 1_000_000  # longest averaging time of calls in flight where many nodes share the servers
 BUFFER = 0.25  # least buffer_pct
 AIM_SHARE = 0.5  # the buffer extends min_rtt up to this share of a class's aim
-MAX_AIM_SHARE = 0.75  # min_rtt + B is never more than this share of it
+MAX_AIM_SHARE = 0.75  # min_rtt + B is never more than this share of a class's aim
 MAX_LOSS = 0.05  # when the subset fails a larger share of calls, fewer are kept in flight
 USUAL_TIME = 3_000_000  # smoothing time of the usual number of calls in flight
-RAMP_RTTS = 2  # its smoothing time after a start, in mean round trips
-USUAL_FADE = 12_000_000  # time constant with which it falls while calls fail
-USUAL_MULTIPLE = 2.0  # the limit is at most about this multiple of it
-CAPACITY_POWER = 3  # the limit falls with the servers' capacity to this power
+RAMP_RTTS = 2  # smoothing time of that number after a start, in mean round trips
+USUAL_FADE = 12_000_000  # time constant with which the usual number falls while calls fail
+USUAL_MULTIPLE = 2.0  # the limit is at most about this multiple of the usual number of calls in flight
+CAPACITY_POWER = 3  # the limit falls with this power of the decrease of the servers' capacity
 PASS_FLOORS = 2  # a pass's limit and a first limit, in floors: 6 calls a server from all nodes together
 CEILING = 1.5  # the limit may always grow to this multiple of a pass's limit
 
@@ -58,11 +58,11 @@
     rng: Random
     now: InitVar[int]
     min_rtt: list[float] = field(init=False)  # by class, microseconds; 0 until measured
-    target: list[float] = field(init=False)  # min_rtt + B
+    target: list[float] = field(init=False)  # by class, microseconds: min_rtt + B as described above
     members: int = 1
-    copies: float = 1.0  # nodes that use each member
-    sharing: float = 1.0  # nodes that this node's headroom and floor are divided by
-    capacity: float = 0.0  # of the listed servers, in units of a warm server
+    copies: float = 1.0  # number of nodes that use each member
+    sharing: float = 1.0  # number of nodes that share the headroom with this one
+    capacity: float = 0.0  # capacity of the listed servers, in units of a warm server
     floor: float = float(MIN_LIMIT)
     pass_limit: float = float(MIN_LIMIT)
     limit: float = float(MIN_LIMIT)
@@ -71,7 +71,7 @@
     level_at: int = field(init=False)
     flight_sum: int = 0
     latency_sum: int = 0
-    ramping: bool = True  # in all windows since the start the limit was reached and latency within target
+    ramping: bool = True  # after a start, while the limit is reached and latency within target
     lost: float = 0.0  # share of calls that ended without an answer, smoothed
     usual: float = 0.0  # calls in flight while latency was within target, smoothed
     samples: list[float] = field(default_factory=list)
--- a/brackenladder/policy/load_shedding.py
+++ b/brackenladder/policy/load_shedding.py
@@ -8,10 +8,10 @@
 from brackenladder.interface import Settings
 
 TENANT_TIME = 8_000_000  # microseconds over which a tenant's traffic is counted
-EXCESS = 1.25  # a tenant is clearly over quota above this multiple of its expected count...
-EXCESS_NOISE = 1.5  # ...plus this many standard deviations of that count
-SHED_AT = 0.6  # the share of clear excess that is refused grows while latency / target is above this
-SHED_GAIN = 0.06  # change of that share per answer, for a distance of 1 from SHED_AT
+EXCESS = 1.25  # a tenant is clearly over quota above this multiple of the count that its quota allows
+EXCESS_NOISE = 1.5  # standard deviations of the count that are added to that threshold
+SHED_AT = 0.6  # more of the clear excess is refused while latency / target is above this
+SHED_GAIN = 0.06  # change of the refused share per answer, at a distance of 1 from SHED_AT
 SHED_HASTE = 3  # additional gain for late answers, growing with the distance above SHED_AT
 SHED_LATE = 3.0  # latency / target counts as at most this
 
@@ -23,9 +23,9 @@
     rate: float  # requests a second
     at: int = 0
     seen: float = 0.0  # requests of the last TENANT_TIME, decaying
-    due: float = 1.0  # requests allowed by the quota in that time, and one to start with
+    due: float = 1.0  # requests that the quota allowed in TENANT_TIME, decaying; starts with one
 
-    def decay(self, now: int) -> None:  # and adds the quota for the time since the last call
+    def decay(self, now: int) -> None:  # also adds the quota for the time since the last call
         span = now - self.at
         keep = 1 - span / TENANT_TIME if span < TENANT_TIME else 0.0
         self.seen *= keep
--- a/brackenladder/policy/retry.py
+++ b/brackenladder/policy/retry.py
@@ -21,7 +21,7 @@
     effect: Effect
     useful_until: int
     attempts: int = 0
-    current_server: Server | None = None  # that the attempt in flight was sent to
+    current_server: Server | None = None  # server of the attempt in flight
     ran_on: Server | None = None  # the first server that may have run it
     ran_at: int = 0
     answering: bool = False  # the answer has started
--- a/brackenladder/policy/server.py
+++ b/brackenladder/policy/server.py
@@ -6,7 +6,7 @@
 from brackenladder.interface import ServerEntry
 
 SMOOTH = 0.1  # weight of the newest sample in a server's averages
-SMOOTH_ALL = 0.02  # the same for averages over the whole subset
+SMOOTH_ALL = 0.02  # weight of the newest sample in averages over the whole subset
 PRIOR = 3.0  # the initial value of an average counts as this many samples
 MAX_RATIO = 8.0  # a round trip counts as at most this multiple of the mean
 FAIL_WEIGHT = 8  # a server that fails all its calls counts as this many times slower
@@ -48,7 +48,7 @@
         self.shuffle_key = 0  # sort key in the shuffled order of the servers
         self.share = 1.0  # weight set by an operator
         self.weight_penalty = 1.0  # highest weight of the eligible members, divided by this server's weight
-        self.pool_fraction = 1.0  # of this server's slow-start allowance that this pool may use
+        self.pool_fraction = 1.0  # this pool's part of the server's slow-start allowance
         self.in_flight = self.quiet_since = self.cell = self.zone = 0
         self.renew(entry)
 
@@ -83,7 +83,7 @@
     """Mean round trips of each class, and ratios to them for each kind of server and for each server."""
 
     def __init__(self, initial_rtt: Sequence[float]) -> None:
-        self.mean_rtt = list(initial_rtt)  # by class, microseconds; a guess until measured
+        self.mean_rtt = list(initial_rtt)  # by class, in microseconds; a guess until measured
         self.rtt = [Average(m, PRIOR, SMOOTH_ALL) for m in self.mean_rtt]
         self.kind_ratios: dict[int, Average] = {}
 
--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -11,7 +11,7 @@
 from .server import Server
 
 COLD_PART = 0.6  # a cold server gets this part of `fall_multiple` times its least present capacity
-JUST_WARM = 0.5  # a server that has just warmed up may take its share of this part of `fall_time` at once
+JUST_WARM = 0.5  # a server that has just warmed up may at once get its share of this part of `fall_time`
 GOLDEN = (sqrt(5) - 1) / 2  # the fractional parts of its multiples are evenly distributed
 RATE_TIME = 2_000_000  # microseconds over which the rate of a warm member is smoothed
 
--- a/brackenladder/policy/subset.py
+++ b/brackenladder/policy/subset.py
@@ -13,13 +13,13 @@
 
 SUBSET_LEAST = 4  # members of a node with hardly any calls in flight
 SUBSET_MOST = 24  # most members of any node
-SUBSET_FLIGHT = 2  # in between: members per call in flight
+SUBSET_FLIGHT = 2  # members per call in flight, between SUBSET_LEAST and SUBSET_MOST
 SMOOTH_FLIGHT = 0.05  # weight of the newest sample in the mean number of calls in flight
 ZONE_PRICE = 0.01  # calls stay in their zone only if crossing costs at least this share of a request's worth
-CROSSING = 10  # weight of that cost: twice the latency is taken to cost a tenth of the worth
+CROSSING = 10  # weight of the crossing cost: twice the latency counts like a cost of a tenth of the worth
 SPILL_GAIN = 0.1  # change per window of the share of calls that may leave the zone, per unit of imbalance
-SPILL_STEP = 0.04  # largest change per window
-UNVISITED = 0.05  # with a smaller spill the other zones get too few calls to be measured
+SPILL_STEP = 0.04  # largest change per window of the share of calls that may leave the zone
+UNVISITED = 0.05  # if a smaller share of calls may leave the zone, the others have too few to be measured
 BEST_DECAY = 1.001  # each window raises the remembered best latency of the zone by this factor
 
 SHUFFLE_ORDER = attrgetter("shuffle_key", "id")
@@ -47,13 +47,13 @@
         self.zoned = settings.cross_zone_price >= ZONE_PRICE
         self.spill = 0.0 if self.zoned else 1.0  # share of calls that may leave the zone
         self.spill_least = self.spill
-        self.near_ratio = 0.5  # mean of latency / target for servers of this zone...
-        self.far_ratio = 0.5  # ...and of the other zones
+        self.near_ratio = 0.5  # mean of latency / target for servers of this zone
+        self.far_ratio = 0.5  # mean of latency / target for servers of other zones
         self.best_ratio = 0.0
         self.shuffles: dict[
             int, dict[int, list[Server]]
         ] = {}  # by zone (0 for all if calls need not stay in theirs) and kind
-        self.rounds: dict[int, int] = {}  # by zone: seed of the shuffle
+        self.rounds: dict[int, int] = {}  # seed of the shuffle, by zone
         self.members: list[Server] = []
         self.eligible_near: list[Server] = []  # members in this zone that are not ejected
         self.eligible: list[Server] = []  # all members that are not ejected
--- a/brackenladder/prefix_cache/announcer.py
+++ b/brackenladder/prefix_cache/announcer.py
@@ -13,7 +13,7 @@
 LEAST_UNCACHED = 4_000  # uncached tokens of a prompt that is announced because its prefill delays other calls
 REPEAT_AFTER = 3_000_000  # microseconds after which a prefix that is still used is announced again
 MAX_REMEMBERED = 2_048  # pairs of server and prefix whose last announcement is remembered
-MAX_NOTICES = 32  # of one message
+MAX_NOTICES = 32  # most notices of one message
 
 
 class PrefixAnnouncer:
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -15,9 +15,7 @@
     """Says that a prompt was sent to a server, which then has the prompt's shared prefixes cached."""
 
     server: int  # the server's number: `core.roster.number_of` of its id
-    keys: tuple[
-        int, ...
-    ] = ()  # of the shared prefixes, the shortest first; empty: the notice is about load only
+    keys: tuple[int, ...] = ()  # of the shared prefixes, the shortest first; empty if only load is reported
     tokens: tuple[int, ...] = ()  # tokens that each prefix adds to the one before it
     uncached_tokens: int = 0  # prompt tokens that the server had to process
     age: int = 0  # microseconds since the prompt was sent, when the notice is sent
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -17,12 +17,12 @@
 
 INTERVAL = 50_000  # microseconds between two messages to gateways
 PEER_INTERVAL = 100_000  # microseconds between two messages to control nodes
-MAX_ACCEPTED = 32  # notices of one message that are processed
+MAX_ACCEPTED = 32  # most notices of one message that are processed
 # These allow 160 notices a second to a gateway, which take 7 KB and 0.4% of a core, and 80 to a control node.
-MAX_NOTICES = 8  # of one message to a gateway
-MAX_PEER_NOTICES = 8  # of one message to a control node
-MAX_PENDING = 256  # notices that wait for the next message
-MAX_SNAPSHOT = 256  # notices for a gateway that has just subscribed
+MAX_NOTICES = 8  # most notices of one message to a gateway
+MAX_PEER_NOTICES = 8  # most notices of one message to a control node
+MAX_PENDING = 256  # most notices that wait for the next message
+MAX_SNAPSHOT = 256  # most notices for a gateway that has just subscribed
 
 
 class Receiver(Enum):
@@ -37,7 +37,7 @@
     """A message for a receiver."""
 
     receiver: Receiver
-    name: str  # of the gateway; empty: all other control nodes
+    name: str  # name of the gateway; empty for all other control nodes
     message: PrefixNotices
 
 
--- a/brackenladder/recovery/fetch.py
+++ b/brackenladder/recovery/fetch.py
@@ -14,7 +14,7 @@
 from brackenladder.recovery.generation import DIGEST, Generation
 
 PIECE = 160  # bytes of a piece, so that a frame holds one besides its header
-MAX_BYTES = 1 << 20  # of a state
+MAX_BYTES = 1 << 20  # largest size of a state
 PIECES_A_TICK = 8  # most pieces requested at once
 RETRY_TIME = 400_000  # microseconds after which a missing piece is requested again
 MAX_TRIES = 40  # requests of one piece after which the transfer fails
--- a/brackenladder/routing/pools.py
+++ b/brackenladder/routing/pools.py
@@ -46,9 +46,8 @@
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big") / 2**64
 
 
-server_position = lru_cache(maxsize=MAX_CACHED_POSITIONS)(
-    hash_position
-)  # asked for each pool, at each change
+# Cached because it is needed for each pool at each change of the list.
+server_position = lru_cache(maxsize=MAX_CACHED_POSITIONS)(hash_position)
 
 
 def contains(spec: PoolSpec, line: Line) -> bool:
--- a/brackenladder/shares/cold_share.py
+++ b/brackenladder/shares/cold_share.py
@@ -65,7 +65,7 @@
         self.bound = bound
         self._number = number_of(gateway)
         self._buckets: dict[int, _Bucket] = {}
-        self._parts: dict[int, ColdPart] = {}  # for one bound, number and list of gateways
+        self._parts: dict[int, ColdPart] = {}  # valid for one bound, number and list of gateways
         self._parts_for: tuple[ColdBound | None, int, tuple[str, ...]] = (None, 0, ())
 
     def part(self, server: int, gateways: int, names: Sequence[str] = ()) -> ColdPart:
--- a/tests/placement/test_prefix_notices.py
+++ b/tests/placement/test_prefix_notices.py
@@ -72,7 +72,7 @@
     def test_a_server_is_avoided_during_the_prefills_of_other_gateways(self) -> None:
         stage = Stage(servers_in("north-1", 2), gateways=3)
         busy = next(iter(stage.site.locations.values())).id
-        load = PrefixNotice(number_of(busy), uncached_tokens=40_000)  # a second
+        load = PrefixNotice(number_of(busy), uncached_tokens=40_000)  # a prefill of a second
         stage.module.receive_prefix_notices(stage.now, [load])
         self.assertEqual({stage.serve().server for _ in range(20)} & {busy}, set())
         stage.now += 2 * SECOND
--- a/tests/placement/test_prompt_balancer.py
+++ b/tests/placement/test_prompt_balancer.py
@@ -93,7 +93,7 @@
 
     def test_a_server_with_a_long_prefill_is_not_silent(self) -> None:
         stage = Stage(NORTH)
-        long = traits(of=route(timeout_ms=20_000), prompt_tokens=120_000)  # 3 s
+        long = traits(of=route(timeout_ms=20_000), prompt_tokens=120_000)  # prefill: 3 s
         stage.send(long, left=20 * SECOND)
         for _ in range(20):
             stage.now += 100 * MS
--- a/tests/placement/test_service_pool.py
+++ b/tests/placement/test_service_pool.py
@@ -198,7 +198,7 @@
     def test_classes_are_added_with_their_first_request(self) -> None:
         for timeout in (1000, 2000, 3000, 2000):
             self.answer(self.take(traits(of=route(timeout_ms=timeout))))
-        self.assertEqual(len(self.pool.balancer.settings.classes), 4)  # plus the initial one
+        self.assertEqual(len(self.pool.balancer.settings.classes), 4)  # one per timeout, and the initial one
         self.assertIs(self.pool.host.settings, self.pool.balancer.settings)
 
     def test_the_slot_of_a_client_that_left_is_released(self) -> None:
--- a/tests/test_balance_cold.py
+++ b/tests/test_balance_cold.py
@@ -78,7 +78,7 @@
             end(node, rec, turn * 100_000 + 1000, 3 * turn + i, 0, 1, Outcome.REJECTED)
         node.end_window((turn + 1) * 100_000)
         rates.append(node.warm_rate)
-    assert max(rates) < 1.0  # 15 calls a second were sent
+    assert max(rates) < 1.0  # although 15 calls a second were sent
 
 
 def test_the_bucket_of_a_cold_server_starts_empty():
@@ -97,7 +97,7 @@
     node.warm_rate = 100.0
     node.server_list(SEC, ListKind.CHANGES, [ServerEntry(1, ready_at=SEC)])
     sent = sum(node.may_send(SEC + i * 1000, node.servers[1]) for i in range(1000))
-    least = 100 * (0.4 + 0.6 / 4 / 2)  # from 0.4 up, for one of four seconds
+    least = 100 * (0.4 + 0.6 / 4 / 2)  # the first of four seconds, from 0.4 up
     assert sent == pytest.approx(shares * least, rel=0.08)  # the bucket overflows a little between two calls
 
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -109,7 +109,7 @@
     c.resize(4, 36.0)
     assert c.floor == pytest.approx(4 * MIN_LIMIT / 36) and c.headroom() == pytest.approx(2 / 6)
     c.resize(24, 9.0)
-    assert c.pass_limit == 2 * 24 * MIN_LIMIT / 9 < 24 * MIN_LIMIT / 3  # two floors, below the root rule
+    assert c.pass_limit == 2 * 24 * MIN_LIMIT / 9 < 24 * MIN_LIMIT / 3  # two floors, less than the root gives
 
 
 @pytest.mark.parametrize(
@@ -120,7 +120,7 @@
     c = controller(members=members, usual=usual)
     c.limit = 0.0
     c.resize(members, copies)
-    least = copies / members  # the least bounds of a node are MIN_LIMIT calls each
+    least = copies / members  # no bound of a node is below MIN_LIMIT calls
     assert c.limit * copies / members <= 2 * MIN_LIMIT
     assert c.pass_limit * copies / members <= max(2 * MIN_LIMIT, MIN_LIMIT * least)
     within = (2 * usual + MIN_LIMIT) * least
@@ -255,7 +255,7 @@
 def test_after_a_start_usual_is_smoothed_over_two_round_trips_until_a_window_is_above_target():
     """Failure prevented: a node that starts under full traffic refuses half of it for seconds."""
     c = after_pass(allowance=200_000, limit=100.0, in_flight=80)
-    fill(c, 100_000)  # 100 ms window, 2 x 100 ms: half the way
+    fill(c, 100_000)  # a window of 100 ms, smoothed over 200 ms
     assert c.usual == pytest.approx(40.0)
     fill(c, 300_000, start=1000 + WINDOW)
     c.in_flight = 80
