--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -23,8 +23,8 @@
 from brackenladder.policy.balancer import Balancer
 
 OK = Outcome.OK  # a module constant, since enum members are slow to look up and this is needed per attempt
-GUARD = 10_000  # microseconds after its deadline at which a call that the balancer left open is failed
-GUARD_STEP = 5_000  # microseconds by which failing such a call may be delayed, so that calls share timers
+EXPIRY_DELAY = 10_000  # microseconds after its deadline at which a call that the balancer left open is failed
+EXPIRY_STEP = 5_000  # microseconds by which failing such a call may be delayed, so that calls share timers
 
 
 class Host:
@@ -57,7 +57,7 @@
         self.calls: dict[int, Call] = {}
         self.last_id = 0
         self.expired_count = 0
-        self.guards: dict[int, list[int]] = {}  # ids of calls, by the time step of their deadline
+        self.expiring: dict[int, list[int]] = {}  # ids of calls, by the time step of their deadline
         self.conclude_by = 1 << 62  # time by which all calls must be concluded
         self.balancer = module(settings, seed, self)
 
@@ -129,24 +129,24 @@
         call.accepted_at = now
         call.deadline = now + left
         self.calls[call.id] = call
-        self.guard(call, now)
+        self.schedule_expiry(call, now)
         self.post_at(now, self.balancer.request, (call.id, call.klass, call.tenant, left, call.repeat))
 
-    def guard(self, call: Call, now: int) -> None:
+    def schedule_expiry(self, call: Call, now: int) -> None:
         """Makes sure that the call is concluded shortly after its deadline, whatever the balancer does.
 
         Calls with nearly the same deadline share a timer, since almost all are concluded long before it.
         """
-        step = (call.deadline + GUARD) // GUARD_STEP + 1
-        if step in self.guards:
-            self.guards[step].append(call.id)
+        step = (call.deadline + EXPIRY_DELAY) // EXPIRY_STEP + 1
+        if step in self.expiring:
+            self.expiring[step].append(call.id)
         else:
-            self.guards[step] = [call.id]
-            self.loop.call_later((step * GUARD_STEP - now) / 1e6, self.expire_step, step)
+            self.expiring[step] = [call.id]
+            self.loop.call_later((step * EXPIRY_STEP - now) / 1e6, self.expire_step, step)
 
     def expire_step(self, step: int) -> None:
         """Fails those calls of a time step that are still open."""
-        for number in self.guards.pop(step):
+        for number in self.expiring.pop(step):
             call = self.calls.get(number)
             if call is not None and call.open:
                 self.expire(call)
@@ -220,17 +220,17 @@
         else:
             if outcome not in NEVER_RAN and not call.in_doubt:
                 call.in_doubt = True
-                self.limit_repeats(call, began)
+                self.limit_retries(call, began)
             if call.single_attempt:
                 self.release(call.id)
         final = not call.open
         if final and call.id in self.calls:
             del self.calls[call.id]
         now = self.now()
-        what = (call.id, number, server, outcome, now - began, final, report)
-        self.post_at(now, self.balancer.outcome, what)
+        event_args = (call.id, number, server, outcome, now - began, final, report)
+        self.post_at(now, self.balancer.outcome, event_args)
 
-    def limit_repeats(self, call: Call, began: int) -> None:
+    def limit_retries(self, call: Call, began: int) -> None:
         """Limits the retries of a keyed call, which may have run, to the window of its class after `began`.
 
         Failure prevented: a retry is started within the window, waits for a connection, and is written after
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -13,7 +13,7 @@
 import numpy as np
 
 from brackenladder.cluster.live_count import ABSENCE_TIME, MIN_COUNTED_PART
-from brackenladder.core.host import GUARD, Host
+from brackenladder.core.host import EXPIRY_DELAY, Host
 from brackenladder.core.roster import number_of
 from brackenladder.fleet.clients import Clients
 from brackenladder.fleet.discovery import Source, numbered
@@ -427,7 +427,7 @@
         collects = gc.isenabled()
         gc.disable()  # what a run keeps is its events, and what it lets go holds no cycles
         try:
-            self.queue.run(BEGIN + self.plan.length + SETTLE + GUARD)
+            self.queue.run(BEGIN + self.plan.length + SETTLE + EXPIRY_DELAY)
         finally:
             if collects:
                 gc.enable()
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -184,7 +184,7 @@
         if choice is None or self.yields_to_urgent(now, req, choice):
             self.finish(req, refuse=harmless)
             return
-        if job.arrived and not self.may_repeat(now):
+        if job.arrived and not self.take_retry(now):
             self.finish(req, refuse=harmless)
             return
         self.start_attempt(now, req, job, choice)
@@ -218,7 +218,7 @@
         self.in_flight.send(now, req.id, job, server.id, choice.uncached_tokens, queue_time)
         self.actions.send(req.id, server.id, self.attempt_timeout(now, req, job, choice))
 
-    def may_repeat(self, now: int) -> bool:
+    def take_retry(self, now: int) -> bool:
         """Takes a retry from this gateway's part of the budget, which is 0 until the part is known.
 
         Failure prevented: all processes start at once, each gateway assumes to be the only one, and together
--- a/brackenladder/placement/holders.py
+++ b/brackenladder/placement/holders.py
@@ -4,8 +4,8 @@
 
 from collections import OrderedDict
 
-MOST_KEYS = 4_096  # prefixes remembered for a service; the least recently used are dropped
-MOST_SERVERS = 8  # servers remembered for a prefix
+MAX_KEYS = 4_096  # prefixes remembered for a service; the least recently used are dropped
+MAX_SERVERS = 8  # servers remembered for a prefix
 
 
 class PrefixHolders:
@@ -21,9 +21,9 @@
             holders = {}
         self._by_key[key] = holders
         holders[server] = max(at, holders.get(server, at))
-        if len(holders) > MOST_SERVERS:
+        if len(holders) > MAX_SERVERS:
             del holders[min(holders, key=holders.__getitem__)]
-        if len(self._by_key) > MOST_KEYS:
+        if len(self._by_key) > MAX_KEYS:
             self._by_key.popitem(last=False)
 
     def lost(self, server: int) -> None:
--- a/brackenladder/placement/prefix_uses.py
+++ b/brackenladder/placement/prefix_uses.py
@@ -9,7 +9,7 @@
 
 from brackenladder.placement.prefixes import ChainLink
 
-MOST_PREFIXES = 512  # prefixes that are counted; the least recently used are dropped
+MAX_PREFIXES = 512  # prefixes that are counted; the least recently used are dropped
 HALF_LIFE = 15_000_000  # microseconds after which a use counts for half
 LEAST_USES = 2.0  # decayed uses of a popular prefix
 LEAST_PART = 0.05  # part of all requested tokens of shared parts that a popular prefix has at least
@@ -43,7 +43,7 @@
             uses = 1.0 if known is None else 1.0 + known.uses * _decay(now - known.at)
             self._links[link.key] = _Uses(link.tokens, uses, now)
             self._total += link.tokens
-        while len(self._links) > MOST_PREFIXES:
+        while len(self._links) > MAX_PREFIXES:
             self._links.popitem(last=False)
 
     def is_popular(self, now: int, key: int) -> bool:
--- a/brackenladder/placement/prefixes.py
+++ b/brackenladder/placement/prefixes.py
@@ -10,7 +10,7 @@
 
 from brackenladder.placement.traits import CallTraits, PromptPart
 
-MOST_PARTS = 512  # remembered for one server, to bound this gateway's memory
+MAX_PARTS = 512  # remembered for one server, to bound this gateway's memory
 KEY_BYTES = 8  # size of the key of a link
 
 
@@ -62,6 +62,6 @@
         for link in reversed(chain):  # so that the first links of a chain are evicted last
             self.tokens += link.tokens - self.links.pop(link.key, 0)
             self.links[link.key] = link.tokens
-        while self.links and (self.tokens > capacity or len(self.links) > MOST_PARTS):
+        while self.links and (self.tokens > capacity or len(self.links) > MAX_PARTS):
             _, tokens = self.links.popitem(last=False)
             self.tokens -= tokens
--- a/brackenladder/placement/silent_zones.py
+++ b/brackenladder/placement/silent_zones.py
@@ -5,7 +5,7 @@
 from attrs import define, field
 
 MIN_SERVERS = 2  # unanswering servers, at least one of them to a connect, that make a zone silent
-DOUBT_TIME = 2_500_000  # microseconds for which an unanswered call counts
+SILENCE_TIME = 2_500_000  # microseconds for which an unanswered call counts
 UNANSWERED_CONNECT = 400_000  # microseconds: a connect that fails sooner was refused by a running host
 
 
@@ -47,5 +47,5 @@
         known = self._zones.get(zone)
         if known is None:
             return False
-        recent = [silence for silence in known.values() if now - silence.at < DOUBT_TIME]
+        recent = [silence for silence in known.values() if now - silence.at < SILENCE_TIME]
         return len(recent) >= MIN_SERVERS and any(silence.connect for silence in recent)
--- a/brackenladder/placement/unresponsive.py
+++ b/brackenladder/placement/unresponsive.py
@@ -15,7 +15,7 @@
 UNANSWERED_FACTOR = 2  # a call is unanswered after this multiple of the time that a first event may take
 LATE_WEIGHT = 1  # weight of an attempt that timed out as its first event was late; busy servers have some
 UNANSWERED_WEIGHT = 2  # weight of an unanswered call
-DOUBT_TIME = 4_000_000  # microseconds for which a late or unanswered call counts
+SUSPICION_TIME = 4_000_000  # microseconds for which a late or unanswered call counts
 MAX_SUSPECTED = 0.5  # share of the servers; if more are suspected, all are used
 
 
@@ -68,7 +68,7 @@
 
     def record_report(self, at: int, server: int, weight: int) -> None:
         """Records that a call at a server was late or unanswered at time `at`."""
-        reports = [known for known in self._reports.get(server, ()) if at - known.at < DOUBT_TIME]
+        reports = [known for known in self._reports.get(server, ()) if at - known.at < SUSPICION_TIME]
         reports.append(_Report(at, weight))
         self._reports[server] = reports
 
@@ -77,7 +77,7 @@
         if not self._reports:
             return frozenset()
         recent = {
-            server: [report for report in known if now - report.at < DOUBT_TIME]
+            server: [report for report in known if now - report.at < SUSPICION_TIME]
             for server, known in self._reports.items()
         }
         self._reports = {server: known for server, known in recent.items() if known}
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -154,7 +154,7 @@
         return self.level + spare * self.headroom() < self.effective_limit()
 
     def effective_limit(self) -> float:
-        """The limit in force: during a pass, at most that of the pass."""
+        """The limit in force; during a pass it is at most the limit of the pass."""
         return min(self.limit, self.pass_limit) if self.in_pass else self.limit
 
     def start_pass(self, now: int) -> None:
--- a/brackenladder/policy/load_shedding.py
+++ b/brackenladder/policy/load_shedding.py
@@ -67,7 +67,7 @@
         self.rank = [int(d < best / 2) for d in density]
 
     def update_shed(self, ratio: float) -> None:
-        """Adapts the share of excess that is refused to an answer's latency, relative to its target.
+        """Adapts the refused share of the excess to the latency of an answer, relative to its target.
 
         Failure prevented: low-value traffic overloads the servers before enough of it is refused.
         """
--- a/brackenladder/recovery/fetch.py
+++ b/brackenladder/recovery/fetch.py
@@ -54,7 +54,7 @@
             self.asked[at] = now
             self.tries[at] = self.tries.get(at, 0) + 1
             if self.tries[at] > MAX_TRIES:
-                self.failed = f"the piece at {at} never came"
+                self.failed = f"the piece at offset {at} was never received"
                 return []
             requests.append(PieceRequest(self.rng.choice(holders), at))
         return requests
--- a/brackenladder/recovery/generation.py
+++ b/brackenladder/recovery/generation.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-DIGEST = 12  # bytes of a state's digest
+DIGEST = 12  # length of a state's digest in bytes
 
 
 class Generation(NamedTuple):
--- a/brackenladder/routing/pools.py
+++ b/brackenladder/routing/pools.py
@@ -15,12 +15,12 @@
 from brackenladder.membership.listing import Line, Listing
 
 DEFAULT = "default"  # the pool of requests that no route matches
-MOST_WEIGHT = 10.0
+MAX_WEIGHT = 10.0
 MAX_CACHED_POSITIONS = 20_000  # servers whose hash positions are cached
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[a-z0-9][a-z0-9_-]*$")]
 Text = Annotated[str, Meta(min_length=1, max_length=256)]
-Weight = Annotated[float, Meta(ge=0, le=MOST_WEIGHT)]
+Weight = Annotated[float, Meta(ge=0, le=MAX_WEIGHT)]
 Part = Annotated[float, Meta(ge=0, le=1)]
 
 
--- a/brackenladder/routing/routes.py
+++ b/brackenladder/routing/routes.py
@@ -74,7 +74,7 @@
 
 
 def compile_routes(routes: Sequence[RouteSpec], klass: str, tenant: str) -> list[CompiledRoute]:
-    """The routes that can match, up to the first that always does."""
+    """The routes that can match requests of a class and tenant, up to the first that always does."""
     found: list[CompiledRoute] = []
     for route in routes:
         if (not route.classes or klass in route.classes) and (not route.tenants or tenant in route.tenants):
--- a/tests/core/test_host.py
+++ b/tests/core/test_host.py
@@ -9,7 +9,7 @@
 
 from brackenladder.core.call import Call, Done, Failure, Probed
 from brackenladder.core.clock import Clock
-from brackenladder.core.host import GUARD, GUARD_STEP, Host
+from brackenladder.core.host import EXPIRY_DELAY, EXPIRY_STEP, Host
 from brackenladder.interface import ClassSettings, Effect, ListKind, Outcome, Settings
 
 SECOND = 1_000_000
@@ -243,7 +243,7 @@
 def test_calls_left_open_by_the_balancer_fail_after_their_deadline(stage: Stage) -> None:
     call = stage.take()
     ((delay, *_),) = stage.loop.timers
-    assert (SECOND + GUARD) / 1e6 <= delay <= (SECOND + GUARD + GUARD_STEP) / 1e6
+    assert (SECOND + EXPIRY_DELAY) / 1e6 <= delay <= (SECOND + EXPIRY_DELAY + EXPIRY_STEP) / 1e6
     stage.loop.fire()
     assert call.conclusions == ["released", Failure.EXPIRED]
     assert stage.host.expired_count == 1 and stage.module.events[-1] == ("client_left", call.id)
--- a/tests/fleet/test_rogues.py
+++ b/tests/fleet/test_rogues.py
@@ -219,7 +219,7 @@
 
 def late(monkeypatch):
     """The guard itself is late."""
-    monkeypatch.setattr("brackenladder.core.host.GUARD", 2_600_000)
+    monkeypatch.setattr("brackenladder.core.host.EXPIRY_DELAY", 2_600_000)
     monkeypatch.setattr(FleetCall, "served", lambda self, answer: None)
     monkeypatch.setattr(FleetCall, "refused", lambda self, after: None)
     monkeypatch.setattr(FleetCall, "failed", lambda self, why: None if why is Failure.GIVEN_UP else 0)
--- a/tests/node/test_soak.py
+++ b/tests/node/test_soak.py
@@ -44,7 +44,7 @@
                 server.requests.clear()
                 bench.discovery.requests.clear()
                 if cycle in (WARM, CYCLES - 1):
-                    await until(lambda: not bench.pool.host.guards)  # which last as long as the budgets
+                    await until(lambda: not bench.pool.host.expiring)  # which last as long as the budgets
                     found.append(held())
         (before, first), (after, last) = found
         growth = last.compare_to(first, "lineno")[:9]
--- a/tests/placement/test_intake.py
+++ b/tests/placement/test_intake.py
@@ -10,7 +10,7 @@
 from brackenladder.interface import Outcome
 from brackenladder.placement.cost import new_job
 from brackenladder.placement.intake import FRESH_TIME, SPREAD_TIME
-from brackenladder.placement.prefix_uses import HALF_LIFE, MOST_PREFIXES, PrefixUses
+from brackenladder.placement.prefix_uses import HALF_LIFE, MAX_PREFIXES, PrefixUses
 from brackenladder.placement.prefixes import ChainLink
 from brackenladder.placement.traits import CallTraits
 from brackenladder.prefix_cache.messages import PrefixNotice
@@ -190,7 +190,7 @@
         self.assertTrue(self.uses.is_popular(50, 2))
 
     def test_the_number_of_prefixes_is_bounded_and_used_ones_stay(self) -> None:
-        for number in range(3 * MOST_PREFIXES):
+        for number in range(3 * MAX_PREFIXES):
             self.uses.add(number, [ChainLink(0, 5_000), ChainLink(1 + number, 100)])
-        self.assertEqual(len(self.uses._links), MOST_PREFIXES)
-        self.assertTrue(self.uses.is_popular(3 * MOST_PREFIXES, 0))
+        self.assertEqual(len(self.uses._links), MAX_PREFIXES)
+        self.assertTrue(self.uses.is_popular(3 * MAX_PREFIXES, 0))
--- a/tests/placement/test_placement_parts.py
+++ b/tests/placement/test_placement_parts.py
@@ -9,7 +9,7 @@
 
 from brackenladder.placement.estimate import OutputTime, PrefillRate
 from brackenladder.placement.load import PRESSURE_TIME, ServerLoad
-from brackenladder.placement.prefixes import MOST_PARTS, CachedPrefixes, chain_of, shared_tokens_of
+from brackenladder.placement.prefixes import MAX_PARTS, CachedPrefixes, chain_of, shared_tokens_of
 from brackenladder.placement.regions import FADE, RegionTimes
 from brackenladder.placement.rendezvous import affinity_key
 from brackenladder.placement.traits import PromptPart
@@ -38,9 +38,9 @@
 
     def test_the_number_of_links_is_bounded(self) -> None:
         cache = CachedPrefixes()
-        for number in range(3 * MOST_PARTS):
+        for number in range(3 * MAX_PARTS):
             cache.add(chain_of("m", (PromptPart(str(number), 1),)), 10**9)
-        self.assertEqual(len(cache.links), MOST_PARTS)
+        self.assertEqual(len(cache.links), MAX_PARTS)
 
     def test_the_subject_is_the_last_shared_part(self) -> None:
         one, two = traits("subject", "one"), traits("subject", "two")
--- a/tests/placement/test_prefix_notices.py
+++ b/tests/placement/test_prefix_notices.py
@@ -8,7 +8,7 @@
 
 from brackenladder.core.roster import number_of
 from brackenladder.placement.cost import new_job
-from brackenladder.placement.holders import MOST_KEYS, MOST_SERVERS, PrefixHolders
+from brackenladder.placement.holders import MAX_KEYS, MAX_SERVERS, PrefixHolders
 from brackenladder.prefix_cache.messages import PrefixNotice
 
 NORTH = servers_in("north-1", 4)
@@ -123,9 +123,9 @@
 
     def test_the_number_of_prefixes_and_servers_is_bounded(self) -> None:
         holders = PrefixHolders()
-        for server in range(2 * MOST_SERVERS):
+        for server in range(2 * MAX_SERVERS):
             holders.record_use(server, 7, server)
-        self.assertEqual(holders.recent(100, 7, within=100), tuple(range(MOST_SERVERS, 2 * MOST_SERVERS)))
-        for key in range(MOST_KEYS + 5):
+        self.assertEqual(holders.recent(100, 7, within=100), tuple(range(MAX_SERVERS, 2 * MAX_SERVERS)))
+        for key in range(MAX_KEYS + 5):
             holders.record_use(100, 1_000 + key, server=1)
         self.assertEqual(holders.recent(100, 7, within=100), ())
--- a/tests/placement/test_silent_servers.py
+++ b/tests/placement/test_silent_servers.py
@@ -10,10 +10,10 @@
 from brackenladder.interface import Outcome
 from brackenladder.placement.parameters import PlacementParameters
 from brackenladder.placement.unresponsive import (
-    DOUBT_TIME,
     LATE_WEIGHT,
     LEAST_SAMPLES,
     MAX_SUSPECTED,
+    SUSPICION_TIME,
     UNANSWERED_FACTOR,
     UNANSWERED_WEIGHT,
     FirstEventTime,
@@ -76,8 +76,8 @@
 
     def test_a_suspicion_expires(self) -> None:
         self.suspicions.record_report(SECOND, 1, 3)
-        self.assertEqual(self.suspicions.suspected(SECOND + DOUBT_TIME - 1, 3), frozenset({1}))
-        self.assertEqual(self.suspicions.suspected(SECOND + DOUBT_TIME, 3), frozenset())
+        self.assertEqual(self.suspicions.suspected(SECOND + SUSPICION_TIME - 1, 3), frozenset({1}))
+        self.assertEqual(self.suspicions.suspected(SECOND + SUSPICION_TIME, 3), frozenset())
 
 
 class SilentServerTest(unittest.TestCase):
--- a/tests/placement/test_silent_zones.py
+++ b/tests/placement/test_silent_zones.py
@@ -8,7 +8,7 @@
 from placement_stage import MS, SECOND, Sent, Stage, servers_in
 
 from brackenladder.interface import Outcome
-from brackenladder.placement.silent_zones import DOUBT_TIME, UNANSWERED_CONNECT, SilentZones
+from brackenladder.placement.silent_zones import SILENCE_TIME, UNANSWERED_CONNECT, SilentZones
 
 DARK = servers_in("north-1", 8)
 LIT = servers_in("north-2", 8)
@@ -47,8 +47,8 @@
     def test_the_silence_expires(self) -> None:
         for server in (1, 2):
             self.zones.connect_failed(0, "a", server, NEVER_UP)
-        self.assertTrue(self.zones.silent(DOUBT_TIME - 1, "a"))
-        self.assertFalse(self.zones.silent(DOUBT_TIME, "a"))
+        self.assertTrue(self.zones.silent(SILENCE_TIME - 1, "a"))
+        self.assertFalse(self.zones.silent(SILENCE_TIME, "a"))
 
     def answer(self) -> None:
         self.zones.answered("a")
@@ -91,6 +91,6 @@
 
     def test_the_zone_is_used_again_after_some_time(self) -> None:
         self.go_on(2)
-        self.stage.now += DOUBT_TIME
+        self.stage.now += SILENCE_TIME
         servers = [self.stage.serve().server for _ in range(40)]
         self.assertTrue(any(server in DARK for server in servers))
