--- a/brackenladder/recovery/startup.py
+++ b/brackenladder/recovery/startup.py
@@ -33,11 +33,11 @@
         self.phase: Phase = "asking" if peers else "current"
 
     def update(
-        self, now: int, mine: Generation, known: KnownGenerations, refused: str, unheard: int
+        self, now: int, mine: Generation, known: KnownGenerations, refused: str, unanswered: int
     ) -> Phase:
         """Updates and returns the phase.
 
-        `refused`: why the newest state cannot be applied; `unheard`: number of nodes that have not answered.
+        `refused`: why the newest state cannot be applied; `unanswered`: number of nodes without an answer.
         Failure prevented: most nodes start together, get answers from each other first, and agree on having
         no state before the node that has one answers.
         """
@@ -57,7 +57,7 @@
             self.phase = "behind" if refused or late or self.settled else "fetching"
         elif known.conflicts(mine):
             self.phase, self.fetch_started_at, self.settled = "conflict", -1, True
-        elif self.phase == "asking" and unheard and now - self.started_at < ASK_TIMEOUT:
+        elif self.phase == "asking" and unanswered and now - self.started_at < ASK_TIMEOUT:
             pass  # more answers may come
         else:
             self.phase, self.fetch_started_at, self.was_current = "current", -1, True
--- a/tests/placement/test_bytes_and_scan.py
+++ b/tests/placement/test_bytes_and_scan.py
@@ -29,10 +29,10 @@
     def test_a_prompt_goes_to_another_zone_that_has_it_cached(self) -> None:
         caching = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2), zone="north-2")
         sent = caching.serve(traits("s"))
-        told = caching.announcer.take()
-        assert told is not None
+        message = caching.announcer.take()
+        assert message is not None
         stage = Stage(TWO_ZONES, gateways=3, parameters=PlacementParameters(zone_byte=1.2))
-        stage.module.receive_prefix_notices(stage.now, told.notices)
+        stage.module.receive_prefix_notices(stage.now, message.notices)
         self.assertEqual(stage.send(traits("s", request_bytes=9_000)).server, sent.server)
 
     def test_a_call_without_parts_stays_in_its_zone_while_that_is_not_overloaded(self) -> None:
--- a/tests/placement/test_intake.py
+++ b/tests/placement/test_intake.py
@@ -73,8 +73,8 @@
     def test_a_seeding_request_of_another_gateway_counts(self) -> None:
         self.join()
         head = new_job(traits("x"), set()).chain[:2]
-        told = PrefixNotice(number_of(NEW), tuple(k.key for k in head), tuple(k.tokens for k in head))
-        self.stage.module.receive_prefix_notices(self.stage.now, [told])
+        notice = PrefixNotice(number_of(NEW), tuple(k.key for k in head), tuple(k.tokens for k in head))
+        self.stage.module.receive_prefix_notices(self.stage.now, [notice])
         seeding = self.stage.module.seeding
         job = new_job(traits("fresh"), set())
         chosen = seeding.server_to_seed(
--- a/tests/placement/test_prefix_notices.py
+++ b/tests/placement/test_prefix_notices.py
@@ -59,8 +59,8 @@
     def test_a_server_of_the_own_region_with_the_prefix_is_preferred(self) -> None:
         stage = Stage(NORTH | SOUTH, gateways=3)
         near, far = next(iter(NORTH)), next(iter(SOUTH))
-        told = [notice(stage, "s", far), notice(stage, "s", near)]
-        stage.module.receive_prefix_notices(stage.now, told)
+        notices = [notice(stage, "s", far), notice(stage, "s", near)]
+        stage.module.receive_prefix_notices(stage.now, notices)
         self.assertEqual(stage.send(traits("s")).server, near)
 
     def test_a_remote_server_with_a_long_prefill_is_avoided(self) -> None:
@@ -94,10 +94,10 @@
         sent = stage.send(traits("s"))
         message = stage.announcer.take()
         assert message is not None
-        (told,) = message.notices
-        self.assertEqual(told.keys, notice(stage, "s", sent.server).keys)
-        self.assertEqual((told.server, told.tokens), (number_of(sent.server), (2000, 2500)))
-        self.assertGreater(told.uncached_tokens, 0)
+        (announced,) = message.notices
+        self.assertEqual(announced.keys, notice(stage, "s", sent.server).keys)
+        self.assertEqual((announced.server, announced.tokens), (number_of(sent.server), (2000, 2500)))
+        self.assertGreater(announced.uncached_tokens, 0)
 
     def test_the_keys_of_prefixes_are_the_same_at_all_gateways(self) -> None:
         """The keys are part of the protocol between nodes: other processes and versions must agree."""
--- a/tests/placement/test_prompt_balancer.py
+++ b/tests/placement/test_prompt_balancer.py
@@ -128,9 +128,9 @@
             one = Stage(servers, seed=1, zone="north-1", gateways=7, name="front-1")
             two = Stage(servers, seed=2, zone="north-2", gateways=7, name="front-2")
             here = one.send(traits(f"subject-{subject}", "a"))
-            told = one.announcer.take()
-            assert told is not None
-            two.module.receive_prefix_notices(two.now, told.notices)
+            message = one.announcer.take()
+            assert message is not None
+            two.module.receive_prefix_notices(two.now, message.notices)
             self.assertEqual(two.send(traits(f"subject-{subject}", "b")).server, here.server)
 
     def test_subjects_spread_over_the_servers(self) -> None:
--- a/tests/placement/test_silent_servers.py
+++ b/tests/placement/test_silent_servers.py
@@ -91,8 +91,8 @@
     def test_one_answer_does_not_end_the_suspicion(self) -> None:
         gateway = stage()
         sent = gateway.send()
-        told = PrefixNotice(number_of(sent.server), unanswered_weight=3)
-        gateway.module.receive_prefix_notices(gateway.now, [told])
+        report = PrefixNotice(number_of(sent.server), unanswered_weight=3)
+        gateway.module.receive_prefix_notices(gateway.now, [report])
         gateway.end(sent)
         self.assertNotIn(sent.server, {gateway.send().server for _ in range(40)})
 
@@ -104,8 +104,8 @@
     def test_if_most_servers_are_suspected_all_are_used(self) -> None:
         gateway = stage()
         silent = list(NORTH)[: int(MAX_SUSPECTED * len(NORTH)) + 1]
-        told = [PrefixNotice(number_of(server), unanswered_weight=3) for server in silent]
-        gateway.module.receive_prefix_notices(gateway.now, told)
+        reports = [PrefixNotice(number_of(server), unanswered_weight=3) for server in silent]
+        gateway.module.receive_prefix_notices(gateway.now, reports)
         self.assertTrue(set(silent) & {gateway.send().server for _ in range(40)})
 
     def test_an_unanswered_call_is_reported_once(self) -> None:
@@ -119,10 +119,10 @@
         gateway.now = placed.unanswered_at
         gateway.send()
         gateway.send()
-        told = gateway.announcer.take()
-        assert told is not None
+        message = gateway.announcer.take()
+        assert message is not None
         self.assertEqual(
-            [one.server for one in told.notices if one.unanswered_weight], [number_of(sent.server)]
+            [one.server for one in message.notices if one.unanswered_weight], [number_of(sent.server)]
         )
 
     def test_a_connect_without_an_answer_is_reported(self) -> None:
@@ -130,9 +130,11 @@
         sent = gateway.send()
         gateway.now += 500 * MS
         gateway.end(sent, Outcome.CONNECT_FAILED, latency=500 * MS)
-        told = gateway.announcer.take()
-        assert told is not None
-        self.assertIn(PrefixNotice(number_of(sent.server), unanswered_weight=UNANSWERED_WEIGHT), told.notices)
+        message = gateway.announcer.take()
+        assert message is not None
+        self.assertIn(
+            PrefixNotice(number_of(sent.server), unanswered_weight=UNANSWERED_WEIGHT), message.notices
+        )
 
 
 class QuickRetryTest(unittest.TestCase):
--- a/tests/prefix_cache/test_recent.py
+++ b/tests/prefix_cache/test_recent.py
@@ -30,9 +30,9 @@
         self.recent.add(AT, PrefixNotice(1, (7,), (9_000,), uncached_tokens=9_000))
         self.recent.add(AT + 1, notice(1, 8, shared=1_000))
         self.recent.add(AT + 2, notice(2, 9, shared=5_000))
-        told = self.recent.snapshot(AT + 10, most=2)
+        snapshot = self.recent.snapshot(AT + 10, most=2)
         self.assertEqual(
-            [(each.keys, each.uncached_tokens, each.age) for each in told], [((7,), 0, 10), ((9,), 0, 8)]
+            [(each.keys, each.uncached_tokens, each.age) for each in snapshot], [((7,), 0, 10), ((9,), 0, 8)]
         )
 
     def test_unused_prefixes_are_dropped(self) -> None:
--- a/tests/prefix_cache/test_relay.py
+++ b/tests/prefix_cache/test_relay.py
@@ -54,10 +54,10 @@
         self.relay.from_gateway(AT + 1_000, "a", PrefixNotices((notice(2),)))
         self.relay.from_gateway(AT + 2_000, "b", PrefixNotices((notice(3, age=500),)))
         self.assertEqual(self.take(AT + INTERVAL - 1), {})
-        told = self.take(AT + INTERVAL)
+        sent = self.take(AT + INTERVAL)
         second = notice(2, age=INTERVAL - 1_000)
         third = notice(3, age=INTERVAL - 2_000 + 500)
-        self.assertEqual(told, {"a": [third], "b": [second], "c": [second, third]})
+        self.assertEqual(sent, {"a": [third], "b": [second], "c": [second, third]})
         self.assertEqual([each.server for each in self.take(AT + PEER_INTERVAL)[""]], [2, 3])
 
     def test_an_unsubscribed_or_lost_gateway_gets_no_notices(self) -> None:
@@ -71,9 +71,9 @@
         self.take(AT)
         self.relay.set_subscribed("d", wanted=True)
         self.relay.set_subscribed("d", wanted=True)
-        told = self.take(AT + 5_000)["d"]
+        sent = self.take(AT + 5_000)["d"]
         self.assertEqual(
-            [(each.server, each.uncached_tokens, each.age) for each in told], [(1, 0, 5_000), (2, 0, 5_000)]
+            [(each.server, each.uncached_tokens, each.age) for each in sent], [(1, 0, 5_000), (2, 0, 5_000)]
         )
         self.assertEqual(self.take(AT + 10_000), {})
 
@@ -82,8 +82,8 @@
         self.take(AT)
         for number in range(1, 200):
             self.relay.from_gateway(AT + 1, "a", PrefixNotices((notice(number, shared=2_000 + number),)))
-        told = self.take(AT + PEER_INTERVAL)
-        self.assertEqual([each.server for each in told["b"]], list(range(200 - MAX_NOTICES, 200)))
+        sent = self.take(AT + PEER_INTERVAL)
+        self.assertEqual([each.server for each in sent["b"]], list(range(200 - MAX_NOTICES, 200)))
 
     def test_a_flood_of_notices_does_not_use_more_memory(self) -> None:
         for number in range(20 * MAX_PENDING):
--- a/tests/recovery/test_generation.py
+++ b/tests/recovery/test_generation.py
@@ -67,7 +67,7 @@
     assert fetch.receive_piece(wanted.digest, PIECE, len(state), state[PIECE:]) == state
 
 
-def heard(*generations: Generation) -> KnownGenerations:
+def known_generations(*generations: Generation) -> KnownGenerations:
     known = KnownGenerations()
     for number, generation in enumerate(generations):
         known.record(number, generation)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("alone", "said", "unheard", "after", "phase", "serves"),
+    ("alone", "answers", "unanswered", "after", "phase", "serves"),
     [
         (True, [], 4, ASK_TIMEOUT - 1, "asking", False),
         (True, [], 4, ASK_TIMEOUT, "alone", True),
@@ -89,23 +89,32 @@
         (True, [Generation(1, "z")], 0, 1, "current", True),
     ],
 )
-def test_the_phases_of_a_start(alone, said, unheard, after, phase, serves):
+def test_the_phases_of_a_start(alone, answers, unanswered, after, phase, serves):
     startup = StartupRecovery(0, 4, alone)
-    startup.update(0, MINE, heard(*said), "", 4)
-    assert startup.update(after, MINE, heard(*said), "", unheard) == phase and startup.serves == serves
+    startup.update(0, MINE, known_generations(*answers), "", 4)
+    assert (
+        startup.update(after, MINE, known_generations(*answers), "", unanswered) == phase
+        and startup.serves == serves
+    )
 
 
 def test_a_node_without_answers_takes_a_newer_state_later():
     startup = StartupRecovery(0, 4, True)
     assert startup.update(ASK_TIMEOUT, MINE, KnownGenerations(), "", 4) == "alone"
-    assert startup.update(ASK_TIMEOUT + 1, MINE, heard(NEWER), "", 3) == "fetching" and not startup.serves
-    assert startup.update(ASK_TIMEOUT + 2, NEWER, heard(NEWER), "", 3) == "current"
+    assert (
+        startup.update(ASK_TIMEOUT + 1, MINE, known_generations(NEWER), "", 3) == "fetching"
+        and not startup.serves
+    )
+    assert startup.update(ASK_TIMEOUT + 2, NEWER, known_generations(NEWER), "", 3) == "current"
 
 
 def test_a_newer_state_is_taken_only_within_the_settle_time():
     startup = StartupRecovery(0, 4, True)
-    assert startup.update(1, MINE, heard(MINE), "", 0) == "current"
-    assert startup.update(2, MINE, heard(NEWER), "", 0) == "fetching" and startup.serves
-    assert startup.update(SETTLE_TIME, NEWER, heard(NEWER), "", 0) == "current"
+    assert startup.update(1, MINE, known_generations(MINE), "", 0) == "current"
+    assert startup.update(2, MINE, known_generations(NEWER), "", 0) == "fetching" and startup.serves
+    assert startup.update(SETTLE_TIME, NEWER, known_generations(NEWER), "", 0) == "current"
     newest = Generation(4, "d")
-    assert startup.update(SETTLE_TIME + 1, NEWER, heard(newest), "", 0) == "behind" and startup.serves
+    assert (
+        startup.update(SETTLE_TIME + 1, NEWER, known_generations(newest), "", 0) == "behind"
+        and startup.serves
+    )
--- a/tests/test_balance_failures.py
+++ b/tests/test_balance_failures.py
@@ -96,8 +96,8 @@
         now += 10_000
         server = ask(node, rec, now, i, 2)[2]
         far += i >= 1000 and server % 2 == 0
-        crowded = i >= 500 and server % 2 == 1
-        end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if crowded else 200_000)
+        overloaded = i >= 500 and server % 2 == 1
+        end(node, rec, now, i, 0, server, Outcome.OK, 800_000 if overloaded else 200_000)
     assert node.spill > 0.5 and far > 300
 
 
--- a/tests/test_balance_subset.py
+++ b/tests/test_balance_subset.py
@@ -68,8 +68,8 @@
         seed, part = divmod(index, parts)
         spread = []
         for kind in {e.kind for e in mine}:
-            alike = sorted((e.server for e in mine if e.kind == kind), key=lambda s: (mix(s, seed), s))
-            spread += [((i + mix(kind, seed) / 2**64) / len(alike), s) for i, s in enumerate(alike)]
+            same_kind = sorted((e.server for e in mine if e.kind == kind), key=lambda s: (mix(s, seed), s))
+            spread += [((i + mix(kind, seed) / 2**64) / len(same_kind), s) for i, s in enumerate(same_kind)]
         order = [server for _, server in sorted(spread)]
         start, end = part * len(order) // parts, (part + 1) * len(order) // parts
         stop = min(max(end, start + SUBSET_LEAST), start + len(order))
