--- a/brackenladder/consensus/command_parts.py
+++ b/brackenladder/consensus/command_parts.py
@@ -1,8 +1,8 @@
-"""Commands too large for one entry: a run of parts that ends with the entry of the command itself.
+"""Splits large commands into several log entries: COMMAND_PART entries and a final COMMAND entry.
 
-With small entries a follower hears its leader while a large command is on its way, however slow the link. A
-leader appends all parts at once, so in one term nothing comes between them. A run that its leader did not
-finish is passed over.
+Small entries let heartbeats through between them, so that a follower on a slow link still hears from its
+leader while a large command is transferred. A leader appends all parts at once, so the parts of one term are
+contiguous. An incomplete sequence, left by a leader that lost its role, is ignored.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 def split_command(data: bytes) -> tuple[bytes, ...]:
-    """The data of the entries of a command, the last one's last; at least one."""
+    """The data of a command's entries in order; always at least one."""
     starts = range(0, max(1, len(data)), PART_BYTES)
     return tuple(data[start : start + PART_BYTES] for start in starts)
 
 
 class CommandAssembler:
-    """Puts commands together from committed entries, which come once each and in sequence."""
+    """Reassembles commands from committed entries, which have to be passed once each and in order."""
 
     def __init__(self) -> None:
         self._term = 0
@@ -27,15 +27,15 @@
 
     @property
     def between_commands(self) -> bool:
-        """Whether no part waits for the rest: only here may a state take the place of the log so far."""
+        """Whether no incomplete command is buffered. Only then may a snapshot replace the log so far."""
         return not self._parts
 
     def reset(self) -> None:
-        """A snapshot has taken the place of the log so far."""
+        """Drops buffered parts after a snapshot has replaced the log so far."""
         self._parts.clear()
 
     def take(self, entry: Entry) -> bytes | None:
-        """Takes an entry; the whole command if the entry ends one."""
+        """Takes an entry. Returns the whole command if the entry completes one."""
         if entry.term != self._term:
             self._parts.clear()
         self._term = entry.term
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -1,4 +1,4 @@
-"""What every role of a replica works on: term, vote, log, commit index and what goes out."""
+"""The state that all roles of a replica share: term, vote, log, commit index and pending output."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Core:
-    """The state beneath the roles. Term, vote and log change only through it, and each change is written."""
+    """State shared by all roles. Each change of the term, vote or log goes through it and is persisted."""
 
     writes_type: type[WriteQueue] = WriteQueue
 
@@ -28,7 +28,7 @@
         self.commit_index = self.log.snapshot_index
         self.pending = PendingOutput()
         self.snapshot_receiver = SnapshotReceiver()
-        self._delivered = self.commit_index  # committed entries up to here have been given to the host
+        self._delivered = self.commit_index  # committed entries up to this index were passed to the host
         if state.snapshot is not None and state.snapshot.index > GENESIS_INDEX:
             self.pending.restore = state.snapshot
 
@@ -47,25 +47,25 @@
         return find_member(self.log.members, replica_id)
 
     def set_term(self, term: int, voted_for: str = "") -> None:
-        """Enter a term, or vote in it."""
+        """Sets the term and the vote in it."""
         self.term = term
         self.voted_for = voted_for
         self.writes.set_hard_state(HardState(term, voted_for))
 
     def append(self, entry: Entry) -> None:
-        """Add an entry to the log."""
+        """Appends an entry to the log."""
         self.log.append(entry)
         self.writes.append(entry)
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from `index` on, none of which is committed."""
+        """Drops the entries from `index` on, none of which may be committed."""
         if index <= self.commit_index:
-            raise ValueError(f"entry {index} is committed")
+            raise ValueError(f"cannot truncate committed entry {index}")
         self.log.truncate(index)
         self.writes.truncate(index)
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the log by a snapshot of the leader."""
+        """Replaces the log by a snapshot from the leader."""
         self.log.install(snapshot)
         self.writes.snapshot(snapshot, clear=True)
         self.commit_index = snapshot.index
@@ -74,14 +74,14 @@
             self.pending.restore = snapshot
 
     def genesis(self, snapshot: Snapshot) -> None:
-        """Start an empty log with the first voters."""
+        """Initialises an empty log with the first voters."""
         self.install(snapshot)
         self.set_term(max(self.term, snapshot.term))
 
     def compact(self, index: int, data: bytes, held_after: int | None = None) -> None:
-        """The state machine's state after the entry at `index` replaces the log up to there.
+        """Replaces the log up to `index` by the state machine's state after the entry at `index`.
 
-        `held_after`: memory keeps the entries after this index, up to a bound.
+        `held_after`: the entries after this index stay in memory, up to `Timing.held_bytes`.
         """
         term = self.log.term(index)
         if index <= self.log.snapshot_index or index > self.commit_index or term is None:
@@ -91,14 +91,14 @@
         self.writes.snapshot(snapshot, clear=False)
 
     def advance_commit(self, index: int) -> bool:
-        """Everything up to `index` is committed. True: that is new."""
+        """Marks all entries up to `index` as committed. Returns whether any of them was not before."""
         if index <= self.commit_index:
             return False
         self.commit_index = index
         return True
 
     def take_committed(self) -> tuple[Entry, ...]:
-        """The committed entries that the host doesn't have yet."""
+        """The committed entries that the host hasn't received yet."""
         if self._delivered >= self.commit_index:
             return ()
         entries = tuple(self.log.between(self._delivered + 1, self.commit_index))
@@ -106,17 +106,17 @@
         return entries
 
     def send(self, to: str, message: object) -> None:
-        """Send now."""
+        """Queues a message for sending now."""
         self.pending.messages.append(Outgoing(to, message))
 
     def send_once_durable(self, to: str, message: object, token: int) -> None:
-        """Send once the write is durable; 0: now."""
+        """Sends a message once the write with this token is durable; 0: now."""
         if token:
             self.writes.hold(token, Outgoing(to, message))
         else:
             self.send(to, message)
 
     def quorum(self, own: int, value_of: Callable[[str], int]) -> int:
-        """The highest value that a quorum of the present members reaches; this replica's is `own`."""
+        """The highest value that a quorum of the current members reaches; `own` is this replica's value."""
         replica_id = self.member.replica_id
         return quorum_value(self.log.members, lambda voter: own if voter == replica_id else value_of(voter))
--- a/brackenladder/consensus/following.py
+++ b/brackenladder/consensus/following.py
@@ -1,4 +1,4 @@
-"""A follower's part in replication: what it takes of its leader's log, and its answers."""
+"""The follower's side of replication: accepting the leader's entries and snapshots, and replying."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def refuse_append(core: Core, now: int, request: AppendEntries) -> None:
-    """Tell the leader of an older term that its time is over."""
+    """Refuses the entries of a leader of an older term; the reply tells it the newer term."""
     reply = AppendReply(
         core.replica_id, request.sender, core.term, False, request.round, request.prev_index, sent_at=now
     )
@@ -20,18 +20,18 @@
 
 
 def on_append(core: Core, now: int, request: AppendEntries) -> None:
-    """Take the leader's entries, if they follow what is here."""
-    known = request.prev_index <= core.commit_index  # committed entries are equal to the leader's
+    """Accepts the leader's entries if the entry before them matches the local log."""
+    known = request.prev_index <= core.commit_index  # committed entries always match the leader's
     if not known and not core.log.holds(request.prev_index, request.prev_term):
         _refuse(core, now, request)
         return
-    _take_entries(core, request)
+    _append_entries(core, request)
     received = request.prev_index + len(request.entries)
     core.advance_commit(min(request.commit, received))
     _accept(core, now, request, received)
 
 
-def _take_entries(core: Core, request: AppendEntries) -> None:
+def _append_entries(core: Core, request: AppendEntries) -> None:
     for entry in request.entries:
         if entry.index <= core.commit_index or core.log.holds(entry.index, entry.term):
             continue
@@ -46,7 +46,7 @@
         match = received
         token = core.writes.pending_token
     else:
-        # A heartbeat is answered at once, also while the store hangs.
+        # A heartbeat is answered immediately, even while the store is stuck.
         match = min(received, durable)
         token = core.writes.pending_hard_token
     reply = AppendReply(
@@ -80,7 +80,7 @@
 
 
 def on_snapshot(core: Core, request: InstallSnapshot) -> None:
-    """Take a chunk of the leader's snapshot, unless what is here goes as far."""
+    """Accepts a chunk of the leader's snapshot unless the local log already covers it."""
     index, term = request.snapshot.index, request.snapshot.term
     if index > core.commit_index and core.log.holds(index, term):
         core.advance_commit(index)
@@ -89,9 +89,9 @@
         return
     snapshot = core.snapshot_receiver.take(request)
     if snapshot is None:
-        _tell_received(core, request)
+        _report_received(core, request)
         return
-    core.snapshot_receiver.forget()
+    core.snapshot_receiver.reset()
     core.install(snapshot)
     _confirm_snapshot(core, request)
 
@@ -103,7 +103,7 @@
     core.send_once_durable(request.sender, reply, token)
 
 
-def _tell_received(core: Core, request: InstallSnapshot) -> None:
+def _report_received(core: Core, request: InstallSnapshot) -> None:
     index = request.snapshot.index
     reply = InstallSnapshotReply(
         sender=core.replica_id,
--- a/brackenladder/consensus/log.py
+++ b/brackenladder/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after the newest snapshot, a few before it, and who the members are."""
+"""The log in memory: the entries after the newest snapshot, a few before it, and the member sets."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 @frozen
-class MembersAt:
-    """The members as the entry at `index` sets them."""
+class Membership:
+    """The members that the entry at `index` sets."""
 
     index: int
     members: Members
 
 
 class Log:
-    """Entries with contiguous indexes. `last_index` and `last_term` count what the snapshot covers."""
+    """Entries with contiguous indexes. `last_index` and `last_term` include what the snapshot covers."""
 
     def __init__(self, state: DurableState) -> None:
         self.snapshot = state.snapshot
         self._first = 1  # index of the first entry held
-        self._before_term = 0  # term of the entry before the first one held
+        self._previous_term = 0  # term of the entry before the first one held
         self._entries: list[Entry] = []
-        self._settings: list[MembersAt] = [MembersAt(0, Members())]
+        self._memberships: list[Membership] = [Membership(0, Members())]
         if state.snapshot is not None:
             self._start_after(state.snapshot)
         for entry in state.entries:
@@ -36,9 +36,9 @@
     def _start_after(self, snapshot: Snapshot) -> None:
         self.snapshot = snapshot
         self._first = snapshot.index + 1
-        self._before_term = snapshot.term
+        self._previous_term = snapshot.term
         self._entries = []
-        self._settings = [MembersAt(snapshot.index, snapshot.members)]
+        self._memberships = [Membership(snapshot.index, snapshot.members)]
 
     @property
     def last_index(self) -> int:
@@ -48,7 +48,7 @@
     @property
     def last_term(self) -> int:
         """Term of the newest entry."""
-        return self._entries[-1].term if self._entries else self._before_term
+        return self._entries[-1].term if self._entries else self._previous_term
 
     @property
     def snapshot_index(self) -> int:
@@ -58,45 +58,45 @@
     @property
     def members(self) -> Members:
         """The newest members in the log, committed or not."""
-        return self._settings[-1].members
+        return self._memberships[-1].members
 
     @property
     def members_index(self) -> int:
         """Index of the entry that set `members`."""
-        return self._settings[-1].index
+        return self._memberships[-1].index
 
     @property
     def newest_command_index(self) -> int:
-        """Index of the newest command that is held; 0 if there is none."""
+        """Index of the newest command in memory; 0 if there is none."""
         commands = (entry.index for entry in reversed(self._entries) if entry.kind is EntryKind.COMMAND)
         return next(commands, 0)
 
     def term(self, index: int) -> int | None:
-        """Term of the entry at `index`; None when the log doesn't hold it (any more)."""
+        """Term of the entry at `index`; None if the log doesn't hold that entry (any more)."""
         offset = index - self._first
         if 0 <= offset < len(self._entries):
             return self._entries[offset].term
         if offset == -1:
-            return self._before_term
+            return self._previous_term
         return None
 
     def holds(self, index: int, term: int) -> bool:
-        """Whether the entry at `index` is the one of `term`."""
+        """Whether the entry at `index` has the term `term`."""
         return self.term(index) == term
 
     def append(self, entry: Entry) -> None:
-        """Add the entry that follows the newest one."""
+        """Appends the entry after the newest one."""
         if entry.index != self.last_index + 1:
-            raise ValueError(f"entry {entry.index} can't follow entry {self.last_index}")
+            raise ValueError(f"cannot append entry {entry.index} after entry {self.last_index}")
         self._entries.append(entry)
         if entry.kind is EntryKind.MEMBERS:
-            self._settings.append(MembersAt(entry.index, decode_members(entry.data)))
+            self._memberships.append(Membership(entry.index, decode_members(entry.data)))
 
     def truncate(self, index: int) -> None:
-        """Drop the entries from `index` on."""
+        """Drops the entries from `index` on."""
         del self._entries[index - self._first :]
-        while self._settings[-1].index >= index:
-            self._settings.pop()
+        while self._memberships[-1].index >= index:
+            self._memberships.pop()
         self.durable_index = min(self.durable_index, index - 1)
 
     def between(self, first: int, last: int) -> list[Entry]:
@@ -104,7 +104,7 @@
         return self._entries[first - self._first : last - self._first + 1]
 
     def batch(self, first: int, limit: int) -> tuple[Entry, ...]:
-        """Entries from `first` on, of at most `limit` bytes together, or a single larger one."""
+        """Entries from `first` on with a total size of at most `limit` bytes, but at least one entry."""
         start = first - self._first
         size = 0
         end = start
@@ -116,30 +116,33 @@
         return tuple(self._entries[start:end])
 
     def agreement_below(self, index: int, term: int) -> int:
-        """The highest index at or below `index` whose entry isn't newer than `term`."""
+        """The highest index up to `index` whose entry has a term of at most `term`, or is no longer held.
+
+        Two logs cannot agree above it if the other one has an entry of `term` at `index`.
+        """
         index = min(index, self.last_index)
         while index > 0:
-            here = self.term(index)
-            if here is None or here <= term:
+            own_term = self.term(index)
+            if own_term is None or own_term <= term:
                 return index
             index -= 1
         return 0
 
     def members_at(self, index: int) -> Members:
-        """The members as of the entry at `index`."""
-        found = self._settings[0].members
-        for setting in self._settings:
-            if setting.index <= index:
-                found = setting.members
+        """The members in force at the entry at `index`."""
+        found = self._memberships[0].members
+        for membership in self._memberships:
+            if membership.index <= index:
+                found = membership.members
         return found
 
     def compact(
         self, snapshot: Snapshot, kept_bytes: int, held_after: int | None = None, held_bytes: int = 0
     ) -> None:
-        """Take the snapshot of a committed index. The store drops what it covers, memory keeps a part.
+        """Sets the snapshot of a committed index and drops most of the entries that it covers.
 
-        That is the last `kept_bytes`, and up to `held_bytes` for a follower that needs what comes after
-        `held_after`.
+        The last `kept_bytes` of them stay in memory. If a follower still needs the entries after
+        `held_after`, up to `held_bytes` stay. The store drops all of them.
         """
         self.snapshot = snapshot
         first = self._first_of_last(snapshot.index, kept_bytes)
@@ -149,13 +152,13 @@
         if before is not None and first > self._first:
             del self._entries[: first - self._first]
             self._first = first
-            self._before_term = before
-        self._settings = [MembersAt(snapshot.index, snapshot.members)] + [
-            setting for setting in self._settings if setting.index > snapshot.index
+            self._previous_term = before
+        self._memberships = [Membership(snapshot.index, snapshot.members)] + [
+            membership for membership in self._memberships if membership.index > snapshot.index
         ]
 
     def _first_of_last(self, last: int, limit: int) -> int:
-        """The first of the entries before `last` that are together no larger than `limit`."""
+        """Index of the first entry such that the entries up to `last` have at most `limit` bytes in total."""
         index = last
         size = 0
         while index >= self._first:
@@ -166,6 +169,6 @@
         return index + 1
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace everything by the snapshot."""
+        """Replaces the whole log by the snapshot."""
         self._start_after(snapshot)
-        self.durable_index = 0  # until the store has it
+        self.durable_index = 0  # until the store has the snapshot
--- a/brackenladder/consensus/members.py
+++ b/brackenladder/consensus/members.py
@@ -1,4 +1,4 @@
-"""Sets of members: majorities, look-up, their encoding in the log, and the members of the first start."""
+"""Member sets: majorities, lookup, encoding in the log, and the members at the first start."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 
 
 def genesis_replica_id(address: str) -> str:
-    """The replica id that a seed takes at the very first start of the whole system."""
+    """The replica id that a seed node uses at the first start of the whole system."""
     return f"genesis-{address}"
 
 
 def genesis_snapshot(voters: Members) -> Snapshot:
-    """The state that all seeds start from, equal at each whatever it knows of the others' zones.
+    """The snapshot that all seeds start from.
 
-    Its index is 1, so an empty log can't be taken for it.
+    It leaves out zones and regions, so that it is the same on each seed whatever the seed knows about the
+    others. Its index is 1, which distinguishes it from an empty log.
     """
     bare = [Member(voter.replica_id, voter.address) for voter in voters.voters]
     ordered = tuple(sorted(bare, key=lambda member: member.replica_id))
@@ -30,7 +31,7 @@
 
 
 def majority_value(voters: Iterable[Member], value_of: Callable[[str], int]) -> int:
-    """The highest value that more than half of `voters` reach. Nobody: no bound."""
+    """The highest value that more than half of `voters` reach; UNBOUNDED if there are no voters."""
     values = sorted([value_of(voter.replica_id) for voter in voters])
     if not values:
         return UNBOUNDED
@@ -38,7 +39,7 @@
 
 
 def quorum_value(members: Members, value_of: Callable[[str], int]) -> int:
-    """The highest value that a majority of each set of voters reaches."""
+    """The highest value that a majority of each set of voters reaches; -1 if there are no voters."""
     if not members.voters:
         return -1
     reached = majority_value(members.voters, value_of)
@@ -48,7 +49,7 @@
 
 
 def voting_members(members: Members) -> tuple[Member, ...]:
-    """All voters of both sets, each once."""
+    """All voters of both sets without duplicates."""
     if not members.outgoing:
         return members.voters
     known = {voter.replica_id for voter in members.voters}
@@ -61,7 +62,7 @@
 
 
 def is_voter(members: Members, replica_id: str) -> bool:
-    """Whether the replica votes in either set."""
+    """Whether the replica is a voter in either set."""
     return any(member.replica_id == replica_id for member in voting_members(members))
 
 
@@ -74,7 +75,7 @@
 
 
 def encode_members(members: Members) -> bytes:
-    """The bytes of an entry that sets the members."""
+    """The data of a log entry that sets the members."""
     sets = [
         [[member.replica_id, member.address, member.zone, member.region] for member in group]
         for group in (members.voters, members.outgoing, members.learners)
@@ -84,7 +85,7 @@
 
 
 def decode_members(data: bytes) -> Members:
-    """What `encode_members` wrote."""
+    """The inverse of `encode_members`."""
     voters, outgoing, learners = msgpack.unpackb(data)
     return Members(_decode_group(voters), _decode_group(outgoing), _decode_group(learners))
 
--- a/brackenladder/consensus/messages.py
+++ b/brackenladder/consensus/messages.py
@@ -1,7 +1,7 @@
-"""What replicas say to one another.
+"""Messages between replicas.
 
-Each message names its `sender` and the replica that it is meant for (`to`): an address may by now belong to
-another disk, and a replica ignores what is meant for another one.
+Each message names its `sender` and its receiver (`to`) by replica id. A replica ignores messages for other
+ids, because an address may have been taken over by a node with another disk.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from brackenladder.consensus.types import Entry, Member, Snapshot
 
-UNKNOWN_AGE = 1 << 50  # microseconds; older than any contact that counts
+UNKNOWN_AGE = 1 << 50  # microseconds; larger than any age that still counts as contact
 
 
 @frozen
 class AppendEntries:
-    """Leader to follower: entries that follow `prev_index`, or none (a heartbeat, a probe, a read round)."""
+    """Leader to follower: the entries after `prev_index`, or none in a heartbeat, probe or read round."""
 
     sender: str
     to: str
@@ -23,16 +23,16 @@
     prev_index: int
     prev_term: int
     commit: int  # the leader's commit index
-    round: int  # of read confirmation; the reply repeats it
+    round: int  # read confirmation round; the reply repeats it
     address: str  # of the leader
     entries: tuple[Entry, ...] = ()
     contact_age: int = UNKNOWN_AGE  # microseconds since the leader was last in touch with a quorum
-    echo: int = 0  # `sent_at` of the follower's newest word that the leader has; 0: none yet
+    echo: int = 0  # `sent_at` of the newest reply that the leader has from this follower; 0: none yet
 
 
 @frozen
 class AppendReply:
-    """Follower to leader: what it holds, or (`ok` is False) where the two logs may still agree."""
+    """Follower to leader: how far its log matches, or (`ok` is False) up to where the logs may agree."""
 
     sender: str
     to: str
@@ -41,15 +41,15 @@
     round: int
     prev_index: int  # of the request
     match: int = 0  # durable here and equal to the leader's log up to this index
-    received: int = 0  # equal to the leader's log up to this index, perhaps not yet durable
-    hint_index: int = 0  # refused: no agreement above this index
-    hint_term: int = 0  # refused: the term of the entry at `hint_index`
+    received: int = 0  # equal to the leader's log up to this index, possibly not yet durable
+    hint_index: int = 0  # if refused: the logs cannot agree above this index
+    hint_term: int = 0  # if refused: the term of the entry at `hint_index`
     sent_at: int = 0  # by the follower's own clock, microseconds
 
 
 @frozen
 class Vote:
-    """Candidate to voter: a vote for `term`, or (`pre_vote`) whether it would get one."""
+    """Candidate to voter: requests a vote for `term`, or (`pre_vote`) asks whether it would be granted."""
 
     sender: str
     to: str
@@ -57,12 +57,12 @@
     last_index: int
     last_term: int
     pre_vote: bool = False
-    transfer: bool = False  # the leader itself asked for this election
+    transfer: bool = False  # the leader itself requested this election
 
 
 @frozen
 class VoteReply:
-    """Voter to candidate. A granted pre-vote repeats the term asked for; a refusal tells the voter's own."""
+    """Voter to candidate. `term` is the requested one if granted, and the voter's own if refused."""
 
     sender: str
     to: str
@@ -73,13 +73,13 @@
 
 @frozen
 class InstallSnapshot:
-    """Leader to a follower that needs entries which the leader no longer holds: a chunk of a snapshot."""
+    """Leader to follower: a snapshot chunk, sent if the follower needs entries that were compacted away."""
 
     sender: str
     to: str
     term: int
     address: str  # of the leader
-    snapshot: Snapshot  # its data is the chunk's
+    snapshot: Snapshot  # `data` holds only this chunk
     offset: int = 0  # of the chunk, in bytes
     total: int = 0  # bytes of the whole data
     digest: bytes = b""  # of the whole data
@@ -87,19 +87,19 @@
 
 @frozen
 class InstallSnapshotReply:
-    """Follower to leader: durable and equal to the leader's log up to `match`, or how far the chunks got."""
+    """Follower to leader: its log is durable and matches up to `match`, or how much has been received."""
 
     sender: str
     to: str
     term: int
     match: int
-    index: int = 0  # of the snapshot under way
-    received: int = 0  # bytes of it that have arrived without a gap
+    index: int = 0  # of the snapshot being transferred
+    received: int = 0  # bytes of it received without a gap
 
 
 @frozen
 class TimeoutNow:
-    """Leader to the voter that shall take over: start an election at once."""
+    """Leader to the voter that takes over leadership: start an election immediately."""
 
     sender: str
     to: str
@@ -108,18 +108,18 @@
 
 @frozen
 class JoinRequest:
-    """A node with a new disk, or one that no leader speaks to, asks to become a learner.
+    """A node with a new disk, or one that hears from no leader, asks to become a learner.
 
-    Between hosts: any control node forwards it to the leader's host, which calls `Replica.join`.
+    Sent between hosts: any control node forwards it to the leader's host, which calls `Replica.join`.
     """
 
     member: Member
-    forwarded: int = 0  # how often it has been passed on
+    forwarded: int = 0  # number of times it has been forwarded
 
 
 @frozen
 class JoinReply:
-    """The host's answer: taken by the leader, or the leader that this node knows of."""
+    """The host's answer to a JoinRequest: accepted by the leader, or the leader known to this node."""
 
     accepted: bool
     leader: Member | None = None
--- a/brackenladder/consensus/output.py
+++ b/brackenladder/consensus/output.py
@@ -1,4 +1,4 @@
-"""What a replica tells its host: roles, answers to requests, and what is to be done."""
+"""What a replica returns to its host: its role, results of requests, and the actions to carry out."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class Role(Enum):
-    """What a replica is at present."""
+    """The current role of a replica."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
-    LEARNER = "learner"  # follows and has no vote
+    LEARNER = "learner"  # receives the log but has no vote
 
 
 @frozen
 class ProposalIndex:
-    """Where a proposal stands in the log. It is accepted when this entry, of this term, is committed."""
+    """The log position of a proposal, which succeeds if the entry committed there has this term."""
 
     index: int
     term: int
@@ -30,21 +30,21 @@
 
 @frozen
 class NotLeader:
-    """This replica can't do it; `leader` can, if it is known."""
+    """The request needs the leader. `leader` is the leader known to this replica, if any."""
 
     leader: Member | None
 
 
 @frozen
 class ProposalLost:
-    """This replica no longer leads: the fate of its proposal at index `token` is unknown."""
+    """This replica lost leadership: whether its proposal at index `token` gets committed is unknown."""
 
     token: int
 
 
 @frozen
 class Output:
-    """What the host has to do. The state machine takes `restore` before `committed`."""
+    """Actions for the host. The state machine restores `restore` before it applies `committed`."""
 
     messages: tuple[Outgoing, ...] = ()
     writes: tuple[Write, ...] = ()
@@ -60,7 +60,7 @@
 
 @define
 class PendingOutput:
-    """What has come together since the host last asked."""
+    """Output collected since the host last took it."""
 
     messages: list[Outgoing] = field(factory=list)
     reads: list[ReadReady] = field(factory=list)
@@ -69,7 +69,7 @@
     lost: list[ProposalLost] = field(factory=list)
 
     def take(self, write: Write | None, committed: tuple[Entry, ...]) -> Output:
-        """Hand it out."""
+        """Returns the collected output and starts a new collection."""
         rare = self.reads or self.reads_failed or self.restore or self.lost
         if not (self.messages or write or committed or rare):
             return NOTHING
--- a/brackenladder/consensus/pauses.py
+++ b/brackenladder/consensus/pauses.py
@@ -1,4 +1,4 @@
-"""Notices that this replica itself stood still, so that silence meanwhile says nothing about others."""
+"""Detects that this process was suspended, so that the silence meanwhile isn't blamed on other replicas."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class PauseGuard:
-    """After a long gap between ticks, one heartbeat's time for the messages that have waited."""
+    """Grants a grace period of one heartbeat after a long gap between ticks.
+
+    In that time the messages that arrived during the suspension can be read.
+    """
 
     def __init__(self, timing: Timing, now: int) -> None:
         self._timing = timing
@@ -14,12 +17,16 @@
         self._grace_until = now
 
     def tick(self, now: int) -> None:
-        """A tick. Gaps that come again and again are a slow machine, and are not excused each time."""
+        """Handles a tick. A long gap soon after a grace period starts no new one.
+
+        Repeated gaps mean that the machine is slow. Granting a grace period for each of them would prevent
+        elections.
+        """
         gap = now - self._ticked_at
         self._ticked_at = now
         if gap > self._timing.pause and now - self._grace_until > self._timing.election_max:
             self._grace_until = now + self._timing.heartbeat
 
     def in_grace_period(self, now: int) -> bool:
-        """Whether silence is not yet held against others."""
+        """Whether silence doesn't count as a failure of other replicas yet."""
         return now < self._grace_until
--- a/brackenladder/consensus/planning.py
+++ b/brackenladder/consensus/planning.py
@@ -1,4 +1,4 @@
-"""Which change of the members comes next: who joins, who is replaced, who leaves."""
+"""Decides the next membership change: which member joins, is replaced or leaves."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @frozen
 class Health:
-    """What the leader knows of a member."""
+    """What the leader knows about the state of a member."""
 
-    silent_for: int  # microseconds since its last word
-    behind: int  # entries of the log that aren't durable there
+    silent_for: int  # microseconds since its last message
+    behind: int  # log entries that aren't durable there
 
 
-MIN_VOTERS = 3  # fewer would survive no loss
+MIN_VOTERS = 3  # fewer voters cannot tolerate the loss of one
 
 HealthOf = Callable[[str], Health]
 
 
-def take_in(members: Members, member: Member) -> Members | None:
-    """Members with `member` as a learner, or its new address; None: nothing changes."""
+def with_member(members: Members, member: Member) -> Members | None:
+    """The members with `member` added as a learner or its address updated; None if nothing changes."""
     for group in (members.voters, members.learners):
         if member in group:
             return None
@@ -47,9 +47,12 @@
     removing: Collection[str],
     timing: Timing,
 ) -> Members | None:
-    """The next members, with the present voters as `outgoing` if the voters change; None: all is well."""
+    """The next member set, or None if no change is due.
+
+    If the voters change, it is a joint configuration with the current voters as `outgoing`.
+    """
     for member in joining:
-        taken = take_in(members, member)
+        taken = with_member(members, member)
         if taken is not None:
             return taken
     planner = _Planner(members, health_of, timing)
@@ -73,28 +76,29 @@
 
     def _caught_up(self, member: Member) -> bool:
         health = self._health_of(member.replica_id)
-        return self._heard(member) and health.behind <= self._timing.catch_up_entries
+        return self._recently_heard(member) and health.behind <= self._timing.catch_up_entries
 
-    def _heard(self, member: Member) -> bool:
+    def _recently_heard(self, member: Member) -> bool:
         return self._health_of(member.replica_id).silent_for < self._timing.election_min
 
     def _silent_for(self, member: Member) -> int:
         return self._health_of(member.replica_id).silent_for
 
-    def _replace_voters(self, out: Collection[Member], in_: Collection[Member]) -> Members | None:
-        staying = tuple(voter for voter in self._members.voters if voter not in out)
-        learners = tuple(learner for learner in self._members.learners if learner not in in_)
-        changed = (*staying, *in_)
-        heard = [voter for voter in changed if self._heard(voter)]
+    def _replace_voters(self, leaving: Collection[Member], joining: Collection[Member]) -> Members | None:
+        staying = tuple(voter for voter in self._members.voters if voter not in leaving)
+        learners = tuple(learner for learner in self._members.learners if learner not in joining)
+        changed = (*staying, *joining)
+        heard = [voter for voter in changed if self._recently_heard(voter)]
         if 2 * len(heard) <= len(changed):
-            return None  # such a change could not be finished
+            return None  # too few of the new voters respond to complete the change
         return Members(voters=changed, outgoing=self._members.voters, learners=learners)
 
     def remove(self, removing: Collection[str]) -> Members | None:
-        """A planned departure. A learner that stands by takes a voter's place.
+        """Carries out a planned removal. A standby learner replaces a leaving voter.
 
-        Without one, voters leave only once they are silent, and only so that an odd number stays: until then
-        a smaller number survives no more losses, and disks may be lost that this leader still takes for well.
+        Without a standby learner, voters are removed only once they are silent and only if an odd number
+        remains. Removing them earlier would not raise the number of tolerated losses, and this leader may
+        not yet have noticed that another voter has lost its disk.
         """
         for learner in self._members.learners:
             if learner.replica_id in removing:
@@ -103,14 +107,14 @@
         leaving = [voter for voter in self._members.voters if voter.replica_id in removing]
         if leaving and self._standby:
             return self._replace_voters(leaving[:1], self._standby[:1])
-        gone = [voter for voter in leaving if not self._heard(voter)]
+        gone = [voter for voter in leaving if not self._recently_heard(voter)]
         surplus = 2 if len(self._members.voters) % 2 else 1
         if len(gone) >= surplus and len(self._members.voters) - surplus >= MIN_VOTERS:
             return self._replace_voters(gone[:surplus], ())
         return None
 
     def replace_wiped(self) -> Members | None:
-        """A learner at a voter's address: the voter's disk is gone for certain."""
+        """Replaces a voter by the learner at its address, which proves that the voter's disk is lost."""
         for learner in self._ready:
             for voter in self._members.voters:
                 if voter.address == learner.address:
@@ -118,7 +122,7 @@
         return None
 
     def replace_silent(self) -> Members | None:
-        """A voter that has been silent for long gives its place to a learner that stands by."""
+        """Replaces a voter that has been silent for too long by a standby learner."""
         if not self._standby:
             return None
         longest = max(self._members.voters, key=self._silent_for)
@@ -127,7 +131,10 @@
         return self._replace_voters((longest,), self._standby[:1])
 
     def add_voters(self) -> Members | None:
-        """More voters, if their number becomes odd; a single learner beside an odd number stands by."""
+        """Promotes standby learners if the number of voters becomes odd.
+
+        With an odd number of voters a single learner stays on standby.
+        """
         count = len(self._members.voters)
         room = self._timing.max_voters - count
         wanted = 2 if count % 2 else 1
@@ -136,7 +143,7 @@
         return self._replace_voters((), self._standby[:wanted])
 
     def forget_learner(self) -> Members | None:
-        """A learner that has been silent for long can ask again."""
+        """Removes a learner that has been silent for too long; it may ask to join again."""
         for learner in self._members.learners:
             if self._silent_for(learner) >= self._timing.forget_learner:
                 staying = tuple(other for other in self._members.learners if other is not learner)
--- a/brackenladder/consensus/progress.py
+++ b/brackenladder/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one follower, and how much more it may send to it."""
+"""What a leader knows about one follower's log, and how much it may send to it."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 
 
 class Progress:
-    """One follower's log as its replies tell it.
+    """The state of one follower's log as its replies report it.
 
-    Entries are sent ahead of the replies. After a refusal the follower is probed, one message at a time,
-    until it is known where its log and the leader's part.
+    Entries are pipelined: they are sent without waiting for replies. After a refusal the leader probes with
+    one message at a time until it knows up to which index the two logs agree.
     """
 
     def __init__(self, next_index: int, now: int) -> None:
         self.match = 0  # durable at the follower and equal to the leader's log
         self.next = next_index  # the next entry to send
         self.heard_at = now
-        self.word_sent_at = 0  # of its newest word, by its own clock
-        self.echoed = 0  # the `word_sent_at` that it has been told
-        self.round = 0  # the newest read round that it has answered
+        self.reply_sent_at = 0  # when the follower sent its newest reply, by its own clock
+        self.echo_sent = 0  # the newest `reply_sent_at` that was echoed to the follower
+        self.round = 0  # the newest read confirmation round that it has answered
         self.commit_sent = 0
         self.probing = False
         self.probe_sent = False
-        self.transfer: SnapshotSender | None = None  # the snapshot that is on its way
+        self.transfer: SnapshotSender | None = None  # the snapshot transfer in progress
         self._sent: deque[_Sent] = deque()
         self._sent_bytes = 0
 
-    def room(self, limit: int) -> bool:
-        """Whether more entries may be sent now."""
+    def can_send(self, limit: int) -> bool:
+        """Whether more entries may be sent now; `limit` bounds the bytes in flight."""
         if self.probing:
             return not self.probe_sent
         return self._sent_bytes < limit
 
-    def sent(self, last_index: int, size: int) -> None:
-        """Entries up to `last_index` are on their way."""
+    def record_sent(self, last_index: int, size: int) -> None:
+        """Notes that entries up to `last_index` were sent."""
         if self.probing:
             self.probe_sent = True
             return
@@ -52,8 +52,8 @@
         self._sent_bytes += size
         self.next = last_index + 1
 
-    def agreed(self, match: int, received: int) -> None:
-        """The follower's log is equal to the leader's up to `received`, and durable up to `match`."""
+    def record_match(self, match: int, received: int) -> None:
+        """Notes that the follower's log equals the leader's up to `received` and is durable up to `match`."""
         self.match = max(self.match, match)
         if self.probing and received >= self.next - 1:
             self.probing = False
@@ -62,8 +62,11 @@
         while self._sent and self._sent[0].last_index <= self.match:
             self._sent_bytes -= self._sent.popleft().size
 
-    def refused(self, prev_index: int, agreement: int) -> bool:
-        """The follower lacks `prev_index`; logs may agree up to `agreement`. False: an outdated refusal."""
+    def record_refusal(self, prev_index: int, agreement: int) -> bool:
+        """Notes a refusal: the entry at `prev_index` is missing there or differs.
+
+        The two logs may agree up to `agreement`. Returns False if the refusal is outdated.
+        """
         if prev_index <= self.match or prev_index >= self.next or self.transfer is not None:
             return False
         if self.probing and prev_index != self.next - 1:
@@ -76,18 +79,18 @@
         return True
 
     def begin_transfer(self, transfer: SnapshotSender) -> None:
-        """A snapshot is about to be sent."""
+        """Starts a snapshot transfer."""
         self.transfer = transfer
         self.next = transfer.snapshot.index + 1
         self.probing = False
         self._sent.clear()
         self._sent_bytes = 0
 
-    def snapshot_replied(self, now: int, reply: InstallSnapshotReply) -> None:
-        """The follower has a part of the snapshot, has installed it, or did not need it."""
+    def record_snapshot_reply(self, now: int, reply: InstallSnapshotReply) -> None:
+        """Notes that the follower has received a part of the snapshot, or has installed or doesn't need it."""
         if self.transfer is None:
-            self.agreed(reply.match, reply.match)
-        elif self.transfer.replied(now, reply):
+            self.record_match(reply.match, reply.match)
+        elif self.transfer.on_reply(now, reply):
             self.transfer = None
             self.next = reply.match + 1
-            self.agreed(reply.match, reply.match)
+            self.record_match(reply.match, reply.match)
--- a/brackenladder/consensus/reads.py
+++ b/brackenladder/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: each waits until a quorum has answered a round that began after it was asked."""
+"""Linearizable reads: each waits until a quorum has answered a round that began after the read."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @frozen
 class ReadReady:
-    """The read `token` may be answered from a state that has applied the entry at `index`."""
+    """The read `token` may be answered from a state that includes the entry at `index`."""
 
     token: int
     index: int
@@ -23,10 +23,10 @@
 
 
 class ReadQueue:
-    """The reads that one leader has taken in one term."""
+    """The pending reads of one leader in one term."""
 
     def __init__(self) -> None:
-        self.round = 0  # the newest round that has begun
+        self.round = 0  # the newest round that was started
         self._wanted = False
         self._waiting: deque[_Waiting] = deque()
 
@@ -34,12 +34,12 @@
         return len(self._waiting)
 
     def add(self, token: int, commit_index: int) -> None:
-        """A read that needs the next round."""
+        """Adds a read that the next round confirms."""
         self._wanted = True
         self._waiting.append(_Waiting(token, self.round + 1, commit_index))
 
     def begin_round(self) -> bool:
-        """Begin a round if a read waits for one."""
+        """Starts a round if a read waits for one. Returns whether it did."""
         if not self._wanted:
             return False
         self._wanted = False
@@ -47,7 +47,10 @@
         return True
 
     def confirmed(self, up_to_round: int, least_index: int) -> list[ReadReady]:
-        """The reads whose round a quorum has answered; `least_index` is this term's first entry."""
+        """Removes and returns the reads whose round a quorum has answered.
+
+        `least_index`: the index of this term's first entry; no read is answered from an older state.
+        """
         ready = []
         while self._waiting and self._waiting[0].round <= min(up_to_round, self.round):
             waiting = self._waiting.popleft()
@@ -55,7 +58,7 @@
         return ready
 
     def abandoned(self) -> tuple[int, ...]:
-        """The tokens that can't be answered any more."""
+        """Removes all pending reads, which cannot be answered any more, and returns their tokens."""
         tokens = tuple(waiting.token for waiting in self._waiting)
         self._waiting.clear()
         return tokens
--- a/brackenladder/consensus/reconfiguration.py
+++ b/brackenladder/consensus/reconfiguration.py
@@ -1,4 +1,4 @@
-"""A leader's changes of the members: one at a time, through a joint majority whenever voters change."""
+"""A leader's membership changes: one at a time, with joint consensus whenever the voters change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Reconfiguration:
-    """Who asked to join or to leave in this term, and the change that comes next."""
+    """The join and remove requests of this term, and the next membership change."""
 
     def __init__(self, core: Core, leading: Leadership) -> None:
         self._core = core
@@ -19,19 +19,19 @@
         self._removing: set[str] = set()
 
     def join(self, member: Member) -> None:
-        """Take note of a member to be taken in; of several at one address the newest counts."""
+        """Notes a member that wants to join; it replaces an earlier request from the same address."""
         self._joining = {
             other.replica_id: other for other in self._joining.values() if other.address != member.address
         }
         self._joining[member.replica_id] = member
 
     def remove(self, replica_id: str) -> None:
-        """Take note of a member that leaves for good."""
+        """Notes a member that leaves permanently."""
         self._removing.add(replica_id)
 
     @property
     def voted_out(self) -> bool:
-        """Whether this leader is no longer a voter, and that is settled."""
+        """Whether the change that removed this leader from the voters is committed and complete."""
         return self._settled and not self._core.members.outgoing and not self._leading.leads_as_voter()
 
     @property
@@ -40,7 +40,7 @@
         return self._leading.established and core.log.members_index <= core.commit_index
 
     def advance(self, now: int) -> None:
-        """Begin or finish a change, if one is due and none is under way."""
+        """Starts or completes a change if one is due and no entry with members is uncommitted."""
         if not self._settled:
             return
         members = self._core.members
--- a/brackenladder/consensus/replica.py
+++ b/brackenladder/consensus/replica.py
@@ -1,4 +1,4 @@
-"""One replica of the log: a pure object that is stepped with messages, ticks and finished writes."""
+"""One replica of the log: a state machine driven by messages, ticks and completed writes, without I/O."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
     "Timing",
 ]
 
-NEVER = -(1 << 60)  # a time before all others
+NEVER = -(1 << 60)  # earlier than any time
 
 
 class Replica:
-    """The host calls one method at a time, then `take_output`, and does what that says.
+    """A replica of the log. After each call the host calls `take_output` and carries out the output.
 
-    Writes are handed out one at a time; the next one comes after `persisted` or, as a repetition, after
-    `write_failed`. A replica that no leader speaks to for long should ask to `join` with the
-    same member.
+    Writes are issued one at a time. The next one follows after `persisted`; after `write_failed` the same
+    write is issued again. If a replica doesn't hear from a leader for a long time, its host should send a
+    join request for the same member.
     """
 
     core_type: type[Core] = Core
@@ -73,15 +73,15 @@
         self._leading: Leadership | None = None
         self._leader_id = ""
         self._leader_address = ""
-        self._heard_at = NEVER  # a leader's word, whatever the leader's own contact
-        self._contact_at = NEVER  # a leader in touch with a quorum had this replica's word
-        self._up_to_date_at = NEVER  # the same, of a leader whose committed entries are all committed here
-        self._known_commit = 0  # the newest index that a leader has said to be committed
+        self._heard_at = NEVER  # when a leader was last heard, with or without a quorum of its own
+        self._contact_at = NEVER  # see `quorum_contact_at`
+        self._up_to_date_at = NEVER  # see `up_to_date_at`
+        self._known_commit = 0  # the highest commit index that a leader has announced
         self._reconfiguration: Reconfiguration | None = None
         if members is not None and self._core.log.last_index == 0:
             self._core.genesis(genesis_snapshot(members))
 
-    # -- what the host may look at
+    # -- state that the host may read
 
     @property
     def member(self) -> Member:
@@ -90,12 +90,12 @@
 
     @property
     def timing(self) -> Timing:
-        """Its times and bounds."""
+        """Times and limits."""
         return self._timing
 
     @property
     def role(self) -> Role:
-        """What this replica is at present."""
+        """The current role."""
         if self._leading is not None:
             return Role.LEADER
         if self._election.active:
@@ -106,12 +106,12 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this replica takes itself for the leader."""
+        """Whether this replica believes to be the leader."""
         return self._leading is not None
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         return self._core.term
 
     @property
@@ -138,15 +138,15 @@
 
     @property
     def newest_command_index(self) -> int:
-        """Index of the newest command that the log still holds, committed or not; 0: it holds none."""
+        """Index of the newest command still in the log, committed or not; 0 if there is none."""
         return self._core.log.newest_command_index
 
     @property
     def quorum_contact_at(self) -> int:
-        """When this replica was last in touch with a quorum: as a leader itself, or by way of its leader.
+        """When this replica was last in contact with a quorum, as the leader or through its leader.
 
-        A follower counts from its own word that the leader has answered, less the age of the leader's own
-        contact. A message that was held up, or read late, says nothing of the present.
+        A follower takes the time when it sent the reply that the leader echoes, less the age of the leader's
+        own contact. This way a delayed message, or one that is read late, doesn't count as recent contact.
         """
         if self._leading is not None:
             return self._leading.quorum_heard_at(self._now)
@@ -154,10 +154,10 @@
 
     @property
     def up_to_date_at(self) -> int:
-        """A moment up to which all that was committed is known to be committed here too.
+        """The latest time such that every entry committed before it is known to be committed here.
 
-        Contact alone doesn't tell that: entries, or a snapshot, may still be on their way, and a new leader
-        doesn't know what is committed before an entry of its own term is.
+        Contact alone doesn't prove that: entries or a snapshot may still be in transit, and a new leader
+        doesn't know the commit index until an entry of its own term is committed.
         """
         leading = self._leading
         if leading is not None and leading.established:
@@ -166,13 +166,13 @@
 
     @property
     def lacks_committed(self) -> bool:
-        """Whether a leader has told of a committed entry that is not committed here yet."""
+        """Whether a leader has announced a committed entry that is not committed here yet."""
         return self._core.commit_index < self._known_commit
 
     # -- events
 
     def step(self, now: int, sender: str, message: object) -> None:
-        """Take a message of the replica `sender`."""
+        """Handles a message from the replica `sender`."""
         self._now = now
         if getattr(message, "to", "") != self._core.replica_id or sender == self._core.replica_id:
             return
@@ -181,7 +181,7 @@
     def _dispatch(self, now: int, message: object) -> None:
         match message:
             case AppendEntries():
-                if self._follows(now, message.sender, message.term, message.address):
+                if self._accept_leader(now, message.sender, message.term, message.address):
                     self._note_contact(message)
                     following.on_append(self._core, now, message)
                     self._note_up_to_date(message)
@@ -194,10 +194,10 @@
             case VoteReply():
                 self._on_vote_reply(now, message)
             case InstallSnapshot():
-                if self._follows(now, message.sender, message.term, message.address):
+                if self._accept_leader(now, message.sender, message.term, message.address):
                     following.on_snapshot(self._core, message)
             case InstallSnapshotReply():
-                if self._leads_in(now, message.term) and self._leading is not None:
+                if self._is_leader_in(now, message.term) and self._leading is not None:
                     self._leading.on_snapshot_reply(now, message)
                     self._after_progress(now)
             case TimeoutNow():
@@ -205,31 +205,31 @@
                     self._campaign(now, transfer=True)
 
     def link_up(self, now: int, replica_id: str) -> None:
-        """A link to another replica has come up."""
+        """Handles a new link to another replica."""
         self._now = now
-        self._election.ask_again(replica_id)
+        self._election.resend_pre_vote(replica_id)
         if self._leading is not None:
             self._leading.link_up(now, replica_id)
 
     def tick(self, now: int) -> None:
-        """Let time pass."""
+        """Handles timeouts; called regularly."""
         self._now = now
         self._pauses.tick(now)
         if self._leading is not None:
             self._tick_leader(now)
         elif self._election.due(now) and not self._pauses.in_grace_period(now):
-            self._election.wait(now)
+            self._election.reset_timer(now)
             if not self._store_hangs(now):
                 self._campaign(now, transfer=False)
 
     def persisted(self, now: int, token: int) -> None:
-        """The write is durable."""
+        """Handles the completion of a write, which is now durable."""
         self._now = now
-        covers = self._core.writes.persisted(token)
-        if covers is None:
+        durable_index = self._core.writes.persisted(token)
+        if durable_index is None:
             return
         log = self._core.log
-        log.durable_index = max(log.durable_index, min(covers, log.last_index))
+        log.durable_index = max(log.durable_index, min(durable_index, log.last_index))
         for outgoing in self._core.writes.released(token):
             self._release(now, outgoing)
         if self._leading is not None:
@@ -237,14 +237,14 @@
 
     def _release(self, now: int, outgoing: Outgoing) -> None:
         if getattr(outgoing.message, "term", 0) < self._core.term:
-            return  # of a term that has ended meanwhile
+            return  # the message belongs to a term that has ended
         if outgoing.to == self._core.replica_id:
             self._dispatch(now, outgoing.message)
         else:
             self._core.pending.messages.append(outgoing)
 
     def write_failed(self, now: int, token: int) -> None:
-        """The store refuses the write: it comes again later, and this replica doesn't lead meanwhile."""
+        """Handles a refused write: it is retried later, and this replica gives up leadership."""
         self._now = now
         if self._core.writes.failed(now, token):
             self._hand_over(now)
@@ -252,7 +252,7 @@
     # -- requests
 
     def propose(self, now: int, data: bytes) -> Result[ProposalIndex, NotLeader]:
-        """Append a command; a large one as several entries, of which the last one's index is told."""
+        """Appends a command. A large one takes several entries; the index of the last one is returned."""
         self._now = now
         if self._leading is None or self._leading.transferring:
             return Failure(NotLeader(self._other_leader()))
@@ -263,7 +263,7 @@
         return Success(ProposalIndex(entry.index, entry.term))
 
     def read(self, now: int, token: int) -> Result[None, NotLeader]:
-        """A linearizable read: `ReadReady` names the index that has to be applied before it is answered."""
+        """Requests a linearizable read. `ReadReady` names the index to apply before answering it."""
         self._now = now
         if self._leading is None:
             return Failure(NotLeader(self.leader))
@@ -271,7 +271,10 @@
         return Success(None)
 
     def join(self, now: int, member: Member) -> Result[None, NotLeader]:
-        """Take a member in as a learner, or its new address; asked again until a leader speaks to it."""
+        """Adds a member as a learner, or updates its address.
+
+        The member repeats the request until it hears from a leader.
+        """
         self._now = now
         if self._reconfiguration is None:
             return Failure(NotLeader(self.leader))
@@ -280,7 +283,7 @@
         return Success(None)
 
     def remove(self, now: int, replica_id: str) -> Result[None, NotLeader]:
-        """A member that leaves for good."""
+        """Removes a member permanently."""
         self._now = now
         if self._reconfiguration is None:
             return Failure(NotLeader(self.leader))
@@ -289,19 +292,19 @@
         return Success(None)
 
     def transfer_leadership(self, now: int) -> None:
-        """Hand over to the most caught-up voter, before a planned end."""
+        """Hands leadership over to the most caught-up voter, before a planned shutdown."""
         self._now = now
         if self._leading is not None:
             self._leading.begin_transfer(now)
 
     def compact(self, now: int, index: int, data: bytes) -> None:
-        """The state machine's state after applying the entry at `index`."""
+        """Replaces the log up to `index` by `data`, the state machine's state after that entry."""
         self._now = now
         held_after = self._leading.oldest_transfer() if self._leading is not None else None
         self._core.compact(index, data, held_after)
 
     def take_output(self) -> Output:
-        """What is to be done after the calls so far."""
+        """Returns the actions that result from the calls since the last one."""
         core = self._core
         if self._leading is not None:
             self._leading.replicate(self._now)
@@ -310,7 +313,7 @@
 
     # -- elections
 
-    def _hears_leader(self, now: int) -> bool:
+    def _leader_in_contact(self, now: int) -> bool:
         if self._leading is not None:
             return True
         return bool(self._leader_id) and now - self._heard_at < self._timing.election_min
@@ -327,13 +330,13 @@
         self._count_votes(now)
 
     def _count_votes(self, now: int) -> None:
-        """Go on to the election after the pre-vote, and to leadership after the election."""
+        """Starts the election after a won pre-vote, and becomes leader after a won election."""
         if self._election.pre_vote and self._election.won():
             self._election.begin(now, pre_vote=False, transfer=False)
         if self._election.active and not self._election.pre_vote and self._election.won():
-            self._lead(now)
+            self._become_leader(now)
 
-    def _lead(self, now: int) -> None:
+    def _become_leader(self, now: int) -> None:
         self._election.end(now)
         self._leader_id = self._core.replica_id
         self._leader_address = self._core.member.address
@@ -341,7 +344,7 @@
         self._reconfiguration = Reconfiguration(self._core, self._leading)
 
     def _on_vote(self, now: int, vote: Vote) -> None:
-        if self._hears_leader(now) and not vote.transfer and vote.term >= self._core.term:
+        if self._leader_in_contact(now) and not vote.transfer and vote.term >= self._core.term:
             if vote.pre_vote:
                 self._election.refuse(vote)
             return
@@ -349,16 +352,17 @@
             self._enter_term(now, vote.term)
         self._election.yield_to(now, vote)
         if self._election.answer(vote):
-            self._election.wait(now)
+            self._election.reset_timer(now)
         elif self._must_campaign_as_learner(vote):
             self._election.begin(now, pre_vote=True, transfer=False)
 
     def _must_campaign_as_learner(self, vote: Vote) -> bool:
-        """Whether this replica, though no voter, has to be elected for a while.
+        """Whether this replica has to campaign although it is not a voter by its own log.
 
-        A candidate counts on its vote by an uncommitted change of the members, and its log is behind this
-        one's: a leader of a later term has left entries here, and is gone. If no voter's log is as new,
-        nobody else can be elected. It leads until its first entry is committed, then hands over to a voter.
+        The candidate counts this replica as a voter because of an uncommitted membership change, but its log
+        is older: a leader of a later term left entries here and then failed. If no voter has a log as new as
+        this one, nobody else can be elected. This replica then leads until its first entry is committed and
+        hands over to a voter.
         """
         if not vote.pre_vote or self._election.active or is_voter(self._core.members, self._core.replica_id):
             return False
@@ -368,13 +372,13 @@
     def _on_vote_reply(self, now: int, reply: VoteReply) -> None:
         if reply.term > self._core.term and not reply.granted:
             self._enter_term(now, reply.term)
-        elif self._election.counts(reply):
+        elif self._election.add_vote(reply):
             self._count_votes(now)
 
     # -- following
 
-    def _follows(self, now: int, leader_id: str, term: int, address: str) -> bool:
-        """Follow the leader of `term`, unless that is in the past."""
+    def _accept_leader(self, now: int, leader_id: str, term: int, address: str) -> bool:
+        """Follows the leader of `term`. Returns False if the term is outdated."""
         if term < self._core.term:
             return False
         if term > self._core.term:
@@ -392,9 +396,10 @@
             self._contact_at = max(self._contact_at, message.echo - message.contact_age)
 
     def _note_up_to_date(self, message: AppendEntries) -> None:
-        """Count the contact if all that the leader knows to be committed is committed here.
+        """Updates `up_to_date_at` if everything that the leader has committed is committed here.
 
-        An entry of its own term tells that it knows of everything that earlier leaders committed.
+        The entry at the leader's commit index has to be of its own term. Only then does the leader know
+        everything that earlier leaders committed.
         """
         core = self._core
         self._known_commit = max(self._known_commit, message.commit)
@@ -407,7 +412,7 @@
         self._core.set_term(term)
 
     def _step_down(self, now: int) -> None:
-        """Be a follower without a leader."""
+        """Becomes a follower without a known leader."""
         leading = self._leading
         self._leading = None
         self._reconfiguration = None
@@ -429,18 +434,18 @@
     def _other_leader(self) -> Member | None:
         return None if self._leading is not None else self.leader
 
-    def _leads_in(self, now: int, term: int) -> bool:
+    def _is_leader_in(self, now: int, term: int) -> bool:
         if term > self._core.term:
             self._enter_term(now, term)
         return self._leading is not None and term == self._core.term
 
     def _hand_over(self, now: int) -> None:
-        """Stop leading at once; the best successor need not wait for silence."""
+        """Steps down immediately and asks the best successor to start an election without a timeout."""
         if self._leading is None:
             return
         successor = self._leading.best_successor(now)
         if successor is not None:
-            self._leading.tell_successor(successor.replica_id)
+            self._leading.send_timeout_now(successor.replica_id)
         self._step_down(now)
 
     def _tick_leader(self, now: int) -> None:
@@ -457,7 +462,7 @@
             self._change_members(now)
 
     def _on_append_reply(self, now: int, reply: AppendReply) -> None:
-        if not self._leads_in(now, reply.term) or self._leading is None:
+        if not self._is_leader_in(now, reply.term) or self._leading is None:
             return
         if self._leading.on_append_reply(now, reply):
             self._after_progress(now)
--- a/brackenladder/consensus/snapshots.py
+++ b/brackenladder/consensus/snapshots.py
@@ -1,7 +1,8 @@
-"""A snapshot on its way from a leader to a follower: in chunks, a few ahead of the replies, resumable.
+"""Snapshot transfer from a leader to a follower: in chunks, within a window, and resumable.
 
-Heartbeats go between the chunks, so that a large snapshot on a slow link silences nobody. Both ends keep what
-has arrived: after a lost link, or under another leader with the same snapshot, the rest is sent.
+Heartbeats are sent between the chunks, so that a large snapshot on a slow link doesn't make the leader appear
+silent. Both sides remember how much has arrived: after a lost link, or with a new leader that has the same
+snapshot, only the rest is sent.
 """
 
 from __future__ import annotations
@@ -15,18 +16,19 @@
 from brackenladder.consensus.types import Snapshot
 
 DIGEST_BYTES = 16
-LONGEST_WAIT = 8  # times the first wait for a reply
+MAX_WAIT_FACTOR = 8  # longest wait for a reply, as a multiple of the first one
 
 
 def snapshot_digest(data: bytes) -> bytes:
-    """Tells apart the data of snapshots, and those that arrived damaged."""
+    """A digest that identifies the data of a snapshot and detects damage in transfer."""
     return blake2b(data, digest_size=DIGEST_BYTES).digest()
 
 
 class SnapshotSender:
-    """A leader's end, for one follower. The snapshot stays the same until the follower has it.
+    """The leader's side of a transfer to one follower.
 
-    Failure prevented: the leader's own log goes on, and each new snapshot begins the transfer anew for ever.
+    The snapshot stays the same until the follower has it. Otherwise each newer snapshot that the leader takes
+    would restart the transfer, and it might never finish.
     """
 
     def __init__(self, now: int, snapshot: Snapshot, timing: Timing) -> None:
@@ -34,17 +36,17 @@
         self._timing = timing
         self._digest = snapshot_digest(snapshot.data)
         self._next = 0  # offset of the next chunk
-        self._taken = 0  # what the follower has, as its replies tell
-        self._done = False  # the last chunk is on its way
+        self._acknowledged = 0  # bytes that the follower has, by its replies
+        self._all_sent = False  # the last chunk was sent
         self._heard_at = now
         self._wait = timing.snapshot_retry
 
     def chunks(self, now: int, sender: str, to: str, term: int, address: str) -> list[InstallSnapshot]:
-        """The chunks to send now."""
+        """The chunks to send now; after a wait without progress, all unacknowledged ones again."""
         if now - self._heard_at >= self._wait:
-            self._begin_again(now)
+            self._resend(now)
         messages = []
-        while not self._done and self._next - self._taken < self._timing.snapshot_window:
+        while not self._all_sent and self._next - self._acknowledged < self._timing.snapshot_window:
             messages.append(self._chunk(sender, to, term, address))
         return messages
 
@@ -52,7 +54,7 @@
         data = self.snapshot.data
         offset = self._next
         self._next = min(len(data), offset + self._timing.snapshot_chunk)
-        self._done = self._next >= len(data)
+        self._all_sent = self._next >= len(data)
         return InstallSnapshot(
             sender=sender,
             to=to,
@@ -65,37 +67,37 @@
         )
 
     def link_up(self, now: int) -> None:
-        """A new link to the follower: what was on its way over the last one is lost."""
+        """Handles a new link to the follower: unacknowledged chunks are lost and have to be resent."""
         self._wait = self._timing.snapshot_retry
-        self._next = self._taken
-        self._done = False
+        self._next = self._acknowledged
+        self._all_sent = False
         self._heard_at = now
 
-    def _begin_again(self, now: int) -> None:
-        """From where the follower is known to be; ever more rarely."""
-        self._next = self._taken
-        self._done = False
+    def _resend(self, now: int) -> None:
+        """Resends from the acknowledged offset, with exponential backoff."""
+        self._next = self._acknowledged
+        self._all_sent = False
         self._heard_at = now
-        self._wait = min(2 * self._wait, LONGEST_WAIT * self._timing.snapshot_retry)
+        self._wait = min(2 * self._wait, MAX_WAIT_FACTOR * self._timing.snapshot_retry)
 
-    def replied(self, now: int, reply: InstallSnapshotReply) -> bool:
-        """Takes a reply. True: the follower holds the snapshot, or does not need it."""
+    def on_reply(self, now: int, reply: InstallSnapshotReply) -> bool:
+        """Handles a reply. Returns True if the follower has the snapshot or doesn't need it."""
         if reply.match >= self.snapshot.index:
             return True
         if reply.index != self.snapshot.index:
             return False
-        if reply.received != self._taken:
+        if reply.received != self._acknowledged:
             self._heard_at = now
             self._wait = self._timing.snapshot_retry
-        if reply.received < self._taken:
-            self._next = reply.received  # it has lost what it had
-            self._done = False
-        self._taken = reply.received
+        if reply.received < self._acknowledged:
+            self._next = reply.received  # the follower has lost chunks that it had
+            self._all_sent = False
+        self._acknowledged = reply.received
         return False
 
 
 class SnapshotReceiver:
-    """A follower's end: the chunks of one snapshot at a time."""
+    """The follower's side of a transfer: collects the chunks of one snapshot at a time."""
 
     def __init__(self) -> None:
         self._digest = b""
@@ -103,7 +105,7 @@
         self._data = bytearray()
 
     def take(self, message: InstallSnapshot) -> Snapshot | None:
-        """Takes a chunk; the whole snapshot once it is there and undamaged."""
+        """Takes a chunk. Returns the snapshot once it is complete and its digest is right."""
         if (message.snapshot.index, message.digest) != (self._index, self._digest):
             self._index, self._digest = message.snapshot.index, message.digest
             self._data.clear()
@@ -120,10 +122,10 @@
         return evolve(message.snapshot, data=data)
 
     def received(self, index: int) -> int:
-        """How many bytes of the snapshot at `index` are here."""
+        """How many bytes of the snapshot at `index` have been received."""
         return len(self._data) if index == self._index else 0
 
-    def forget(self) -> None:
-        """The snapshot is installed."""
+    def reset(self) -> None:
+        """Drops the data of a snapshot that has been installed."""
         self._index, self._digest = 0, b""
         self._data = bytearray()
--- a/brackenladder/consensus/timing.py
+++ b/brackenladder/consensus/timing.py
@@ -1,4 +1,4 @@
-"""Times and bounds of the replicated log; times are integer microseconds."""
+"""Times and limits of the replicated log. Times are integer microseconds."""
 
 from __future__ import annotations
 
@@ -10,28 +10,26 @@
 
 @frozen
 class Timing:
-    """How often a replica speaks, how long it waits, how much it sends at once."""
+    """Intervals, timeouts and size limits of a replica."""
 
-    heartbeat: int = 150_000  # a leader speaks to each follower at least this often
-    election_min: int = 700_000  # a follower waits at least this long for its leader
+    heartbeat: int = 150_000  # longest time between two messages from a leader to a follower
+    election_min: int = 700_000  # shortest election timeout of a follower
     election_max: int = 1_200_000
-    first_election_min: int = 300_000  # the same until the first election since its start has ended
+    first_election_min: int = 300_000  # the same until the first election after this replica's start
     first_election_max: int = 650_000
-    write_limit: int = 900_000  # a leader whose write hangs for longer steps down
-    write_retry: int = 200_000  # pause before a refused write is tried again
-    pause: int = 400_000  # a longer gap between ticks: this replica itself stood still
-    snapshot_retry: int = 2 * SECOND  # without progress a snapshot's rest is sent again; doubles each time
-    snapshot_chunk: int = 64 * KIB  # of a snapshot in one message
-    snapshot_window: int = 128 * KIB  # of a snapshot on the way to one follower
-    replace_after: int = 1_500_000  # a silent voter is replaced by a learner that stands by
-    forget_learner: int = 60 * SECOND  # a silent learner is dropped; it can ask again
+    write_limit: int = 900_000  # a leader steps down when a write takes longer
+    write_retry: int = 200_000  # delay before a failed write is retried
+    pause: int = 400_000  # a longer gap between ticks means that this process was suspended
+    snapshot_retry: int = 2 * SECOND  # without progress, unconfirmed chunks are resent; doubles each time
+    snapshot_chunk: int = 64 * KIB  # snapshot bytes in one message
+    snapshot_window: int = 128 * KIB  # unacknowledged snapshot bytes per follower
+    replace_after: int = 1_500_000  # a standby learner replaces a voter that was silent for this long
+    forget_learner: int = 60 * SECOND  # a learner that was silent for this long is removed; it may rejoin
     max_voters: int = 5
-    catch_up_entries: int = 16  # a learner that is at most this far behind has caught up
-    append_bytes: int = 64 * KIB  # of entries in one message (a single larger entry goes alone)
-    inflight_bytes: int = 256 * KIB  # sent to one follower and not yet durable there; the others wait so long
-    held_bytes: int = 16 * 1024 * KIB  # of entries kept in memory for followers that get a snapshot
-    compact_entries: int = 200  # applied since the last snapshot after which the host takes the next one
-    compact_bytes: int = 4096 * KIB  # the same in bytes
-    kept_bytes: int = (
-        128 * KIB
-    )  # of entries kept in memory behind a snapshot, for followers that lag a little
+    catch_up_entries: int = 16  # a learner that lacks at most this many entries has caught up
+    append_bytes: int = 64 * KIB  # entry bytes in one message (a single larger entry is sent alone)
+    inflight_bytes: int = 256 * KIB  # entry bytes sent to one follower and not yet durable there
+    held_bytes: int = 16 * 1024 * KIB  # entry bytes kept in memory for followers that receive a snapshot
+    compact_entries: int = 200  # entries applied since the last snapshot before the host takes the next one
+    compact_bytes: int = 4096 * KIB  # the same limit in bytes
+    kept_bytes: int = 128 * KIB  # entry bytes before a snapshot kept in memory for slightly slow followers
--- a/brackenladder/consensus/types.py
+++ b/brackenladder/consensus/types.py
@@ -1,4 +1,4 @@
-"""Values that the replicated log, its store and its host exchange."""
+"""Data types that the replicated log, its store and its host exchange."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log carries."""
+    """The kind of a log entry's data."""
 
-    NOOP = 0  # a new leader's first entry
-    COMMAND = 1  # bytes for the state machine
+    NOOP = 0  # empty; the first entry of a new leader
+    COMMAND = 1  # a command for the state machine, or the last part of a large one
     MEMBERS = 2  # an encoded `Members`
-    COMMAND_PART = 3  # the beginning of a large command; the rest follows
+    COMMAND_PART = 3  # a part of a large command; more parts follow
 
 
 @frozen
 class Member:
-    """A replica. Its id belongs to its disk; its address is where the node listens for other nodes."""
+    """A replica. Its id identifies its disk; its address is where its node listens for other nodes."""
 
     replica_id: str
     address: str  # "ip:port"
@@ -28,7 +28,7 @@
 
 @frozen
 class Members:
-    """Who votes and who learns. `outgoing` is not empty while a joint change is under way."""
+    """Voters and learners. During a joint configuration change `outgoing` holds the previous voters."""
 
     voters: tuple[Member, ...] = ()
     outgoing: tuple[Member, ...] = ()
@@ -37,7 +37,7 @@
 
 @frozen
 class Entry:
-    """One entry of the log. Indexes start at 1 and have no gaps."""
+    """One entry of the log. Indexes start at 1 and are contiguous."""
 
     index: int
     term: int
@@ -47,15 +47,15 @@
 
 @frozen
 class HardState:
-    """What a replica must remember of elections before it answers."""
+    """A replica's term and vote; they have to be durable before it answers a message."""
 
     term: int = 0
-    voted_for: str = ""  # a replica id; empty: nobody in this term
+    voted_for: str = ""  # replica id of the candidate; empty: no vote in this term
 
 
 @frozen
 class Snapshot:
-    """The state machine's state after the entry at `index`, which the log no longer holds."""
+    """The state machine's state after the entry at `index`. It replaces the log up to there."""
 
     index: int
     term: int
@@ -65,7 +65,7 @@
 
 @frozen
 class DurableState:
-    """All that a store holds of the log: what a replica starts from."""
+    """Everything that a store holds of the log. A replica starts from it."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -76,11 +76,11 @@
 class Write:
     """One atomic, durable change of the store.
 
-    In this order: install `snapshot` (entries up to its index are dropped; all entries if `clear`), delete
-    entries from `truncate_from` on (0: none), append `entries`, set `hard_state`.
+    The store installs `snapshot` (and drops the entries up to its index, or all entries if `clear`), deletes
+    the entries from `truncate_from` on (0: none), appends `entries` and sets `hard_state`, in this order.
     """
 
-    token: int  # handed back to the replica once the change is durable
+    token: int  # the host passes it to `Replica.persisted` once the change is durable
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
     clear: bool = False
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -43,7 +43,7 @@
         self.writes: deque[Write] = deque()
         self.sent: list[Outgoing] = []
         self.store_hangs = False
-        self.deaf = False
+        self.isolated = False
 
     def take(self, output: Output) -> None:
         """Note what the replica gave out."""
@@ -101,7 +101,7 @@
         sent, host.sent = host.sent, []
         for outgoing in sent:
             target = self.hosts.get(outgoing.to)
-            if target is not None and not target.deaf and not host.deaf:
+            if target is not None and not target.isolated and not host.isolated:
                 target.replica.step(self.now, host.member.replica_id, outgoing.message)
             busy = True
         return busy
--- a/tests/consensus/machine.py
+++ b/tests/consensus/machine.py
@@ -21,7 +21,7 @@
 
 JOIN_AFTER = 400_000  # microseconds without a leader
 JOIN_EVERY = 200_000
-MOST_FORWARDS = 3
+MAX_FORWARDS = 3
 
 
 class Machine:
@@ -144,7 +144,7 @@
 
     def _on_join(self, replica: Replica, request: JoinRequest) -> None:
         match replica.join(self._model.now, request.member):
-            case Failure(refusal) if refusal.leader is not None and request.forwarded < MOST_FORWARDS:
+            case Failure(refusal) if refusal.leader is not None and request.forwarded < MAX_FORWARDS:
                 target = self._model.location.get(refusal.leader.replica_id)
                 if target is not None:
                     self._model.post(self.number, target, JoinRequest(request.member, request.forwarded + 1))
--- a/tests/consensus/model.py
+++ b/tests/consensus/model.py
@@ -43,7 +43,7 @@
 
 
 @frozen
-class Weather:
+class NetworkConditions:
     """How the network of one schedule behaves in the time of faults."""
 
     loss: float
@@ -65,7 +65,7 @@
         self.tick = 50 * MILLISECOND
         self.now = 0
         self.checker = Checker()
-        self.weather = Weather(0.0, 0.0, 0.0, 5 * MILLISECOND)
+        self.network = NetworkConditions(0.0, 0.0, 0.0, 5 * MILLISECOND)
         self.cuts: set[tuple[int, int]] = set()
         self.location: dict[str, int] = {}
         self.events = 0
@@ -132,15 +132,15 @@
         if (source, target) in self.cuts:
             return
         random = self.random
-        weather = self.weather
-        if weather.loss and random.random() < weather.loss:
+        network = self.network
+        if network.loss and random.random() < network.loss:
             return
-        delay = int(weather.latency * (0.3 + random.random()))
-        if weather.late and random.random() < weather.late:
-            delay += int(40 * weather.latency * random.random())
+        delay = int(network.latency * (0.3 + random.random()))
+        if network.late and random.random() < network.late:
+            delay += int(40 * network.latency * random.random())
         self.after(delay, self._deliver, (source, target, sender, message))
-        if weather.twice and random.random() < weather.twice:
-            again = delay + int(60 * weather.latency * random.random())
+        if network.twice and random.random() < network.twice:
+            again = delay + int(60 * network.latency * random.random())
             self.after(again, self._deliver, (source, target, sender, message))
 
     def _deliver(self, argument: tuple[int, int, str, object]) -> None:
@@ -196,7 +196,7 @@
         machine.member = Member(f"disk-{self._disks}-{machine.number}", machine.address)
         self.location[machine.member.replica_id] = machine.number
 
-    def living_ids(self) -> set[str]:
+    def existing_ids(self) -> set[str]:
         """The ids of all disks that there are."""
         return {machine.member.replica_id for machine in self.machines}
 
@@ -214,7 +214,7 @@
         if leader is None or leader.replica is None or not self._members_settled(leader.replica):
             return False
         members = leader.replica.members
-        living = self.living_ids() - {machine.member.replica_id}
+        living = self.existing_ids() - {machine.member.replica_id}
         lost = {other.address for other in self.machines if self.now - other.wiped_at < RECENTLY}
         lost.add(machine.address)
         for voters in (members.voters, members.outgoing):
@@ -233,7 +233,7 @@
     def heal(self) -> None:
         """All faults end."""
         self.cuts.clear()
-        self.weather = Weather(0.0, 0.0, 0.0, 5 * MILLISECOND)
+        self.network = NetworkConditions(0.0, 0.0, 0.0, 5 * MILLISECOND)
         self.on_acknowledged = None
         self.on_joint = None
         self.on_sent = None
@@ -260,7 +260,7 @@
             return False
         members = leader.replica.members
         voters = voting_members(members)
-        if members.outgoing or any(voter.replica_id not in self.living_ids() for voter in voters):
+        if members.outgoing or any(voter.replica_id not in self.existing_ids() for voter in voters):
             return False
         applied = {machine.applied for machine in self.machines if machine.replica is not None}
         present = [machine.replica.leads for machine in self.machines if machine.replica is not None]
--- a/tests/consensus/model_run.py
+++ b/tests/consensus/model_run.py
@@ -15,14 +15,14 @@
 from attrs import define, field  # noqa: E402
 from consensus.model import Model  # noqa: E402
 from consensus.mutants import MUTANTS  # noqa: E402
-from consensus.schedules import Profile, Verdict, play  # noqa: E402
+from consensus.schedules import Profile, ScheduleResult, play  # noqa: E402
 
 SHOWN_FAULTS = 20
 CHUNK = 25
 
 
 @define
-class Tally:
+class Totals:
     """The sums over all schedules of a run."""
 
     schedules: Counter[Profile] = field(factory=Counter)
@@ -30,17 +30,17 @@
     acknowledged: int = 0
     reads: int = 0
     terms: int = 0
-    convicted: list[Verdict] = field(factory=list)
+    failed: list[ScheduleResult] = field(factory=list)
 
-    def add(self, verdict: Verdict) -> None:
+    def add(self, result: ScheduleResult) -> None:
         """Count one schedule."""
-        self.schedules[verdict.profile] += 1
-        self.events += verdict.events
-        self.acknowledged += verdict.acknowledged
-        self.reads += verdict.reads
-        self.terms += verdict.terms
-        if verdict.fault:
-            self.convicted.append(verdict)
+        self.schedules[result.profile] += 1
+        self.events += result.events
+        self.acknowledged += result.acknowledged
+        self.reads += result.reads
+        self.terms += result.terms
+        if result.fault:
+            self.failed.append(result)
 
 
 @define
@@ -50,7 +50,7 @@
     mutant: str = ""
     profile: Profile | None = None
 
-    def __call__(self, seed: int) -> Verdict:
+    def __call__(self, seed: int) -> ScheduleResult:
         """Play one schedule."""
         return play(seed, MUTANTS[self.mutant] if self.mutant else Model, self.profile)
 
@@ -70,21 +70,21 @@
     """Play them; 1 if any schedule found a fault."""
     options = arguments()
     began = time.monotonic()
-    tally = Tally()
+    totals = Totals()
     seeds = range(options.first, options.first + options.schedules)
     with Pool(options.jobs) as pool:
-        for verdict in pool.imap_unordered(Job(options.mutant, options.profile), seeds, CHUNK):
-            tally.add(verdict)
-            if verdict.fault and len(tally.convicted) <= SHOWN_FAULTS:
-                print(f"seed {verdict.seed} ({verdict.profile.value}): {verdict.fault}", flush=True)
+        for result in pool.imap_unordered(Job(options.mutant, options.profile), seeds, CHUNK):
+            totals.add(result)
+            if result.fault and len(totals.failed) <= SHOWN_FAULTS:
+                print(f"seed {result.seed} ({result.profile.value}): {result.fault}", flush=True)
     took = time.monotonic() - began
-    kinds = ", ".join(f"{profile.value} {tally.schedules[profile]}" for profile in Profile)
+    kinds = ", ".join(f"{profile.value} {totals.schedules[profile]}" for profile in Profile)
     print(
-        f"{sum(tally.schedules.values())} schedules ({kinds}), seeds from {options.first}: "
-        f"{len(tally.convicted)} with a fault; {tally.events} events, {tally.terms} terms, "
-        f"{tally.acknowledged} commands acknowledged, {tally.reads} reads; {took:.0f} s"
+        f"{sum(totals.schedules.values())} schedules ({kinds}), seeds from {options.first}: "
+        f"{len(totals.failed)} with a fault; {totals.events} events, {totals.terms} terms, "
+        f"{totals.acknowledged} commands acknowledged, {totals.reads} reads; {took:.0f} s"
     )
-    return 1 if tally.convicted else 0
+    return 1 if totals.failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -11,7 +11,7 @@
 from consensus.disk import DiskTrouble
 from consensus.faults import Faults
 from consensus.machine import Machine
-from consensus.model import FAST, MILLISECOND, SECOND, Model, Weather
+from consensus.model import FAST, MILLISECOND, SECOND, Model, NetworkConditions
 
 from brackenladder.consensus.messages import Vote, VoteReply
 
@@ -25,15 +25,17 @@
 
     STORM = "storm"  # every fault there is, at random moments
     POWER = "power"  # slow disks, rival candidates, power lost just after a vote or an acknowledgement
-    REIGNS = "reigns"  # leaders that are heard by few and end soon after their election
+    SHORT_TERMS = "reigns"  # leaders that are heard by few and end soon after their election
     MEMBERS = "members"  # voters change all the time, and the network parts when they do
 
 
-PROFILES = (Profile.STORM,) * 5 + (Profile.POWER,) * 2 + (Profile.REIGNS, Profile.MEMBERS, Profile.MEMBERS)
+PROFILES = (
+    (Profile.STORM,) * 5 + (Profile.POWER,) * 2 + (Profile.SHORT_TERMS, Profile.MEMBERS, Profile.MEMBERS)
+)
 
 
 @frozen
-class Verdict:
+class ScheduleResult:
     """How one schedule went."""
 
     seed: int
@@ -80,14 +82,14 @@
 
     def repeat(self, pace: int) -> None:
         """Strike again and again."""
-        self.model.after(int(pace * (0.3 + 1.4 * self.random.random())), self._strike, pace)
+        self.model.after(int(pace * (0.3 + 1.4 * self.random.random())), self._inject_next, pace)
 
-    def _strike(self, pace: int) -> None:
+    def _inject_next(self, pace: int) -> None:
         if not self._over:
-            self.strike()
+            self.inject()
             self.repeat(pace)
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         """One fault."""
         raise NotImplementedError
 
@@ -95,7 +97,7 @@
 class _Storm(Schedule):
     def begin(self) -> None:
         random = self.random
-        self.model.weather = Weather(
+        self.model.network = NetworkConditions(
             loss=random.choice((0.0, 0.0, 0.02, 0.1)),
             twice=random.choice((0.0, 0.0, 0.1)),
             late=random.choice((0.0, 0.0, 0.1)),
@@ -107,7 +109,7 @@
         self.model.on_joint = self._after_joint
         self.repeat(random.choice((150, 300, 600)) * MILLISECOND)
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         faults = self.faults
         kinds = (
             faults.cut_one,
@@ -159,7 +161,7 @@
         random = self.random
         self.model.tick = random.choice((12, 40)) * MILLISECOND
         late = random.choice((0.1, 0.5))
-        self.model.weather = Weather(0.0, late / 2, late, 3 * MILLISECOND)
+        self.model.network = NetworkConditions(0.0, late / 2, late, 3 * MILLISECOND)
         if random.random() < 0.5:
             for machine in self.model.machines:
                 if random.random() < 0.7:
@@ -170,7 +172,7 @@
         self.model.on_acknowledged = self._after_acknowledged
         self.repeat(300 * MILLISECOND)
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         faults = self.faults
         kinds = (
             faults.isolate_leader,
@@ -185,8 +187,8 @@
     def _after_election(self, leader: Machine) -> None:
         """A rival of the same term may not hear of its defeat."""
         others = [number for number in self.faults.numbers() if number != leader.number]
-        deaf = [(leader.number, other) for other in others if self.random.random() < 0.6]
-        self.faults.cut(deaf, self.faults.shortly(500))
+        cut_links = [(leader.number, other) for other in others if self.random.random() < 0.6]
+        self.faults.cut(cut_links, self.faults.shortly(500))
 
     def _after_sent(self, machine: Machine, message: object) -> None:
         match message:
@@ -200,11 +202,11 @@
     def _kill_soon(self, machine: Machine) -> None:
         start = machine.start
 
-        def strike(_: None) -> None:
+        def inject(_: None) -> None:
             if machine.start == start:
                 self.faults.kill_machine(machine, self.faults.shortly(4))
 
-        self.model.after(self.random.choice((0, self.faults.shortly(5))), strike, None)
+        self.model.after(self.random.choice((0, self.faults.shortly(5))), inject, None)
 
     def _after_acknowledged(self) -> None:
         if self.random.random() < 0.05:
@@ -213,7 +215,7 @@
             self.model.after(0, lambda _: fault(), None)
 
 
-class _Reigns(Schedule):
+class _ShortTerms(Schedule):
     machine_counts = (3, 4, 5, 5)
     timing = attrs.evolve(
         FAST,
@@ -226,19 +228,19 @@
 
     def begin(self) -> None:
         self.model.tick = 20 * MILLISECOND
-        self.model.weather = Weather(0.0, 0.0, 0.0, self.random.choice((2, 10)) * MILLISECOND)
+        self.model.network = NetworkConditions(0.0, 0.0, 0.0, self.random.choice((2, 10)) * MILLISECOND)
         self.model.on_leader = self._after_election
         self.repeat(400 * MILLISECOND)
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         faults = self.faults
         self.random.choice((faults.isolate_leader, faults.kill, faults.transfer))()
 
     def _after_election(self, leader: Machine) -> None:
         heard = self.random.choice((0.0, 0.4, 0.8, 1.0))
         others = [number for number in self.faults.numbers() if number != leader.number]
-        deaf = [(leader.number, other) for other in others if self.random.random() >= heard]
-        self.faults.cut(deaf, self.faults.shortly(200))
+        cut_links = [(leader.number, other) for other in others if self.random.random() >= heard]
+        self.faults.cut(cut_links, self.faults.shortly(200))
         for command in range(self.random.choice((0, 1, 4))):
             leader.propose(b"early-%d-%d" % (self.model.checker.newest_term, command))
         if self.random.random() < 0.7:
@@ -261,11 +263,11 @@
 
     def begin(self) -> None:
         random = self.random
-        self.model.weather = Weather(random.choice((0.0, 0.05)), 0.0, 0.0, 5 * MILLISECOND)
+        self.model.network = NetworkConditions(random.choice((0.0, 0.05)), 0.0, 0.0, 5 * MILLISECOND)
         self.model.on_joint = self._after_joint
         self.repeat(random.choice((150, 300)) * MILLISECOND)
 
-    def strike(self) -> None:
+    def inject(self) -> None:
         faults = self.faults
         kinds = (
             faults.retire,
@@ -297,12 +299,12 @@
 _SCHEDULES: dict[Profile, type[Schedule]] = {
     Profile.STORM: _Storm,
     Profile.POWER: _Power,
-    Profile.REIGNS: _Reigns,
+    Profile.SHORT_TERMS: _ShortTerms,
     Profile.MEMBERS: _Members,
 }
 
 
-def play(seed: int, model_type: type[Model] = Model, profile: Profile | None = None) -> Verdict:
+def play(seed: int, model_type: type[Model] = Model, profile: Profile | None = None) -> ScheduleResult:
     """Play one schedule; without a profile the seed chooses one."""
     chosen = profile or PROFILES[seed % len(PROFILES)]
     schedule = _SCHEDULES[chosen](seed, model_type)
@@ -315,6 +317,6 @@
         fault = f"{type(error).__name__}: {error}"
     model = schedule.model
     checker = model.checker
-    return Verdict(
+    return ScheduleResult(
         seed, chosen, fault, model.events, checker.acknowledged, checker.reads, checker.newest_term
     )
--- a/tests/consensus/test_consensus_elections.py
+++ b/tests/consensus/test_consensus_elections.py
@@ -70,18 +70,18 @@
         cluster = Cluster()
         leader = cluster.settle()
         alone = cluster.followers(leader)[0]
-        alone.deaf = True
+        alone.isolated = True
         term = alone.replica.term
         cluster.run(5 * SECOND)
         self.assertEqual(alone.replica.term, term)
-        alone.deaf = False
+        alone.isolated = False
         cluster.run(SECOND)
         self.assertIs(leader.replica.role, Role.LEADER)
 
     def test_a_leader_without_a_quorum_steps_down(self):
         cluster = Cluster()
         leader = cluster.settle()
-        leader.deaf = True
+        leader.isolated = True
         leader.replica.propose(cluster.now, b"lost").unwrap()
         leader.replica.read(cluster.now, 7).unwrap()
         cluster.run(2 * SECOND)
@@ -120,11 +120,11 @@
         cluster = Cluster()
         leader = cluster.settle()
         paused = cluster.followers(leader)[0]
-        paused.deaf = True
+        paused.isolated = True
         cluster.run(3 * SECOND, standing=[paused])
         paused.replica.tick(cluster.now)
         self.assertIs(paused.replica.role, Role.FOLLOWER)
-        paused.deaf = False
+        paused.isolated = False
         cluster.run(2 * SECOND)
         self.assertIs(leader.replica.role, Role.LEADER)
 
@@ -140,7 +140,7 @@
     def test_a_leader_that_wakes_up_serves_no_read_of_its_own(self):
         cluster = Cluster()
         leader = cluster.settle()
-        leader.deaf = True
+        leader.isolated = True
         cluster.run(3 * SECOND, standing=[leader])
         new = next(host for host in cluster.followers(leader) if host.replica.leads)
         cluster.propose(new, b"newer")
@@ -148,7 +148,7 @@
         leader.replica.read(cluster.now, 1).unwrap()
         cluster.pump()
         self.assertEqual(leader.ready, [])
-        leader.deaf = False
+        leader.isolated = False
         cluster.run(SECOND // 5)
         self.assertEqual((leader.ready, leader.reads_failed), ([], [1]))
 
@@ -174,7 +174,7 @@
         cluster = Cluster()
         leader = cluster.settle()
         for follower in cluster.followers(leader):
-            follower.deaf = True
+            follower.isolated = True
         leader.replica.transfer_leadership(cluster.now)
         cluster.run(Timing().election_min + 2 * TICK)
         self.assertIsInstance(leader.replica.propose(cluster.now, b"x"), Success)
--- a/tests/consensus/test_consensus_members.py
+++ b/tests/consensus/test_consensus_members.py
@@ -8,7 +8,7 @@
 
 from brackenladder.consensus.members import decode_members, encode_members, quorum_value
 from brackenladder.consensus.messages import JoinReply, JoinRequest
-from brackenladder.consensus.planning import Health, plan_change, take_in
+from brackenladder.consensus.planning import Health, plan_change, with_member
 from brackenladder.consensus.replica import Role, Timing
 from brackenladder.consensus.types import Member, Members
 
@@ -53,13 +53,13 @@
 
     def test_a_new_address_is_taken(self):
         moved = member("a", "elsewhere:1")
-        self.assertIn(moved, take_in(members("abc"), moved).voters)
+        self.assertIn(moved, with_member(members("abc"), moved).voters)
         learner = member("d", "elsewhere:1")
-        self.assertEqual(take_in(members("abc", "d"), learner).learners, (learner,))
+        self.assertEqual(with_member(members("abc", "d"), learner).learners, (learner,))
 
     def test_a_second_new_disk_at_an_address_replaces_the_first_learner(self):
         newer = member("e", "d:1")
-        self.assertEqual(take_in(members("abc", "d"), newer).learners, (newer,))
+        self.assertEqual(with_member(members("abc", "d"), newer).learners, (newer,))
 
     def test_a_new_disk_replaces_the_voter_at_its_address(self):
         present = Members(members("abc").voters, (), (member("x", "b:1"),))
@@ -197,10 +197,10 @@
         leader = cluster.settle()
         self.join(cluster, leader, "d", "10.0.0.4:1")
         away = cluster.followers(leader)[0]
-        away.deaf = True
+        away.isolated = True
         cluster.run(Timing().replace_after + SECOND)
         self.assertNotIn(away.member, leader.replica.members.voters)
-        away.deaf = False
+        away.isolated = False
         cluster.run(SECOND)
         leader.replica.join(cluster.now, away.member).unwrap()
         cluster.run(SECOND)
--- a/tests/consensus/test_consensus_model.py
+++ b/tests/consensus/test_consensus_model.py
@@ -9,17 +9,17 @@
 from consensus.schedules import Profile, play
 
 SCHEDULES = 60  # of each profile; model_run.py plays many more
-MOST_TRIES = 400  # schedules until a planted fault has to be found
+MAX_TRIES = 400  # schedules until a planted fault has to be found
 
 
 class ModelTest(unittest.TestCase):
     """The replica as it is."""
 
     def check(self, profile: Profile) -> None:
-        verdicts = [play(seed, Model, profile) for seed in range(SCHEDULES)]
-        self.assertEqual([verdict for verdict in verdicts if verdict.fault], [])
-        self.assertGreater(sum(verdict.acknowledged for verdict in verdicts), 10 * SCHEDULES)
-        self.assertGreater(sum(verdict.reads for verdict in verdicts), 10 * SCHEDULES)
+        results = [play(seed, Model, profile) for seed in range(SCHEDULES)]
+        self.assertEqual([result for result in results if result.fault], [])
+        self.assertGreater(sum(result.acknowledged for result in results), 10 * SCHEDULES)
+        self.assertGreater(sum(result.reads for result in results), 10 * SCHEDULES)
 
     def test_every_fault_at_random_moments(self):
         self.check(Profile.STORM)
@@ -27,8 +27,8 @@
     def test_power_lost_after_votes_and_acknowledgements(self):
         self.check(Profile.POWER)
 
-    def test_short_reigns(self):
-        self.check(Profile.REIGNS)
+    def test_short_leaderships(self):
+        self.check(Profile.SHORT_TERMS)
 
     def test_members_that_change_all_the_time(self):
         self.check(Profile.MEMBERS)
@@ -40,51 +40,51 @@
 class MutantTest(unittest.TestCase):
     """Planted faults, each under the faults that bring it out."""
 
-    def convict(self, mutant: str, profile: Profile, expected: str) -> None:
+    def check_detected(self, mutant: str, profile: Profile, expected: str) -> None:
         model_type = MUTANTS[mutant]
-        for seed in range(MOST_TRIES):
+        for seed in range(MAX_TRIES):
             if expected in play(seed, model_type, profile).fault:
                 return
-        self.fail(f"{mutant} is not found in {MOST_TRIES} schedules")
+        self.fail(f"{mutant} is not found in {MAX_TRIES} schedules")
 
     def test_vote_told_before_it_is_synced(self):
-        self.convict("VoteNotSynced", Profile.POWER, " votes for ")
+        self.check_detected("VoteNotSynced", Profile.POWER, " votes for ")
 
     def test_vote_told_before_it_is_synced_makes_two_leaders(self):
-        self.convict("VoteNotSynced", Profile.POWER, "both lead in term")
+        self.check_detected("VoteNotSynced", Profile.POWER, "both lead in term")
 
     def test_vote_not_written(self):
-        self.convict("VoteNotWritten", Profile.POWER, " votes for ")
+        self.check_detected("VoteNotWritten", Profile.POWER, " votes for ")
 
     def test_entries_acknowledged_before_they_are_durable(self):
-        self.convict("AcknowledgesBeforeDurable", Profile.POWER, "two entries are committed")
+        self.check_detected("AcknowledgesBeforeDurable", Profile.POWER, "two entries are committed")
 
     def test_leader_counts_itself_before_its_write(self):
-        self.convict("LeaderCountsUndurable", Profile.POWER, "two entries are committed")
+        self.check_detected("LeaderCountsUndurable", Profile.POWER, "two entries are committed")
 
     def test_read_without_a_quorum(self):
-        self.convict("StaleRead", Profile.MEMBERS, "a read at")
+        self.check_detected("StaleRead", Profile.MEMBERS, "a read at")
 
     def test_read_before_the_first_commit_of_the_term(self):
-        self.convict("ReadBeforeFirstCommit", Profile.REIGNS, "a read at")
+        self.check_detected("ReadBeforeFirstCommit", Profile.SHORT_TERMS, "a read at")
 
     def test_older_terms_entry_committed_by_counting(self):
-        self.convict("CommitsOlderTermByCounting", Profile.REIGNS, "two entries are committed")
+        self.check_detected("CommitsOlderTermByCounting", Profile.SHORT_TERMS, "two entries are committed")
 
     def test_one_majority_in_a_joint_change(self):
-        self.convict("SingleMajority", Profile.MEMBERS, "two entries are committed")
+        self.check_detected("SingleMajority", Profile.MEMBERS, "two entries are committed")
 
     def test_vote_without_a_look_at_the_log(self):
-        self.convict("VotesForStaleLog", Profile.REIGNS, "two entries are committed")
+        self.check_detected("VotesForStaleLog", Profile.SHORT_TERMS, "two entries are committed")
 
     def test_old_entries_kept_after_a_snapshot(self):
-        self.convict("KeepsLogUnderSnapshot", Profile.REIGNS, "a write leaves a gap")
+        self.check_detected("KeepsLogUnderSnapshot", Profile.SHORT_TERMS, "a write leaves a gap")
 
     def test_wiped_voter_that_keeps_its_id(self):
-        self.convict("WipedVoterKeepsId", Profile.POWER, "two entries are committed")
+        self.check_detected("WipedVoterKeepsId", Profile.POWER, "two entries are committed")
 
     def test_messages_for_the_disk_before(self):
-        self.convict("AnswersForFormerDisk", Profile.STORM, "two entries are committed")
+        self.check_detected("AnswersForFormerDisk", Profile.STORM, "two entries are committed")
 
 
 if __name__ == "__main__":
--- a/tests/consensus/test_consensus_parts.py
+++ b/tests/consensus/test_consensus_parts.py
@@ -182,29 +182,29 @@
 
     def test_room_is_given_back_by_durable_entries(self):
         progress = Progress(2, 0)
-        progress.sent(4, 100)
-        self.assertFalse(progress.room(100))
-        progress.agreed(3, 4)
-        self.assertFalse(progress.room(100))
-        progress.agreed(4, 4)
-        self.assertTrue(progress.room(100))
+        progress.record_sent(4, 100)
+        self.assertFalse(progress.can_send(100))
+        progress.record_match(3, 4)
+        self.assertFalse(progress.can_send(100))
+        progress.record_match(4, 4)
+        self.assertTrue(progress.can_send(100))
 
     def test_a_refusal_leads_to_one_probe(self):
         progress = Progress(20, 0)
-        progress.sent(25, 10)
-        self.assertTrue(progress.refused(19, 12))
-        self.assertFalse(progress.refused(19, 12))  # the same again
-        self.assertEqual((progress.next, progress.room(100)), (13, True))
-        progress.sent(25, 10)
-        self.assertEqual((progress.next, progress.room(100)), (13, False))
-        progress.agreed(12, 25)
-        self.assertEqual((progress.next, progress.room(100)), (26, True))
+        progress.record_sent(25, 10)
+        self.assertTrue(progress.record_refusal(19, 12))
+        self.assertFalse(progress.record_refusal(19, 12))  # the same again
+        self.assertEqual((progress.next, progress.can_send(100)), (13, True))
+        progress.record_sent(25, 10)
+        self.assertEqual((progress.next, progress.can_send(100)), (13, False))
+        progress.record_match(12, 25)
+        self.assertEqual((progress.next, progress.can_send(100)), (26, True))
 
     def test_outdated_refusals_change_nothing(self):
         progress = Progress(20, 0)
-        progress.agreed(15, 19)
-        self.assertFalse(progress.refused(15, 3))
-        self.assertFalse(progress.refused(20, 3))
+        progress.record_match(15, 19)
+        self.assertFalse(progress.record_refusal(15, 3))
+        self.assertFalse(progress.record_refusal(20, 3))
         self.assertEqual(progress.next, 20)
 
 
--- a/tests/consensus/test_consensus_reads.py
+++ b/tests/consensus/test_consensus_reads.py
@@ -42,7 +42,7 @@
         leader.replica.read(cluster.now, 1).unwrap()
         cluster.pump()
         for follower in followers:
-            follower.deaf = True
+            follower.isolated = True
         leader.replica.read(cluster.now, 2).unwrap()
         cluster.pump()
         late = AppendReply(
--- a/tests/consensus/test_consensus_replication.py
+++ b/tests/consensus/test_consensus_replication.py
@@ -70,9 +70,9 @@
         cluster = Cluster()
         leader = cluster.settle()
         follower = cluster.followers(leader)[0]
-        follower.deaf = True
+        follower.isolated = True
         cluster.propose(leader, b"x")
-        follower.deaf = False
+        follower.isolated = False
         cluster.run(SECOND // 2)
         self.assertEqual(commands(follower.committed), [b"x"])
 
@@ -93,14 +93,14 @@
     def test_a_long_wrong_log_is_found_in_few_steps(self):
         cluster = Cluster()
         former = cluster.settle()
-        former.deaf = True
+        former.isolated = True
         for number in range(300):
             former.replica.propose(cluster.now, b"wrong-%d" % number).unwrap()
         cluster.run(3 * SECOND)
         leader = next(host for host in cluster.followers(former) if host.replica.leads)
         for number in range(300):
             cluster.propose(leader, b"right-%d" % number)
-        former.deaf = False
+        former.isolated = False
         refusals = 0
         step = leader.replica.step
 
@@ -125,13 +125,13 @@
         cluster = Cluster()
         leader = cluster.settle()
         follower = cluster.followers(leader)[0]
-        follower.deaf = True
+        follower.isolated = True
         big = bytes(Timing().kept_bytes)
         for _ in range(3):
             cluster.propose(leader, big)
         leader.replica.compact(cluster.now, leader.replica.commit_index, b"state")
         cluster.propose(leader, b"after")
-        follower.deaf = False
+        follower.isolated = False
         leader.replica.link_up(cluster.now, follower.member.replica_id)
         cluster.run(SECOND)
         self.assertEqual([snapshot.data for snapshot in follower.restored], [b"state"])
@@ -144,10 +144,10 @@
         cluster = Cluster()
         leader = cluster.settle()
         follower = cluster.followers(leader)[0]
-        follower.deaf = True
+        follower.isolated = True
         cluster.propose(leader, b"x")
         leader.replica.compact(cluster.now, leader.replica.commit_index, b"state")
         cluster.pump()
-        follower.deaf = False
+        follower.isolated = False
         cluster.run(SECOND)
         self.assertEqual((follower.restored, commands(follower.committed)), ([], [b"x"]))
--- a/tests/consensus/test_contact.py
+++ b/tests/consensus/test_contact.py
@@ -27,8 +27,8 @@
 
     def test_a_leader_without_a_quorum_gives_its_follower_no_contact(self) -> None:
         for follower in self.followers[1:]:
-            follower.deaf = True
-        self.followers[0].deaf = False
+            follower.isolated = True
+        self.followers[0].isolated = False
         others = self.followers[1:]
         for host in others:
             self.cluster.drop(host)
--- a/tests/consensus/test_election_collisions.py
+++ b/tests/consensus/test_election_collisions.py
@@ -13,7 +13,7 @@
 
 MILLISECOND = 1_000
 DRAWS = 40
-MOST_WAIT = 1_600 * MILLISECOND  # a first wait, and a few times the way
+MAX_WAIT = 1_600 * MILLISECOND  # a first wait, and a few times the way
 
 
 class DistantCluster(Cluster):
@@ -70,7 +70,7 @@
                 cluster = DistantCluster(way, draw)
                 for member in cluster.known.voters[:2]:
                     cluster.start(member)
-                self.assertIsNotNone(cluster.run_until_led(MOST_WAIT))
+                self.assertIsNotNone(cluster.run_until_led(MAX_WAIT))
 
     def test_over_35_ms(self):
         self.check_two_of_three(35 * MILLISECOND)
--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -11,7 +11,7 @@
 
 TIMING = Timing()
 MARGIN = 100_000  # microseconds for ticks and messages
-MOST_STEPS = 400
+MAX_STEPS = 400
 
 
 def leaders(cluster: Cluster) -> list[str]:
@@ -21,7 +21,7 @@
 class FirstElectionTest(unittest.TestCase):
     def run_until_led(self, cluster: Cluster) -> int:
         began = cluster.now
-        for _ in range(MOST_STEPS):
+        for _ in range(MAX_STEPS):
             if leaders(cluster):
                 return cluster.now - began
             cluster.run(TICK)
@@ -51,13 +51,13 @@
         cluster = Cluster()
         hosts = list(cluster.hosts.values())
         for host in hosts:
-            host.deaf = True
-        for _ in range(MOST_STEPS):
+            host.isolated = True
+        for _ in range(MAX_STEPS):
             if any(host.replica.role is Role.CANDIDATE for host in hosts):
                 break
             cluster.run(TICK)
         for host in hosts:
-            host.deaf = False
+            host.isolated = False
             for other in hosts:
                 if other is not host:
                     host.replica.link_up(cluster.now, other.member.replica_id)
--- a/tests/consensus/test_frozen_leader.py
+++ b/tests/consensus/test_frozen_leader.py
@@ -23,14 +23,14 @@
 
     def freeze(self) -> None:
         """Its machine stands still; the others choose a new leader, which commits."""
-        self.leader.deaf = True
+        self.leader.isolated = True
         self.cluster.run(3 * SECOND, standing=[self.leader])
         self.new = next(host for host in self.cluster.followers(self.leader) if host.replica.leads)
         self.cluster.propose(self.new, b"newer")
         self.assertGreater(self.new.replica.term, self.term)
 
     def wake(self) -> None:
-        self.leader.deaf = self.leader.store_hangs = False
+        self.leader.isolated = self.leader.store_hangs = False
 
     def assert_agreement(self) -> None:
         """The old leader follows, and all have carried out the same."""
@@ -42,14 +42,14 @@
         self.assertEqual(self.logs(), [[b"before", b"newer"]] * 3)
 
     def test_writes_that_its_store_had_finished(self):
-        self.leader.deaf = True
+        self.leader.isolated = True
         self.cluster.propose(self.leader, b"durable here only")
         self.freeze()
         self.wake()
         self.assert_agreement()
 
     def test_writes_that_its_store_finishes_as_it_wakes(self):
-        self.leader.deaf = self.leader.store_hangs = True
+        self.leader.isolated = self.leader.store_hangs = True
         self.cluster.propose(self.leader, b"with the store")
         self.freeze()
         self.wake()
@@ -84,10 +84,10 @@
         holder, other = self.cluster.followers(self.leader)
         for restarts in (False, True):
             with self.subTest(restarts=restarts):
-                other.deaf = True
+                other.isolated = True
                 self.cluster.propose(self.leader, b"acknowledged")
                 self.assertEqual(commands(self.leader.committed)[-1], b"acknowledged")
-                other.deaf, self.leader.deaf = False, True
+                other.isolated, self.leader.isolated = False, True
                 if restarts:
                     holder = self.cluster.restart(holder)
                 self.cluster.run(3 * SECOND, standing=[self.leader])
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -36,7 +36,7 @@
         for _ in range(20):
             for chunk in self.chunks():
                 whole = self.receiver.take(chunk)
-                self.sender.replied(0, reply(received=self.receiver.received(50)))
+                self.sender.on_reply(0, reply(received=self.receiver.received(50)))
                 if whole is not None:
                     return whole
         return None
@@ -54,12 +54,12 @@
     def test_no_more_than_the_window_is_on_the_way(self) -> None:
         self.assertEqual([chunk.offset for chunk in self.chunks()], [0, 10, 20])
         self.assertEqual(self.chunks(), [])
-        self.sender.replied(0, reply(received=10))
+        self.sender.on_reply(0, reply(received=10))
         self.assertEqual([chunk.offset for chunk in self.chunks()], [30])
 
     def test_the_rest_is_sent_again_ever_more_rarely(self) -> None:
         self.chunks()
-        self.sender.replied(0, reply(received=20))
+        self.sender.on_reply(0, reply(received=20))
         self.assertEqual([chunk.offset for chunk in self.chunks(99)], [30, 40])
         self.assertEqual([chunk.offset for chunk in self.chunks(100)], [20, 30, 40])
         self.assertEqual(self.chunks(299), [])
@@ -67,7 +67,7 @@
 
     def test_a_new_link_goes_on_at_once(self) -> None:
         self.chunks()
-        self.sender.replied(0, reply(received=10))
+        self.sender.on_reply(0, reply(received=10))
         self.chunks()
         self.sender.link_up(1)
         self.assertEqual([chunk.offset for chunk in self.chunks(1)], [10, 20, 30])
@@ -75,7 +75,7 @@
     def test_progress_ends_the_growing_waits(self) -> None:
         self.chunks()
         self.chunks(100)
-        self.sender.replied(250, reply(received=10))
+        self.sender.on_reply(250, reply(received=10))
         self.chunks(250)
         self.assertEqual([chunk.offset for chunk in self.chunks(350)], [10, 20, 30])
 
@@ -90,13 +90,13 @@
         damaged = evolve(first, snapshot=evolve(first.snapshot, data=bytes(10)))
         for chunk in (damaged, *others):
             self.receiver.take(chunk)
-        self.sender.replied(0, reply(received=30))
+        self.sender.on_reply(0, reply(received=30))
         self.assertEqual(self.transfer(), SNAPSHOT)
 
     def test_a_follower_that_has_lost_what_it_had_gets_it_again(self) -> None:
         self.chunks()
-        self.sender.replied(0, reply(received=30))
-        self.sender.replied(0, reply(received=0))
+        self.sender.on_reply(0, reply(received=30))
+        self.sender.on_reply(0, reply(received=0))
         self.assertEqual([chunk.offset for chunk in self.chunks()], [0, 10, 20])
 
     def test_another_leader_goes_on_where_the_last_one_ended(self) -> None:
@@ -105,7 +105,7 @@
         self.sender = SnapshotSender(0, SNAPSHOT, TIMING)
         first = self.chunks()[0]
         self.receiver.take(first)
-        self.sender.replied(0, reply(received=self.receiver.received(50)))
+        self.sender.on_reply(0, reply(received=self.receiver.received(50)))
         self.assertEqual([chunk.offset for chunk in self.chunks()], [30, 40, 50])
 
     def test_another_snapshot_begins_anew(self) -> None:
@@ -117,15 +117,15 @@
 
     def test_replies_of_another_transfer_change_nothing(self) -> None:
         self.chunks()
-        self.assertFalse(self.sender.replied(0, reply(received=30, index=40)))
+        self.assertFalse(self.sender.on_reply(0, reply(received=30, index=40)))
         self.assertEqual(self.chunks(), [])
 
     def test_the_follower_is_at_the_snapshot_once_it_says_so(self) -> None:
         progress = Progress(1, 0)
         progress.begin_transfer(self.sender)
-        progress.agreed(0, 0)  # a heartbeat's answer
+        progress.record_match(0, 0)  # a heartbeat's answer
         self.assertIsNotNone(progress.transfer)
-        progress.snapshot_replied(0, reply(match=50))
+        progress.record_snapshot_reply(0, reply(match=50))
         self.assertEqual((progress.next, progress.match, progress.transfer), (51, 50, None))
 
 
@@ -154,10 +154,10 @@
         cluster = Cluster()
         leader = cluster.settle()
         follower = next(host for host in cluster.hosts.values() if host is not leader)
-        follower.deaf = True
+        follower.isolated = True
         numbers = count()
         self.change(cluster, leader, numbers, 300)
-        follower.deaf = False
+        follower.isolated = False
         target = leader.replica.commit_index
         for _ in range(40):
             self.change(cluster, leader, numbers, 20)
