--- a/brackenladder/consensus/replica.py
+++ b/brackenladder/consensus/replica.py
@@ -106,7 +106,7 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this replica believes to be the leader."""
+        """Whether this replica believes that it is the leader."""
         return self._leading is not None
 
     @property
--- a/brackenladder/consensus/writes.py
+++ b/brackenladder/consensus/writes.py
@@ -146,7 +146,7 @@
     def persisted(self, token: int) -> int | None:
         """Notes that a write is durable.
 
-        Returns the index up to which the log is durable, or None if the token isn't that of the current write.
+        Returns the index up to which the log is durable, or None if another write is current.
         """
         if self._current is None or self._current.token != token:
             return None
@@ -158,7 +158,7 @@
     def failed(self, now: int, token: int) -> bool:
         """Notes that the store refused the current write. It is retried later, before any other write.
 
-        Returns False if the token isn't that of the current write.
+        Returns False if another write is current.
         """
         if self._current is None or self._current.token != token:
             return False
