--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -60,8 +60,8 @@
             client.leave("rst" if self.departures % 2 else "fin")
 
     async def settled(self) -> None:
-        callers = self.bench.node.front.callers
-        await until(lambda: not callers.callers and not self.bench.pool.host.calls)
+        client_connections = self.bench.node.front.clients
+        await until(lambda: not client_connections.connections and not self.bench.pool.host.calls)
         self.late += sum(name in self.left for name in self.seen[self.at :])
 
 
@@ -156,7 +156,7 @@
         clients = {name.decode(): Raw(place.bench.port, call("view", name=name)) for name in names}
         await asyncio.sleep(0.2)
         calls = place.bench.pool.host.calls.values()
-        waits = [c.name.decode() for c in calls if c.open and c.out is None]
+        waits = [c.name.decode() for c in calls if c.open and c.current_attempt is None]
         place.left.update(waits)
         place.leave([clients.pop(name) for name in waits])
         await asyncio.sleep(LATE)
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -111,7 +111,7 @@
             return NO_OFFER
         for name, node in self._nodes.items():
             self._gateways.linked(node, now - self._subscribers[name].silence)
-        current = self._tells_catalog(now) and not self._agreed.lacks_committed()
+        current = self._may_publish_catalog(now) and not self._agreed.lacks_committed()
         return self._directory.resolve(now, client, current)
 
     # -- what operators ask
@@ -122,9 +122,9 @@
         return self._in_touch()
 
     @property
-    def tells_catalog(self) -> bool:
+    def may_publish_catalog(self) -> bool:
         """Whether gateways are told the catalog: it was the newest a moment ago."""
-        return self._tells_catalog(self._clock())
+        return self._may_publish_catalog(self._clock())
 
     def servers_in(self, region: str, regions: Mapping[str, str]) -> tuple[ServerRecord, ...]:
         """The living servers of a region; `regions` gives the region by zone."""
@@ -197,7 +197,7 @@
             del self._subscribers[name]
             self._nodes.pop(name, None)
             self._publisher.lost(name)
-            self._relay.lost(name)
+            self._relay.unsubscribe(name)
 
     # -- changes of the agreed state
 
@@ -219,7 +219,7 @@
 
     def prefixes_remembered(self, notices: tuple[PrefixNotice, ...]) -> None:
         """Takes the prefixes that servers kept before this node's restart."""
-        self._relay.remembered(self._clock(), notices)
+        self._relay.restore(self._clock(), notices)
 
     def prefixes(self) -> tuple[PrefixNotice, ...]:
         """The prefixes that traffic leans on most."""
@@ -256,7 +256,9 @@
             link = self._informed.get(told.peer)
             if link is None or not link.send(told.message):
                 self._forget_peer(told.peer)
-        for delivery in self._publisher.take(now, self._told_contact_age(now), self._tells_catalog(now)):
+        for delivery in self._publisher.take(
+            now, self._told_contact_age(now), self._may_publish_catalog(now)
+        ):
             subscriber = self._subscribers.get(delivery.subscriber)
             if subscriber is not None and not subscriber.send(delivery.message):
                 subscriber.close()
@@ -274,7 +276,7 @@
     def _in_touch(self) -> bool:
         return self._agreed.contact_age() <= IN_TOUCH_AGE
 
-    def _tells_catalog(self, now: int) -> bool:
+    def _may_publish_catalog(self, now: int) -> bool:
         """Whether the catalog here is known to have been the newest a moment ago.
 
         Failure prevented: a node that is cut off, has restarted alone or is still taking in what it missed
@@ -302,7 +304,7 @@
         Failure prevented: each of five control nodes tells each other one of every gateway, each second.
         """
         self._publisher.subscribed(name, message)
-        self._relay.serve(name, message.relay)
+        self._relay.set_subscribed(name, message.relay)
         self._nodes[name] = message.node
         self._gateways.presence(self._clock(), message.gateway, tell_peers=message.relay)
         self._count_gateways()
