--- a/brackenladder/consensus/progress.py
+++ b/brackenladder/consensus/progress.py
@@ -87,7 +87,7 @@
         self._sent_bytes = 0
 
     def record_snapshot_reply(self, now: int, reply: InstallSnapshotReply) -> None:
-        """Handles a reply: the follower has received a part of the snapshot, installed it or doesn't need it."""
+        """Handles a reply: the follower has received a part of the snapshot, has all of it or needs none."""
         if self.transfer is None:
             self.record_match(reply.match, reply.match)
         elif self.transfer.on_reply(now, reply):
