--- a/tests/consensus/checker.py
+++ b/tests/consensus/checker.py
@@ -1,4 +1,4 @@
-"""What must hold of all replicas together, whatever happens to them."""
+"""Safety properties that must hold across all replicas under any faults."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Violation(AssertionError):
-    """Something that must hold does not."""
+    """A safety property is violated."""
 
 
 @frozen
 class Committed:
-    """An entry that some replica has committed, and a digest of the log up to it."""
+    """An entry that some replica has committed, with a digest of the log up to it."""
 
     term: int
     data: bytes
@@ -24,23 +24,23 @@
 
 
 def digest_after(digest: int, entry: Entry) -> int:
-    """The digest of a log that `entry` follows."""
+    """The digest of a log with digest `digest` after appending `entry`."""
     return crc32(entry.data, crc32(b"%d,%d" % (entry.term, entry.kind), digest))
 
 
 def state_of(digest: int) -> bytes:
-    """The state machine's state as a snapshot holds it."""
+    """The snapshot data of a state machine whose log has this digest."""
     return b"%d" % digest
 
 
 class Checker:
-    """Knows every leader, every committed entry, and what clients have been told."""
+    """Records every leader, every committed entry and everything that clients were told."""
 
     def __init__(self) -> None:
         self._leaders: dict[int, str] = {}
         self._votes: dict[tuple[str, int], str] = {}
         self._log: list[Committed] = [Committed(0, b"", 0)] * (GENESIS_INDEX + 1)
-        self.floor = GENESIS_INDEX  # the newest index that a client has been told of
+        self.floor = GENESIS_INDEX  # the newest index that a client has observed
         self.newest_term = 0
         self.acknowledged = 0
         self.reads = 0
@@ -51,24 +51,27 @@
         return len(self._log) - 1
 
     def leads(self, term: int, replica_id: str) -> None:
-        """One leader a term."""
+        """Checks that each term has at most one leader."""
         leader = self._leaders.setdefault(term, replica_id)
         if leader != replica_id:
             raise Violation(f"{leader} and {replica_id} both lead in term {term}")
         self.newest_term = max(self.newest_term, term)
 
     def votes(self, voter: str, term: int, candidate: str) -> None:
-        """A replica tells its vote: one a term."""
+        """Checks that each replica sends at most one vote per term."""
         chosen = self._votes.setdefault((voter, term), candidate)
         if chosen != candidate:
             raise Violation(f"{voter} votes for {chosen} and {candidate} in term {term}")
 
     def leader_of_newest_term(self) -> str:
-        """Who has led in the newest term."""
+        """The replica id of the leader of the newest term."""
         return self._leaders.get(self.newest_term, "")
 
     def committed(self, applied: int, entry: Entry) -> int:
-        """A replica that has applied up to `applied` commits the next entry; the digest after it."""
+        """Checks an entry committed by a replica that has applied up to `applied`.
+
+        Returns the digest of the log after the entry.
+        """
         if entry.index != applied + 1:
             raise Violation(f"entry {entry.index} is committed after {applied}")
         if entry.index < len(self._log):
@@ -81,21 +84,21 @@
         return digest
 
     def restored(self, snapshot: Snapshot) -> None:
-        """A replica takes a snapshot."""
+        """Checks a snapshot that a replica restores."""
         if snapshot.index >= len(self._log):
             raise Violation(f"a snapshot at {snapshot.index} holds what is not committed")
         if snapshot.data != state_of(self._log[snapshot.index].digest):
             raise Violation(f"a snapshot at {snapshot.index} holds another state")
 
     def acknowledge(self, index: int, floor: int) -> None:
-        """A client learns that its command is accepted; it was sent when `floor` was known."""
+        """Checks a command's acknowledgement; `floor`: the newest observed index when it was sent."""
         if index <= floor:
             raise Violation(f"a command at {index} was sent after {floor} was known")
         self.floor = max(self.floor, index)
         self.acknowledged += 1
 
     def answer(self, index: int, applied: int, floor: int) -> None:
-        """A client reads the state after `applied`; it asked when `floor` was known."""
+        """Checks a read of the state after `applied`; `floor`: the newest observed index at its start."""
         if index < floor:
             raise Violation(f"a read at {index} was asked after {floor} was known")
         if index > applied:
--- a/tests/consensus/cluster.py
+++ b/tests/consensus/cluster.py
@@ -1,4 +1,4 @@
-"""A few replicas with prompt disks and links, for tests that follow single steps."""
+"""A few replicas with immediate disks and links, for tests of single steps."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def seeds(count: int) -> tuple[Member, ...]:
-    """The members of a first start."""
+    """The members at the first start of a system."""
     addresses = [f"10.0.0.{number}:1" for number in range(1, count + 1)]
     return tuple(Member(genesis_replica_id(address), address) for address in addresses)
 
 
 def commands(entries: Iterable[Entry]) -> list[bytes]:
-    """The commands among entries of the log."""
+    """The data of the commands among log entries."""
     return [entry.data for entry in entries if entry.kind is EntryKind.COMMAND]
 
 
 class Host:
-    """One replica, its store and what it gave out."""
+    """One replica, its store and its collected output."""
 
     def __init__(self, member: Member, store: MemoryLogStore, now: int, members: Members | None) -> None:
         self.member = member
@@ -46,7 +46,7 @@
         self.isolated = False
 
     def take(self, output: Output) -> None:
-        """Note what the replica gave out."""
+        """Collects an output of the replica."""
         self.committed.extend(output.committed)
         if output.restore is not None:
             self.restored.append(output.restore)
@@ -58,7 +58,7 @@
 
 
 class Cluster:
-    """Replicas that are pumped until nothing more is to be done."""
+    """Replicas whose outputs are carried out until none is left."""
 
     def __init__(self, count: int = 3) -> None:
         self.now = 0
@@ -70,21 +70,21 @@
     def add(
         self, member: Member, members: Members | None = None, store: MemoryLogStore | None = None
     ) -> Host:
-        """Start a replica."""
+        """Starts a replica."""
         host = Host(member, store or MemoryLogStore(member.replica_id), self.now, members)
         self.hosts[member.replica_id] = host
         return host
 
     def restart(self, host: Host) -> Host:
-        """Start it again from its store."""
+        """Restarts a replica from its store."""
         return self.add(host.member, None, host.store.reopen())
 
     def drop(self, host: Host) -> None:
-        """It is gone for good."""
+        """Removes a replica permanently."""
         del self.hosts[host.member.replica_id]
 
     def pump(self) -> None:
-        """Carry out outputs until there are none."""
+        """Carries out outputs until there are none."""
         busy = True
         while busy:
             served = [self._serve(host) for host in list(self.hosts.values())]
@@ -106,19 +106,19 @@
             busy = True
         return busy
 
-    def run(self, span: int, standing: Iterable[Host] = ()) -> None:
-        """Let time pass for all but those that stand still."""
-        still = list(standing)
+    def run(self, span: int, suspended: Iterable[Host] = ()) -> None:
+        """Advances the time for all hosts except the suspended ones."""
+        stopped = list(suspended)
         until = self.now + span
         while self.now < until:
             self.now += TICK
             for host in list(self.hosts.values()):
-                if host not in still:
+                if host not in stopped:
                     host.replica.tick(self.now)
             self.pump()
 
     def settle(self) -> Host:
-        """Run until there is a leader whose first entry is committed."""
+        """Runs until there is one leader and all its entries are committed."""
         for _ in range(30):
             self.run(SECOND // 5)
             leaders = [host for host in self.hosts.values() if host.replica.role is Role.LEADER]
@@ -127,17 +127,17 @@
         raise AssertionError("no leader")
 
     def followers(self, leader: Host) -> list[Host]:
-        """All others."""
+        """All hosts except the leader."""
         return [host for host in self.hosts.values() if host is not leader]
 
     def propose(self, leader: Host, data: bytes) -> None:
-        """A command that is carried out."""
+        """Proposes a command and carries out all resulting outputs."""
         leader.replica.propose(self.now, data).unwrap()
         self.pump()
 
 
 def empty_state() -> DurableState:
-    """A store just made."""
+    """The state of a new store."""
     return DurableState()
 
 
--- a/tests/consensus/disk.py
+++ b/tests/consensus/disk.py
@@ -1,4 +1,4 @@
-"""A disk in virtual time: what a write leaves behind, and when it ends."""
+"""A simulated disk in virtual time: the effect and the duration of writes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DiskTrouble(Enum):
-    """What a disk does to writes for a while."""
+    """A temporary fault of a disk."""
 
     NONE = "none"
     SLOW = "slow"
@@ -22,7 +22,7 @@
 
 
 class ModelDisk:
-    """Writes take effect in order, each as a whole."""
+    """A disk whose writes are atomic and take effect in order."""
 
     def __init__(self, random: Random) -> None:
         self._random = random
@@ -32,19 +32,19 @@
         self.hard_state = HardState()
         self.snapshot: Snapshot | None = None
         self.entries: list[Entry] = []
-        self.under_way: list[Write] = []
+        self.pending: list[Write] = []
 
     def load(self) -> DurableState:
-        """What is durable."""
+        """The durable state."""
         return DurableState(self.hard_state, self.snapshot, tuple(self.entries))
 
     def begin_trouble(self, trouble: DiskTrouble, until: int) -> None:
-        """Be in trouble until then."""
+        """Starts a fault that lasts until the given time."""
         self._trouble = trouble
         self._trouble_until = until
 
     def end_trouble(self) -> None:
-        """Writes that hang go on."""
+        """Ends the fault; writes that hang continue."""
         self._trouble_until = 0
         self._busy_until = 0
 
@@ -53,8 +53,8 @@
         return self._trouble is DiskTrouble.REFUSES and now < self._trouble_until
 
     def submit(self, now: int, write: Write) -> int:
-        """Take a write; when it ends."""
-        self.under_way.append(write)
+        """Accepts a write and returns the time when it completes."""
+        self.pending.append(write)
         took = int((1 + 6 * self._random.random()) * MILLISECOND)
         if now < self._trouble_until:
             if self._trouble is DiskTrouble.SLOW:
@@ -65,23 +65,23 @@
         return self._busy_until
 
     def finish(self, write: Write) -> None:
-        """The oldest write under way is durable."""
-        if not self.under_way or self.under_way[0] is not write:
+        """Makes the oldest pending write durable."""
+        if not self.pending or self.pending[0] is not write:
             raise Violation("writes end out of order")
-        self.under_way.pop(0)
+        self.pending.pop(0)
         self._apply(write)
 
     def refuse(self, write: Write) -> None:
-        """The oldest write under way has failed."""
-        self.under_way.remove(write)
+        """Fails a pending write."""
+        self.pending.remove(write)
 
     def lose_power(self) -> None:
-        """Of what was under way, any first part may have become durable."""
-        for write in self.under_way:
+        """Loses power: a random prefix of the pending writes becomes durable."""
+        for write in self.pending:
             if self._random.random() < 0.6:
                 break
             self._apply(write)
-        self.under_way.clear()
+        self.pending.clear()
         self._busy_until = 0
 
     def _apply(self, write: Write) -> None:
--- a/tests/consensus/lone_replica.py
+++ b/tests/consensus/lone_replica.py
@@ -1,4 +1,4 @@
-"""One replica without a cluster, and messages to it."""
+"""A single replica without a cluster, and messages to it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def lone_replica(members: Members | None = None, state: DurableState | None = None) -> Replica:
-    """A replica of three seeds; a learner without the members."""
+    """One of three seeds; without `members` it is a learner."""
     return Replica(seeds(3)[0], state or empty_state(), Timing(), Random(1), 0, members)
 
 
 def vote(replica: Replica, **changes) -> Vote:
-    """A vote is asked for, by a candidate with a long log."""
+    """A vote request from a candidate with a long log."""
     fields = {
         "sender": "other",
         "to": replica.member.replica_id,
@@ -32,7 +32,7 @@
 
 
 def heartbeat(replica: Replica, **changes) -> AppendEntries:
-    """Word of a leader, without entries."""
+    """A heartbeat from a leader."""
     fields = {
         "sender": "other",
         "to": replica.member.replica_id,
--- a/tests/consensus/machine.py
+++ b/tests/consensus/machine.py
@@ -1,4 +1,4 @@
-"""One machine of the model: a disk, a process with a replica, and the host's part of the protocol."""
+"""One machine of the model: a disk, and a process with a replica and a simple host for it."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Machine:
-    """Its replica id belongs to its disk, its address to the machine."""
+    """A machine. The replica id belongs to its disk, the address to the machine."""
 
     def __init__(self, model: Model, number: int, random: Random) -> None:
         self._model = model
@@ -35,7 +35,7 @@
         self.disk = ModelDisk(random)
         self.member = Member(f"joiner-{number}", self.address)
         self.replica: Replica | None = None
-        self.start = 0  # counts the starts of the process
+        self.start = 0  # number of process starts and kills so far
         self.paused = False
         self.wiped_at = -(1 << 60)
         self.applied = GENESIS_INDEX
@@ -50,7 +50,7 @@
     # -- life
 
     def boot(self, members: Members | None) -> None:
-        """Start the process from what is on the disk."""
+        """Starts the process from the state on the disk."""
         model = self._model
         self.start += 1
         self.paused = False
@@ -67,17 +67,17 @@
         self._schedule_tick()
 
     def kill(self) -> None:
-        """The process ends, with or without power."""
+        """Ends the process; the pending writes are lost as in a power loss."""
         self.replica = None
         self.start += 1
         self.disk.lose_power()
 
     def pause(self) -> None:
-        """Stand still; what arrives waits."""
+        """Suspends the process; events are queued meanwhile."""
         self.paused = True
 
     def resume(self) -> None:
-        """Go on: a tick may come before the messages that wait."""
+        """Resumes the process. A tick may be handled before the queued events."""
         if not self.paused:
             return
         self.paused = False
@@ -89,7 +89,7 @@
             action()
 
     def _run(self, start: int, action: Callable[[], None]) -> None:
-        """Do it now, once the process runs again, or never if it has ended."""
+        """Runs `action` now or after the process resumes, unless the process has ended since `start`."""
         if start != self.start or self.replica is None:
             return
         if self.paused:
@@ -109,7 +109,7 @@
         self._schedule_tick()
 
     def tick(self, start: int) -> None:
-        """A tick of the process."""
+        """Handles a tick of the process."""
         replica = self.replica
         if replica is None or start != self.start:
             return
@@ -129,7 +129,7 @@
     # -- messages
 
     def receive(self, sender: str, message: object) -> None:
-        """A message has arrived."""
+        """Handles an incoming message."""
         self._run(self.start, lambda: self._take(sender, message))
 
     def _take(self, sender: str, message: object) -> None:
@@ -152,7 +152,7 @@
     # -- output
 
     def take_output(self) -> None:
-        """Do what the replica says."""
+        """Carries out the replica's output."""
         replica = self.replica
         if replica is None:
             return
@@ -219,7 +219,7 @@
     # -- clients
 
     def propose(self, data: bytes) -> None:
-        """A client sends a command."""
+        """Proposes a client's command."""
         replica = self.replica
         if replica is None or self.paused:
             return
@@ -229,7 +229,7 @@
                 self.take_output()
 
     def read(self) -> None:
-        """A client reads."""
+        """Requests a client's read."""
         replica = self.replica
         if replica is None or self.paused:
             return
@@ -240,11 +240,11 @@
                 self.take_output()
 
     def leads(self) -> bool:
-        """Whether it takes itself for the leader."""
+        """Whether this machine's replica believes that it is the leader."""
         return self.replica is not None and self.replica.leads
 
     def settled_on(self, last_index: int) -> bool:
-        """Whether it has all that is committed."""
+        """Whether this machine has applied every committed entry, the last of which is `last_index`."""
         if self.replica is None or self.applied < last_index:
             return False
         if self.applied > last_index:
--- a/tests/consensus/model.py
+++ b/tests/consensus/model.py
@@ -1,4 +1,4 @@
-"""Replicas in virtual time: a network that loses, repeats and delays, disks, clients; all from one seed."""
+"""A model of replicas, disks, clients and an unreliable network in virtual time, determined by one seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 MILLISECOND = 1_000
 SECOND = 1_000_000
-RECENTLY = SECOND  # the leader may not have noticed a disk that was lost since
+RECENTLY = SECOND  # the leader may not have noticed yet that a disk was lost within this time
 CHECK_EVERY = 100 * MILLISECOND
 SETTLE_LIMIT = 30 * SECOND
 
@@ -44,20 +44,20 @@
 
 @frozen
 class NetworkConditions:
-    """How the network of one schedule behaves in the time of faults."""
+    """How the network of one schedule behaves while faults are injected."""
 
     loss: float
-    twice: float
-    late: float  # share of messages that are overtaken by others
+    twice: float  # share of messages that are delivered twice
+    late: float  # share of messages that are delayed, so that others overtake them
     latency: int
 
 
 class Model:
-    """All machines, the network between them and the clients."""
+    """The machines, the network between them and the clients."""
 
     replica_type: type[Replica] = Replica
     wiped_keeps_id = False
-    votes_watched = True  # false: what double votes lead to is left to the other checks
+    votes_watched = True  # whether a double vote is reported itself, or only through its consequences
 
     def __init__(self, seed: int, machines: int, seeds: int = 3, timing: Timing = FAST) -> None:
         self.random = Random(seed)
@@ -92,16 +92,16 @@
     # -- time
 
     def at(self, moment: int, action: Callable[[Any], None], argument: Any) -> None:
-        """Do `action` then."""
+        """Schedules `action` for a time."""
         self._sequence += 1
         heappush(self._queue, (moment, self._sequence, action, argument))
 
     def after(self, delay: int, action: Callable[[Any], None], argument: Any) -> None:
-        """Do `action` after a while."""
+        """Schedules `action` after a delay."""
         self.at(self.now + delay, action, argument)
 
     def run_until(self, moment: int) -> None:
-        """Let time pass."""
+        """Runs the scheduled actions up to a time."""
         queue = self._queue
         while queue and queue[0][0] <= moment:
             self.now, _, action, argument = heappop(queue)
@@ -112,7 +112,7 @@
     # -- network
 
     def send(self, source: int, sender: str, outgoing: Outgoing) -> None:
-        """A replica sends; an id leads to the machine that had it last."""
+        """Sends a replica's message to the machine that last had the receiver's replica id."""
         if self.on_sent is not None:
             self.on_sent(self.machines[source], outgoing.message)
         self._watch_vote(outgoing.message)
@@ -125,7 +125,7 @@
             self.checker.votes(message.sender, message.term, message.to)
 
     def post(self, source: int, target: int, message: object) -> None:
-        """A host sends to a machine."""
+        """Sends a host's message to a machine."""
         self._transmit(source, target, "", message)
 
     def _transmit(self, source: int, target: int, sender: str, message: object) -> None:
@@ -151,7 +151,7 @@
     # -- clients
 
     def begin_clients(self, every: int) -> None:
-        """Commands and reads, to all that take themselves for the leader."""
+        """Starts clients that send commands and reads to every replica that believes it is the leader."""
         self.after(every, self._on_client, every)
 
     def _on_client(self, every: int) -> None:
@@ -166,12 +166,12 @@
         self.after(int(every * (0.5 + random.random())), self._on_client, every)
 
     def acknowledged(self) -> None:
-        """A command was acknowledged to its client."""
+        """Called when a command was acknowledged to its client."""
         if self.on_acknowledged is not None:
             self.on_acknowledged()
 
     def watch_leader(self, machine: Machine, replica: Replica) -> None:
-        """A leader has done something: it may be new, or have begun a joint change."""
+        """Called after each output of a leader, to detect new leaders and joint configuration changes."""
         if replica.term > self.checker.newest_term and self.on_leader is not None:
             self.on_leader(machine)
         self.checker.leads(replica.term, machine.member.replica_id)
@@ -183,7 +183,7 @@
     # -- disks
 
     def wipe(self, machine: Machine) -> None:
-        """The machine loses its disk; it comes back with a new replica id."""
+        """Replaces the machine's disk by an empty one with a new replica id."""
         machine.kill()
         machine.wiped_at = self.now
         machine.disk = type(machine.disk)(self.random)
@@ -191,17 +191,17 @@
             self.new_id(machine)
 
     def new_id(self, machine: Machine) -> None:
-        """The replica id of a new disk."""
+        """Gives the machine a new replica id."""
         self._disks += 1
         machine.member = Member(f"disk-{self._disks}-{machine.number}", machine.address)
         self.location[machine.member.replica_id] = machine.number
 
     def existing_ids(self) -> set[str]:
-        """The ids of all disks that there are."""
+        """The replica ids of all existing disks."""
         return {machine.member.replica_id for machine in self.machines}
 
     def newest_leader(self) -> Machine | None:
-        """The machine that leads in the newest term."""
+        """The machine that is the leader of the newest term, if it still is."""
         leader = self.checker.leader_of_newest_term()
         for machine in self.machines:
             if machine.member.replica_id == leader and machine.leads() and machine.replica is not None:
@@ -209,17 +209,17 @@
         return None
 
     def may_wipe(self, machine: Machine) -> bool:
-        """Whether losing this disk too leaves every majority with the other disks."""
+        """Whether a majority of the voters keep their disks if this machine loses its disk too."""
         leader = self.newest_leader()
         if leader is None or leader.replica is None or not self._members_settled(leader.replica):
             return False
         members = leader.replica.members
-        living = self.existing_ids() - {machine.member.replica_id}
+        existing = self.existing_ids() - {machine.member.replica_id}
         lost = {other.address for other in self.machines if self.now - other.wiped_at < RECENTLY}
         lost.add(machine.address)
         for voters in (members.voters, members.outgoing):
-            dead = {voter.address for voter in voters if voter.replica_id not in living}
-            if voters and len(dead | lost) > (len(voters) - 1) // 2:
+            lost_voters = {voter.address for voter in voters if voter.replica_id not in existing}
+            if voters and len(lost_voters | lost) > (len(voters) - 1) // 2:
                 return False
         return True
 
@@ -231,7 +231,7 @@
     # -- the end
 
     def heal(self) -> None:
-        """All faults end."""
+        """Ends all faults."""
         self.cuts.clear()
         self.network = NetworkConditions(0.0, 0.0, 0.0, 5 * MILLISECOND)
         self.on_acknowledged = None
@@ -245,7 +245,7 @@
             machine.resume()
 
     def settle(self) -> None:
-        """After the faults: commands are accepted, all replicas agree, and no voter's disk is gone."""
+        """Waits until commands are accepted, all replicas agree and every voter has a disk."""
         before = self.checker.acknowledged
         deadline = self.now + SETTLE_LIMIT
         while self.now < deadline:
@@ -267,7 +267,7 @@
         return max(applied) - min(applied) <= 3 and present.count(True) == 1
 
     def describe(self) -> str:
-        """All machines in one line, for a failed run."""
+        """The state of all machines in one line, for the report of a failed run."""
         parts = []
         for machine in self.machines:
             replica = machine.replica
--- a/tests/consensus/model_run.py
+++ b/tests/consensus/model_run.py
@@ -1,4 +1,4 @@
-"""Many schedules on several processors: `tests/consensus/model_run.py --schedules 100000 --jobs 6`."""
+"""Runs many schedules in parallel: `tests/consensus/model_run.py --schedules 100000 --jobs 6`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @define
 class Totals:
-    """The sums over all schedules of a run."""
+    """The totals over all schedules of a run."""
 
     schedules: Counter[Profile] = field(factory=Counter)
     events: int = 0
@@ -33,7 +33,7 @@
     failed: list[ScheduleResult] = field(factory=list)
 
     def add(self, result: ScheduleResult) -> None:
-        """Count one schedule."""
+        """Adds one schedule."""
         self.schedules[result.profile] += 1
         self.events += result.events
         self.acknowledged += result.acknowledged
@@ -45,29 +45,31 @@
 
 @define
 class Job:
-    """What each process plays."""
+    """What each worker process runs."""
 
     mutant: str = ""
     profile: Profile | None = None
 
     def __call__(self, seed: int) -> ScheduleResult:
-        """Play one schedule."""
+        """Runs one schedule."""
         return play(seed, MUTANTS[self.mutant] if self.mutant else Model, self.profile)
 
 
 def arguments() -> argparse.Namespace:
-    """The command line."""
+    """Parses the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--schedules", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=1)
     parser.add_argument("--first", type=int, default=0, help="the first seed")
     parser.add_argument("--profile", type=Profile, default=None, help="storm, power, reigns or members only")
-    parser.add_argument("--mutant", default="", choices=["", *MUTANTS], help="play a planted fault instead")
+    parser.add_argument(
+        "--mutant", default="", choices=["", *MUTANTS], help="run a replica with this planted fault"
+    )
     return parser.parse_args()
 
 
 def main() -> int:
-    """Play them; 1 if any schedule found a fault."""
+    """Runs the schedules. Returns 1 if any of them found a fault."""
     options = arguments()
     began = time.monotonic()
     totals = Totals()
--- a/tests/consensus/mutants.py
+++ b/tests/consensus/mutants.py
@@ -1,4 +1,4 @@
-"""Replicas with one planted fault each. The model has to convict every one of them."""
+"""Replicas with one planted fault each. The model has to detect every one of them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _UnheldReplica(Replica):
-    """Sends messages of some types without waiting for the store."""
+    """Sends messages of some types without waiting until the store is durable."""
 
     too_early: tuple[type, ...] = ()
 
@@ -35,13 +35,13 @@
 
 
 class VoteNotSynced(_UnheldReplica):
-    """Tells its vote before the store has it."""
+    """Sends its vote before the store has it."""
 
     too_early = (VoteReply, Vote)
 
 
 class AcknowledgesBeforeDurable(_UnheldReplica):
-    """Tells the leader of entries before the store has them."""
+    """Acknowledges entries to the leader before the store has them."""
 
     too_early = (AppendReply, InstallSnapshotReply)
 
@@ -56,7 +56,7 @@
 
 
 class VoteNotWritten(Replica):
-    """Remembers its term over a restart, and not its vote."""
+    """Persists its term, but not its vote."""
 
     core_type = _ForgetfulCore
 
@@ -69,7 +69,7 @@
 
 
 class StaleRead(Replica):
-    """Answers reads without asking a quorum."""
+    """Answers reads without confirmation by a quorum."""
 
     leadership_type = _EagerLeadership
 
@@ -93,7 +93,7 @@
 
 
 class CommitsOlderTermByCounting(Replica):
-    """Commits an entry of an older term as soon as a majority holds it."""
+    """Commits an entry of an older term as soon as a majority has it."""
 
     leadership_type = _CountingLeadership
 
@@ -108,7 +108,7 @@
 
 
 class LeaderCountsUndurable(Replica):
-    """A leader that counts itself before its own write is durable."""
+    """Counts the leader's own entries before its write is durable."""
 
     leadership_type = _CountsItselfLeadership
 
@@ -120,7 +120,7 @@
 
 
 class SingleMajority(Replica):
-    """Needs only the new voters' majority in a joint change."""
+    """Requires only a majority of the new voters in a joint change."""
 
     core_type = _SingleMajorityCore
 
@@ -131,7 +131,7 @@
 
 
 class VotesForStaleLog(Replica):
-    """Votes without a look at the candidate's log."""
+    """Votes without comparing the candidate's log."""
 
     election_type = _TrustingElection
 
@@ -155,7 +155,7 @@
 
 
 class AnswersForFormerDisk(Replica):
-    """Takes messages that are meant for the replica that had its address before, and answers in its name."""
+    """Accepts messages for the replica that had its address before, and answers with that replica's id."""
 
     def __init__(self, *arguments, **named):
         super().__init__(*arguments, **named)
--- a/tests/consensus/schedules.py
+++ b/tests/consensus/schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults, each from one seed, and the verdict on each."""
+"""Random schedules of faults, each determined by one seed, and their results."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class Profile(Enum):
-    """What a schedule is made of."""
+    """The kind of faults in a schedule."""
 
-    STORM = "storm"  # every fault there is, at random moments
-    POWER = "power"  # slow disks, rival candidates, power lost just after a vote or an acknowledgement
-    SHORT_TERMS = "reigns"  # leaders that are heard by few and end soon after their election
-    MEMBERS = "members"  # voters change all the time, and the network parts when they do
+    STORM = "storm"  # all kinds of faults at random times
+    POWER = "power"  # slow disks, rival candidates, power loss just after a vote or an acknowledgement
+    SHORT_TERMS = "reigns"  # leaders that reach few replicas and are killed soon after their election
+    MEMBERS = "members"  # the voters change continually, and the network is partitioned during changes
 
 
 PROFILES = (
@@ -36,11 +36,11 @@
 
 @frozen
 class ScheduleResult:
-    """How one schedule went."""
+    """The result of one schedule."""
 
     seed: int
     profile: Profile
-    fault: str  # empty: all held
+    fault: str  # empty: no property was violated
     events: int
     acknowledged: int
     reads: int
@@ -48,7 +48,7 @@
 
 
 class Schedule:
-    """The faults of one seed."""
+    """A schedule of faults; subclasses choose the faults."""
 
     machine_counts: tuple[int, ...] = (3, 3, 3, 4, 5, 5, 6)
     timing = FAST
@@ -64,7 +64,7 @@
             machine.compact_every = self.random.choice((0, 4, 15))
 
     def play(self) -> None:
-        """The quiet start, the faults, and the time after them."""
+        """Runs the start without faults, the time with faults, and the recovery."""
         model = self.model
         model.begin_clients(CLIENT_EVERY)
         if self._seeds > 1 and self.random.random() < 0.05:
@@ -77,11 +77,11 @@
         model.settle()
 
     def begin(self) -> None:
-        """The faults begin."""
+        """Starts the faults."""
         raise NotImplementedError
 
     def repeat(self, pace: int) -> None:
-        """Strike again and again."""
+        """Injects faults repeatedly, about every `pace`."""
         self.model.after(int(pace * (0.3 + 1.4 * self.random.random())), self._inject_next, pace)
 
     def _inject_next(self, pace: int) -> None:
@@ -90,7 +90,7 @@
             self.repeat(pace)
 
     def inject(self) -> None:
-        """One fault."""
+        """Injects one fault."""
         raise NotImplementedError
 
 
@@ -185,7 +185,7 @@
         self.random.choice(kinds)()
 
     def _after_election(self, leader: Machine) -> None:
-        """A rival of the same term may not hear of its defeat."""
+        """Cuts links from the new leader, so that a rival of the same term may not learn that it lost."""
         others = [number for number in self.faults.numbers() if number != leader.number]
         cut_links = [(leader.number, other) for other in others if self.random.random() < 0.6]
         self.faults.cut(cut_links, self.faults.shortly(500))
@@ -202,11 +202,11 @@
     def _kill_soon(self, machine: Machine) -> None:
         start = machine.start
 
-        def inject(_: None) -> None:
+        def kill_machine(_: None) -> None:
             if machine.start == start:
                 self.faults.kill_machine(machine, self.faults.shortly(4))
 
-        self.model.after(self.random.choice((0, self.faults.shortly(5))), inject, None)
+        self.model.after(self.random.choice((0, self.faults.shortly(5))), kill_machine, None)
 
     def _after_acknowledged(self) -> None:
         if self.random.random() < 0.05:
@@ -246,11 +246,11 @@
         if self.random.random() < 0.7:
             start = leader.start
 
-            def end(_: None) -> None:
+            def kill_leader(_: None) -> None:
                 if leader.start == start:
                     self.faults.kill_machine(leader, self.faults.shortly(600))
 
-            self.model.after(self.faults.shortly(60), end, None)
+            self.model.after(self.faults.shortly(60), kill_leader, None)
 
 
 class _Members(Schedule):
@@ -282,7 +282,7 @@
         self.random.choice(kinds)()
 
     def _after_joint(self, leader: Machine) -> None:
-        """Part the network so that the leader's side may have a majority of only one of the two sets."""
+        """Partitions the network so that the leader's side may have a majority of only one voter set."""
         replica = leader.replica
         if replica is None or self.random.random() < 0.4:
             return
@@ -305,7 +305,7 @@
 
 
 def play(seed: int, model_type: type[Model] = Model, profile: Profile | None = None) -> ScheduleResult:
-    """Play one schedule; without a profile the seed chooses one."""
+    """Runs one schedule; without a profile the seed determines it."""
     chosen = profile or PROFILES[seed % len(PROFILES)]
     schedule = _SCHEDULES[chosen](seed, model_type)
     fault = ""
@@ -313,7 +313,7 @@
         schedule.play()
     except Violation as violation:
         fault = str(violation)
-    except Exception as error:  # a crash of a replica is a fault as any other
+    except Exception as error:  # a crash of a replica counts as a fault too
         fault = f"{type(error).__name__}: {error}"
     model = schedule.model
     checker = model.checker
--- a/tests/consensus/test_command_parts.py
+++ b/tests/consensus/test_command_parts.py
@@ -1,4 +1,4 @@
-"""Commands in parts: put together once each, whatever becomes of the leader that began them."""
+"""Commands split into parts are reassembled once each, even if the leader that appended them fails."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self.index += 1
         return self.assembler.take(Entry(self.index, term, kind, data))
 
-    def test_a_command_of_any_size_comes_out_as_it_went_in(self) -> None:
+    def test_a_command_of_any_size_is_reassembled_unchanged(self) -> None:
         for size in (0, 1, PART_BYTES - 1, PART_BYTES, PART_BYTES + 1, 3 * PART_BYTES):
             with self.subTest(size=size):
                 command = bytes(number % 251 for number in range(size))
@@ -29,17 +29,17 @@
                 self.assertEqual(self.take(EntryKind.COMMAND, last), command)
                 self.assertTrue(self.assembler.between_commands)
 
-    def test_a_run_of_a_former_term_is_passed_over(self) -> None:
+    def test_incomplete_parts_of_an_earlier_term_are_ignored(self) -> None:
         self.take(EntryKind.COMMAND_PART, b"left ")
         self.assertEqual(self.take(EntryKind.COMMAND, b"whole", term=2), b"whole")
 
-    def test_a_new_leaders_first_entry_ends_a_run(self) -> None:
+    def test_a_new_leaders_first_entry_drops_incomplete_parts(self) -> None:
         self.take(EntryKind.COMMAND_PART, b"left ")
         self.assertIsNone(self.take(EntryKind.NOOP, term=2))
         self.assertTrue(self.assembler.between_commands)
         self.assertEqual(self.take(EntryKind.COMMAND, b"whole", term=2), b"whole")
 
-    def test_a_snapshot_ends_a_run(self) -> None:
+    def test_a_snapshot_drops_incomplete_parts(self) -> None:
         self.take(EntryKind.COMMAND_PART, b"left ")
         self.assembler.reset()
         self.assertEqual(self.take(EntryKind.COMMAND, b"whole"), b"whole")
--- a/tests/consensus/test_consensus_elections.py
+++ b/tests/consensus/test_consensus_elections.py
@@ -1,4 +1,4 @@
-"""Who leads: elections, pauses and planned transfers."""
+"""Elections, suspended replicas and planned leadership transfers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ElectionTest(unittest.TestCase):
-    """Who becomes leader, and who does not."""
+    """Which replica becomes leader."""
 
     def test_a_leader_is_elected_and_known(self):
         cluster = Cluster()
@@ -29,7 +29,7 @@
             self.assertEqual(follower.replica.leader, leader.member)
             self.assertLess(cluster.now - follower.replica.quorum_contact_at, SECOND // 2)
 
-    def test_a_vote_is_told_once_it_is_durable_and_remembered(self):
+    def test_a_vote_is_sent_once_it_is_durable_and_survives_a_restart(self):
         cluster = Cluster()
         cluster.settle()
         host = next(iter(cluster.hosts.values()))
@@ -54,7 +54,7 @@
         cluster._serve(again)
         self.assertNotIn(True, [each.message.granted for each in again.sent])
 
-    def test_who_hears_a_leader_refuses_pre_votes_and_ignores_votes(self):
+    def test_a_replica_that_hears_a_leader_refuses_pre_votes_and_ignores_votes(self):
         cluster = Cluster()
         leader = cluster.settle()
         term = leader.replica.term
@@ -66,15 +66,15 @@
             host.replica.step(cluster.now, "other", vote(host.replica, term=term + 1))
             self.assertEqual(host.replica.term, term)
 
-    def test_a_cut_off_voter_does_not_raise_its_term(self):
+    def test_an_isolated_voter_does_not_raise_its_term(self):
         cluster = Cluster()
         leader = cluster.settle()
-        alone = cluster.followers(leader)[0]
-        alone.isolated = True
-        term = alone.replica.term
+        follower = cluster.followers(leader)[0]
+        follower.isolated = True
+        term = follower.replica.term
         cluster.run(5 * SECOND)
-        self.assertEqual(alone.replica.term, term)
-        alone.isolated = False
+        self.assertEqual(follower.replica.term, term)
+        follower.isolated = False
         cluster.run(SECOND)
         self.assertIs(leader.replica.role, Role.LEADER)
 
@@ -114,14 +114,14 @@
 
 
 class PauseTest(unittest.TestCase):
-    """A replica that stood still."""
+    """A replica that was suspended."""
 
-    def test_it_takes_what_has_waited_before_it_campaigns(self):
+    def test_it_handles_queued_messages_before_it_campaigns(self):
         cluster = Cluster()
         leader = cluster.settle()
         paused = cluster.followers(leader)[0]
         paused.isolated = True
-        cluster.run(3 * SECOND, standing=[paused])
+        cluster.run(3 * SECOND, suspended=[paused])
         paused.replica.tick(cluster.now)
         self.assertIs(paused.replica.role, Role.FOLLOWER)
         paused.isolated = False
@@ -137,11 +137,11 @@
             asked = asked or any(isinstance(each.message, Vote) for each in replica.take_output().messages)
         self.assertTrue(asked)
 
-    def test_a_leader_that_wakes_up_serves_no_read_of_its_own(self):
+    def test_a_resumed_leader_answers_no_read_without_a_quorum(self):
         cluster = Cluster()
         leader = cluster.settle()
         leader.isolated = True
-        cluster.run(3 * SECOND, standing=[leader])
+        cluster.run(3 * SECOND, suspended=[leader])
         new = next(host for host in cluster.followers(leader) if host.replica.leads)
         cluster.propose(new, b"newer")
         self.assertTrue(leader.replica.leads)
@@ -154,7 +154,7 @@
 
 
 class TransferTest(unittest.TestCase):
-    """A planned end."""
+    """Leadership transfer before a planned shutdown."""
 
     def test_leadership_moves_without_an_election_timeout(self):
         cluster = Cluster()
@@ -164,13 +164,13 @@
         self.assertFalse(leader.replica.leads)
         self.assertEqual(len([host for host in cluster.hosts.values() if host.replica.leads]), 1)
 
-    def test_no_proposals_while_it_moves(self):
+    def test_no_proposals_during_a_transfer(self):
         cluster = Cluster()
         leader = cluster.settle()
         leader.replica.transfer_leadership(cluster.now)
         self.assertEqual(leader.replica.propose(cluster.now, b"x"), Failure(NotLeader(None)))
 
-    def test_it_leads_on_if_nobody_takes_over(self):
+    def test_it_stays_leader_if_no_replica_takes_over(self):
         cluster = Cluster()
         leader = cluster.settle()
         for follower in cluster.followers(leader):
@@ -179,10 +179,10 @@
         cluster.run(Timing().election_min + 2 * TICK)
         self.assertIsInstance(leader.replica.propose(cluster.now, b"x"), Success)
 
-    def test_only_the_own_leaders_word_counts(self):
+    def test_a_timeout_now_message_from_another_replica_is_ignored(self):
         cluster = Cluster()
         leader = cluster.settle()
         follower = cluster.followers(leader)[0]
-        order = TimeoutNow("other", follower.member.replica_id, follower.replica.term)
-        follower.replica.step(cluster.now, "other", order)
+        request = TimeoutNow("other", follower.member.replica_id, follower.replica.term)
+        follower.replica.step(cluster.now, "other", request)
         self.assertIs(follower.replica.role, Role.FOLLOWER)
--- a/tests/consensus/test_consensus_genesis.py
+++ b/tests/consensus/test_consensus_genesis.py
@@ -1,4 +1,4 @@
-"""First starts and starts from a store."""
+"""The first start of a system, and starts from a store."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class GenesisTest(unittest.TestCase):
-    """The first start, and seeds that lose it."""
+    """The first start, and seeds that lose their first snapshot."""
 
     def test_all_seeds_write_the_same_genesis_before_anything_else(self):
         members = Members(voters=seeds(3))
@@ -31,12 +31,12 @@
         replica.step(1, "other", vote(replica))
         output = replica.take_output()
         self.assertEqual(output.messages, ())
-        self.assertEqual(output.writes[0].hard_state.voted_for, "other")  # one write holds both
+        self.assertEqual(output.writes[0].hard_state.voted_for, "other")  # one write contains both
         replica.persisted(2, output.writes[0].token)
         granted = replica.take_output().messages[0].message
         self.assertEqual((granted.granted, granted.term), (True, 5))
 
-    def test_the_genesis_goes_through_a_store(self):
+    def test_the_genesis_survives_a_restart(self):
         cluster = Cluster()
         cluster.settle()
         for host in list(cluster.hosts.values()):
@@ -80,7 +80,7 @@
         leader = cluster.settle()
         self.assertEqual(commands(leader.committed), [b"x"])
 
-    def test_an_empty_store_and_no_members_wait_to_be_taken_in(self):
+    def test_a_replica_without_members_and_state_does_nothing(self):
         store = MemoryLogStore("new")
         replica = Replica(Member("new", "10.0.0.9:1"), store.load().unwrap(), Timing(), Random(1), 0)
         self.assertEqual(replica.members, Members())
--- a/tests/consensus/test_consensus_members.py
+++ b/tests/consensus/test_consensus_members.py
@@ -1,4 +1,4 @@
-"""Changes of the members: who is taken in, promoted, replaced and let go."""
+"""Membership changes: which replicas are added, promoted, replaced and removed."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from brackenladder.consensus.types import Member, Members
 
 TIMING = Timing()
-WELL = Health(0, 0)
-GONE = Health(TIMING.replace_after, 1_000)
-QUIET = Health(TIMING.election_max, 10)
+HEALTHY = Health(0, 0)
+LONG_SILENT = Health(TIMING.replace_after, 1_000)
+SILENT = Health(TIMING.election_max, 10)
 BEHIND = Health(0, TIMING.catch_up_entries + 1)
 
 
@@ -30,7 +30,7 @@
 
 def plan(present: Members, health=None, joining=(), removing=(), timing: Timing = TIMING) -> Members | None:
     known = health or {}
-    return plan_change(present, lambda name: known.get(name, WELL), joining, removing, timing)
+    return plan_change(present, lambda name: known.get(name, HEALTHY), joining, removing, timing)
 
 
 def names(group) -> str:
@@ -38,17 +38,17 @@
 
 
 class PlanTest(unittest.TestCase):
-    """What a leader decides."""
+    """The change that a leader decides on."""
 
     def check(self, planned: Members | None, voters: str, learners: str = "", outgoing: str = "") -> None:
         self.assertIsNotNone(planned)
         found = [names(group) for group in (planned.voters, planned.learners, planned.outgoing)]
         self.assertEqual(found, [voters, learners, outgoing])
 
-    def test_who_asks_becomes_a_learner(self):
+    def test_a_joining_member_becomes_a_learner(self):
         self.check(plan(members("abc"), joining=[member("d")]), "abc", "d")
 
-    def test_who_is_in_already_changes_nothing(self):
+    def test_a_join_request_of_a_member_changes_nothing(self):
         self.assertIsNone(plan(members("abc", "d"), joining=[member("d"), member("a")], health={"d": BEHIND}))
 
     def test_a_new_address_is_taken(self):
@@ -63,18 +63,18 @@
 
     def test_a_new_disk_replaces_the_voter_at_its_address(self):
         present = Members(members("abc").voters, (), (member("x", "b:1"),))
-        self.check(plan(present, {"b": QUIET}), "acx", "", "abc")
+        self.check(plan(present, {"b": SILENT}), "acx", "", "abc")
 
     def test_it_has_to_catch_up_first(self):
         present = Members(members("abc").voters, (), (member("x", "b:1"),))
         self.assertIsNone(plan(present, {"x": BEHIND}))
-        self.assertIsNone(plan(present, {"x": QUIET}))
+        self.assertIsNone(plan(present, {"x": SILENT}))
 
     def test_a_learner_replaces_a_voter_that_is_silent_for_long(self):
-        self.check(plan(members("abc", "d"), {"b": GONE}), "acd", "", "abc")
-        self.assertIsNone(plan(members("abc", "d"), {"b": QUIET}))
+        self.check(plan(members("abc", "d"), {"b": LONG_SILENT}), "acd", "", "abc")
+        self.assertIsNone(plan(members("abc", "d"), {"b": SILENT}))
 
-    def test_one_learner_beside_three_voters_stands_by(self):
+    def test_one_learner_beside_three_voters_stays_on_standby(self):
         self.assertIsNone(plan(members("abc", "d")))
 
     def test_two_learners_make_five_voters(self):
@@ -83,39 +83,39 @@
     def test_an_even_number_is_made_odd(self):
         self.check(plan(members("ab", "c")), "abc", "", "ab")
 
-    def test_no_more_than_the_most_voters(self):
+    def test_no_more_voters_than_the_limit(self):
         self.assertIsNone(plan(members("abcde", "fg")))
 
-    def test_a_learner_takes_the_place_of_one_that_leaves(self):
+    def test_a_learner_replaces_a_voter_that_leaves(self):
         self.check(plan(members("abc", "d"), removing={"a"}), "bcd", "", "abc")
 
-    def test_without_one_voters_leave_once_silent_so_that_an_odd_number_stays(self):
+    def test_without_a_learner_only_silent_voters_leave_and_an_odd_number_remains(self):
         self.assertIsNone(plan(members("abc"), removing={"a"}))
         self.assertIsNone(plan(members("abcde"), removing={"a"}))
-        self.assertIsNone(plan(members("abcde"), {"a": QUIET}, removing={"a", "b"}))
-        ended = {"a": QUIET, "b": QUIET}
+        self.assertIsNone(plan(members("abcde"), {"a": SILENT}, removing={"a", "b"}))
+        ended = {"a": SILENT, "b": SILENT}
         self.check(plan(members("abcde"), ended, removing={"a", "b"}), "cde", "", "abcde")
         self.check(plan(members("abcd"), ended, removing={"a"}), "bcd", "", "abcd")
 
     def test_a_learner_leaves(self):
         self.check(plan(members("abc", "d"), removing={"d"}), "abc", "")
 
-    def test_a_silent_learner_is_forgotten(self):
+    def test_a_silent_learner_is_removed(self):
         self.check(plan(members("abc", "d"), {"d": Health(TIMING.forget_learner, 10)}), "abc", "")
 
     def test_no_change_whose_new_voters_are_mostly_silent(self):
-        ended = dict.fromkeys("abcd", QUIET)
+        ended = dict.fromkeys("abcd", SILENT)
         self.assertIsNone(plan(members("abcde"), ended, removing={"a", "b"}))
 
-    def test_a_learner_at_a_voters_address_stands_by_for_nobody_else(self):
+    def test_a_learner_at_a_voters_address_replaces_only_that_voter(self):
         present = Members(members("abc").voters, (), (member("x", "b:1"),))
-        self.check(plan(present, {"b": QUIET}, removing={"a"}), "acx", "", "abc")
+        self.check(plan(present, {"b": SILENT}, removing={"a"}), "acx", "", "abc")
 
 
 class MembersTest(unittest.TestCase):
-    """Majorities and the encoding."""
+    """Majorities, and the encoding of members."""
 
-    def test_the_encoding_gives_back_what_it_took(self):
+    def test_encoded_members_are_decoded_unchanged(self):
         whole = Members((Member("a", "a:1", "z1", "r1"),), (member("b"),), (member("c"),))
         self.assertEqual(decode_members(encode_members(whole)), whole)
         self.assertEqual(decode_members(encode_members(Members())), Members())
@@ -127,12 +127,12 @@
         self.assertEqual(quorum_value(members("abc", outgoing="bcd"), values.__getitem__), 1)
         self.assertEqual(quorum_value(members("acd", outgoing="abc"), values.__getitem__), 1)
 
-    def test_nobody_is_no_quorum(self):
+    def test_without_voters_there_is_no_quorum(self):
         self.assertLess(quorum_value(Members(), lambda _: 9), 0)
 
 
 class JoinTest(unittest.TestCase):
-    """Replicas that come and go."""
+    """Replicas that join and leave."""
 
     def join(self, cluster: Cluster, leader: Host, name: str, address: str) -> Host:
         host = cluster.add(Member(name, address))
@@ -140,7 +140,7 @@
         cluster.pump()
         return host
 
-    def test_a_joiner_gets_the_log_and_stands_by(self):
+    def test_a_joiner_gets_the_log_and_stays_on_standby(self):
         cluster = Cluster()
         leader = cluster.settle()
         cluster.propose(leader, b"x")
@@ -159,7 +159,7 @@
         self.assertEqual(len(leader.replica.members.voters), 5)
         self.assertEqual((leader.replica.members.outgoing, leader.replica.members.learners), ((), ()))
 
-    def test_a_wiped_leader_comes_back_in_its_own_place(self):
+    def test_a_leader_with_a_new_disk_replaces_its_former_id(self):
         cluster = Cluster()
         old = cluster.settle()
         cluster.propose(old, b"x")
@@ -180,7 +180,7 @@
         self.assertEqual(new.replica.term, 0)
         self.assertTrue(leader.replica.leads)
 
-    def test_a_removed_leader_hands_over_once_a_learner_has_its_place(self):
+    def test_a_removed_leader_hands_over_once_a_learner_has_replaced_it(self):
         cluster = Cluster()
         leader = cluster.settle()
         self.join(cluster, leader, "d", "10.0.0.4:1")
@@ -192,22 +192,22 @@
         self.assertIn("d", [voter.replica_id for voter in new.replica.members.voters])
         self.assertNotIn(leader.member, new.replica.members.voters)
 
-    def test_one_that_was_replaced_while_away_can_ask_again(self):
+    def test_a_voter_that_was_replaced_while_unreachable_can_rejoin(self):
         cluster = Cluster()
         leader = cluster.settle()
         self.join(cluster, leader, "d", "10.0.0.4:1")
-        away = cluster.followers(leader)[0]
-        away.isolated = True
+        replaced = cluster.followers(leader)[0]
+        replaced.isolated = True
         cluster.run(Timing().replace_after + SECOND)
-        self.assertNotIn(away.member, leader.replica.members.voters)
-        away.isolated = False
+        self.assertNotIn(replaced.member, leader.replica.members.voters)
+        replaced.isolated = False
         cluster.run(SECOND)
-        leader.replica.join(cluster.now, away.member).unwrap()
+        leader.replica.join(cluster.now, replaced.member).unwrap()
         cluster.run(SECOND)
-        self.assertIs(away.replica.role, Role.LEARNER)
-        self.assertEqual(away.replica.commit_index, leader.replica.commit_index)
+        self.assertIs(replaced.replica.role, Role.LEARNER)
+        self.assertEqual(replaced.replica.commit_index, leader.replica.commit_index)
 
-    def test_a_new_leader_finishes_a_joint_change(self):
+    def test_a_new_leader_completes_a_joint_change(self):
         cluster = Cluster()
         leader = cluster.settle()
         joiner = self.join(cluster, leader, "new-disk", cluster.followers(leader)[0].member.address)
--- a/tests/consensus/test_consensus_model.py
+++ b/tests/consensus/test_consensus_model.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of faults: every one is survived, and every planted fault is found."""
+"""Seeded schedules of faults: the replica survives all of them, and every planted fault is detected."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from consensus.mutants import MUTANTS
 from consensus.schedules import Profile, play
 
-SCHEDULES = 60  # of each profile; model_run.py plays many more
-MAX_TRIES = 400  # schedules until a planted fault has to be found
+SCHEDULES = 60  # per profile; model_run.py runs many more
+MAX_TRIES = 400  # schedules in which a planted fault has to be detected
 
 
 class ModelTest(unittest.TestCase):
-    """The replica as it is."""
+    """The replica without planted faults."""
 
     def check(self, profile: Profile) -> None:
         results = [play(seed, Model, profile) for seed in range(SCHEDULES)]
@@ -21,7 +21,7 @@
         self.assertGreater(sum(result.acknowledged for result in results), 10 * SCHEDULES)
         self.assertGreater(sum(result.reads for result in results), 10 * SCHEDULES)
 
-    def test_every_fault_at_random_moments(self):
+    def test_all_kinds_of_faults_at_random_times(self):
         self.check(Profile.STORM)
 
     def test_power_lost_after_votes_and_acknowledgements(self):
@@ -30,7 +30,7 @@
     def test_short_leaderships(self):
         self.check(Profile.SHORT_TERMS)
 
-    def test_members_that_change_all_the_time(self):
+    def test_continual_membership_changes(self):
         self.check(Profile.MEMBERS)
 
     def test_a_seed_gives_the_same_schedule_again(self):
@@ -38,19 +38,19 @@
 
 
 class MutantTest(unittest.TestCase):
-    """Planted faults, each under the faults that bring it out."""
+    """Planted faults, each with the profile that reveals it."""
 
     def check_detected(self, mutant: str, profile: Profile, expected: str) -> None:
         model_type = MUTANTS[mutant]
         for seed in range(MAX_TRIES):
             if expected in play(seed, model_type, profile).fault:
                 return
-        self.fail(f"{mutant} is not found in {MAX_TRIES} schedules")
+        self.fail(f"{mutant} was not detected in {MAX_TRIES} schedules")
 
-    def test_vote_told_before_it_is_synced(self):
+    def test_vote_sent_before_it_is_synced(self):
         self.check_detected("VoteNotSynced", Profile.POWER, " votes for ")
 
-    def test_vote_told_before_it_is_synced_makes_two_leaders(self):
+    def test_vote_sent_before_it_is_synced_makes_two_leaders(self):
         self.check_detected("VoteNotSynced", Profile.POWER, "both lead in term")
 
     def test_vote_not_written(self):
@@ -74,7 +74,7 @@
     def test_one_majority_in_a_joint_change(self):
         self.check_detected("SingleMajority", Profile.MEMBERS, "two entries are committed")
 
-    def test_vote_without_a_look_at_the_log(self):
+    def test_vote_without_comparing_the_log(self):
         self.check_detected("VotesForStaleLog", Profile.SHORT_TERMS, "two entries are committed")
 
     def test_old_entries_kept_after_a_snapshot(self):
@@ -83,7 +83,7 @@
     def test_wiped_voter_that_keeps_its_id(self):
         self.check_detected("WipedVoterKeepsId", Profile.POWER, "two entries are committed")
 
-    def test_messages_for_the_disk_before(self):
+    def test_messages_for_the_former_disk_are_accepted(self):
         self.check_detected("AnswersForFormerDisk", Profile.STORM, "two entries are committed")
 
 
--- a/tests/consensus/test_consensus_parts.py
+++ b/tests/consensus/test_consensus_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a replica by themselves: log, writes, a follower's progress."""
+"""Unit tests of a replica's components: log, write queue, progress, reads and pause detection."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
         log = Log(DurableState())
         self.assertEqual((log.last_index, log.last_term, log.term(0), log.term(1)), (0, 0, 0, None))
 
-    def test_gaps_are_refused(self):
+    def test_gaps_are_rejected(self):
         with self.assertRaises(ValueError):
             self.filled(3).append(entry(5))
 
-    def test_truncation_takes_back_members_and_durability(self):
+    def test_truncation_reverts_members_and_durable_index(self):
         log = self.filled(2)
         log.append(members_entry(3, some_members("a")))
         log.append(members_entry(4, some_members("a", "b")))
@@ -66,7 +66,7 @@
         log.compact(Snapshot(8, 3, Members(), b""), 0)
         self.assertEqual((log.term(7), log.term(8), log.term(9)), (None, 3, 3))
 
-    def test_members_as_of_an_index_outlive_compaction(self):
+    def test_members_at_an_index_survive_compaction(self):
         log = Log(DurableState())
         log.append(members_entry(1, some_members("a")))
         log.append(entry(2))
@@ -95,7 +95,7 @@
 
 
 class WriteQueueTest(unittest.TestCase):
-    """Writes in order, and what waits for them."""
+    """The order of writes, and the messages that wait for them."""
 
     def test_changes_during_a_write_form_the_next_one(self):
         queue = WriteQueue(RETRY)
@@ -109,7 +109,7 @@
         self.assertEqual((second.entries, second.hard_state), ((entry(2),), HardState(3, "a")))
         self.assertGreater(second.token, first.token)
 
-    def test_truncation_meets_entries_that_were_never_written(self):
+    def test_truncation_drops_queued_entries_that_were_never_written(self):
         queue = WriteQueue(RETRY)
         for index in (5, 6, 7):
             queue.append(entry(index))
@@ -118,7 +118,7 @@
         write = queue.take(0)
         self.assertEqual((write.truncate_from, write.entries), (0, (entry(5), entry(6, 2))))
 
-    def test_truncation_below_them_goes_to_the_store(self):
+    def test_truncation_below_queued_entries_is_passed_to_the_store(self):
         queue = WriteQueue(RETRY)
         queue.append(entry(5))
         queue.truncate(3)
@@ -126,7 +126,7 @@
         queue.append(entry(3, 2))
         self.assertEqual(queue.take(0).truncate_from, 3)
 
-    def test_a_write_covers_no_entries_that_the_next_one_drops(self):
+    def test_entries_that_the_next_write_drops_do_not_count_as_durable(self):
         queue = WriteQueue(RETRY)
         for index in (5, 6, 7):
             queue.append(entry(index))
@@ -134,7 +134,7 @@
         queue.truncate(6)
         self.assertEqual(queue.persisted(write.token), 5)
 
-    def test_a_snapshot_in_place_of_the_log_covers_itself_only(self):
+    def test_a_snapshot_that_replaces_the_log_makes_only_itself_durable(self):
         queue = WriteQueue(RETRY)
         queue.append(entry(5))
         write = queue.take(0)
@@ -155,7 +155,7 @@
         self.assertEqual(queue.released(write.token), [Outgoing("a", "message")])
         self.assertEqual((queue.pending_token, queue.pending_hard_token), (0, 0))
 
-    def test_a_refused_write_comes_again_after_a_while_before_all_others(self):
+    def test_a_refused_write_is_retried_after_a_delay_before_any_other(self):
         queue = WriteQueue(RETRY)
         queue.append(entry(5))
         write = queue.take(0)
@@ -168,7 +168,7 @@
         self.assertEqual(queue.age(10 + RETRY), 10 + RETRY)
         self.assertEqual(queue.persisted(again.token), 5)
 
-    def test_a_foreign_token_is_ignored(self):
+    def test_an_unknown_token_is_ignored(self):
         queue = WriteQueue(RETRY)
         queue.append(entry(1))
         write = queue.take(0)
@@ -178,9 +178,9 @@
 
 
 class ProgressTest(unittest.TestCase):
-    """One follower as its leader sees it."""
+    """The leader's view of one follower."""
 
-    def test_room_is_given_back_by_durable_entries(self):
+    def test_durable_entries_free_the_window(self):
         progress = Progress(2, 0)
         progress.record_sent(4, 100)
         self.assertFalse(progress.can_send(100))
@@ -193,7 +193,7 @@
         progress = Progress(20, 0)
         progress.record_sent(25, 10)
         self.assertTrue(progress.record_refusal(19, 12))
-        self.assertFalse(progress.record_refusal(19, 12))  # the same again
+        self.assertFalse(progress.record_refusal(19, 12))  # a duplicate
         self.assertEqual((progress.next, progress.can_send(100)), (13, True))
         progress.record_sent(25, 10)
         self.assertEqual((progress.next, progress.can_send(100)), (13, False))
@@ -209,9 +209,9 @@
 
 
 class ReadQueueTest(unittest.TestCase):
-    """Rounds of confirmation."""
+    """Read confirmation rounds."""
 
-    def test_reads_wait_for_a_round_that_begins_after_them(self):
+    def test_reads_wait_for_a_round_that_starts_after_them(self):
         queue = ReadQueue()
         queue.add(1, 10)
         self.assertTrue(queue.begin_round())
@@ -221,7 +221,7 @@
         self.assertFalse(queue.begin_round())
         self.assertEqual(queue.confirmed(2, 15), [ReadReady(2, 15)])
 
-    def test_no_round_that_has_not_begun_confirms(self):
+    def test_a_round_that_has_not_started_confirms_nothing(self):
         queue = ReadQueue()
         queue.add(1, 10)
         self.assertEqual(queue.confirmed(1 << 60, 0), [])
@@ -230,9 +230,9 @@
 
 
 class PauseGuardTest(unittest.TestCase):
-    """Silence that is this replica's own."""
+    """The grace period after a suspension of this process."""
 
-    def test_one_heartbeat_of_grace_after_a_pause(self):
+    def test_a_grace_period_of_one_heartbeat_after_a_pause(self):
         timing = Timing()
         guard = PauseGuard(timing, 0)
         later = 10 * timing.election_max
@@ -240,7 +240,7 @@
         self.assertTrue(guard.in_grace_period(later + timing.heartbeat - 1))
         self.assertFalse(guard.in_grace_period(later + timing.heartbeat))
 
-    def test_short_gaps_are_no_pause(self):
+    def test_short_gaps_do_not_count_as_a_pause(self):
         timing = Timing()
         guard = PauseGuard(timing, 0)
         for moment in range(0, 10 * timing.election_max, timing.pause):
--- a/tests/consensus/test_consensus_reads.py
+++ b/tests/consensus/test_consensus_reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads, step by step."""
+"""Linearizable reads in single steps."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_consensus_replication.py
+++ b/tests/consensus/test_consensus_replication.py
@@ -1,4 +1,4 @@
-"""What gets into the logs of all replicas, and when it counts."""
+"""Replication of entries, and when they are committed."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ReplicationTest(unittest.TestCase):
-    """What gets into the logs, and when it counts."""
+    """Replication and commit."""
 
-    def test_commands_reach_all(self):
+    def test_commands_reach_all_replicas(self):
         cluster = Cluster()
         leader = cluster.settle()
         places = [leader.replica.propose(cluster.now, b"%d" % number).unwrap() for number in range(5)]
@@ -27,7 +27,7 @@
             self.assertEqual(commands(host.committed), [b"0", b"1", b"2", b"3", b"4"])
         self.assertEqual([place.index for place in places], list(range(places[0].index, places[0].index + 5)))
 
-    def test_proposals_of_one_turn_share_a_write_and_a_message(self):
+    def test_proposals_made_together_share_a_write_and_a_message(self):
         cluster = Cluster()
         leader = cluster.settle()
         for number in range(5):
@@ -59,7 +59,7 @@
         cluster.pump()
         self.assertEqual(commands(leader.committed), [b"x"])
 
-    def test_others_may_commit_while_the_leaders_own_store_is_slow(self):
+    def test_entries_commit_without_the_leaders_own_store(self):
         cluster = Cluster()
         leader = cluster.settle()
         leader.store_hangs = True
@@ -76,7 +76,7 @@
         cluster.run(SECOND // 2)
         self.assertEqual(commands(follower.committed), [b"x"])
 
-    def test_entries_on_their_way_to_a_silent_follower_are_bounded(self):
+    def test_unacknowledged_entries_for_a_silent_follower_are_bounded(self):
         cluster = Cluster()
         leader = cluster.settle()
         follower = cluster.followers(leader)[0]
@@ -90,7 +90,7 @@
         self.assertLessEqual(sent, Timing().inflight_bytes + size)
         self.assertGreaterEqual(sent, Timing().inflight_bytes - size)
 
-    def test_a_long_wrong_log_is_found_in_few_steps(self):
+    def test_a_long_divergent_log_is_resolved_in_few_steps(self):
         cluster = Cluster()
         former = cluster.settle()
         former.isolated = True
@@ -114,7 +114,7 @@
         self.assertEqual(commands(former.committed), [b"right-%d" % number for number in range(300)])
         self.assertLessEqual(refusals, 3)
 
-    def test_a_follower_refuses_what_does_not_follow_its_log(self):
+    def test_a_follower_refuses_entries_that_do_not_match_its_log(self):
         replica = lone_replica(Members(voters=seeds(3)))
         replica.step(1, "other", heartbeat(replica, prev_index=40, prev_term=4))
         replica.persisted(2, replica.take_output().writes[0].token)
@@ -140,7 +140,7 @@
         again.take(again.replica.take_output())
         self.assertEqual([snapshot.data for snapshot in again.restored], [b"state"])
 
-    def test_a_follower_that_lags_a_little_needs_no_snapshot(self):
+    def test_a_slightly_lagging_follower_needs_no_snapshot(self):
         cluster = Cluster()
         leader = cluster.settle()
         follower = cluster.followers(leader)[0]
--- a/tests/consensus/test_consensus_stores.py
+++ b/tests/consensus/test_consensus_stores.py
@@ -1,4 +1,4 @@
-"""A replica whose store hangs or refuses."""
+"""A replica whose store hangs or refuses writes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StoreTest(unittest.TestCase):
-    """Stores that hang or refuse."""
+    """Stores that hang or refuse writes."""
 
     def test_a_leader_whose_write_hangs_hands_over(self):
         cluster = Cluster()
@@ -33,7 +33,7 @@
         cluster.run(3 * SECOND)
         self.assertIs(leader.replica.role, Role.FOLLOWER)
 
-    def test_a_refused_write_ends_leadership_and_comes_again(self):
+    def test_a_refused_write_ends_leadership_and_is_retried(self):
         cluster = Cluster()
         leader = cluster.settle()
         leader.replica.propose(cluster.now, b"x").unwrap()
@@ -46,7 +46,7 @@
         self.assertEqual((again.token, again.entries), (write.token, write.entries))
         self.assertEqual(again.truncate_from, write.entries[0].index)
 
-    def test_one_write_at_a_time_and_the_rest_together(self):
+    def test_changes_during_a_write_form_one_later_write(self):
         cluster = Cluster()
         leader = cluster.settle()
         leader.replica.propose(cluster.now, b"1").unwrap()
@@ -58,7 +58,7 @@
         second = leader.replica.take_output().writes
         self.assertEqual([entry.data for entry in second[0].entries], [b"2", b"3"])
 
-    def test_a_hanging_follower_still_hears_its_leader(self):
+    def test_a_follower_with_a_hanging_store_stays_in_contact(self):
         cluster = Cluster()
         leader = cluster.settle()
         slow = cluster.followers(leader)[0]
--- a/tests/consensus/test_contact.py
+++ b/tests/consensus/test_contact.py
@@ -1,4 +1,4 @@
-"""Contact with a quorum, as a follower knows it: a word that was held up says nothing of the present."""
+"""A follower's last contact with a quorum: a delayed message doesn't count as recent contact."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from brackenladder.consensus.messages import AppendEntries
 
-RECENT = 600_000  # microseconds; heartbeats, their answers and their echoes take less
+RECENT = 600_000  # microseconds; longer than a heartbeat, its reply and the echo of the reply take
 
 
 class ContactTest(unittest.TestCase):
@@ -21,7 +21,7 @@
     def age(self, host: Host) -> int:
         return self.cluster.now - host.replica.quorum_contact_at
 
-    def test_all_are_in_contact_in_a_calm(self) -> None:
+    def test_all_are_in_contact_without_faults(self) -> None:
         for host in self.cluster.hosts.values():
             self.assertLess(self.age(host), RECENT)
 
@@ -38,7 +38,7 @@
         )
         self.assertLessEqual(self.followers[0].replica.quorum_contact_at, started)
 
-    def test_a_word_that_is_read_late_is_as_old_as_it_is(self) -> None:
+    def test_a_message_that_is_read_late_counts_from_its_echo(self) -> None:
         follower = self.followers[0]
         before = follower.replica.quorum_contact_at
         late = self.heartbeat(contact_age=0, echo=before)
@@ -46,7 +46,7 @@
         follower.replica.step(self.cluster.now, self.leader.member.replica_id, late)
         self.assertEqual(follower.replica.quorum_contact_at, before)
 
-    def test_a_word_without_an_echo_is_no_contact(self) -> None:
+    def test_a_message_without_an_echo_is_no_contact(self) -> None:
         follower = self.followers[0]
         before = follower.replica.quorum_contact_at
         self.cluster.now += 20 * SECOND
--- a/tests/consensus/test_current_state.py
+++ b/tests/consensus/test_current_state.py
@@ -1,4 +1,4 @@
-"""From what moment on a replica knows that its committed entries are all that were committed."""
+"""The time up to which a replica knows that it has all committed entries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from brackenladder.consensus.messages import AppendEntries
 
-RECENT = 600_000  # microseconds; heartbeats, their answers and their echoes take less
+RECENT = 600_000  # microseconds; longer than a heartbeat, its reply and the echo of the reply take
 
 
 class CurrentStateTest(unittest.TestCase):
@@ -22,7 +22,7 @@
         return self.cluster.now - host.replica.up_to_date_at
 
     def hear(self, commit: int, term: int | None = None) -> None:
-        """The follower gets a word of its leader without entries, two seconds later."""
+        """The follower receives a heartbeat of its leader two seconds later."""
         self.cluster.now += 2 * SECOND
         leader = self.leader.replica
         message = AppendEntries(
@@ -40,21 +40,21 @@
         )
         self.follower.replica.step(self.cluster.now, self.leader.member.replica_id, message)
 
-    def test_all_are_current_in_a_calm(self) -> None:
+    def test_all_are_up_to_date_without_faults(self) -> None:
         for host in self.cluster.hosts.values():
             self.assertLess(self.age(host), RECENT)
 
-    def test_a_word_with_nothing_new_makes_current(self) -> None:
+    def test_a_heartbeat_without_news_makes_a_follower_up_to_date(self) -> None:
         self.hear(self.leader.replica.commit_index)
         self.assertEqual(self.age(self.follower), 0)
         self.assertFalse(self.follower.replica.lacks_committed)
 
-    def test_whoever_lacks_a_committed_entry_is_not_current(self) -> None:
+    def test_a_follower_that_lacks_a_committed_entry_is_not_up_to_date(self) -> None:
         self.hear(self.leader.replica.commit_index + 1)
-        self.assertEqual(self.cluster.now, self.follower.replica.quorum_contact_at)  # in contact all the same
+        self.assertEqual(self.cluster.now, self.follower.replica.quorum_contact_at)  # nevertheless in contact
         self.assertGreaterEqual(self.age(self.follower), 2 * SECOND)
         self.assertTrue(self.follower.replica.lacks_committed)
 
-    def test_a_leader_without_an_entry_of_its_own_does_not_make_current(self) -> None:
+    def test_a_leader_without_a_committed_entry_of_its_term_makes_nobody_up_to_date(self) -> None:
         self.hear(self.leader.replica.commit_index, term=self.leader.replica.term + 1)
         self.assertGreaterEqual(self.age(self.follower), 2 * SECOND)
--- a/tests/consensus/test_election_collisions.py
+++ b/tests/consensus/test_election_collisions.py
@@ -1,4 +1,7 @@
-"""Two survivors of three that need one another's vote, over links as slow as those between far regions."""
+"""Elections of two survivors of three replicas that need each other's vote, over slow links.
+
+Guards against candidates that keep colliding when the latency is close to the difference of their timeouts.
+"""
 
 from __future__ import annotations
 
@@ -13,21 +16,21 @@
 
 MILLISECOND = 1_000
 DRAWS = 40
-MAX_WAIT = 1_600 * MILLISECOND  # a first wait, and a few times the way
+MAX_WAIT = 1_600 * MILLISECOND  # one first election timeout and a few round trips
 
 
 class DistantCluster(Cluster):
-    """Every message takes `way` microseconds; the names of the replicas draw their waits."""
+    """Every message takes `latency` microseconds; `draw` determines the random election timeouts."""
 
-    def __init__(self, way: int, draw: int) -> None:
+    def __init__(self, latency: int, draw: int) -> None:
         super().__init__(count=0)
-        self._way = way
+        self._latency = latency
         self._order = count()
-        self._moving: list[tuple[int, int, str, str, object]] = []
+        self._in_transit: list[tuple[int, int, str, str, object]] = []
         self.known = Members(tuple(Member(f"{draw}-{name}", f"10.0.0.{name}:1") for name in range(3)))
 
     def start(self, member: Member) -> Host:
-        """Start a voter of the first members."""
+        """Starts one of the first voters."""
         return self.add(member, self.known)
 
     def _serve(self, host: Host) -> bool:
@@ -39,23 +42,23 @@
             host.replica.persisted(self.now, write.token)
         sent, host.sent = host.sent, []
         for outgoing in sent:
-            due = self.now + self._way
+            due = self.now + self._latency
             entry = (due, next(self._order), host.member.replica_id, outgoing.to, outgoing.message)
-            heapq.heappush(self._moving, entry)
+            heapq.heappush(self._in_transit, entry)
         return busy or bool(sent)
 
     def deliver(self) -> None:
-        """Hand over what has arrived by now."""
-        while self._moving and self._moving[0][0] <= self.now:
-            _, _, sender, to, message = heapq.heappop(self._moving)
+        """Delivers the messages that are due."""
+        while self._in_transit and self._in_transit[0][0] <= self.now:
+            _, _, sender, to, message = heapq.heappop(self._in_transit)
             if to in self.hosts:
                 self.hosts[to].replica.step(self.now, sender, message)
                 self.pump()
 
-    def run_until_led(self, most: int) -> int | None:
-        """How long it takes until one of them leads; None: longer than `most`."""
+    def run_until_led(self, limit: int) -> int | None:
+        """How long it takes until there is a leader; None if longer than `limit`."""
         began = self.now
-        while self.now - began < most:
+        while self.now - began < limit:
             self.run(TICK // 6)
             self.deliver()
             if any(host.replica.role is Role.LEADER for host in self.hosts.values()):
@@ -64,10 +67,10 @@
 
 
 class CollisionTest(unittest.TestCase):
-    def check_two_of_three(self, way: int) -> None:
+    def check_two_of_three(self, latency: int) -> None:
         for draw in range(DRAWS):
             with self.subTest(draw=draw):
-                cluster = DistantCluster(way, draw)
+                cluster = DistantCluster(latency, draw)
                 for member in cluster.known.voters[:2]:
                     cluster.start(member)
                 self.assertIsNotNone(cluster.run_until_led(MAX_WAIT))
@@ -95,7 +98,7 @@
                 cluster.drop(leader)
                 self.assertIsNotNone(cluster.run_until_led(2_400 * MILLISECOND))
 
-    def test_a_way_longer_than_the_first_waits(self):
+    def test_a_latency_longer_than_the_first_election_timeouts(self):
         cluster = DistantCluster(330 * MILLISECOND, 0)
         for member in cluster.known.voters[:2]:
             cluster.start(member)
--- a/tests/consensus/test_first_election.py
+++ b/tests/consensus/test_first_election.py
@@ -1,4 +1,4 @@
-"""How soon replicas that have just started elect, and that they leave a living leader alone."""
+"""Replicas that have just started elect a leader quickly and don't disturb an existing one."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
         leader = leaders(cluster)
         return cluster, leader, cluster.hosts[leader[0]].replica.term
 
-    def test_replicas_that_start_together_elect_before_a_usual_wait_ends(self):
+    def test_replicas_that_start_together_elect_within_the_first_timeout(self):
         cluster = Cluster()
         self.assertLess(self.run_until_led(cluster), TIMING.first_election_max + MARGIN)
 
-    def test_replicas_that_restart_together_elect_as_soon(self):
+    def test_replicas_that_restart_together_elect_within_the_first_timeout(self):
         cluster = Cluster()
         self.run_until_led(cluster)
         cluster.run(TIMING.election_max)
@@ -47,7 +47,7 @@
             cluster.restart(host)
         self.assertLess(self.run_until_led(cluster), TIMING.first_election_max + MARGIN)
 
-    def test_a_campaign_that_began_before_there_were_links_goes_on_once_they_are_up(self):
+    def test_a_campaign_started_before_the_links_are_up_continues_once_they_are(self):
         cluster = Cluster()
         hosts = list(cluster.hosts.values())
         for host in hosts:
@@ -64,7 +64,7 @@
         cluster.pump()
         self.assertEqual(len(leaders(cluster)), 1)
 
-    def test_a_link_that_comes_up_disturbs_no_leader(self):
+    def test_a_new_link_does_not_disturb_a_leader(self):
         cluster, leader, term = self.led_cluster()
         for host in cluster.hosts.values():
             for other in cluster.hosts:
@@ -72,7 +72,7 @@
         cluster.run(TIMING.election_max)
         self.assertEqual((leaders(cluster), cluster.hosts[leader[0]].replica.term), (leader, term))
 
-    def test_one_that_restarts_leaves_the_leader_alone(self):
+    def test_a_restarted_follower_does_not_disturb_the_leader(self):
         cluster, leader, term = self.led_cluster()
         follower = next(host for name, host in cluster.hosts.items() if name not in leader)
         cluster.restart(follower)
--- a/tests/consensus/test_found_schedules.py
+++ b/tests/consensus/test_found_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of the model that once ended with a fault."""
+"""Regression tests: schedules of the model that once revealed a fault."""
 
 from __future__ import annotations
 
--- a/tests/consensus/test_replacement.py
+++ b/tests/consensus/test_replacement.py
@@ -1,4 +1,4 @@
-"""A machine that is gone for good, and its successor at another address."""
+"""Replacement of a permanently lost machine by a successor at another address."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from brackenladder.consensus.types import Member
 
-CATCH_UP = 4 * SECOND  # the platform's default; then the lost machine counts as lost no longer
-START_DELAY = SECOND  # between the loss and the successor's first request to be taken in
+CATCH_UP = 4 * SECOND  # the platform's default; after it the next machine may be lost
+START_DELAY = SECOND  # between the loss and the successor's first join request
 
 
 class ReplacementTest(unittest.TestCase):
-    """The successor votes, and the lost voter doesn't count, before the next loss may come."""
+    """The successor has to be a voter, and the lost voter removed, before the next loss is permitted."""
 
     def replace(self, cluster: Cluster, lost: Host) -> Host:
         cluster.drop(lost)
@@ -28,7 +28,7 @@
         return successor
 
     def check_another_loss(self, cluster: Cluster, successor: Host) -> None:
-        """Either of the two old voters is lost too: what was agreed is still there, and more can be."""
+        """Loses one of the two old voters too: committed entries are kept, and new ones can be committed."""
         leader = cluster.settle()
         voters = [voter.replica_id for voter in leader.replica.members.voters]
         self.assertIn("successor", voters)
@@ -54,7 +54,7 @@
         successor = self.replace(cluster, leader)
         self.check_another_loss(cluster, successor)
 
-    def test_a_planned_successor_stands_by_until_the_old_one_is_silent(self):
+    def test_a_planned_successor_stays_on_standby_until_a_voter_is_silent(self):
         cluster = Cluster()
         leader = cluster.settle()
         successor = cluster.add(Member("successor", "10.0.0.9:1"))
--- a/tests/consensus/test_snapshot_transfer.py
+++ b/tests/consensus/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots in chunks: lost, repeated, damaged, resumed, and larger than what may be on the way."""
+"""Snapshot transfer in chunks that are lost, repeated or damaged, and transfers that are resumed."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         return self.sender.chunks(now, "a", "b", 3, "a:1")
 
     def transfer(self) -> Snapshot | None:
-        """Sends without loss until the follower has all."""
+        """Sends chunks without loss until the follower has the whole snapshot."""
         for _ in range(20):
             for chunk in self.chunks():
                 whole = self.receiver.take(chunk)
@@ -51,13 +51,13 @@
         self.assertEqual(self.receiver.take(chunks[0]), evolve(SNAPSHOT, data=b""))
         self.assertEqual(self.chunks(), [])
 
-    def test_no_more_than_the_window_is_on_the_way(self) -> None:
+    def test_no_more_than_the_window_is_unacknowledged(self) -> None:
         self.assertEqual([chunk.offset for chunk in self.chunks()], [0, 10, 20])
         self.assertEqual(self.chunks(), [])
         self.sender.on_reply(0, reply(received=10))
         self.assertEqual([chunk.offset for chunk in self.chunks()], [30])
 
-    def test_the_rest_is_sent_again_ever_more_rarely(self) -> None:
+    def test_unacknowledged_chunks_are_resent_with_backoff(self) -> None:
         self.chunks()
         self.sender.on_reply(0, reply(received=20))
         self.assertEqual([chunk.offset for chunk in self.chunks(99)], [30, 40])
@@ -65,27 +65,27 @@
         self.assertEqual(self.chunks(299), [])
         self.assertEqual([chunk.offset for chunk in self.chunks(300)], [20, 30, 40])
 
-    def test_a_new_link_goes_on_at_once(self) -> None:
+    def test_a_new_link_resumes_the_transfer_immediately(self) -> None:
         self.chunks()
         self.sender.on_reply(0, reply(received=10))
         self.chunks()
         self.sender.link_up(1)
         self.assertEqual([chunk.offset for chunk in self.chunks(1)], [10, 20, 30])
 
-    def test_progress_ends_the_growing_waits(self) -> None:
+    def test_progress_resets_the_backoff(self) -> None:
         self.chunks()
         self.chunks(100)
         self.sender.on_reply(250, reply(received=10))
         self.chunks(250)
         self.assertEqual([chunk.offset for chunk in self.chunks(350)], [10, 20, 30])
 
-    def test_a_gap_is_filled_and_a_chunk_that_comes_twice_counts_once(self) -> None:
+    def test_gaps_are_filled_and_duplicate_chunks_count_once(self) -> None:
         first, second, third = self.chunks()
         for chunk in (third, first, first, second, third):
             self.receiver.take(chunk)
         self.assertEqual(self.receiver.received(50), 30)
 
-    def test_damage_on_the_way_is_found_and_sent_again(self) -> None:
+    def test_damaged_chunks_are_detected_and_resent(self) -> None:
         first, *others = self.chunks()
         damaged = evolve(first, snapshot=evolve(first.snapshot, data=bytes(10)))
         for chunk in (damaged, *others):
@@ -93,13 +93,13 @@
         self.sender.on_reply(0, reply(received=30))
         self.assertEqual(self.transfer(), SNAPSHOT)
 
-    def test_a_follower_that_has_lost_what_it_had_gets_it_again(self) -> None:
+    def test_chunks_that_the_follower_has_lost_are_resent(self) -> None:
         self.chunks()
         self.sender.on_reply(0, reply(received=30))
         self.sender.on_reply(0, reply(received=0))
         self.assertEqual([chunk.offset for chunk in self.chunks()], [0, 10, 20])
 
-    def test_another_leader_goes_on_where_the_last_one_ended(self) -> None:
+    def test_another_leader_resumes_the_transfer(self) -> None:
         for chunk in self.chunks():
             self.receiver.take(chunk)
         self.sender = SnapshotSender(0, SNAPSHOT, TIMING)
@@ -108,7 +108,7 @@
         self.sender.on_reply(0, reply(received=self.receiver.received(50)))
         self.assertEqual([chunk.offset for chunk in self.chunks()], [30, 40, 50])
 
-    def test_another_snapshot_begins_anew(self) -> None:
+    def test_another_snapshot_starts_from_the_beginning(self) -> None:
         for chunk in self.chunks():
             self.receiver.take(chunk)
         self.sender = SnapshotSender(0, evolve(SNAPSHOT, index=60), TIMING)
@@ -120,23 +120,23 @@
         self.assertFalse(self.sender.on_reply(0, reply(received=30, index=40)))
         self.assertEqual(self.chunks(), [])
 
-    def test_the_follower_is_at_the_snapshot_once_it_says_so(self) -> None:
+    def test_the_transfer_ends_when_the_follower_confirms_the_snapshot(self) -> None:
         progress = Progress(1, 0)
         progress.begin_transfer(self.sender)
-        progress.record_match(0, 0)  # a heartbeat's answer
+        progress.record_match(0, 0)  # a reply to a heartbeat
         self.assertIsNotNone(progress.transfer)
         progress.record_snapshot_reply(0, reply(match=50))
         self.assertEqual((progress.next, progress.match, progress.transfer), (51, 50, None))
 
 
 class HeldEntriesTest(unittest.TestCase):
-    """What a follower needs after its snapshot stays in memory while the snapshot is on its way."""
+    """The entries after a snapshot stay in memory while the snapshot is being transferred."""
 
     def setUp(self) -> None:
         entries = tuple(Entry(index, 1, EntryKind.COMMAND, bytes(100)) for index in range(1, 41))
         self.log = Log(DurableState(HardState(), None, entries))
 
-    def test_entries_after_a_snapshot_on_its_way_are_held(self) -> None:
+    def test_entries_after_a_snapshot_in_transfer_are_held(self) -> None:
         self.log.compact(Snapshot(40, 1, Members(), b""), 300, held_after=10, held_bytes=100_000)
         self.assertEqual((self.log.term(10), self.log.term(11)), (1, 1))
         self.assertIsNone(self.log.term(9))
@@ -148,9 +148,9 @@
 
 
 class CatchUpTest(unittest.TestCase):
-    """A member that was away, while the leader goes on and compacts faster than its snapshot travels."""
+    """A follower that was unreachable, while the leader compacts faster than a snapshot is transferred."""
 
-    def test_a_lagging_follower_catches_up_while_changes_go_on(self) -> None:
+    def test_a_lagging_follower_catches_up_during_continual_changes(self) -> None:
         cluster = Cluster()
         leader = cluster.settle()
         follower = next(host for host in cluster.hosts.values() if host is not leader)
