--- a/tests/consensus/test_consensus_genesis.py
+++ b/tests/consensus/test_consensus_genesis.py
@@ -31,7 +31,7 @@
         replica.step(1, "other", vote(replica))
         output = replica.take_output()
         self.assertEqual(output.messages, ())
-        self.assertEqual(output.writes[0].hard_state.voted_for, "other")  # one write contains both
+        self.assertEqual(output.writes[0].hard_state.voted_for, "other")  # one write contains the first snapshot and the vote
         replica.persisted(2, output.writes[0].token)
         granted = replica.take_output().messages[0].message
         self.assertEqual((granted.granted, granted.term), (True, 5))
@@ -69,7 +69,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """Starts from a store."""
+    """Starts of a replica from an existing store."""
 
     def test_all_restart_with_all_that_was_committed(self):
         cluster = Cluster()
