--- a/brackenladder/cluster/__init__.py
+++ b/brackenladder/cluster/__init__.py
@@ -1,1 +1,4 @@
-"""The nodes among themselves: who is there. Pure: time, random numbers and datagrams come in as arguments."""
+"""Membership and failure detection among the nodes of a tier.
+
+Pure code without I/O: time, random numbers and datagrams are passed in as arguments.
+"""
--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -1,9 +1,10 @@
-"""The failure detector: SWIM with Lifeguard's measures, as one object of events in and datagrams out. Pure.
+"""The failure detector: SWIM with the Lifeguard extensions. Pure: events in, datagrams out.
 
-SWIM (Das, Gupta, Motivala 2002): each period one member is probed, then through others; a failure is a
-suspicion, rumours ride on what is sent anyway. Lifeguard: `health.py`, `suspicion.py`, and the suspect is
-told first. Beyond both: epochs, deaths that can be refuted, a slow probe of the dead, and `sync.py`.
-Times are microseconds of a clock that only goes forward.
+From SWIM (Das, Gupta, Motivala 2002): in each period one member is probed, first directly and then through
+others; a failed probe makes it a suspect; records spread by gossip that is piggybacked on other messages.
+From Lifeguard: local health (`health.py`), adaptive suspicion timeouts (`suspicion.py`), and a suspect is
+notified first. Additions: epochs, deaths that can be refuted, occasional probes of dead members, and
+anti-entropy (`sync.py`). Times are microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,10 +14,10 @@
 from random import Random
 from typing import NamedTuple
 
-from brackenladder.cluster.prober import HELPERS, PERIOD, Prober
+from brackenladder.cluster.prober import HELPERS, PROBE_PERIOD, Prober
 from brackenladder.cluster.sender import BYTES_PER_SECOND, FANOUT
 from brackenladder.cluster.suspicion import MIN_TIMEOUT, Suspicion
-from brackenladder.cluster.sync import LEAF
+from brackenladder.cluster.sync import RECORDS_PER_FRAME
 from brackenladder.cluster.view import Record, State, epoch_above
 from brackenladder.cluster.wire import (
     Ack,
@@ -29,23 +30,23 @@
     Ping,
     Range,
     Recorded,
-    Seen,
-    read,
+    ReplayWindow,
+    decode_frame,
 )
 
 TICK = 50_000  # microseconds between two ticks
-GOSSIP = 200_000  # between two rounds of rumours
-ASK_BEFORE_DEATH = 500_000  # before a suspect is declared dead, it and others are asked
-SYNC = 4_000_000  # between two digests, less a part by chance
-DEAD_PROBE = 1_000_000  # between two pings to one of the dead
-MOST_JUMPS = 4  # epochs taken within JUMPS_IN, after which another process must have this number
-JUMPS_IN = 60_000_000
-TELL_OLD = 1_000_000  # between two words to a process that does not know of its successor
-MOST_TRANSITIONS = 100  # that are kept
+GOSSIP_INTERVAL = 200_000  # between two gossip rounds
+CONFIRM_BEFORE_DEATH = 500_000  # so long before a suspect is declared dead, it and others are asked again
+SYNC_INTERVAL = 4_000_000  # between two digests, less a random part
+DEAD_PROBE_INTERVAL = 1_000_000  # between two pings to dead members
+MAX_EPOCH_RAISES = 4  # more raises within EPOCH_RAISE_WINDOW: another process uses this node's number
+EPOCH_RAISE_WINDOW = 60_000_000
+SUCCESSOR_NOTICE_INTERVAL = 1_000_000  # between two notices to a process that has been replaced by another
+MAX_TRANSITIONS = 100  # transitions kept for display
 
 
 class Transition(NamedTuple):
-    """A member changed state in this node's view, or the node itself (`number` its own)."""
+    """A state change of a member in this node's view, or of this node itself (`number` is its own)."""
 
     at: int
     number: int
@@ -57,7 +58,11 @@
 
 
 class Detector(Prober):
-    """One node. `send`: a datagram to a member; `changed`: hears each transition; `keys`: the first signs."""
+    """The failure detector of one node.
+
+    `send`: sends a datagram to a member. `changed`: called with each transition. `keys`: all of them verify
+    incoming frames, the first one signs outgoing frames.
+    """
 
     def __init__(
         self,
@@ -73,90 +78,92 @@
         super().__init__(own, size, now, rng, send, keys)
         self.changed = changed
         self.suspicions: dict[int, Suspicion] = {}
-        self.seen: dict[int, Seen] = {}
-        self.told_old: dict[int, int] = {}
-        # What others make of messages that are not the detector's.
+        self.replay_windows: dict[int, ReplayWindow] = {}
+        self.successor_told_at: dict[int, int] = {}
+        # Handler for messages that the detector itself doesn't handle.
         self.on_other_message: Callable[[int, Message, int], None] = lambda number, message, now: None
-        self.transitions: deque[Transition] = deque(maxlen=MOST_TRANSITIONS)
-        self.jumps: deque[int] = deque(maxlen=MOST_JUMPS)
-        self.number_taken = False  # another process has this number, and keeps it
-        self.next_gossip = now + rng.randrange(GOSSIP)
-        self.next_probe = now + rng.randrange(PERIOD)
-        self.next_sync = now + rng.randrange(SYNC)
-        self.next_dead = now + rng.randrange(DEAD_PROBE)
+        self.transitions: deque[Transition] = deque(maxlen=MAX_TRANSITIONS)
+        self.epoch_raises: deque[int] = deque(maxlen=MAX_EPOCH_RAISES)
+        self.number_taken = False  # another process keeps using this node's number
+        self.next_gossip = now + rng.randrange(GOSSIP_INTERVAL)
+        self.next_probe = now + rng.randrange(PROBE_PERIOD)
+        self.next_sync = now + rng.randrange(SYNC_INTERVAL)
+        self.next_dead = now + rng.randrange(DEAD_PROBE_INTERVAL)
         self.view.merge(own, Record(epoch, 0, State.ALIVE), now)
 
     # ---- membership -----------------------------------------------------------------------------------
 
     def address_changed(self, number: int) -> None:
-        """Whoever has this number now is somewhere else: what was heard of it says nothing any more."""
+        """The member with this number has a new address: forgets what was received from the old one."""
         self.heard_at.pop(number, None)
-        self.seen.pop(number, None)
+        self.replay_windows.pop(number, None)
 
     def resize(self, size: int, now: int) -> None:
-        """The configuration names so many members from now on."""
+        """Changes the number of configured members."""
         self.view.resize(size, now)
         for known in (
             self.suspicions,
-            self.by,
+            self.reported_by,
             self.heard_at,
-            self.seen,
-            self.told_old,
-            self.gossip_queue.told,
+            self.replay_windows,
+            self.successor_told_at,
+            self.gossip_queue.sends,
         ):
             for number in [n for n in known if n >= size]:
                 del known[number]
-        self.order = []
+        self.probe_order = []
         if self.probe is not None and self.probe.target >= size:
             self.probe = None
 
     def ping_member(self, number: int, now: int) -> None:
-        """Asks a member for a sign, beside the probes."""
+        """Pings a member in addition to the regular probes."""
         self.send_frame(number, [Ping(self.next_seq())], now)
 
     def leave(self, now: int) -> None:
-        """This process ends: it says so to some, who pass it on."""
+        """Announces that this process ends to a few members, which pass it on."""
         self.leaving = True
-        self.apply_record(self.own, self.me._replace(state=State.LEFT), now, self.own, "it leaves")
+        self.apply_record(self.own, self.me._replace(state=State.LEFT), now, self.own, "leaving")
         for number in self.sample(self.others, 2 * FANOUT):
             self.send_frame(number, [], now)
 
     # ---- events ---------------------------------------------------------------------------------------
 
     def tick(self, now: int) -> None:
-        """Time goes on; to be called every TICK."""
+        """Runs the timers; to be called every TICK."""
         self.check_pause(now)
         dead = self.view.in_state(State.DEAD)
         before = self.health.connectivity
-        connectivity, said = self.health.assess(now, self.other_count + len(dead))
-        if connectivity != before or said:
-            self.note(now, self.own, before, connectivity, said or f"this node is {connectivity}")
+        connectivity, diagnosis = self.health.assess(now, self.other_count + len(dead))
+        if connectivity != before or diagnosis:
+            self.record_transition(
+                now, self.own, before, connectivity, diagnosis or f"this node is {connectivity}"
+            )
         if not self.health.may_declare_dead:
             for suspicion in self.suspicions.values():
-                suspicion.hold(now)
+                suspicion.restart(now)
         if self.leaving or self.number_taken:
             return
         self.advance_probe(now)
         self.declare_dead(now)
         if now >= self.next_gossip:
-            self.next_gossip = now + GOSSIP
+            self.next_gossip = now + GOSSIP_INTERVAL
             self.gossip(now)
-            if connectivity == "isolated":  # it may still be heard
+            if connectivity == "isolated":  # others may still receive what this node sends
                 for number in self.sample(self.others, 2 * FANOUT):
                     self.send_frame(number, [Ping(self.next_seq())], now)
         if now >= self.next_sync:
-            self.next_sync = now + SYNC - self.rng.randrange(SYNC // 4)
+            self.next_sync = now + SYNC_INTERVAL - self.rng.randrange(SYNC_INTERVAL // 4)
             self.sync(now)
         if now >= self.next_dead:
-            self.next_dead = now + DEAD_PROBE
+            self.next_dead = now + DEAD_PROBE_INTERVAL
             if dead:
                 self.send_frame(self.rng.choice(dead), [Ping(self.next_seq())], now)
 
     def datagram(self, number: int, data: bytes, now: int) -> None:
-        """Something came from a member's address."""
+        """Handles a datagram from a member's address."""
         self.check_pause(now)
         try:
-            frame = read(self.keys, data)
+            frame = decode_frame(self.keys, data)
             if (
                 number >= len(self.view)
                 or frame.sender != number
@@ -166,96 +173,113 @@
                 raise Dropped("misdirected")
             if frame.epoch < self.view.records[number].epoch:
                 raise Dropped("old_epoch")
-            self.seen.setdefault(number, Seen()).take(frame.epoch, frame.counter)
+            self.replay_windows.setdefault(number, ReplayWindow()).take(frame.epoch, frame.counter)
         except Dropped as e:
             self.counters[str(e)] += 1
-            if str(e) == "old_epoch" and now - self.told_old.get(number, -TELL_OLD) >= TELL_OLD:
-                self.told_old[number] = now
-                self.send_frame(number, [], now, first=number)
+            if (
+                str(e) == "old_epoch"
+                and now - self.successor_told_at.get(number, -SUCCESSOR_NOTICE_INTERVAL)
+                >= SUCCESSOR_NOTICE_INTERVAL
+            ):
+                self.successor_told_at[number] = now
+                self.send_frame(number, [], now, about=number)
             return
         self.counters["received"] += 1
         self.handle_frame(number, frame, now)
 
     def check_pause(self, now: int) -> None:
-        """If this process stood still, what it meant to say is old, and what it waited for says nothing."""
-        gone = self.health.gap(now)
-        if not gone:
+        """After a suspension of this process, drops queued gossip and pending probes, which are outdated."""
+        suspended_for = self.health.detect_pause(now)
+        if not suspended_for:
             return
         self.gossip_queue.clear()
         self.probe = None
         self.relayed.clear()
         self.heard_at.clear()
         for suspicion in self.suspicions.values():
-            suspicion.hold(now)
-        self.note(now, self.own, "ok", "paused", f"this node stood still for {gone / 1e6:.1f} s")
+            suspicion.restart(now)
+        self.record_transition(
+            now, self.own, "ok", "paused", f"this node was suspended for {suspended_for / 1e6:.1f} s"
+        )
 
     def handle_frame(self, number: int, frame: Frame, now: int) -> None:
-        """A frame of a member."""
+        """Handles a valid frame of a member."""
         self.health.heard(now)
         self.heard_at[number] = now
         self.apply_record(
-            number, Record(frame.epoch, frame.incarnation, State.ALIVE), now, number, "it was heard"
+            number,
+            Record(frame.epoch, frame.incarnation, State.ALIVE),
+            now,
+            number,
+            "received a frame from it",
         )
-        asked: list[Range] = []
-        better: list[int] = []
+        requested_ranges: list[Range] = []
+        newer_here: list[int] = []
         for message in frame.messages:
             match message:
                 case Ping(seq):
                     self.send_frame(number, [Ack(seq)], now)
                 case Ack(seq):
-                    self.acked(number, seq, now)
+                    self.handle_ack(number, seq, now)
                 case Nack(seq):
                     if self.probe is not None and self.probe.seq == seq:
                         self.probe.asked.discard(number)
                 case AskPing(seq, target):
                     if target < len(self.view) and target != self.own and len(self.relayed) < 64:
-                        mine = self.next_seq()
-                        self.relayed[mine] = (number, seq, now, target)
-                        self.send_frame(target, [Ping(mine)], now)
+                        own_seq = self.next_seq()
+                        self.relayed[own_seq] = (number, seq, now, target)
+                        self.send_frame(target, [Ping(own_seq)], now)
                 case Recorded(about, record, by):
                     if about < len(self.view):
                         self.apply_record(about, record, now, by, f"told by {number}")
                         if self.view.records[about] > record:
-                            better.append(about)
+                            newer_here.append(about)
                             if record.state in (State.SUSPECT, State.DEAD):
-                                self.gossip_queue.again(about)  # whoever believes it has not heard better
+                                # The sender lacks the newer record.
+                                self.gossip_queue.add_if_absent(about)
                 case Digest():
-                    self.compare(number, message, now)
+                    self.handle_digest(number, message, now)
                 case Range():
-                    asked.append(message)
+                    requested_ranges.append(message)
                 case _:
                     self.on_other_message(number, message, now)
-        if asked:  # the other side of a sync: what is known better here
-            lacking = [n for r in asked for n in range(r.low, min(r.high, len(self.view)))]
-            given = {m.number for m in frame.messages if isinstance(m, Recorded)}
-            back = [
-                n for n in lacking if n in better or (n not in given and self.view.records[n] > (0, 0, 0))
+        if requested_ranges:  # the reply to a sync: the records that are newer here
+            requested = [n for r in requested_ranges for n in range(r.low, min(r.high, len(self.view)))]
+            received_numbers = {m.number for m in frame.messages if isinstance(m, Recorded)}
+            reply = [
+                n
+                for n in requested
+                if n in newer_here or (n not in received_numbers and self.view.records[n] > (0, 0, 0))
             ]
-            for at in range(0, len(back), LEAF):
-                self.send_frame(number, self.recorded(back[at : at + LEAF]), now, spare=True)
+            for at in range(0, len(reply), RECORDS_PER_FRAME):
+                self.send_frame(
+                    number, self.recorded(reply[at : at + RECORDS_PER_FRAME]), now, low_priority=True
+                )
 
     # ---- records --------------------------------------------------------------------------------------
 
     def apply_record(self, number: int, record: Record, now: int, by: int, reason: str) -> None:
-        """Takes an account of a member in, whoever gave it."""
+        """Merges a record of a member, from whatever source. `by`: the member that reported it."""
         if number == self.own and not self.leaving:
             self.apply_own_record(record, now, by)
             return
         known = self.view.records[number]
-        young = number in self.suspicions and now - self.suspicions[number].since < MIN_TIMEOUT // 2
+        recently_suspected = (
+            number in self.suspicions and now - self.suspicions[number].since < MIN_TIMEOUT // 2
+        )
         if (
             record.state == State.DEAD
             and by != self.own
-            and (known.state == State.ALIVE or (known.state == State.SUSPECT and young))
+            and (known.state == State.ALIVE or (known.state == State.SUSPECT and recently_suspected))
             and known.epoch == record.epoch
         ):
-            # Failure prevented: two halves find each other again, and each takes the other's word that its
-            # own half is dead. Whoever is alive here is asked first; the dead have been suspected for long.
+            # A member that is alive in this node's view becomes a suspect first. Otherwise, when a network
+            # partition heals, each side would accept the other side's claim that its members are dead.
             record = record._replace(state=State.SUSPECT)
         if record == known and record.state == State.SUSPECT:
             suspicion = self.suspicions.get(number)
             if suspicion is not None and suspicion.confirm(by):
-                self.by[number] = by
+                self.reported_by[number] = by
                 self.gossip_queue.add(number)
             return
         before = self.view.merge(number, record, now)
@@ -266,52 +290,54 @@
         else:
             self.suspicions.pop(number, None)
         if record.state in (State.SUSPECT, State.DEAD):
-            self.by[number] = by
+            self.reported_by[number] = by
         else:
-            self.by.pop(number, None)
-        if before.epoch or record.state != State.ALIVE:  # who has just begun is met by probes and syncs
+            self.reported_by.pop(number, None)
+        if before.epoch or record.state != State.ALIVE:  # probes and syncs find members that just started
             self.gossip_queue.add(number)
         if record.state != before.state or record.epoch != before.epoch:
-            self.note(now, number, before.state.name.lower(), record.state.name.lower(), reason)
+            self.record_transition(now, number, before.state.name.lower(), record.state.name.lower(), reason)
 
     def apply_own_record(self, record: Record, now: int, by: int) -> None:
-        """What others say of this node: refuted, or outdone by a higher epoch."""
+        """Handles what others report about this node: refutes it, or takes a higher epoch."""
         me = self.me
         if record.epoch > me.epoch:
-            if len(self.jumps) == MOST_JUMPS and now - self.jumps[0] < JUMPS_IN:
+            if len(self.epoch_raises) == MAX_EPOCH_RAISES and now - self.epoch_raises[0] < EPOCH_RAISE_WINDOW:
                 if not self.number_taken:
                     self.number_taken = True
-                    self.note(now, self.own, "ok", "twin", "another process has this node's number")
+                    self.record_transition(
+                        now, self.own, "ok", "twin", "another process uses this node's number"
+                    )
                 return
-            self.jumps.append(now)
+            self.epoch_raises.append(now)
             epoch = epoch_above(record.epoch, me.epoch)
             self.view.merge(self.own, Record(epoch, 0, State.ALIVE), now)
             self.counter = 0
             self.gossip_queue.add(self.own)
         elif record.epoch == me.epoch and record > me:
-            said = self.health.declared_dead(now) if record.state == State.DEAD else ""
-            self.health.worse()
+            diagnosis = self.health.declared_dead(now) if record.state == State.DEAD else ""
+            self.health.degrade()
             self.counters["refuted"] += 1
             self.view.merge(self.own, Record(me.epoch, record.incarnation + 1, State.ALIVE), now)
             self.gossip_queue.add(self.own)
             for other in sorted({by, *self.sample(self.others, 2 * FANOUT)} - {self.own}):
                 if other < len(self.view):
                     self.send_frame(other, [], now)
-            if record.state == State.DEAD or said:
-                self.note(now, self.own, "dead", "alive", said or "refuted its death")
+            if record.state == State.DEAD or diagnosis:
+                self.record_transition(now, self.own, "dead", "alive", diagnosis or "refuted its death")
 
     def suspect(self, number: int, now: int, reason: str) -> None:
         record = self.view.records[number]
         if record.state == State.SUSPECT:
-            self.apply_record(number, record, now, self.own, reason)  # a confirmation
+            self.apply_record(number, record, now, self.own, reason)  # confirms the suspicion
         elif record.state == State.ALIVE:
             self.apply_record(number, record._replace(state=State.SUSPECT), now, self.own, reason)
         else:
             return
-        self.send_frame(number, [], now)  # the suspect is told first
+        self.send_frame(number, [], now)  # notifies the suspect first, so that it can refute
 
     def declare_dead(self, now: int) -> None:
-        """Suspects whose time is over are dead, unless they are heard."""
+        """Declares suspects dead whose timeout is over, unless something was received from them."""
         if not self.health.may_declare_dead:
             return
         queue_time = (
@@ -323,21 +349,21 @@
         for number, suspicion in list(self.suspicions.items()):
             deadline = suspicion.deadline(queue_time)
             if now < deadline:
-                if now >= deadline - ASK_BEFORE_DEATH and not suspicion.called:
-                    suspicion.called = True
+                if now >= deadline - CONFIRM_BEFORE_DEATH and not suspicion.confirmation_requested:
+                    suspicion.confirmation_requested = True
                     self.ask_before_death(number, now)
                 continue
             if self.heard_at.get(number, -1) > suspicion.since:
-                suspicion.hold(now)
+                suspicion.restart(now)
                 continue
             record = self.view.records[number]._replace(state=State.DEAD)
-            names = ", ".join(str(n) for n in sorted(suspicion.by))
+            names = ", ".join(str(n) for n in sorted(suspicion.reporters))
             self.apply_record(number, record, now, self.own, f"suspected by {names}, not refuted")
 
     def ask_before_death(self, number: int, now: int) -> None:
-        """Asks the suspect, and others what they know of it, before it is declared dead.
+        """Pings the suspect and asks others for their records of it, before it is declared dead.
 
-        Failure prevented: a refutation misses one node by chance, and that node declares its author dead.
+        Without this, a node that has missed a refutation by chance would declare its sender dead.
         """
         self.send_frame(number, [Ping(self.next_seq())], now)
         for other in self.sample([n for n in self.others if n != number], HELPERS):
@@ -345,7 +371,7 @@
 
     # ---- log ------------------------------------------------------------------------------------------
 
-    def note(self, now: int, number: int, before: str, after: str, reason: str) -> None:
+    def record_transition(self, now: int, number: int, before: str, after: str, reason: str) -> None:
         record = self.view.records[number]
         transition = Transition(now, number, before, after, record.epoch, record.incarnation, reason)
         self.transitions.append(transition)
--- a/brackenladder/cluster/gossip_queue.py
+++ b/brackenladder/cluster/gossip_queue.py
@@ -1,47 +1,47 @@
-"""Records on their way to all: each goes out a number of times that grows with the logarithm of the fleet."""
+"""Records to spread by gossip: the number of sends grows with the logarithm of the members."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from math import ceil, log10
 
-from brackenladder.cluster.wire import RECORD
+from brackenladder.cluster.wire import RECORD_FORMAT
 
-TIMES = 4  # sends of a rumour, times the logarithm (of ten) of the members
-MOST = 512  # rumours at a time; the one told most often makes room
+RETRANSMIT_FACTOR = 4  # a record is sent this many times log10 of the number of members
+MAX_QUEUED = 512  # queued records; beyond it the one sent most often is dropped
 
 
 class GossipQueue:
-    """By member's number: the newest record about a member takes the older one's place."""
+    """The members whose newest record is being spread, with the number of times it was sent."""
 
     def __init__(self) -> None:
-        self.told: dict[int, int] = {}  # how often
+        self.sends: dict[int, int] = {}  # by member's number
 
     def add(self, number: int) -> None:
-        if number not in self.told and len(self.told) >= MOST:
-            del self.told[max(self.told, key=lambda n: self.told[n])]
-        self.told[number] = 0
+        if number not in self.sends and len(self.sends) >= MAX_QUEUED:
+            del self.sends[max(self.sends, key=lambda n: self.sends[n])]
+        self.sends[number] = 0
 
-    def again(self, number: int) -> None:
-        """Tells of it anew, if nothing is being told of it."""
-        if number not in self.told:
+    def add_if_absent(self, number: int) -> None:
+        """Starts to spread a member's record again unless it is already queued."""
+        if number not in self.sends:
             self.add(number)
 
     def cost(self, members: int) -> int:
-        """Bytes that one rumour costs each node until it has been told often enough."""
-        return RECORD.size * TIMES * max(1, ceil(log10(members + 1)))
-
-    def take(self, most: int, members: int) -> Iterator[int]:
-        """Up to so many members to tell of, the least told first; each is counted as told once more."""
-        enough = TIMES * max(1, ceil(log10(members + 1)))
-        for number in sorted(self.told, key=lambda n: self.told[n])[:most]:
-            self.told[number] += 1
-            if self.told[number] >= enough:
-                del self.told[number]
+        """Bytes that each node sends in total to spread one record."""
+        return RECORD_FORMAT.size * RETRANSMIT_FACTOR * max(1, ceil(log10(members + 1)))
+
+    def take(self, limit: int, members: int) -> Iterator[int]:
+        """Yields up to `limit` members to send records of, the least sent first, and counts the sends."""
+        max_sends = RETRANSMIT_FACTOR * max(1, ceil(log10(members + 1)))
+        for number in sorted(self.sends, key=lambda n: self.sends[n])[:limit]:
+            self.sends[number] += 1
+            if self.sends[number] >= max_sends:
+                del self.sends[number]
             yield number
 
     def clear(self) -> None:
-        self.told.clear()
+        self.sends.clear()
 
     def __len__(self) -> int:
-        return len(self.told)
+        return len(self.sends)
--- a/brackenladder/cluster/live_count.py
+++ b/brackenladder/cluster/live_count.py
@@ -1,10 +1,10 @@
-"""How many nodes share what the tier's servers can do: the living number, for the configured one. Pure.
+"""The number of live nodes among which the servers' capacity is divided, instead of the configured one. Pure.
 
-The cold rule binds: what all nodes send together is their shares' sum. A share grows only when others are
-dead for certain, and shrinks at once when one returns. A node that was taken for dead and still sends, by its
-old share, adds its part: with at most a part (1 - LEAST_PART) of the nodes left out, the sum is at most
-1 + (1 - LEAST_PART) = 1.5 shares, where a cold server is given COLD_PART = 0.6 of the multiple that the rule
-allows: 0.9 of its bound, however wrong the view is.
+The limit for cold servers applies to the sum of what all nodes send. A node's share grows only when others
+are certainly gone, and shrinks immediately when one returns. A node that was declared dead but still sends
+adds its old share. At most the part (1 - MIN_COUNTED_PART) of the nodes is left out, so the sum is at most
+1 + (1 - MIN_COUNTED_PART) = 1.5 shares. A cold server gets COLD_PART = 0.6 of what its limit allows, so at
+most 0.9 of the limit is used, however wrong the view is.
 """
 
 from __future__ import annotations
@@ -14,29 +14,31 @@
 
 from brackenladder.cluster.view import State, View
 
-ABSENCE_TIME = (
-    4_000_000  # microseconds that a member must have been dead, or have left: the rule's window and more
-)
-HEARD = 1_000_000  # one that was heard so long ago or less sends, whatever is said of it
-MIN_COUNTED_PART = 0.5  # of the configured number: fewer are never counted
+ABSENCE_TIME = 4_000_000  # microseconds after which a dead member, or one that left, is not counted any more
+RECENT = 1_000_000  # a member heard within this time counts as sending, whatever its state
+MIN_COUNTED_PART = 0.5  # the count is never below this part of the configured number
 
 
 class LiveNodeCounter:
-    """Counts who may send. `certain`: microseconds; at least the cold rule's window."""
+    """Counts the nodes that may send requests.
 
-    def __init__(self, size: int, certain: int = ABSENCE_TIME) -> None:
+    `absence_time`: microseconds that a member has to be gone for; at least the window of the cold limit.
+    """
+
+    def __init__(self, size: int, absence_time: int = ABSENCE_TIME) -> None:
         self.number = size
-        self.certain = max(certain, ABSENCE_TIME)
+        self.absence_time = max(absence_time, ABSENCE_TIME)
 
-    def count(self, now: int, view: View, heard_at: Mapping[int, int], sure: bool) -> int:
-        """The number of nodes that share. `sure`: this node hears and is heard, and was not just paused."""
-        there = sum(
+    def count(self, now: int, view: View, heard_at: Mapping[int, int], reliable: bool) -> int:
+        """The number of nodes to divide by; `reliable`: whether this node's view can be trusted now."""
+        present = sum(
             record.state in (State.ALIVE, State.SUSPECT)
-            or now - since < self.certain
-            or now - heard_at.get(number, -HEARD) < HEARD
+            or now - since < self.absence_time
+            or now - heard_at.get(number, -RECENT) < RECENT
             for number, (record, since) in enumerate(zip(view.records, view.since, strict=True))
         )
-        there = max(1, there, ceil(MIN_COUNTED_PART * len(view)))
-        # Failure prevented: a node that is cut off takes all others for gone, and sends for the whole fleet.
-        self.number = there if sure else max(self.number, there)
+        present = max(1, present, ceil(MIN_COUNTED_PART * len(view)))
+        # The count doesn't shrink while the view is unreliable. Otherwise an isolated node would take all
+        # others for gone and send as much as the whole fleet.
+        self.number = present if reliable else max(self.number, present)
         return self.number
--- a/brackenladder/cluster/prober.py
+++ b/brackenladder/cluster/prober.py
@@ -1,4 +1,4 @@
-"""SWIM's probes: a ping a period, then helpers that ping in this node's place. Pure."""
+"""SWIM probes: one direct ping per period, then indirect pings through helpers. Pure."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from brackenladder.cluster.view import State
 from brackenladder.cluster.wire import Ack, AskPing, Nack, Ping
 
-PERIOD = 300_000  # of a probe
-ROUNDS = 2  # periods that a probe may take
-AGAIN = 75_000  # a ping without an answer is sent again after it...
-DIRECT = 150_000  # ...and helpers are asked after it
+PROBE_PERIOD = 300_000  # microseconds
+PROBE_ROUNDS = 2  # periods that a probe may take
+RESEND_AFTER = 75_000  # a ping is resent after this time without a reply
+INDIRECT_AFTER = 150_000  # helpers are asked after this time without a reply
 HELPERS = 3
-START = 3_000_000  # a member that nobody has heard has so long to begin
-HEARD = 1_000_000  # a member that was heard so long ago or less lives
+STARTUP_GRACE = 3_000_000  # a member that has never been heard is not suspected for this time
+RECENT = 1_000_000  # members heard within this time are preferred as helpers
 
 
 class Probe:
-    """The probe that is out. `seq` is told apart from those of other probes."""
+    """The current probe. Its `seq` distinguishes its replies from those to other probes."""
 
-    __slots__ = ("answered", "asked", "pinged", "rounds", "seq", "since", "target")
+    __slots__ = ("answered", "asked", "pinged_at", "rounds", "seq", "since", "target")
 
     def __init__(self, target: int, seq: int, now: int) -> None:
         self.target = target
         self.seq = seq
-        self.since = self.pinged = now
+        self.since = self.pinged_at = now
         self.asked: set[int] = set()
         self.rounds = 1
         self.answered = False
 
 
 class Prober(Sender, ABC):
-    """Probes one member a period, round robin."""
+    """Probes one member per period in round-robin order."""
 
     def __init__(
         self,
@@ -49,67 +49,70 @@
         self.heard_at: dict[int, int] = {}
         self.seq = rng.getrandbits(16)
         self.probe: Probe | None = None
-        self.relayed: dict[int, tuple[int, int, int, int]] = {}  # by seq: who asked, its seq, when, target
-        self.order: list[int] = []
+        # Indirect pings for others, by this node's seq: the asker, its seq, the time and the target.
+        self.relayed: dict[int, tuple[int, int, int, int]] = {}
+        self.probe_order: list[int] = []
         self.next_probe = now
 
     @abstractmethod
     def suspect(self, number: int, now: int, reason: str) -> None:
-        """A member has not answered its probe."""
+        """Called when a member has not answered its probe."""
 
-    def heard(self, number: int, now: int) -> bool:
-        return now - self.heard_at.get(number, -HEARD) < HEARD
+    def recently_heard(self, number: int, now: int) -> bool:
+        return now - self.heard_at.get(number, -RECENT) < RECENT
 
     def advance_probe(self, now: int) -> None:
-        """The probe that is out, and the next one."""
+        """Continues the current probe, and starts the next one when its period is over."""
         probe = self.probe
         if probe is not None and not probe.answered:
-            gone = now - probe.since
-            if now - probe.pinged >= self.health.scaled(AGAIN):
-                probe.pinged = now
+            elapsed = now - probe.since
+            if now - probe.pinged_at >= self.health.scaled(RESEND_AFTER):
+                probe.pinged_at = now
                 self.send_frame(probe.target, [Ping(probe.seq)], now)
-            waited = gone - (probe.rounds - 1) * self.health.scaled(PERIOD)
-            if waited >= self.health.scaled(DIRECT) and not probe.asked:
-                heard = [n for n in self.others if n != probe.target and self.heard(n, now)]
+            waited = elapsed - (probe.rounds - 1) * self.health.scaled(PROBE_PERIOD)
+            if waited >= self.health.scaled(INDIRECT_AFTER) and not probe.asked:
+                heard = [n for n in self.others if n != probe.target and self.recently_heard(n, now)]
                 helpers = self.sample(heard or [n for n in self.others if n != probe.target], HELPERS)
                 probe.asked = set(helpers)
                 for helper in helpers:
                     self.send_frame(helper, [AskPing(probe.seq, probe.target)], now)
-        for mine, (asker, seq, since, _) in list(self.relayed.items()):
-            if now - since > PERIOD:
-                del self.relayed[mine]
-            elif now - since >= DIRECT:
-                self.send_frame(asker, [Nack(seq)], now, spare=True)
+        for own_seq, (asker, seq, since, _) in list(self.relayed.items()):
+            if now - since > PROBE_PERIOD:
+                del self.relayed[own_seq]
+            elif now - since >= INDIRECT_AFTER:
+                self.send_frame(asker, [Nack(seq)], now, low_priority=True)
         if now < self.next_probe:
             return
-        self.next_probe = now + self.health.scaled(PERIOD)
+        self.next_probe = now + self.health.scaled(PROBE_PERIOD)
         if probe is not None:
             missed = not probe.answered and self.heard_at.get(probe.target, -1) < probe.since
-            if missed and probe.rounds < ROUNDS:
-                # Failure prevented: under loss many a probe fails once, and the fleet is busy with rumours of
-                # suspects that answer the next one.
+            if missed and probe.rounds < PROBE_ROUNDS:
+                # With packet loss many probes fail in their first period. Without a second one the gossip
+                # would be full of suspects that answer the next probe.
                 probe.rounds += 1
                 probe.asked = set()
                 return
-            self.probe_ended(probe, now)
+            self.finish_probe(probe, now)
         target = self.next_target()
         self.probe = None
         if target is not None:
             self.probe = Probe(target, self.next_seq(), now)
             self.send_frame(target, [Ping(self.probe.seq)], now)
 
-    def probe_ended(self, probe: Probe, now: int) -> None:
-        """A probe's period has ended."""
-        self.health.probed(probe.answered)
+    def finish_probe(self, probe: Probe, now: int) -> None:
+        """Evaluates a probe at the end of its last period."""
+        self.health.record_probe(probe.answered)
         if probe.answered:
-            self.health.better()
+            self.health.improve()
         elif self.heard_at.get(probe.target, -1) < probe.since:
-            self.health.worse()
+            self.health.degrade()
             unheard = self.view.records[probe.target].epoch == 0
-            if self.health.may_declare_dead and not (unheard and now - self.view.since[probe.target] < START):
+            if self.health.may_declare_dead and not (
+                unheard and now - self.view.since[probe.target] < STARTUP_GRACE
+            ):
                 self.suspect(probe.target, now, "no answer to a probe")
 
-    def acked(self, number: int, seq: int, now: int) -> None:
+    def handle_ack(self, number: int, seq: int, now: int) -> None:
         probe = self.probe
         if probe is not None and probe.seq == seq:
             probe.answered = True
@@ -120,14 +123,14 @@
             self.send_frame(relayed[0], [Ack(relayed[1])], now)
 
     def next_target(self) -> int | None:
-        """Round robin over a shuffled order, so that nobody waits for more than two rounds."""
+        """The next member in a shuffled round-robin order, so that none waits longer than two rounds."""
         for _ in range(2):
-            while self.order:
-                target = self.order.pop()
+            while self.probe_order:
+                target = self.probe_order.pop()
                 if self.view.records[target].state <= State.SUSPECT:
                     return target
-            self.order = self.others
-            self.rng.shuffle(self.order)
+            self.probe_order = self.others
+            self.rng.shuffle(self.probe_order)
         return None
 
     def next_seq(self) -> int:
--- a/brackenladder/cluster/sender.py
+++ b/brackenladder/cluster/sender.py
@@ -1,4 +1,4 @@
-"""What a node sends to others: messages, rumours behind them as they fit, digests; in a byte budget. Pure."""
+"""Sending frames: messages with piggybacked gossip, and digests, within a byte budget. Pure."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from brackenladder.cluster.gossip_queue import GossipQueue
 from brackenladder.cluster.health import Health
-from brackenladder.cluster.sync import LEAF, differing, digest
+from brackenladder.cluster.sync import RECORDS_PER_FRAME, differing, digest
 from brackenladder.cluster.view import Record, State, View
 from brackenladder.cluster.wire import (
-    LARGEST,
+    MAX_DATAGRAM,
     NOBODY,
-    ROOM,
+    PAYLOAD_SIZE,
     Ack,
     Digest,
     Frame,
@@ -22,22 +22,22 @@
     Ping,
     Range,
     Recorded,
-    framed,
-    packed,
+    encode_frame,
+    encode_message,
 )
 
-FANOUT = 3  # members that a round of rumours goes to
-BYTES_PER_SECOND = 3_000  # that a node sends at most, over any long time...
-BURST = 12_000  # ...and at once
-MOST_RANGES_ANSWERED = 4  # of one digest
+FANOUT = 3  # members that a gossip round goes to
+BYTES_PER_SECOND = 3_000  # long-term limit of what a node sends
+BURST = 12_000  # bytes that a node may send at once
+MAX_RANGES_ANSWERED = 4  # per received digest
 
 T = TypeVar("T")
 
 
 class Sender:
-    """A node's view of the members, and the datagrams it sends.
+    """A node's view of the members, and the frames that it sends.
 
-    `send`: a datagram to a member; `keys`: the first signs.
+    `send`: sends a datagram to a member. `keys`: the first one signs outgoing frames.
     """
 
     def __init__(
@@ -56,13 +56,13 @@
         self.view = View(size, now)
         self.health = Health(now)
         self.gossip_queue = GossipQueue()
-        self.by: dict[int, int] = {}  # who said so of a suspect or dead member, last
-        # What others have to say with each ping and answer.
+        self.reported_by: dict[int, int] = {}  # of each suspect or dead member: who last reported it so
+        # Messages of other components that are attached to each ping and ack.
         self.extra_messages: Callable[[], Sequence[Message]] = tuple
         self.counters: Counter[str] = Counter()
         self.leaving = False
         self.counter = 0
-        self.allowance, self.allowance_at = float(BURST), now
+        self.byte_budget, self.budget_updated_at = float(BURST), now
 
     @property
     def me(self) -> Record:
@@ -70,78 +70,86 @@
 
     @property
     def others(self) -> list[int]:
-        """Members that are taken to be there, without this one."""
-        there = self.view.in_state(State.ALIVE) + self.view.in_state(State.SUSPECT)
+        """The members that are alive or suspect, without this one."""
+        present = self.view.in_state(State.ALIVE) + self.view.in_state(State.SUSPECT)
         if self.me.state == State.ALIVE:
-            there.remove(self.own)
-        return there
+            present.remove(self.own)
+        return present
 
     @property
     def other_count(self) -> int:
-        """How many these are."""
-        there = len(self.view.in_state(State.ALIVE)) + len(self.view.in_state(State.SUSPECT))
-        return there - (self.me.state == State.ALIVE)
+        """The number of `others`."""
+        present = len(self.view.in_state(State.ALIVE)) + len(self.view.in_state(State.SUSPECT))
+        return present - (self.me.state == State.ALIVE)
 
     def gossip(self, now: int) -> None:
-        """Rumours go to some members by themselves."""
+        """Sends queued gossip to a few random members."""
         if not len(self.gossip_queue):
             return
         for number in self.sample(self.others, FANOUT):
-            self.send_frame(number, [], now, spare=True)
+            self.send_frame(number, [], now, low_priority=True)
 
     def sync(self, now: int) -> None:
         others = self.others
         if others:
-            whole = digest(self.view.records, 0, len(self.view))
-            self.send_frame(self.rng.choice(others), [whole], now, spare=True)
+            full_digest = digest(self.view.records, 0, len(self.view))
+            self.send_frame(self.rng.choice(others), [full_digest], now, low_priority=True)
 
-    def compare(self, number: int, theirs: Digest, now: int) -> None:
-        """Another's digest: what differs is sent, or looked at more closely."""
+    def handle_digest(self, number: int, theirs: Digest, now: int) -> None:
+        """Compares a member's digest with this node's records.
+
+        For each range that differs, sends the records, or digests of smaller ranges if it is large.
+        """
         parts = differing(self.view.records, theirs)
-        for low, high in self.sample(parts, MOST_RANGES_ANSWERED):
-            if high - low > LEAF:
-                self.send_frame(number, [digest(self.view.records, low, high)], now, spare=True)
+        for low, high in self.sample(parts, MAX_RANGES_ANSWERED):
+            if high - low > RECORDS_PER_FRAME:
+                self.send_frame(number, [digest(self.view.records, low, high)], now, low_priority=True)
             else:
-                mine = [n for n in range(low, high) if self.view.records[n] > (0, 0, 0)]
-                self.send_frame(number, [Range(low, high), *self.recorded(mine)], now, spare=True)
+                own_records = [n for n in range(low, high) if self.view.records[n] > (0, 0, 0)]
+                self.send_frame(
+                    number, [Range(low, high), *self.recorded(own_records)], now, low_priority=True
+                )
 
     def recorded(self, numbers: Iterable[int]) -> list[Recorded]:
-        return [Recorded(n, self.view.records[n], self.by.get(n, NOBODY)) for n in numbers]
+        return [Recorded(n, self.view.records[n], self.reported_by.get(n, NOBODY)) for n in numbers]
 
     def send_frame(
-        self, number: int, messages: Sequence[Message], now: int, first: int = -1, spare: bool = False
+        self, number: int, messages: Sequence[Message], now: int, about: int = -1, low_priority: bool = False
     ) -> None:
-        """Sends messages, and as many rumours as fit behind them. `spare`: only if bytes are to spare.
+        """Sends messages in a frame that is filled up with gossip.
 
-        What is known of the receiver itself goes first if it is not alive, so that it can refute.
+        `low_priority`: sends only if at least half of the byte budget is left. If the receiver counts as
+        suspect or dead here, the frame includes its record, so that it can refute it; `about` forces that.
         """
-        self.allowance = min(BURST, self.allowance + (now - self.allowance_at) * BYTES_PER_SECOND / 1e6)
-        self.allowance_at = now
-        if self.allowance < (BURST / 2 if spare else LARGEST):
+        self.byte_budget = min(
+            BURST, self.byte_budget + (now - self.budget_updated_at) * BYTES_PER_SECOND / 1e6
+        )
+        self.budget_updated_at = now
+        if self.byte_budget < (BURST / 2 if low_priority else MAX_DATAGRAM):
             self.counters["held_back"] += 1
             return
-        out = list(messages)
-        if first >= 0 or (
+        outgoing = list(messages)
+        if about >= 0 or (
             number != self.own and self.view.records[number].state in (State.SUSPECT, State.DEAD)
         ):
-            out += self.recorded([number])
+            outgoing += self.recorded([number])
         if any(isinstance(message, (Ping, Ack)) for message in messages):
-            out += self.extra_messages()
-        room = ROOM - sum(len(packed(message)) for message in out)
-        size = len(packed(Recorded(0, self.me)))
+            outgoing += self.extra_messages()
+        room = PAYLOAD_SIZE - sum(len(encode_message(message)) for message in outgoing)
+        size = len(encode_message(Recorded(0, self.me)))
         if self.health.answered_since_pause or self.leaving:
-            given = {message.number for message in out if isinstance(message, Recorded)}
-            most = room // size
-            fits = self.gossip_queue.take(most, len(self.view)) if most > 0 else ()
-            out += self.recorded(n for n in fits if n not in given)
+            included = {message.number for message in outgoing if isinstance(message, Recorded)}
+            limit = room // size
+            gossiped = self.gossip_queue.take(limit, len(self.view)) if limit > 0 else ()
+            outgoing += self.recorded(n for n in gossiped if n not in included)
         self.counter += 1
         me = self.me
-        frame = Frame(self.own, number, me.epoch, me.incarnation, self.counter, tuple(out))
-        data = framed(self.keys, frame)
-        self.allowance -= len(data)
+        frame = Frame(self.own, number, me.epoch, me.incarnation, self.counter, tuple(outgoing))
+        data = encode_frame(self.keys, frame)
+        self.byte_budget -= len(data)
         self.counters["sent"] += 1
         self.counters["bytes"] += len(data)
         self.send_to(number, data)
 
-    def sample(self, those: Sequence[T], most: int) -> list[T]:
-        return self.rng.sample(those, min(most, len(those)))
+    def sample(self, items: Sequence[T], limit: int) -> list[T]:
+        return self.rng.sample(items, min(limit, len(items)))
--- a/brackenladder/cluster/suspicion.py
+++ b/brackenladder/cluster/suspicion.py
@@ -1,50 +1,57 @@
-"""How long a suspect has to answer: Lifeguard's time that shrinks as others suspect it too, by themselves.
+"""The suspicion timeout of Lifeguard: it shrinks as more members suspect the same member independently.
 
-Lifeguard (Dadgar, Phillips, Currey: local health awareness for more accurate failure detection, 2018): the
-time falls from MOST to LEAST with the logarithm of the confirmations. LEAST is derived: a pause of 2 s that
-begins as a probe does must end, be heard of and be refuted before it is over. Where many are suspected at
-once, all of them need longer: their refutations go through one bound on bytes (`crowd` of them).
+Lifeguard (Dadgar, Phillips, Currey: Local health awareness for more accurate failure detection, 2018): the
+timeout falls from MAX_TIMEOUT to MIN_TIMEOUT with the logarithm of the number of confirmations. MIN_TIMEOUT
+allows for a process that is suspended for 2 s from the start of a probe on: it can resume, learn of the
+suspicion and refute it in time. If many members are suspected at once the timeouts are extended, because
+all refutations share one byte budget.
 """
 
 from __future__ import annotations
 
 from math import log
 
-MIN_TIMEOUT = 1_850_000  # microseconds, behind two periods of a probe
+MIN_TIMEOUT = 1_850_000  # microseconds, after the two periods of a probe
 MAX_TIMEOUT = 3_600_000
-CONFIRMATIONS = 3  # others that suspect it too, after which it has LEAST
+MAX_CONFIRMATIONS = 3  # confirmations by other members after which MIN_TIMEOUT applies
 
 
 class Suspicion:
-    """One suspect. `most`: how many others could confirm it; with none the time is LEAST at once."""
+    """The suspicion of one member.
 
-    __slots__ = ("by", "called", "enough", "since")
+    `confirmers`: how many other members could confirm it; with none MIN_TIMEOUT applies immediately.
+    """
 
-    def __init__(self, now: int, by: int, most: int) -> None:
+    __slots__ = ("reporters", "confirmation_requested", "needed", "since")
+
+    def __init__(self, now: int, reporter: int, confirmers: int) -> None:
         self.since = now
-        self.called = False  # the last word was asked for
-        self.by = {by}
-        self.enough = min(CONFIRMATIONS, max(0, most))
+        self.confirmation_requested = False  # the suspect and others were asked again before its death
+        self.reporters = {reporter}
+        self.needed = min(MAX_CONFIRMATIONS, max(0, confirmers))
 
-    def confirm(self, by: int) -> bool:
-        """Another one suspects it; whether that is news which is worth passing on."""
-        if by in self.by or len(self.by) > self.enough:
+    def confirm(self, reporter: int) -> bool:
+        """Notes that another member suspects it too. Returns whether that should be gossiped."""
+        if reporter in self.reporters or len(self.reporters) > self.needed:
             return False
-        self.by.add(by)
+        self.reporters.add(reporter)
         return True
 
     def deadline(self, queue_time: int = 0) -> int:
-        """Microseconds: from then on it is dead, unless it has refuted. `crowd`: what others' words take."""
-        if not self.enough:
+        """When the suspect is declared dead unless it refutes.
+
+        `queue_time`: microseconds that the gossip about other suspects takes.
+        """
+        if not self.needed:
             return self.since + MIN_TIMEOUT + queue_time
-        part = log(len(self.by)) / log(self.enough + 1)
+        progress = log(len(self.reporters)) / log(self.needed + 1)
         return (
             self.since
-            + max(MIN_TIMEOUT, round(MAX_TIMEOUT - part * (MAX_TIMEOUT - MIN_TIMEOUT)))
+            + max(MIN_TIMEOUT, round(MAX_TIMEOUT - progress * (MAX_TIMEOUT - MIN_TIMEOUT)))
             + queue_time
         )
 
-    def hold(self, now: int) -> None:
-        """The time begins anew: who judges could not hear for a while."""
+    def restart(self, now: int) -> None:
+        """Restarts the timeout, because this node could not receive a refutation for a while."""
         self.since = now
-        self.called = False
+        self.confirmation_requested = False
--- a/brackenladder/cluster/sync.py
+++ b/brackenladder/cluster/sync.py
@@ -1,4 +1,4 @@
-"""Which records two views differ in, found by hashes of ranges: what rumours missed, a frame at a time."""
+"""Anti-entropy: finds the records in which two views differ by hashes of ranges, for what gossip missed."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from zlib import crc32
 
 from brackenladder.cluster.view import Record
-from brackenladder.cluster.wire import MOST_RANGES, RECORD, ROOM, Digest
+from brackenladder.cluster.wire import MAX_RANGES, PAYLOAD_SIZE, RECORD_FORMAT, Digest
 
-LEAF = (ROOM - 16) // RECORD.size  # records that fit a frame beside what names them
+RECORDS_PER_FRAME = (PAYLOAD_SIZE - 16) // RECORD_FORMAT.size  # 16 bytes are reserved for a Range message
 
 
 def hash_of(records: Sequence[Record]) -> int:
@@ -16,8 +16,11 @@
 
 
 def ranges(low: int, high: int) -> Iterator[tuple[int, int]]:
-    """A stretch of members in at most MOST_RANGES parts, none smaller than a frame's records but the last."""
-    step = max(LEAF, -(-(high - low) // MOST_RANGES))
+    """Splits a range of members into at most MAX_RANGES parts.
+
+    Each part except the last has at least as many members as records fit in a frame.
+    """
+    step = max(RECORDS_PER_FRAME, -(-(high - low) // MAX_RANGES))
     return ((at, min(at + step, high)) for at in range(low, high, step))
 
 
@@ -26,9 +29,9 @@
 
 
 def differing(records: Sequence[Record], theirs: Digest) -> list[tuple[int, int]]:
-    """The ranges in which another's digest differs from one's own.
+    """The ranges in which a received digest differs from this node's records.
 
-    A digest of other members differs nowhere.
+    Empty if the digest covers members or ranges that this node doesn't have.
     """
     if not 0 <= theirs.low < theirs.high <= len(records):
         return []
--- a/brackenladder/cluster/view.py
+++ b/brackenladder/cluster/view.py
@@ -1,10 +1,9 @@
-"""What one node knows of all: a record a member, and how two accounts of one member are put together.
+"""A node's view of all members: one record per member, and the merge of records.
 
-A record is (epoch, incarnation, state), and of two the greater one holds. That is the whole merge: it is
-commutative, associative and idempotent, so that views agree once the same records have reached them, in any
-order and however often. The order within an incarnation is SWIM's (alive, suspect, dead); that a higher
-incarnation also lifts a death is what SWIM leaves out, and what lets two halves of a fleet find each other
-again.
+A record is (epoch, incarnation, state); of two records the greater one wins. This merge is commutative,
+associative and idempotent, so views converge once they have received the same records, in any order and any
+number of times. Within an incarnation the order is that of SWIM (alive, suspect, dead). Unlike in SWIM, a
+higher incarnation also overrides a death, so that two sides of a partition can rejoin.
 """
 
 from __future__ import annotations
@@ -12,56 +11,59 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-NONCE_BITS = 24  # of an epoch: they tell two processes apart that begin in one second
+NONCE_BITS = 24  # of an epoch; the nonce distinguishes two processes that start in the same second
 
 
 class State(IntEnum):
-    """In the order in which they override each other within one incarnation."""
+    """The state of a member. Within one incarnation a later state overrides an earlier one."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # it has said so itself
+    LEFT = 3  # announced by the member itself
 
 
 class Record(NamedTuple):
-    """One account of a member. `epoch`: of its process; `incarnation`: raised by the member alone."""
+    """What is known of a member.
+
+    `epoch` identifies its process. `incarnation` is raised only by the member itself, to refute others.
+    """
 
     epoch: int
     incarnation: int
     state: State
 
 
-UNHEARD = Record(0, 0, State.ALIVE)  # of a member that the configuration names and nobody has heard
+UNHEARD = Record(0, 0, State.ALIVE)  # a configured member from which nothing has been received
 
 
 def epoch_of(seconds: int, nonce: int) -> int:
-    """An epoch for a process that begins at that wall-clock time. It may be wrong: see `beyond`."""
+    """The epoch of a process that starts at this wall-clock time. For wrong clocks see `epoch_above`."""
     return (seconds << NONCE_BITS) | (nonce & ((1 << NONCE_BITS) - 1))
 
 
 def epoch_above(known: int, nonce: int) -> int:
-    """An epoch above one that is known of the same member.
+    """An epoch above a known epoch of the same member.
 
-    Failure prevented: the clock was set back between two processes of a node, and what is known of the old
-    one holds against the new one for ever.
+    Without it, if the clock was set back between two processes of a node, the records of the old process
+    would override those of the new one forever.
     """
     return epoch_of((known >> NONCE_BITS) + 1, nonce)
 
 
 class View:
-    """The records by member's number, and since when each has its state (microseconds)."""
+    """The records by member's number, and since when each member has its state (microseconds)."""
 
     def __init__(self, size: int, now: int) -> None:
         self.records = [UNHEARD] * size
         self.since = [now] * size
-        self.by_state: dict[State, list[int]] = {}  # counted anew when a state changes
+        self.by_state: dict[State, list[int]] = {}  # a cache; cleared when a state changes
 
     def __len__(self) -> int:
         return len(self.records)
 
     def merge(self, number: int, record: Record, now: int) -> Record | None:
-        """Takes an account in; the record before it, or None if it says nothing new."""
+        """Merges a record. Returns the previous record, or None if the new one changes nothing."""
         before = self.records[number]
         if record <= before:
             return None
@@ -72,7 +74,7 @@
         return before
 
     def resize(self, size: int, now: int) -> None:
-        """The configuration names more members, or fewer."""
+        """Adds or removes members at the end, after a change of the configuration."""
         more = size - len(self.records)
         self.records = self.records[:size] + [UNHEARD] * more
         self.since = self.since[:size] + [now] * more
--- a/brackenladder/cluster/wire.py
+++ b/brackenladder/cluster/wire.py
@@ -1,10 +1,10 @@
-"""Datagrams between members: frames of at most 256 bytes, keyed, counted, and refused if they come again.
+"""The wire format: frames of at most 256 bytes, authenticated and protected against replay.
 
     magic version key sender to epoch incarnation counter | messages | tag
 
-`to` binds a frame to its receiver and `counter` to its place in the sender's epoch, so that a recorded one
-counts nowhere a second time. The tag is a keyed BLAKE2 of all before it; with no key it only shows what was
-cut.
+`to` binds a frame to its receiver and `counter` to its position in the sender's epoch, so that a recorded
+frame is not accepted again, here or by another node. The tag is a keyed BLAKE2 hash of everything before it.
+Without a key it only detects damage.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 from brackenladder.cluster.view import Record, State
 
-MAGIC = 0xB7  # first byte: the balancer's own messages have none of it
+MAGIC = 0xB7  # the first byte; the balancer's own messages never start with it
 VERSION = 1
-LARGEST = 256  # bytes of a datagram between nodes, by the platform's page
-TAG = 8  # bytes
-WINDOW = 64  # counters below the highest that may still come
-HEAD = struct.Struct(">BBBHHQII")
-RECORD = struct.Struct(">BHQIBH")
-SEQ = struct.Struct(">BH")
-ASK = struct.Struct(">BHH")
-DIGEST = struct.Struct(">BHHB")
-HELD = struct.Struct(">BI12s")  # a generation: its counter and its state's digest
-ASKED = struct.Struct(">B12sI")
-PIECED = struct.Struct(">B12sIIB")
-ROOM = LARGEST - HEAD.size - TAG  # bytes for messages
-MOST_RANGES = 16  # of a digest
+MAX_DATAGRAM = 256  # bytes of a datagram between nodes; a limit of the platform
+TAG_SIZE = 8  # bytes
+REPLAY_WINDOW = 64  # frames may arrive out of order by up to this many counters
+HEADER_FORMAT = struct.Struct(">BBBHHQII")
+RECORD_FORMAT = struct.Struct(">BHQIBH")
+SEQ_FORMAT = struct.Struct(">BH")
+PAIR_FORMAT = struct.Struct(">BHH")
+DIGEST_FORMAT = struct.Struct(">BHHB")
+HOLDS_FORMAT = struct.Struct(">BI12s")  # a state's generation counter and its digest
+ASK_PIECE_FORMAT = struct.Struct(">B12sI")
+PIECE_FORMAT = struct.Struct(">B12sIIB")
+PAYLOAD_SIZE = MAX_DATAGRAM - HEADER_FORMAT.size - TAG_SIZE  # bytes for messages
+MAX_RANGES = 16  # per digest
 NOBODY = 0xFFFF
 
 PING, ACK, ASK_PING, NACK, RECORDED, DIGESTED, RANGE, HOLDS, ASK_PIECE, PIECE = range(1, 11)
@@ -46,20 +46,20 @@
 
 
 class AskPing(NamedTuple):
-    """Ping that member for me, and tell."""
+    """Asks the receiver to ping the member `target` and to forward its ack."""
 
     seq: int
     target: int
 
 
 class Nack(NamedTuple):
-    """I asked, and heard nothing yet."""
+    """The reply to an AskPing whose target has not answered yet."""
 
     seq: int
 
 
 class Recorded(NamedTuple):
-    """A record; `by`: who suspects or buried it."""
+    """A member's record; `by`: the member that suspects it or declared it dead."""
 
     number: int
     record: Record
@@ -67,7 +67,7 @@
 
 
 class Digest(NamedTuple):
-    """Hashes of what is known of the members from `low` on, up to `high` and without it, in equal ranges."""
+    """Hashes of the records of the members `low` to `high` (exclusive), in ranges of equal size."""
 
     low: int
     high: int
@@ -75,21 +75,21 @@
 
 
 class Range(NamedTuple):
-    """My records from `low` to `high` stand in this frame; tell me what you know better."""
+    """Tells that this frame has the sender's records from `low` to `high`, and asks for newer ones."""
 
     low: int
     high: int
 
 
 class Holds(NamedTuple):
-    """The desired state that the sender acts on."""
+    """The generation of the desired state that the sender uses."""
 
     counter: int
     digest: bytes
 
 
 class AskPiece(NamedTuple):
-    """Give me the piece of that state at `offset`."""
+    """Requests the piece of a state at `offset`."""
 
     digest: bytes
     offset: int
@@ -108,7 +108,7 @@
 
 
 class Frame(NamedTuple):
-    """What came, once it is known to be whole and its sender's."""
+    """A decoded and authenticated frame."""
 
     sender: int
     to: int
@@ -119,103 +119,108 @@
 
 
 class Dropped(Exception):
-    """A datagram that is not taken; the text is the name of its counter."""
+    """A datagram is rejected; the text is the name of the counter for it."""
 
 
-def packed(message: Message) -> bytes:
-    """A message's bytes."""
+def encode_message(message: Message) -> bytes:
+    """Encodes a message."""
     match message:
         case Ping(seq):
-            return SEQ.pack(PING, seq)
+            return SEQ_FORMAT.pack(PING, seq)
         case Ack(seq):
-            return SEQ.pack(ACK, seq)
+            return SEQ_FORMAT.pack(ACK, seq)
         case Nack(seq):
-            return SEQ.pack(NACK, seq)
+            return SEQ_FORMAT.pack(NACK, seq)
         case AskPing(seq, target):
-            return ASK.pack(ASK_PING, seq, target)
+            return PAIR_FORMAT.pack(ASK_PING, seq, target)
         case Recorded(number, record, by):
-            return RECORD.pack(RECORDED, number, record.epoch, record.incarnation, record.state, by)
+            return RECORD_FORMAT.pack(RECORDED, number, record.epoch, record.incarnation, record.state, by)
         case Range(low, high):
-            return ASK.pack(RANGE, low, high)
+            return PAIR_FORMAT.pack(RANGE, low, high)
         case Holds(counter, digest):
-            return HELD.pack(HOLDS, counter, digest)
+            return HOLDS_FORMAT.pack(HOLDS, counter, digest)
         case AskPiece(digest, offset):
-            return ASKED.pack(ASK_PIECE, digest, offset)
+            return ASK_PIECE_FORMAT.pack(ASK_PIECE, digest, offset)
         case Piece(digest, offset, size, data):
-            return PIECED.pack(PIECE, digest, offset, size, len(data)) + data
+            return PIECE_FORMAT.pack(PIECE, digest, offset, size, len(data)) + data
         case Digest(low, high, hashes):
-            return DIGEST.pack(DIGESTED, low, high, len(hashes)) + struct.pack(f">{len(hashes)}I", *hashes)
+            return DIGEST_FORMAT.pack(DIGESTED, low, high, len(hashes)) + struct.pack(
+                f">{len(hashes)}I", *hashes
+            )
 
 
-def tag(key: bytes, data: bytes) -> bytes:
-    return blake2b(data, digest_size=TAG, key=key, person=b"bl-members").digest()
+def compute_tag(key: bytes, data: bytes) -> bytes:
+    return blake2b(data, digest_size=TAG_SIZE, key=key, person=b"bl-members").digest()
 
 
-def framed(keys: Sequence[bytes], frame: Frame) -> bytes:
-    """A datagram, under the first key."""
-    head = HEAD.pack(MAGIC, VERSION, 0, *frame[:5])
-    data = head + b"".join(packed(message) for message in frame.messages)
-    return data + tag(keys[0] if keys else b"", data)
+def encode_frame(keys: Sequence[bytes], frame: Frame) -> bytes:
+    """Encodes a frame and signs it with the first key."""
+    head = HEADER_FORMAT.pack(MAGIC, VERSION, 0, *frame[:5])
+    data = head + b"".join(encode_message(message) for message in frame.messages)
+    return data + compute_tag(keys[0] if keys else b"", data)
 
 
-def read(keys: Sequence[bytes], data: bytes) -> Frame:
-    """A frame from a datagram, under any of the keys. Dropped if it is none."""
-    if len(data) > LARGEST or len(data) < HEAD.size + TAG or data[0] != MAGIC:
+def decode_frame(keys: Sequence[bytes], data: bytes) -> Frame:
+    """Decodes a datagram signed with any of the keys; raises Dropped if it is invalid."""
+    if len(data) > MAX_DATAGRAM or len(data) < HEADER_FORMAT.size + TAG_SIZE or data[0] != MAGIC:
         raise Dropped("garbled")
     if data[1] != VERSION:
         raise Dropped("later_version")
-    body, given = data[:-TAG], data[-TAG:]
-    if not any(compare_digest(tag(key, body), given) for key in keys or (b"",)):
+    body, received_tag = data[:-TAG_SIZE], data[-TAG_SIZE:]
+    if not any(compare_digest(compute_tag(key, body), received_tag) for key in keys or (b"",)):
         raise Dropped("forged")
-    _, _, _, sender, to, epoch, incarnation, counter = HEAD.unpack_from(body)
+    _, _, _, sender, to, epoch, incarnation, counter = HEADER_FORMAT.unpack_from(body)
     try:
-        messages = tuple(parsed(body))
+        messages = tuple(decode_messages(body))
     except (struct.error, ValueError):
         raise Dropped("garbled") from None
     return Frame(sender, to, epoch, incarnation, counter, messages)
 
 
-def parsed(body: bytes) -> list[Message]:
-    """The messages of a frame. A struct.error or ValueError if they cannot be read to the last byte."""
-    at, out = HEAD.size, list[Message]()
+def decode_messages(body: bytes) -> list[Message]:
+    """Decodes the messages of a frame; raises struct.error or ValueError if they are malformed."""
+    at, messages = HEADER_FORMAT.size, list[Message]()
     while at < len(body):
         kind = body[at]
         if kind in (PING, ACK, NACK):
-            (_, seq), size = SEQ.unpack_from(body, at), SEQ.size
-            out.append(Ping(seq) if kind == PING else Ack(seq) if kind == ACK else Nack(seq))
+            (_, seq), size = SEQ_FORMAT.unpack_from(body, at), SEQ_FORMAT.size
+            messages.append(Ping(seq) if kind == PING else Ack(seq) if kind == ACK else Nack(seq))
         elif kind in (ASK_PING, RANGE):
-            (_, one, other), size = ASK.unpack_from(body, at), ASK.size
-            out.append(AskPing(one, other) if kind == ASK_PING else Range(one, other))
+            (_, first, second), size = PAIR_FORMAT.unpack_from(body, at), PAIR_FORMAT.size
+            messages.append(AskPing(first, second) if kind == ASK_PING else Range(first, second))
         elif kind == RECORDED:
-            (_, number, epoch, incarnation, state, by), size = RECORD.unpack_from(body, at), RECORD.size
-            out.append(Recorded(number, Record(epoch, incarnation, State(state)), by))
+            (_, number, epoch, incarnation, state, by), size = (
+                RECORD_FORMAT.unpack_from(body, at),
+                RECORD_FORMAT.size,
+            )
+            messages.append(Recorded(number, Record(epoch, incarnation, State(state)), by))
         elif kind == DIGESTED:
-            _, low, high, count = DIGEST.unpack_from(body, at)
-            if not 0 < count <= MOST_RANGES:
+            _, low, high, count = DIGEST_FORMAT.unpack_from(body, at)
+            if not 0 < count <= MAX_RANGES:
                 raise ValueError("digest")
-            hashes = struct.unpack_from(f">{count}I", body, at + DIGEST.size)
-            out.append(Digest(low, high, hashes))
-            size = DIGEST.size + 4 * count
+            hashes = struct.unpack_from(f">{count}I", body, at + DIGEST_FORMAT.size)
+            messages.append(Digest(low, high, hashes))
+            size = DIGEST_FORMAT.size + 4 * count
         elif kind == HOLDS:
-            (_, counter, digest), size = HELD.unpack_from(body, at), HELD.size
-            out.append(Holds(counter, digest))
+            (_, counter, digest), size = HOLDS_FORMAT.unpack_from(body, at), HOLDS_FORMAT.size
+            messages.append(Holds(counter, digest))
         elif kind == ASK_PIECE:
-            (_, digest, offset), size = ASKED.unpack_from(body, at), ASKED.size
-            out.append(AskPiece(digest, offset))
+            (_, digest, offset), size = ASK_PIECE_FORMAT.unpack_from(body, at), ASK_PIECE_FORMAT.size
+            messages.append(AskPiece(digest, offset))
         elif kind == PIECE:
-            _, digest, offset, whole, length = PIECED.unpack_from(body, at)
-            size = PIECED.size + length
+            _, digest, offset, whole, length = PIECE_FORMAT.unpack_from(body, at)
+            size = PIECE_FORMAT.size + length
             if at + size > len(body):
                 raise ValueError("piece")
-            out.append(Piece(digest, offset, whole, body[at + PIECED.size : at + size]))
+            messages.append(Piece(digest, offset, whole, body[at + PIECE_FORMAT.size : at + size]))
         else:
             raise ValueError("kind")
         at += size
-    return out
+    return messages
 
 
-class Seen:
-    """Which frames of one sender have come: its epoch, the highest counter, and those just below it."""
+class ReplayWindow:
+    """Replay protection for one sender: its epoch, the highest counter and a bit mask of those below it."""
 
     __slots__ = ("epoch", "highest", "mask")
 
@@ -223,7 +228,7 @@
         self.epoch = self.highest = self.mask = 0
 
     def take(self, epoch: int, counter: int) -> None:
-        """Notes a frame. Dropped if it is of an older process, or has come before."""
+        """Notes a frame; raises Dropped if it is of an older process or was received before."""
         if epoch < self.epoch:
             raise Dropped("old_epoch")
         if epoch > self.epoch:
@@ -232,8 +237,10 @@
         ahead = counter - self.highest
         if ahead > 0:
             self.highest = counter
-            self.mask = ((self.mask << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self.mask = (
+                ((self.mask << ahead) | 1) & ((1 << REPLAY_WINDOW) - 1) if ahead < REPLAY_WINDOW else 1
+            )
             return
-        if -ahead >= WINDOW or self.mask >> -ahead & 1:
+        if -ahead >= REPLAY_WINDOW or self.mask >> -ahead & 1:
             raise Dropped("replayed")
         self.mask |= 1 << -ahead
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -163,7 +163,7 @@
                 piece = piece_of(state, offset)
                 if about.hex() == self.mine.digest and piece is not None:
                     answer = Piece(about, offset, len(state), piece)
-                    self.members.detector.send_frame(number, [answer], now, spare=True)
+                    self.members.detector.send_frame(number, [answer], now, low_priority=True)
             case Piece(about, offset, size, data):
                 fetch = self.fetch
                 whole = fetch.receive_piece(about.hex(), offset, size, data) if fetch is not None else None
--- a/tests/cluster/test_walk.py
+++ b/tests/cluster/test_walk.py
@@ -1,9 +1,9 @@
-"""Every interleaving of a small fleet: three real detectors, few words between them, a crash, a successor.
+"""Explores all interleavings of three real detectors with few messages, one crash and one restart.
 
-A state is what the three know and what is on its way; from it each step is taken: a node tells another all
-it knows, a word arrives (and stays on its way: late, twice, in any order), a node suspects or buries another,
-one is killed, its successor begins with a clock that is right or was set back.
-`python tests/cluster/test_walk.py WORDS` walks further and says how many states there were.
+A state consists of the three views and the messages in transit. The steps from it are: a node sends its whole
+view to another; a message arrives (and stays in transit, so that it may arrive late, twice or in any order);
+a node suspects another one or declares it dead; a node is killed; its successor starts with a right or a
+wrong clock. `python tests/cluster/test_walk.py MESSAGES` explores more and prints the number of states.
 """
 
 from __future__ import annotations
@@ -26,149 +26,156 @@
 NOW = 10_000_000
 FIRST = [epoch_of(100 + n, n + 1) for n in range(NODES)]
 
-Views = tuple[tuple[Record, ...] | None, ...]  # of each node; None: its process is gone
+Views = tuple[tuple[Record, ...] | None, ...]  # one per node; None: its process has ended
 
 
-class Word(NamedTuple):
-    """A node's whole view on its way to another."""
+class ViewMessage(NamedTuple):
+    """A message with a node's whole view."""
 
     sender: int
     to: int
     records: tuple[Record, ...]
 
 
-class Walk(NamedTuple):
-    """A state, and how many steps of each kind are left."""
+class SystemState(NamedTuple):
+    """A state, and how many steps of each kind may still follow."""
 
     views: Views
-    words: frozenset[Word]
-    tells: int
+    messages: frozenset[ViewMessage]
+    sends: int
     suspicions: int
     crashes: int
     starts: int
 
 
 def detector(number: int, records: tuple[Record, ...]) -> Detector:
-    """A real detector that knows so much; its time stands still."""
-    made = Detector(number, NODES, 0, NOW, Random(1), lambda to, data: None, lambda said: None)
-    made.view.records = list(records)
-    made.view.by_state.clear()
+    """A real detector with these records, at a fixed time."""
+    node = Detector(number, NODES, 0, NOW, Random(1), lambda to, data: None, lambda said: None)
+    node.view.records = list(records)
+    node.view.by_state.clear()
     for other, record in enumerate(records):
         if record.state == State.SUSPECT:
-            made.suspicions[other] = Suspicion(NOW, number, 1)
-    return made
+            node.suspicions[other] = Suspicion(NOW, number, 1)
+    return node
 
 
-def known(made: Detector) -> tuple[Record, ...]:
-    return tuple(made.view.records)
+def records_of(node: Detector) -> tuple[Record, ...]:
+    return tuple(node.view.records)
 
 
-def with_view(walk: Walk, number: int, records: tuple[Record, ...] | None) -> Views:
-    return walk.views[:number] + (records,) + walk.views[number + 1 :]
+def with_view(state: SystemState, number: int, records: tuple[Record, ...] | None) -> Views:
+    return state.views[:number] + (records,) + state.views[number + 1 :]
 
 
-def hear(number: int, records: tuple[Record, ...], word: Word) -> tuple[Record, ...]:
-    made = detector(number, records)
-    mine = word.records[word.sender]
-    told = tuple(
-        Recorded(n, record, word.sender) for n, record in enumerate(word.records) if record != UNHEARD
+def receive(number: int, records: tuple[Record, ...], message: ViewMessage) -> tuple[Record, ...]:
+    node = detector(number, records)
+    sender_record = message.records[message.sender]
+    sent_records = tuple(
+        Recorded(n, record, message.sender) for n, record in enumerate(message.records) if record != UNHEARD
     )
-    if mine.epoch < records[word.sender].epoch:
-        return records  # `datagram` drops it: of an older process
-    made.handle_frame(word.sender, Frame(word.sender, number, mine.epoch, mine.incarnation, 1, told), NOW)
-    return known(made)
+    if sender_record.epoch < records[message.sender].epoch:
+        return records  # `datagram` drops messages of an older process
+    node.handle_frame(
+        message.sender,
+        Frame(message.sender, number, sender_record.epoch, sender_record.incarnation, 1, sent_records),
+        NOW,
+    )
+    return records_of(node)
 
 
-def steps(walk: Walk) -> Iterator[tuple[str, Walk]]:
-    for number, records in enumerate(walk.views):
+def steps(state: SystemState) -> Iterator[tuple[str, SystemState]]:
+    for number, records in enumerate(state.views):
         if records is None:
-            if walk.starts:
-                for second in (50, 200):  # set back; right
+            if state.starts:
+                for second in (50, 200):  # a clock that was set back; a right one
                     fresh = [UNHEARD] * NODES
                     fresh[number] = Record(epoch_of(second, 9), 0, State.ALIVE)
-                    views = with_view(walk, number, tuple(fresh))
-                    yield f"{number} begins anew", walk._replace(views=views, starts=walk.starts - 1)
+                    views = with_view(state, number, tuple(fresh))
+                    yield f"{number} restarts", state._replace(views=views, starts=state.starts - 1)
             continue
-        if walk.tells:
+        if state.sends:
             for to in range(NODES):
-                word = Word(number, to, records)
-                if to != number and word not in walk.words:
-                    yield "tell", walk._replace(words=walk.words | {word}, tells=walk.tells - 1)
+                message = ViewMessage(number, to, records)
+                if to != number and message not in state.messages:
+                    yield "tell", state._replace(messages=state.messages | {message}, sends=state.sends - 1)
         for other in range(NODES):
             if other == number:
                 continue
-            made = detector(number, records)
-            if walk.suspicions and records[other].state == State.ALIVE:
-                made.suspect(other, NOW, "")
-                views = with_view(walk, number, known(made))
-                yield "suspect", walk._replace(views=views, suspicions=walk.suspicions - 1)
+            node = detector(number, records)
+            if state.suspicions and records[other].state == State.ALIVE:
+                node.suspect(other, NOW, "")
+                views = with_view(state, number, records_of(node))
+                yield "suspect", state._replace(views=views, suspicions=state.suspicions - 1)
             elif records[other].state == State.SUSPECT:
-                made.apply_record(other, records[other]._replace(state=State.DEAD), NOW, number, "")
-                yield "bury", walk._replace(views=with_view(walk, number, known(made)))
-        if walk.crashes:
-            yield f"{number} dies", walk._replace(views=with_view(walk, number, None), crashes=0)
-    for word in walk.words:
-        there = walk.views[word.to]
-        if there is not None:
-            yield "hear", walk._replace(views=with_view(walk, word.to, hear(word.to, there, word)))
-
-
-def settled(views: Views) -> list[tuple[Record, ...]]:
-    """What all that are there know once each has told each, twice for each node: refutations take a round."""
+                node.apply_record(other, records[other]._replace(state=State.DEAD), NOW, number, "")
+                yield "bury", state._replace(views=with_view(state, number, records_of(node)))
+        if state.crashes:
+            yield f"{number} dies", state._replace(views=with_view(state, number, None), crashes=0)
+    for message in state.messages:
+        receiver_records = state.views[message.to]
+        if receiver_records is not None:
+            yield (
+                "hear",
+                state._replace(
+                    views=with_view(state, message.to, receive(message.to, receiver_records, message))
+                ),
+            )
+
+
+def converged(views: Views) -> list[tuple[Record, ...]]:
+    """The views after all live nodes have exchanged their views often enough for refutations to spread."""
     now = {n: records for n, records in enumerate(views) if records is not None}
     for turn in range(4 * NODES):
-        if turn == 2 * NODES:  # whoever is there has refuted; the time of the others is over
-            for judge, records in now.items():
-                late = [r._replace(state=State.DEAD) if r.state == State.SUSPECT else r for r in records]
-                now[judge] = tuple(late)
+        if turn == 2 * NODES:  # live nodes have refuted by now; the other suspects time out
+            for observer, records in now.items():
+                timed_out = [r._replace(state=State.DEAD) if r.state == State.SUSPECT else r for r in records]
+                now[observer] = tuple(timed_out)
         for sender in now:
             for to in now:
                 if sender == to:
                     continue
-                word = Word(sender, to, now[sender])
-                if (
-                    now[sender][sender].epoch < now[to][sender].epoch
-                ):  # told of its successor, as `datagram` does
-                    back = Word(to, sender, now[to])
-                    now[sender] = hear(sender, now[sender], back)
+                message = ViewMessage(sender, to, now[sender])
+                if now[sender][sender].epoch < now[to][sender].epoch:  # `datagram` reports the successor
+                    reply = ViewMessage(to, sender, now[to])
+                    now[sender] = receive(sender, now[sender], reply)
                 else:
-                    now[to] = hear(to, now[to], word)
+                    now[to] = receive(to, now[to], message)
     return list(now.values())
 
 
-def wrong(before: Walk, step: str, after: Walk) -> str:
-    """What a step has broken; empty if nothing."""
+def violation(before: SystemState, step: str, after: SystemState) -> str:
+    """The property that a step violates; empty if none."""
     for number, (old, new) in enumerate(zip(before.views, after.views, strict=True)):
         if old is None or new is None:
             continue
         if any(b < a for a, b in zip(old, new, strict=True)):
-            return f"node {number} went back at '{step}'"
+            return f"node {number} replaced a newer record at '{step}'"
         if new[number].state != State.ALIVE:
-            return f"node {number} takes itself for {new[number].state.name}"
+            return f"node {number} has the state {new[number].state.name} in its own view"
         for other, view in enumerate(after.views):
-            mine = new[number]
-            raised = view is not None and view[number][:2] > mine[:2]
-            if view is not None and raised and view[number].epoch == mine.epoch:
+            own_record = new[number]
+            raised = view is not None and view[number][:2] > own_record[:2]
+            if view is not None and raised and view[number].epoch == own_record.epoch:
                 return f"node {other} raised the incarnation of {number} at '{step}'"
     return ""
 
 
-def walked(tells: int, suspicions: int) -> int:
-    """All states; an AssertionError names what broke."""
+def explore(sends: int, suspicions: int) -> int:
+    """Explores all states and returns their number; an AssertionError names a violated property."""
     all_know = tuple(Record(epoch, 0, State.ALIVE) for epoch in FIRST)
-    first = Walk((all_know,) * NODES, frozenset(), tells, suspicions, 1, 1)
+    first = SystemState((all_know,) * NODES, frozenset(), sends, suspicions, 1, 1)
     seen, todo = {first}, [first]
     agreements: dict[Views, bool] = {}
     while todo:
-        walk = todo.pop()
-        for step, after in steps(walk):
-            assert not wrong(walk, step, after), wrong(walk, step, after)
+        state = todo.pop()
+        for step, after in steps(state):
+            assert not violation(state, step, after), violation(state, step, after)
             if after in seen:
                 continue
             seen.add(after)
             todo.append(after)
             if after.views not in agreements:
-                views = settled(after.views)
+                views = converged(after.views)
                 agreements[after.views] = True
                 assert len(set(views)) == 1, (step, views)
                 for number, records in enumerate(after.views):
@@ -176,9 +183,9 @@
     return len(seen)
 
 
-def test_no_interleaving_goes_back_and_all_agree_in_the_end() -> None:
-    assert walked(tells=2, suspicions=1) > 5_000
+def test_records_never_go_back_and_all_views_converge_in_every_interleaving() -> None:
+    assert explore(sends=2, suspicions=1) > 5_000
 
 
 if __name__ == "__main__":
-    print(f"{walked(int(sys.argv[1]), 1)} states, nothing broke")
+    print(f"{explore(int(sys.argv[1]), 1)} states, no property violated")
--- a/tests/consensus/test_consensus_genesis.py
+++ b/tests/consensus/test_consensus_genesis.py
@@ -31,7 +31,9 @@
         replica.step(1, "other", vote(replica))
         output = replica.take_output()
         self.assertEqual(output.messages, ())
-        self.assertEqual(output.writes[0].hard_state.voted_for, "other")  # one write contains the first snapshot and the vote
+        self.assertEqual(
+            output.writes[0].hard_state.voted_for, "other"
+        )  # one write contains the first snapshot and the vote
         replica.persisted(2, output.writes[0].token)
         granted = replica.take_output().messages[0].message
         self.assertEqual((granted.granted, granted.term), (True, 5))
--- a/tests/rehearsal/rogue_members.py
+++ b/tests/rehearsal/rogue_members.py
@@ -39,7 +39,7 @@
     detector.Detector.recorded = recorded  # type: ignore[method-assign,assignment]
 elif mode == "floods":
     detector.BYTES_PER_SECOND = sender.BYTES_PER_SECOND = sender.BURST = 10**9
-    detector.GOSSIP = 1
+    detector.GOSSIP_INTERVAL = 1
     plain = detector.Detector.gossip
 
     def gossip(self: detector.Detector, now: int) -> None:
