--- a/brackenladder/membership/__init__.py
+++ b/brackenladder/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about the server list itself: pure, with time as an argument."""
+"""The server list that discovery delivers: validation, merging and staleness. Pure; time is an argument."""
--- a/brackenladder/membership/listing.py
+++ b/brackenladder/membership/listing.py
@@ -1,4 +1,4 @@
-"""Discovery's form of the server list, read and checked."""
+"""Parsing and validation of the server list in discovery's format."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Line:
-    """One server as discovery names it."""
+    """One server in a list from discovery."""
 
     id: str
     host: str
@@ -22,12 +22,12 @@
     cell: int
     state: State
     weight: float
-    started: int  # microseconds of Unix time; 0 = long ago
+    started: int  # Unix time in microseconds; 0: long ago
 
 
 @dataclass(frozen=True)
 class Listing:
-    """A list or its changes, with the version they lead to."""
+    """A full server list or changes to one, with the resulting version."""
 
     kind: ListKind
     version: int
@@ -35,10 +35,10 @@
 
 
 def read_listing(table: object, kind: ListKind | None = None) -> Listing:
-    """A Listing from decoded JSON, of the `kind` it states itself if none is given.
+    """Parses a listing from decoded JSON. Without `kind` it has the kind that it states itself.
 
-    Failure prevented: skipping one bad line of a full list would remove a server that runs. Anything
-    wrong is a ValueError for the whole list, and the list in hand stays.
+    Any defect raises a ValueError for the whole listing, and the caller keeps its current list. Skipping one
+    bad line of a full list would remove a running server.
     """
     if not isinstance(table, dict):
         raise ValueError("list: not an object")
@@ -50,7 +50,7 @@
 
 
 def read_line(line: Fields) -> Line:
-    """One server. A state that is not known counts as draining: nothing new goes there."""
+    """Parses one server. An unknown state counts as draining, so that it gets no new requests."""
     host, _, port = line.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise line.bad("addr")
--- a/brackenladder/membership/stall.py
+++ b/brackenladder/membership/stall.py
@@ -1,33 +1,33 @@
-"""Whether this process has just stood still, so that what it knows of the servers may be old. Pure.
+"""Detects that this process was stalled, so that its server list may be outdated. Pure.
 
-A process that was stopped, or got no processor, wakes up with requests and news of the list waiting side by
-side, in an order of chance. The platform counts the news as told since they were written.
+A process that was stopped, or got no CPU time, resumes with both requests and list updates waiting in its
+sockets, in no particular order. The platform counts an update as delivered from the time it was written.
 """
 
 from __future__ import annotations
 
-BEAT_INTERVAL = 0.1  # seconds between two beats of the loop
-STALL_THRESHOLD = 0.2  # seconds without one, from which on it stood still: a rule's grace is 0.25 s
-RESUME_GRACE = 0.05  # seconds after it in which what is waiting is read first...
-READ_FIRST_DELAY = 0.002  # ...for so long before a request is sent on
+BEAT_INTERVAL = 0.1  # seconds between two beats of the event loop
+STALL_THRESHOLD = 0.2  # a longer gap between beats, in seconds, is a stall; the platform's rule allows 0.25 s
+RESUME_GRACE = 0.05  # seconds after a stall in which waiting input is read first
+READ_FIRST_DELAY = 0.002  # seconds for which a request is held back in that time
 
 
 class StallDetector:
-    """`now`: seconds of a clock that only goes forward."""
+    """Detects gaps between the beats of the event loop. `now`: seconds of a monotonic clock."""
 
     def __init__(self, now: float) -> None:
         self.beat_at = now
-        self.wary_until = now
+        self.grace_until = now
 
     def beat(self, now: float) -> None:
         if now - self.beat_at > STALL_THRESHOLD:
-            self.wary_until = now + RESUME_GRACE
+            self.grace_until = now + RESUME_GRACE
         self.beat_at = now
 
     def must_read_first(self, now: float) -> bool:
-        """Whether news may be waiting that a request must not overtake.
+        """Whether list updates may be waiting that have to be read before a request is sent.
 
-        Failure prevented: a node stood still while a server was withdrawn; it wakes up, reads a request
-        before the list, and sends it there long after the list was told.
+        Without this, a node that was stalled while a server was withdrawn might read a request before the
+        list update, and send it to that server long after the update was delivered.
         """
-        return now < self.wary_until or now - self.beat_at > STALL_THRESHOLD
+        return now < self.grace_until or now - self.beat_at > STALL_THRESHOLD
--- a/brackenladder/membership/watch_retry.py
+++ b/brackenladder/membership/watch_retry.py
@@ -1,36 +1,34 @@
-"""When a call to discovery counts as silent, and how soon it is made anew. Pure; random numbers come in.
+"""Timeouts of calls to discovery, and when a watch without a response is retried. Pure.
 
-The platform counts what a silent watch misses as told 2 s after its wait is over, and a request may be sent
-to a server that is withdrawn for 250 ms more. All that a node does from the wait's end on has to fit in
-between.
+A watch is a long poll. The platform's rule: news that a silent watch misses count as delivered 2 s after the
+end of its wait, and a request may be sent to a withdrawn server for 250 ms more. All retries after the end of
+the wait have to fit in this time. Random numbers are arguments.
 """
 
 from __future__ import annotations
 
-ANSWER_TIMEOUT = 0.6  # seconds after its wait, after which a watch that has not been answered is silent
-FIRST_BYTE_TIMEOUT = (
-    1.2  # seconds for a whole list to begin to come; discovery ends calls that waited 1 s for their turn
-)
-READ_TIMEOUT = 1.0  # seconds without a further byte of an answer that has begun, after which it is given up
-BODY_TIMEOUT = 3.0  # and for all of it
-MAX_RETRIES = 4  # calls that follow a silent one without a word to the module
-MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # seconds before each of them but the first, at random
-SPREAD = (
-    0.1  # part of a wait that chance takes off, so that watches that fell silent together do not end together
-)
+ANSWER_TIMEOUT = 0.6  # seconds after the end of its wait in which a watch has to be answered
+# Seconds in which the response with a full list has to begin. Discovery closes calls that have waited 1 s for
+# their turn.
+FIRST_BYTE_TIMEOUT = 1.2
+READ_TIMEOUT = 1.0  # seconds without another byte after which a partial response is given up
+BODY_TIMEOUT = 3.0  # seconds for a whole response
+MAX_RETRIES = 4  # retries of a silent call that are made without asking the decision module
+MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # seconds before each retry except the first, chosen at random
+JITTER = 0.1  # random part by which a wait is shortened, so that watches of a fleet don't end together
 
 
 def jittered_wait_ms(longest: int, chance: float) -> int:
-    """Milliseconds that a watch is to last, of `longest`; `chance`: from 0 to 1.
+    """The wait of a watch in milliseconds: `longest` less a random part. `chance`: from 0 to 1.
 
-    Failure prevented: all watches of a fleet fall silent at once, all are opened anew in the same moment, and
-    discovery turns most of them away until the time is over in which the change counts as untold.
+    Without jitter, all watches of a fleet that fall silent together would be reopened at the same time.
+    Discovery would reject most of them until the time limit for delivering the change is over.
     """
-    return round(longest * (1 - SPREAD * chance))
+    return round(longest * (1 - JITTER * chance))
 
 
 class WatchRetry:
-    """One watch, over all its calls."""
+    """The retries of one watch over all its calls."""
 
     def __init__(self) -> None:
         self.tries = 0
@@ -39,10 +37,10 @@
         self.tries = 0
 
     def failed(self, silent: bool, chance: float) -> float | None:
-        """Seconds until a call that failed is made again; None: the module says when.
+        """Seconds until a failed call is retried, or None if the decision module decides when.
 
-        `silent`: nothing came in its time, where other failures are an answer of a kind. Failure prevented: a
-        watch is given up at the instant from which it counts as told, and opened anew a back-off later.
+        `silent`: nothing was received in time; other failures count as a response. A silent watch is retried
+        quickly because its news count as delivered from a fixed time on, which a longer backoff would miss.
         """
         if silent and not self.tries:
             self.tries = 1
--- a/brackenladder/membership/withdrawn.py
+++ b/brackenladder/membership/withdrawn.py
@@ -1,4 +1,4 @@
-"""What an older list may not undo: servers that were told to drain or to be gone."""
+"""Withdrawn servers (draining or gone), which an older list may not bring back."""
 
 from __future__ import annotations
 
@@ -7,45 +7,52 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Listing
 
-MAX_WITHDRAWN = 2_000  # withdrawals of one discovery; beyond it the oldest is forgotten
-RETENTION = 60.0  # seconds that a withdrawal holds against older lists; no drain lasts so long
+MAX_WITHDRAWN = 2_000  # withdrawals kept per discovery; beyond it the oldest one is dropped
+RETENTION = 60.0  # seconds for which a withdrawal overrides older lists; longer than any drain takes
 
 
 class WithdrawnServers:
-    """Remembers, for one discovery, which servers its newest list has withdrawn.
+    """The servers that the newest list of one discovery has withdrawn.
 
-    Failure prevented: one of several replicas of discovery lags behind, or is restored from a copy. Its
-    whole list has an older version and names a server as ready that a newer one had named as draining, and
-    requests go there again. A process that drains never comes back: only a newer version, or a later start
-    under the same id, makes the server ready again. A discovery that has begun to count anew is believed
-    after KEPT seconds.
+    A replica of discovery may lag behind or be restored from a backup. Its full list then has an older
+    version and may list a server as ready that is already draining, and requests would go there again.
+    A draining process never becomes ready again. Only a newer version, or a later start under the same id,
+    makes the server ready. If discovery has restarted its version numbers, its lists are accepted in full
+    after RETENTION seconds.
     """
 
     def __init__(self) -> None:
         self.highest: int | None = None
-        self.ready: dict[str, int] = {}  # start of each server that the newest list has as ready
-        self.gone: dict[str, tuple[int, float]] = {}  # the start that was withdrawn, and until when it counts
-        self.drained: dict[str, tuple[int, float]] = {}  # of those, the ones that were told to drain
-        self.carried: dict[str, tuple[int, float]] = {}  # told by an earlier discovery to drain
+        self.ready: dict[str, int] = {}  # start time of each server that is ready in the newest list
+        self.gone: dict[
+            str, tuple[int, float]
+        ] = {}  # withdrawn servers: start time, and until when it counts
+        self.drained: dict[str, tuple[int, float]] = {}  # those of them that are draining
+        self.carried: dict[str, tuple[int, float]] = {}  # draining servers of the previous discovery
 
     def for_new_discovery(self, now: float) -> WithdrawnServers:
-        """What another discovery may not undo, whatever its versions: they are numbered otherwise.
+        """The withdrawals that still apply after a move to another discovery.
 
-        Failure prevented: after a move the new discovery lags behind the old one, and requests go to servers
-        that the node was told are draining. One that the old one had lost from sight may come back.
+        Draining servers stay withdrawn for any version, since the new discovery numbers its versions
+        independently. Without this, requests would go to draining servers while the new discovery lags
+        behind the old one. Servers that were only missing in the old one's list may come back.
         """
         new = WithdrawnServers()
-        new.carried = {name: told for name, told in (self.carried | self.drained).items() if told[1] > now}
+        new.carried = {
+            name: withdrawal
+            for name, withdrawal in (self.carried | self.drained).items()
+            if withdrawal[1] > now
+        }
         return new
 
     def filter_listing(self, listing: Listing, now: float) -> Listing:
-        """The listing less what it may not bring back; `now`: seconds of a clock that only goes forward."""
+        """The listing without withdrawn servers. `now`: seconds of a monotonic clock."""
         return self._filter_same_discovery(
             without(listing, self.carried, now) if self.carried else listing, now
         )
 
     def _filter_same_discovery(self, listing: Listing, now: float) -> Listing:
-        """The same among the lists of this discovery."""
+        """The same considering only the lists of the current discovery."""
         for name in [name for name, (_, until) in self.gone.items() if until <= now]:
             del self.gone[name]
             self.drained.pop(name, None)
@@ -69,7 +76,7 @@
         return listing
 
     def _withdraw(self, name: str, started: int, now: float) -> None:
-        self.gone.pop(name, None)  # the oldest stand first
+        self.gone.pop(name, None)  # keeps the oldest withdrawal first
         if len(self.gone) >= MAX_WITHDRAWN:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
@@ -78,7 +85,7 @@
 
 
 def without(listing: Listing, withdrawn: dict[str, tuple[int, float]], now: float) -> Listing:
-    """The listing less the servers that are ready there under a start that was withdrawn, for its time."""
+    """The listing without ready servers whose start was withdrawn, while the withdrawal counts."""
     lines = tuple(
         line
         for line in listing.lines
--- a/tests/membership/test_latest_list.py
+++ b/tests/membership/test_latest_list.py
@@ -1,4 +1,4 @@
-"""What the successor of a process begins with, against a dictionary of everything that was told."""
+"""The list passed to a successor, compared with a dictionary of everything received."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
     return Line(name, "127.0.0.1", 1, "east", "std", 0, state, 1.0, 0)
 
 
-NEWS = st.tuples(st.booleans(), st.lists(st.tuples(st.sampled_from("abcd"), st.sampled_from(State))))
+LISTINGS = st.tuples(st.booleans(), st.lists(st.tuples(st.sampled_from("abcd"), st.sampled_from(State))))
 
 
-@given(st.lists(NEWS, max_size=MAX_CHANGES + 8))
-def test_it_is_all_that_was_told_less_who_is_gone(news: list[tuple[bool, list[tuple[str, State]]]]) -> None:
-    kept = LatestList(Listing(ListKind.CACHED, 0, (line("a", State.READY),)))
-    told = {"a": State.READY}
-    for version, (whole, states) in enumerate(news, 1):
+@given(st.lists(LISTINGS, max_size=MAX_CHANGES + 8))
+def test_it_has_every_received_server_except_those_gone(
+    listings: list[tuple[bool, list[tuple[str, State]]]],
+) -> None:
+    latest = LatestList(Listing(ListKind.CACHED, 0, (line("a", State.READY),)))
+    expected_states = {"a": State.READY}
+    for version, (whole, states) in enumerate(listings, 1):
         lines = tuple(line(name, state) for name, state in dict(states).items())
-        kept.apply(Listing(ListKind.FULL if whole else ListKind.CHANGES, version, lines))
-        told = ({} if whole else told) | dict(states)
-    left = {name: state for name, state in told.items() if state != State.GONE}
-    found = kept.merged()
-    assert (found.kind, found.version) == (ListKind.CACHED, len(news))
-    assert {x.id: x.state for x in found.lines} == left
-    assert len(kept.changes) <= MAX_CHANGES
+        latest.apply(Listing(ListKind.FULL if whole else ListKind.CHANGES, version, lines))
+        expected_states = ({} if whole else expected_states) | dict(states)
+    expected = {name: state for name, state in expected_states.items() if state != State.GONE}
+    merged = latest.merged()
+    assert (merged.kind, merged.version) == (ListKind.CACHED, len(listings))
+    assert {x.id: x.state for x in merged.lines} == expected
+    assert len(latest.changes) <= MAX_CHANGES
