--- a/tests/control_plane/test_directory_api.py
+++ b/tests/control_plane/test_directory_api.py
@@ -11,7 +11,7 @@
 
 from brackenladder.control_plane.directory_api import (
     FAR_TIME_TO_LIVE,
-    LONGEST_HOLD,
+    MAX_HOLD_FACTOR,
     NEAR_TIME_TO_LIVE,
     RESOLVE_PATH,
     DirectoryApi,
@@ -54,7 +54,7 @@
         told = await self.told(
             ResolvedGateways(("10.1.0.1:80",), Proximity.ELSEWHERE), bounds=Bounds(config_ms=3000)
         )
-        self.assertEqual(told["TtlS"], 3.0 / LONGEST_HOLD)
+        self.assertEqual(told["TtlS"], 3.0 / MAX_HOLD_FACTOR)
 
     async def test_never_for_longer_than_counts(self) -> None:
         told = await self.told(
