--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -122,7 +122,7 @@
     def leave(self, now: int) -> None:
         """Announces that this process ends to a few members, which pass it on."""
         self.leaving = True
-        self.apply_record(self.own, self.me._replace(state=State.LEFT), now, self.own, "leaving")
+        self.apply_record(self.own, self.me._replace(state=State.LEFT), now, self.own, "leaving the tier")
         for number in self.sample(self.others, 2 * FANOUT):
             self.send_frame(number, [], now)
 
