--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -36,7 +36,7 @@
 
 TICK = 50_000  # microseconds between two ticks
 GOSSIP_INTERVAL = 200_000  # between two gossip rounds
-CONFIRM_BEFORE_DEATH = 500_000  # so long before a suspect is declared dead, it and others are asked again
+CONFIRM_BEFORE_DEATH = 500_000  # time before the end of a suspicion when the suspect and others are asked
 SYNC_INTERVAL = 4_000_000  # between two digests, less a random part
 DEAD_PROBE_INTERVAL = 1_000_000  # between two pings to dead members
 MAX_EPOCH_RAISES = 4  # more raises within EPOCH_RAISE_WINDOW: another process uses this node's number
@@ -273,7 +273,8 @@
             and (known.state == State.ALIVE or (known.state == State.SUSPECT and recently_suspected))
             and known.epoch == record.epoch
         ):
-            # A member that is alive in this node's view becomes a suspect first. Otherwise, when a network
+            # A member that is alive here, or has only just become a suspect, is suspected first. A death is
+            # accepted directly only of a member that has been a suspect for a while. Otherwise, when a network
             # partition heals, each side would accept the other side's claim that its members are dead.
             record = record._replace(state=State.SUSPECT)
         if record == known and record.state == State.SUSPECT:
@@ -369,7 +370,7 @@
         for other in self.sample([n for n in self.others if n != number], HELPERS):
             self.send_frame(other, [Range(number, number + 1), *self.recorded([number])], now)
 
-    # ---- log ------------------------------------------------------------------------------------------
+    # ---- transitions ----------------------------------------------------------------------------------
 
     def record_transition(self, now: int, number: int, before: str, after: str, reason: str) -> None:
         record = self.view.records[number]
--- a/brackenladder/cluster/sender.py
+++ b/brackenladder/cluster/sender.py
@@ -56,7 +56,7 @@
         self.view = View(size, now)
         self.health = Health(now)
         self.gossip_queue = GossipQueue()
-        self.reported_by: dict[int, int] = {}  # of each suspect or dead member: who last reported it so
+        self.reported_by: dict[int, int] = {}  # by suspect or dead member: who last reported it
         # Messages of other components that are attached to each ping and ack.
         self.extra_messages: Callable[[], Sequence[Message]] = tuple
         self.counters: Counter[str] = Counter()
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -91,7 +91,7 @@
         self.writes.snapshot(snapshot, clear=False)
 
     def advance_commit(self, index: int) -> bool:
-        """Marks all entries up to `index` as committed. Returns whether any of them was not before."""
+        """Marks all entries up to `index` as committed. Returns whether the commit index advanced."""
         if index <= self.commit_index:
             return False
         self.commit_index = index
--- a/tests/cluster/test_walk.py
+++ b/tests/cluster/test_walk.py
@@ -38,7 +38,7 @@
 
 
 class SystemState(NamedTuple):
-    """A state, and how many steps of each kind may still follow."""
+    """The views, the messages in transit, and how many steps of each kind may still follow."""
 
     views: Views
     messages: frozenset[ViewMessage]
--- a/tests/consensus/machine.py
+++ b/tests/consensus/machine.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from consensus.model import Model
 
-JOIN_AFTER = 400_000  # microseconds without a leader
+JOIN_AFTER = 400_000  # microseconds without contact with a leader after which a machine asks to join
 JOIN_EVERY = 200_000
 MAX_FORWARDS = 3
 
@@ -42,12 +42,14 @@
         self.digest = 0
         self.compact_every = 0
         self._inbox: list[Callable[[], None]] = []
-        self._proposals: dict[int, tuple[int, int]] = {}  # index: term, floor
-        self._reads: dict[int, int] = {}  # token: floor
+        self._proposals: dict[
+            int, tuple[int, int]
+        ] = {}  # by index: the term, and the checker's floor at that time
+        self._reads: dict[int, int] = {}  # by token: the checker's floor at that time
         self._next_read = 0
         self._joined_at = 0
 
-    # -- life
+    # -- life cycle
 
     def boot(self, members: Members | None) -> None:
         """Starts the process from the state on the disk."""
--- a/tests/consensus/test_consensus_parts.py
+++ b/tests/consensus/test_consensus_parts.py
@@ -82,7 +82,7 @@
         self.assertEqual([each.index for each in log.batch(6, 1)], [6])
 
     def test_agreement_skips_newer_terms(self):
-        log = self.filled(10)  # terms 1 1 1 2 2 2 2 3 3 3
+        log = self.filled(10)  # the terms are 1 1 1 2 2 2 2 3 3 3
         self.assertEqual(log.agreement_below(10, 2), 7)
         self.assertEqual(log.agreement_below(99, 3), 10)
         self.assertEqual(log.agreement_below(2, 0), 0)
