--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -274,8 +274,8 @@
             and known.epoch == record.epoch
         ):
             # A member that is alive here, or has only just become a suspect, is suspected first. A death is
-            # accepted directly only of a member that has been a suspect for a while. Otherwise, when a network
-            # partition heals, each side would accept the other side's claim that its members are dead.
+            # accepted directly only of a member that has been a suspect for a while. Otherwise, when a
+            # network partition heals, each side would accept the other's claim that its members are dead.
             record = record._replace(state=State.SUSPECT)
         if record == known and record.state == State.SUSPECT:
             suspicion = self.suspicions.get(number)
