--- a/brackenladder/catalog/catalog.py
+++ b/brackenladder/catalog/catalog.py
@@ -197,7 +197,7 @@
         return msgpack.packb(fields)  # type: ignore[no-any-return]
 
     def restore(self, data: bytes) -> None:
-        """Replaces the state by that of a snapshot. Raises SnapshotError and changes nothing if it is invalid."""
+        """Replaces the state by that of a snapshot. Raises SnapshotError for bad data and changes nothing."""
         try:
             fields = msgpack.unpackb(data)
         except (ValueError, RecursionError, msgpack.UnpackException) as error:
--- a/brackenladder/control_plane/__init__.py
+++ b/brackenladder/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control role: interfaces for the operator, the servers and clients that ask where to go."""
+"""The control role: the interfaces for operators and servers, and the directory for clients."""
--- a/brackenladder/control_plane/consensus_host.py
+++ b/brackenladder/control_plane/consensus_host.py
@@ -1,4 +1,4 @@
-"""Drives the replica inside the event loop: its clock, its store, its messages and the state machine."""
+"""Runs the consensus replica in the event loop, and connects it to clock, store, peers and state machine."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 
 @frozen
 class PendingProposal:
-    """A proposal of this leader that is not committed yet."""
+    """A command that this leader has proposed and that is not committed yet."""
 
     term: int
-    answer: asyncio.Future[OrderResult]
+    result: asyncio.Future[OrderResult]
 
 
 class ConsensusHost:
-    """The one place that calls the replica.
+    """The only caller of the replica.
 
-    Outputs are taken once for all that arrives in one turn of the event loop, so that messages of several
-    peers share a write of the store. A store that hangs holds up its own thread only.
+    The replica's output is taken once per iteration of the event loop, so that the messages of several peers
+    share one write to the store. A store that hangs blocks only its own thread.
     """
 
     def __init__(
@@ -70,18 +70,18 @@
         self._timer: asyncio.TimerHandle | None = None
         self._leader_id = ""
         self._leader_changed: asyncio.Event = asyncio.Event()
-        self._revision_changed: asyncio.Event = asyncio.Event()  # of the catalog; each change makes a new one
+        self._revision_changed: asyncio.Event = asyncio.Event()  # set at the next change, then replaced
         self._assembler = CommandAssembler()
-        self._snapshot_error: SnapshotError | None = None  # why the catalog is not what the log says
+        self._snapshot_error: SnapshotError | None = None  # why the last snapshot could not be restored
         self._closed = False
 
     def start(self) -> None:
-        """Takes the state that the store held and begins to tick."""
+        """Applies the state that was loaded from the store, and starts the timer."""
         self._take_output()
         self._tick()
 
     def close(self) -> None:
-        """No more ticks; calls that wait get no clear answer."""
+        """Stops the timer; waiting calls fail with an unknown result."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -89,98 +89,101 @@
 
     @property
     def leads(self) -> bool:
-        """This replica is the leader, as far as it knows."""
+        """Whether this replica believes itself to be the leader."""
         return self.replica.role is Role.LEADER
 
     @property
     def leader(self) -> Member | None:
-        """The leader that this replica knows of."""
+        """The leader that this replica knows, if any."""
         return self.replica.leader
 
     def contact_age(self) -> int:
-        """Microseconds since the last contact with a quorum, as the leader or by way of it."""
+        """Microseconds since the last contact with a quorum, directly or through the leader."""
         if self._snapshot_error is not None:
             return UNKNOWN_AGE
         return self._clock() - self.replica.quorum_contact_at
 
     def catalog_age(self) -> int:
-        """Microseconds since a moment up to which all that was committed is in the catalog here.
+        """An upper bound in microseconds on how stale this node's catalog is.
 
-        Failure prevented: this node hears its leader, but entries or a snapshot are still on their way, and
-        what it tells by its catalog has been replaced.
+        All entries that were committed that long ago have been applied.
+
+        Failure prevented: this node is in contact with its leader, but entries or a snapshot are still in
+        transit, and it answers from a catalog that has been replaced.
         """
         if self._snapshot_error is not None:
             return UNKNOWN_AGE
         return self._clock() - self.replica.up_to_date_at
 
     def lacks_committed(self) -> bool:
-        """Whether something is known to be committed that the catalog here does not hold yet."""
+        """Whether this node knows of a committed entry that is not applied to its catalog yet."""
         return self.replica.lacks_committed or self.applied_index < self.replica.commit_index
 
     @property
     def leader_changed(self) -> asyncio.Event:
-        """Is set, once, when the known leader changes; each change makes a new event."""
+        """The event that is set at the next change of the known leader; each change creates a new one."""
         return self._leader_changed
 
     async def wait_for_leader_change(self, timeout: float) -> None:
-        """Waits until another leader is known, at most `timeout` seconds.
+        """Waits until the known leader changes, for at most `timeout` seconds.
 
-        Failure prevented: `asyncio.wait_for` (before Python 3.12) drops a cancellation that comes in the turn
-        in which the leader changes; a caller's own time limit has then passed unseen, and it waits for ever.
+        Failure prevented: before Python 3.12, `asyncio.wait_for` loses a cancellation that comes in the same
+        event loop iteration as the leader change. A caller's time limit then has no effect, and the caller
+        waits for ever.
         """
         with suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 await self._leader_changed.wait()
 
     def step(self, sender: str, message: object) -> None:
-        """A message of another replica has arrived."""
+        """Handles a message of another replica."""
         if self._closed:
             return
         self.replica.step(self._clock(), sender, message)
         self._schedule_output()
 
     def peer_connected(self, replica_id: str) -> None:
-        """A link to another replica has come up."""
+        """A link to another replica has been established."""
         if not self._closed:
             self.replica.link_up(self._clock(), replica_id)
             self._schedule_output()
 
     def join(self, member: Member) -> None:
-        """Another node asks to be taken in; only a leader acts on it."""
+        """Another node asks to become a member; only a leader acts on it."""
         if self._closed or not self.leads:
             return
         self.replica.join(self._clock(), member)
         self._schedule_output()
 
     def transfer_leadership(self) -> None:
-        """Hands leadership over before a planned end."""
+        """Hands leadership to another voter, before a planned shutdown."""
         self.replica.transfer_leadership(self._clock())
         self._schedule_output()
 
     async def wait_for_revision(self, revision: int) -> None:
-        """Returns once the catalog here is as new as `revision`."""
+        """Returns once this node's catalog has reached `revision`."""
         while self.catalog.revision < revision:
             await self._revision_changed.wait()
 
     async def propose(self, data: bytes) -> OrderResult:
-        """The catalog's answer once the command is committed; a failure leaves its fate open."""
+        """The catalog's outcome once the command is committed. After a failure it may still be committed."""
         if self._closed or self._snapshot_error is not None:
             return Failure(Unavailable.NO_LEADER)
         match self.replica.propose(self._clock(), data):
-            case Success(place):
-                pending = PendingProposal(place.term, self._loop.create_future())
-                self._proposals[place.index] = pending
+            case Success(position):
+                pending = PendingProposal(position.term, self._loop.create_future())
+                self._proposals[position.index] = pending
                 self._schedule_output()
             case _:
                 return Failure(Unavailable.NO_LEADER)
         try:
-            return await pending.answer
+            return await pending.result
         finally:
-            if self._proposals.get(place.index) is pending:
-                del self._proposals[place.index]
+            if self._proposals.get(position.index) is pending:
+                del self._proposals[position.index]
 
     async def confirm_read(self) -> ReadResult:
-        """Success once the catalog here holds all that was acknowledged before the call; leaders only."""
+        """Succeeds once the catalog holds all orders acknowledged before the call. Only on the leader."""
         if self._closed or self._snapshot_error is not None:
             return Failure(Unavailable.NO_LEADER)
         self._last_read_token += 1
@@ -202,8 +205,8 @@
         if self._snapshot_error is not None and self.leads:
             self.replica.transfer_leadership(self._clock())
         self._take_output()
-        pause = FOLLOWER_TICK_SECONDS if self.replica.role is Role.FOLLOWER else LEADER_TICK_SECONDS
-        self._timer = self._loop.call_later(pause, self._tick)
+        interval = FOLLOWER_TICK_SECONDS if self.replica.role is Role.FOLLOWER else LEADER_TICK_SECONDS
+        self._timer = self._loop.call_later(interval, self._tick)
 
     def _schedule_output(self) -> None:
         if not self._output_scheduled:
@@ -232,7 +235,7 @@
             case Success(_):
                 self.replica.persisted(self._clock(), write.token)
             case Failure(error):
-                log.error("store refuses a write: {}", error)
+                log.error("write to the store failed: {}", error)
                 self.replica.write_failed(self._clock(), write.token)
         self._schedule_output()
 
@@ -248,9 +251,10 @@
             self._on_catalog_changed()
 
     def _restore(self, snapshot: Snapshot) -> None:
-        """Takes a snapshot's state. One that this program can't read leaves the node without a say.
+        """Restores the catalog from a snapshot.
 
-        It goes on as a replica of the log, and hands over leadership, until it gets one that it can read.
+        If this program version cannot read the snapshot, the node still replicates the log, but answers no
+        call and hands over leadership until it gets a readable snapshot.
         """
         self.applied_index = snapshot.index
         self._compacted_index = snapshot.index
@@ -259,7 +263,7 @@
         try:
             self.catalog.restore(snapshot.data)
         except SnapshotError as error:
-            log.error("snapshot at {} can't be read, this node answers nothing: {}", snapshot.index, error)
+            log.error("snapshot at {} is unreadable, this node answers no calls: {}", snapshot.index, error)
             self._snapshot_error = error
         else:
             self._snapshot_error = None
@@ -267,14 +271,14 @@
     def _apply_entry(self, entry: Entry) -> None:
         self.applied_index = entry.index
         self._bytes_since_compaction += len(entry.data)
-        answer: OrderResult = Failure(Unavailable.LOST)
+        result: OrderResult = Failure(Unavailable.LOST)
         command = self._assembler.take(entry)
         if command is not None and self._snapshot_error is None:
-            answer = Success(self.catalog.apply(entry.index, command))
+            result = Success(self.catalog.apply(entry.index, command))
         pending = self._proposals.pop(entry.index, None)
-        if pending is None or pending.answer.done():
+        if pending is None or pending.result.done():
             return
-        pending.answer.set_result(answer if pending.term == entry.term else Failure(Unavailable.LOST))
+        pending.result.set_result(result if pending.term == entry.term else Failure(Unavailable.LOST))
 
     def _resolve_reads(self, output: Output) -> None:
         for ready in output.reads:
@@ -300,12 +304,12 @@
         self._leader_changed = asyncio.Event()
 
     def _fail_pending(self) -> None:
-        """Leadership is gone: whether these will be committed is not known here."""
+        """Fails all waiting calls: without leadership, this node cannot tell whether they will commit."""
         proposals = list(self._proposals.values())
         self._proposals.clear()
         for pending in proposals:
-            if not pending.answer.done():
-                pending.answer.set_result(Failure(Unavailable.LOST))
+            if not pending.result.done():
+                pending.result.set_result(Failure(Unavailable.LOST))
         for token in list(self._reads):
             self._resolve_read(token, Failure(Unavailable.LOST))
 
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -1,4 +1,4 @@
-"""One control node: consensus, registry and delivery behind its links and its HTTP interfaces."""
+"""A control node: connects consensus, registry and delivery to the peer links and the HTTP interfaces."""
 
 from __future__ import annotations
 
@@ -33,27 +33,27 @@
 from brackenladder.transport.link import Link, Transport
 
 MICROSECONDS_PER_MILLISECOND = 1000
-ELECTION_HEAD_START = 350_000  # microseconds by which a node that starts stands for election earlier
-STOP_SECONDS = 1.5  # longest orderly end, all of the waits below together
-HANDOVER_SECONDS = 0.6  # longest wait for another leader before the end
-HTTP_GRACE_SECONDS = 0.3  # for calls under way
-LINK_GRACE = 300_000  # microseconds for what is queued for other nodes; a setting of the transport
-STORE_GRACE_SECONDS = 0.2  # for the store's last write; a disk may hang
+ELECTION_HEAD_START = 350_000  # microseconds by which a starting node campaigns earlier
+STOP_SECONDS = 1.5  # longest orderly shutdown; bounds the sum of the waits below
+HANDOVER_SECONDS = 0.6  # longest wait for another leader before shutdown
+HTTP_GRACE_SECONDS = 0.3  # for open calls
+LINK_GRACE = 300_000  # microseconds for messages queued for other nodes; a setting of the transport
+STORE_GRACE_SECONDS = 0.2  # for the last write to the store; a disk may hang
 
 log = logbook.Logger("control")
 
 
 @frozen
 class ReplicaStart:
-    """What a replica starts from."""
+    """The state that a replica starts with."""
 
     replica_id: str
     state: DurableState
-    genesis: Members | None  # the first voters, at the very first start of the whole system
+    genesis: Members | None  # the initial voters; only at the first start of the system
 
 
 class ControlNode:
-    """Ties the parts of a control node together; made and used in a running event loop."""
+    """Connects the parts of a control node. Must be created and used in a running event loop."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self.member = Member(start.replica_id, platform.inner_address, platform.zone, platform.region)
         self.catalog = Catalog()
         self.peers = PeerLinks(transport, self, self._hello)
-        # where there is a leader already, the pre-vote keeps an early candidate from disturbing it
+        # if there already is a leader, the pre-vote keeps an early candidate from disturbing it
         created_at = clock() - ELECTION_HEAD_START
         timing = evolve(timing or Timing(), max_voters=max_voters(platform.tolerate.machines))
         replica = Replica(self.member, start.state, timing, random, created_at, start.genesis)
@@ -104,7 +104,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def start(self) -> None:
-        """Opens the listeners and begins to dial, to tick and to answer."""
+        """Starts consensus, the timer and the listeners."""
         self.host.start()
         self.recovery.start()
         await self.peers.listen(self.member.address)
@@ -112,16 +112,16 @@
         await self._control_listener.listen(self.platform.listen.control)
         if self.platform.listen.directory:
             await self._directory_listener.listen(self.platform.listen.directory)
-        log.info("{} listens at {}", self.member.replica_id, self.member.address)
+        log.info("{} listens on {}", self.member.replica_id, self.member.address)
 
     async def stop(self) -> None:
-        """Hands leadership over, answers what is under way, then ends; takes at most `STOP_SECONDS`."""
+        """Hands over leadership, finishes open calls, then closes; takes at most `STOP_SECONDS`."""
         await self._hand_over()
         await self._close_listeners(HTTP_GRACE_SECONDS)
         await self.close()
 
     async def close(self) -> None:
-        """Ends at once; what the store was given is still written."""
+        """Closes everything at once; writes already passed to the store are completed."""
         if self._timer is not None:
             self._timer.cancel()
         self.recovery.close()
@@ -133,12 +133,12 @@
         self._writer.join(STORE_GRACE_SECONDS)
 
     def reload(self, platform: Platform) -> None:
-        """Takes the seeds of changed settings; addresses stay as they are."""
+        """Applies changed settings. Only the seeds take effect; addresses stay until a restart."""
         self.platform = platform
         self._membership.set_seeds(platform.seed_inner_addresses)
 
     def status(self) -> ControlStatus:
-        """This node's view of itself and of the system, for operators."""
+        """This node's view of itself and of the system."""
         return node_status(self.member, self.host, self.peers, self.soft_state)
 
     # -- PeerListener
@@ -184,7 +184,10 @@
         )
 
     def _newest_order_index(self) -> int:
-        """Index of the newest order in this node's log; what a snapshot covers counts by its last change."""
+        """Index of the newest order in this node's log.
+
+        For the part of the log that a snapshot replaces, this is the last change of the catalog.
+        """
         return max(self.catalog.revision, self.host.replica.newest_command_index)
 
     def _zones(self) -> dict[str, str]:
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -1,7 +1,7 @@
-"""A control node's directory: answers clients from what the node knows of gateways, and tells why.
+"""A control node's directory: tells clients which gateways to use, and logs the reasons.
 
-What it logs tells apart, for the clients of a region that are led elsewhere, whether their region has no
-gateway, has some that leave or start, or has some that this node has not heard lately.
+If the clients of a region are directed to another one, the log shows whether their region has no gateway, has
+gateways that are starting or leaving, or has gateways that this node has not heard from recently.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from brackenladder.registry.gateways import GatewayRegistry, HeardGateway
 
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_TRACKED_GROUPS = 4096  # hosts and regions whose last reach is remembered and whose changes are logged
-MAX_NAME_CHARS = 64  # characters of a client's word in the log
+MAX_TRACKED_GROUPS = 4096  # groups (host and client region) whose changes are logged
+MAX_NAME_CHARS = 64  # characters of a client-supplied name in the log
 OTHER_HOSTS = "(no route's host)"
 
 log = logbook.Logger("directory")
 
 
 class Directory:
-    """Resolves hosts by the gateways of a registry and the homes of the newest configuration."""
+    """Resolves hosts by the registered gateways and the home regions in the newest configuration."""
 
     def __init__(self, gateways: GatewayRegistry) -> None:
         self._gateways = gateways
         self._homes = ConfigurationHomes()
-        self._revision = 0  # of the catalog that the homes are of
+        self._revision = 0  # catalog revision that `_homes` comes from
         self._answers: Counter[Proximity] = Counter()
         self._last_reaches: dict[tuple[str, str], Proximity] = {}  # by host and client region
 
     def set_configuration(self, revision: int, read: ReadConfiguration) -> None:
-        """Take the configuration as of a revision of the catalog; an older one is ignored."""
+        """Sets the configuration of a catalog revision; older revisions are ignored."""
         if revision <= self._revision:
             return
         self._revision = revision
@@ -44,8 +44,8 @@
     def resolve(self, now: int, client: ClientLocation, current: bool) -> ResolvedGateways:
         """The front addresses for a client.
 
-        Where the homes known here may have been replaced without this node's knowledge (not `current`), no
-        client is led out of its region.
+        `current` is False if this node's configuration may be outdated. Home regions may then have changed,
+        so no client is directed to another region.
         """
         homes = self._homes.of(client.host)
         permitted = homes.permits if current else _permit_none
@@ -62,14 +62,14 @@
 
     @property
     def answers(self) -> dict[Proximity, int]:
-        """How many answers reached how far."""
+        """The number of answers by proximity."""
         return dict(self._answers)
 
     def _record_answer(self, now: int, host: str, region: str, reach: Proximity) -> None:
-        """Count an answer, and log where clients are led no longer as before.
+        """Counts an answer, and logs when the proximity for a group of clients changes.
 
-        Names are the clients' own: whatever they send, the lines and the memory that they take are bounded.
-        Clients of several zones ask in turn, so zone or region is no change.
+        Clients choose the names that they send, so log lines and memory are bounded. A change between zone
+        and region is not logged: clients of different zones of a region get different answers in turn.
         """
         self._answers[reach] += 1
         place = (host, region)
@@ -80,16 +80,16 @@
         if before is reach or before in OWN_REGION and reach in OWN_REGION:
             return
         log.info(
-            "{}: clients of {!r} get {} (before: {}); of their region: {}",
+            "{}: clients of {!r} are directed to {} (before: {}); gateways of their region: {}",
             host,
             region,
             reach.value,
-            before.value if before is not None else "not asked",
+            before.value if before is not None else "no earlier request",
             self._describe_region(now, region),
         )
 
     def _describe_region(self, now: int, region: str) -> str:
-        """The gateways of a region, as this node knows them."""
+        """The known gateways of a region, as text for the log."""
         known = [one for one in self._gateways.list_living(now) if one.gateway.region == region]
         return ", ".join(map(_describe, known)) or "none known"
 
--- a/brackenladder/control_plane/environment.py
+++ b/brackenladder/control_plane/environment.py
@@ -1,4 +1,4 @@
-"""What a control node meets beside its links, its clock and its log; a simulation gives its own."""
+"""A control node's access to HTTP and disk, which a simulation replaces."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @frozen
 class NodeEnvironment:
-    """Where a node listens for calls, keeps its restart file and asks servers for their health.
+    """Factories for the HTTP listeners and health checks, and the restart file.
 
-    `restart_file` is None where nothing is kept over a restart.
+    `restart_file` is None if no state is kept across restarts.
     """
 
     listener: Callable[[Handler], Listener]
@@ -25,6 +25,6 @@
 
 
 def host_environment(platform: Platform) -> NodeEnvironment:
-    """HTTP over sockets, the folder of the settings as disk."""
+    """The real environment: HTTP over sockets, and the data folder of the settings."""
     restart_file = DiskRestartFile(platform.data_dir) if platform.data_dir else None
     return NodeEnvironment(HttpListener, restart_file, HttpHealthChecks)
--- a/brackenladder/control_plane/errors.py
+++ b/brackenladder/control_plane/errors.py
@@ -1,4 +1,4 @@
-"""Why a control node has no clear answer."""
+"""Reasons for which a control node cannot give a definite answer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Unavailable(Enum):
-    """Whatever was asked may have taken effect or not; the caller may ask again, anywhere."""
+    """The call may or may not have taken effect; the caller may repeat it at any control node."""
 
     NO_LEADER = "no leader is known"
     LOST = "leadership changed meanwhile"
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -1,4 +1,4 @@
-"""Asks servers for their health over HTTP, a few at a time."""
+"""HTTP health checks of servers, with a limit on concurrent checks."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 INSTANCE_ID = "X-Brackenladder-Instance-Id"
 COLD_REMAINING = "X-Brackenladder-Cold-Remaining-Ms"
-CHECK_TIMEOUT_SECONDS = 1.0  # longest check; a server's heartbeat comes about as soon
+CHECK_TIMEOUT_SECONDS = 1.0  # longest check; heartbeats arrive at about that interval
 MAX_CONCURRENT_CHECKS = 32
 MICROSECONDS_PER_MILLISECOND = 1000
 UNKNOWN = HealthAnswer("")
 
 
 class HealthChecks(Protocol):
-    """Asks servers for their health."""
+    """Checks the health of servers."""
 
     async def check_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
-        """What each server answers, in the same order; `UNKNOWN` where it does not, or is not well."""
+        """The answers of the servers, in the same order; `UNKNOWN` for one that is unhealthy or silent."""
 
 
 class HttpHealthChecks:
-    """`HealthChecks` with one HTTP client for the checks of one start."""
+    """`HealthChecks` over HTTP. An instance is used for one round of checks, with one client session."""
 
     def __init__(self) -> None:
         self._limit = asyncio.Semaphore(MAX_CONCURRENT_CHECKS)
--- a/brackenladder/control_plane/http_server.py
+++ b/brackenladder/control_plane/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP listener on aiohttp's low-level server, for the interfaces of a control node."""
+"""An HTTP listener on aiohttp's low-level server, for the interfaces of a control node."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 BACKLOG = 512
-KEEPALIVE_SECONDS = 30.0  # between requests, until the first one, and for a body to come whole
+KEEPALIVE_SECONDS = 30.0  # longest wait for a first or next request, and for a complete body
 RETRY_AFTER_SECONDS = "0.2"
-BIND_TIMEOUT_SECONDS = 10.0  # how long an address is tried that a killed predecessor still holds
-BIND_RETRY_SECONDS = 0.1  # pause between these tries
-MIN_GRACE_SECONDS = 0.02  # aiohttp takes 0 as no bound at all
-SHUTDOWN_STEPS = 2  # for the answer, then for the cancelled handler; aiohttp bounds each
+BIND_TIMEOUT_SECONDS = 10.0  # how long to retry an address that a killed process still holds
+BIND_RETRY_SECONDS = 0.1  # pause between these retries
+MIN_GRACE_SECONDS = 0.02  # aiohttp treats 0 as no limit
+SHUTDOWN_STEPS = 2  # aiohttp waits for the handler, then again after cancelling it
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -33,26 +33,27 @@
 
 
 def json_response(status: HTTPStatus, document: object) -> web.Response:
-    """An answer with a JSON body."""
+    """A response with a JSON body."""
     return web.Response(status=status, body=json.dumps(document).encode(), content_type="application/json")
 
 
 def unavailable(reason: str) -> web.Response:
-    """No clear answer: whoever asks may ask again, here or elsewhere."""
+    """A 503 response: there is no definite answer, and the caller may repeat the call on any node."""
     response = json_response(HTTPStatus.SERVICE_UNAVAILABLE, {"Error": reason})
     response.headers["Retry-After"] = RETRY_AFTER_SECONDS
     return response
 
 
 def not_found(what: str) -> web.Response:
-    """There is no such call, or it names something unknown."""
+    """A 404 response: the call does not exist, or names something unknown."""
     return json_response(HTTPStatus.NOT_FOUND, {"Error": f"unknown: {what}"})
 
 
 async def _read_body(request: web.BaseRequest) -> bool:
-    """Reads the body, which the request keeps; False if it does not come whole in time.
+    """Reads the body into the request's buffer; False if it is not complete in time.
 
-    Failure prevented: a caller that stops in the middle of its body is waited for as long as it stays.
+    Failure prevented: a caller stops sending in the middle of its body, and its request waits until it
+    disconnects.
     """
     try:
         async with asyncio.timeout(KEEPALIVE_SECONDS):
@@ -63,23 +64,23 @@
 
 
 def _body_timeout() -> web.Response:
-    response = json_response(HTTPStatus.REQUEST_TIMEOUT, {"Error": "the body did not come in time"})
+    response = json_response(HTTPStatus.REQUEST_TIMEOUT, {"Error": "the body did not arrive in time"})
     response.force_close()
     return response
 
 
 class Listener(Protocol):
-    """Serves one address with a handler."""
+    """Serves one address."""
 
     async def listen(self, address: str) -> None:
         """Binds the address and accepts connections."""
 
     async def close(self, grace_seconds: float) -> None:
-        """Accepts nothing more; requests under way have `grace_seconds` to end."""
+        """Accepts no more connections; open requests have `grace_seconds` to finish."""
 
 
 class HttpListener:
-    """Serves one address until it is closed."""
+    """Passes the requests at one address to a handler."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -87,7 +88,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Binds the address and accepts connections; one in use is tried for `LISTEN_PATIENCE_SECONDS`."""
+        """Binds the address and accepts connections; retries for `BIND_TIMEOUT_SECONDS` if it is in use."""
         self._protocols = web.Server(
             self._handle,
             request_factory=self._make_request,
@@ -98,7 +99,7 @@
         self._server = await self._bind(address, self._protocols)
 
     async def close(self, grace_seconds: float) -> None:
-        """Accepts nothing more; requests under way have `grace_seconds` to end, then are cut off."""
+        """Accepts no more connections; open requests have `grace_seconds` to finish, then are cancelled."""
         if self._server is not None:
             self._server.close()
         if self._protocols is not None:
--- a/brackenladder/control_plane/instances.py
+++ b/brackenladder/control_plane/instances.py
@@ -1,4 +1,4 @@
-"""A server's heartbeat, as it is read from its call."""
+"""Parsing of servers' heartbeats."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 MICROSECONDS_PER_MILLISECOND = 1000
 NOT_REPORTED = -1
-MAX_NUMBER = 1 << 50  # stays exact in JSON, and below 64 bits in microseconds
+MAX_NUMBER = 1 << 50  # exact in JSON, and fits 64 bits when converted to microseconds
 STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING}
 
 
 @frozen
 class HeartbeatFault:
-    """What is wrong with a heartbeat's body."""
+    """A fault in the body of a heartbeat."""
 
     field: str
     problem: str
@@ -29,7 +29,7 @@
 
 
 def parse_heartbeat(server_id: str, body: bytes) -> Result[ServerRecord, HeartbeatFault]:
-    """The record of a server; unknown fields are ignored."""
+    """The server record that a heartbeat describes; unknown fields are ignored."""
     try:
         document = json.loads(body)
     except ValueError as error:
@@ -91,14 +91,14 @@
         return int(value)
 
     def milliseconds(self, name: str, default: int) -> int:
-        """Microseconds; `default` if the field is absent."""
+        """A field in milliseconds, as microseconds; `default` if it is missing."""
         value = self._document.get(name)
         if value is None:
             return default
         return int(_checked_number(name, value) * MICROSECONDS_PER_MILLISECOND)
 
     def names(self, name: str) -> tuple[str, ...]:
-        """The names of a list of objects."""
+        """The `Name` values in a list of objects."""
         value = self._document.get(name, [])
         if not isinstance(value, list):
             raise _InvalidField(name, "not a list")
@@ -108,7 +108,7 @@
 
 
 def _checked_number(name: str, value: object) -> int | float:
-    """A number that every node can pass on."""
+    """A number that can be encoded in messages to other nodes."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise _InvalidField(name, "not a number")
     if not 0 <= value <= MAX_NUMBER:
@@ -117,9 +117,9 @@
 
 
 def _checked_text(name: str, value: object) -> str:
-    """A text that every node can pass on."""
+    """A string that can be encoded in messages to other nodes."""
     if not isinstance(value, str):
-        raise _InvalidField(name, "not a text")
+        raise _InvalidField(name, "not a string")
     if not value.isascii() and any("\ud800" <= character <= "\udfff" for character in value):
         raise _InvalidField(name, "not Unicode")
     return value
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -1,4 +1,4 @@
-"""A control node's place among the others: whom it dials, whom it asks to join, who the members are."""
+"""Connects a control node to the others, and asks to join the replica group."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from brackenladder.control_plane.peers import PeerLinks
 from brackenladder.control_plane.soft_state import SoftState
 
-JOIN_INTERVAL = 300_000  # microseconds between two requests to join
-DIAL_INTERVAL = 5_000_000  # microseconds between two looks at who is to be dialled, without an event
-LEADER_SILENCE = 2_000_000  # microseconds without a leader after which a member asks to join again
-NEIGHBOUR_LIFETIME = 20_000_000  # microseconds after which an address that only others told of is forgotten
+JOIN_INTERVAL = 300_000  # microseconds between join requests
+DIAL_INTERVAL = 5_000_000  # microseconds until the dialled addresses are updated without an event
+LEADER_SILENCE = 2_000_000  # microseconds without contact to a leader after which a member asks to join again
+NEIGHBOUR_LIFETIME = 20_000_000  # microseconds for which an address that only peers reported is kept
 
 log = logbook.Logger("control")
 
 
 def max_voters(losses: int) -> int:
-    """The number of voters of which so many can be lost at a time.
+    """The number of voters that tolerates the simultaneous loss of `losses` of them.
 
-    More voters than that bear no more, and their number never falls: after machines that were replaced before
-    their silence was noticed, voters that are gone for good would be left in the majority.
+    There must not be more: the number of voters never decreases. If a machine is replaced before its silence
+    is noticed, both the old and the new voter count, and voters that are gone for good could be the majority.
     """
     return max(MIN_VOTERS, 2 * losses + 1)
 
 
 class Membership:
-    """Keeps a node linked to the others and, as long as it is none of them, asks to join."""
+    """Keeps a node connected to the others and, while it is not a member, asks to join."""
 
     def __init__(
         self,
@@ -44,39 +44,39 @@
         clock: Callable[[], int],
         seeds: tuple[str, ...],
     ) -> None:
-        """`member` is this node; `seeds` are the inner addresses that its settings name."""
+        """`member` is this node; `seeds` are the node-to-node addresses in its settings."""
         self._member = member
         self._host = host
         self._peers = peers
         self._soft_state = soft_state
         self._clock = clock
         self._seeds = seeds
-        self._members = Members()  # as last seen
-        self._neighbours: dict[str, int] = {}  # told by peers: address -> when it was last told
+        self._members = Members()  # as of the last check
+        self._neighbours: dict[str, int] = {}  # addresses reported by peers, and the time of the last report
         self._join_due = 0
         self._dial_due = 0
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Takes the seeds of changed settings."""
+        """Applies the seeds of changed settings."""
         self._seeds = seeds
         self.dial()
 
     def peer_connected(self, peer: Hello) -> None:
-        """A peer has told its address and whom it is connected to; `dial` is to be called next."""
+        """Records a peer's address and those it is connected to. The caller must call `dial` next."""
         now = self._clock()
         for address in (peer.address, *peer.neighbours):
             self._neighbours[address] = now
         self._join_due = 0
 
     def tick(self) -> None:
-        """Follows changes of the members, asks to join and dials, as far as it is due."""
+        """Handles member changes, and asks to join and dials if due."""
         self._follow_members()
         self._join_if_due()
         if self._clock() >= self._dial_due:
             self.dial()
 
     def dial(self) -> None:
-        """Dials the seeds, the members and, for a while, whoever a peer is connected to."""
+        """Dials the seeds, the members and, for a limited time, the addresses that peers reported."""
         now = self._clock()
         self._dial_due = now + DIAL_INTERVAL
         oldest = now - NEIGHBOUR_LIFETIME
@@ -90,7 +90,7 @@
         self._peers.set_addresses((*self._seeds, *members, *self._neighbours))
 
     def join_requested(self, request: JoinRequest) -> None:
-        """Another node asks to join: the leader decides, any other node passes it on once."""
+        """Handles another node's request to join. Nodes other than the leader forward it, but only once."""
         if self._host.leads:
             self._host.join(request.member)
             return
@@ -115,12 +115,12 @@
     def _publish_addresses(self, members: Members) -> None:
         zones = {member.address: member.zone for member in all_members(members)}
         addresses = tuple(sorted(zones))
-        # members of a later entry are always first seen at a higher last index, on whichever node
+        # The revision: on every node, later member lists first appear at a higher last index.
         ordered_zones = tuple(zones[address] for address in addresses)
         self._soft_state.control_nodes_changed(self._host.replica.last_index, addresses, ordered_zones)
 
     def _join_if_due(self) -> None:
-        """Asks all peers to be taken in while no leader counts this replica among the members."""
+        """Asks all peers to be admitted while this replica is not a member or has no contact to a leader."""
         now = self._clock()
         if now < self._join_due or self._host.leads:
             return
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the control nodes among themselves, beside those of consensus and delivery."""
+"""Messages between control nodes, except those of consensus and delivery."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from attrs import frozen
 
-UNKNOWN_ORDER = 1 << 62  # a node of an earlier version does not tell
+UNKNOWN_ORDER = 1 << 62  # sent by a node of an earlier version, which does not report its newest order
 
 
 class OrderOutcome(IntEnum):
-    """What became of an operator's order."""
+    """The outcome of an operator's order."""
 
     ACCEPTED = 0  # committed, now or earlier
     INVALID = 1
-    CONFLICT = 2  # it builds on another version than the current one
-    UNAVAILABLE = 3  # no clear answer: it may have been committed or not
+    CONFLICT = 2  # its base is not the current version
+    UNAVAILABLE = 3  # unknown: it may or may not have been committed
 
 
 @frozen
@@ -23,16 +23,16 @@
     """The first message on a link between control nodes, in both directions."""
 
     replica_id: str
-    address: str  # "ip:port" where it listens for other nodes
+    address: str  # "ip:port" on which it accepts links of other nodes
     zone: str = ""
     region: str = ""
-    neighbours: tuple[str, ...] = ()  # addresses of the control nodes that it is connected to
+    neighbours: tuple[str, ...] = ()  # addresses of the control nodes it is connected to
     newest_order: int = UNKNOWN_ORDER  # index of the newest order in its log, committed or not
 
 
 @frozen
 class ForwardOrder:
-    """An encoded order that a node hands on to the leader."""
+    """An encoded order that a node forwards to the leader."""
 
     request: int
     order: bytes
@@ -44,13 +44,13 @@
 
     request: int
     outcome: OrderOutcome
-    version: int = 0  # ACCEPTED: the version in force; CONFLICT: the current one
+    version: int = 0  # ACCEPTED: the resulting version; CONFLICT: the current one
     faults: tuple[str, ...] = ()
 
 
 @frozen
 class OrderPart:
-    """A part of an encoded order that is too large for one message; parts come in sequence."""
+    """A part of an encoded order that is too large for one message. Parts are sent in sequence."""
 
     request: int
     offset: int
@@ -60,7 +60,7 @@
 
 @frozen
 class OrderPartReceived:
-    """The leader's node has the first `received` bytes of an order and waits for the rest."""
+    """The leader's acknowledgement of the first `received` bytes of an order in parts."""
 
     request: int
     received: int
@@ -68,11 +68,11 @@
 
 @frozen
 class ForwardRead:
-    """Asks the leader for the newest configuration document."""
+    """Asks the leader for its newest catalog revision and, if `document` is set, the configuration."""
 
     request: int
-    revision: int  # of the document that the asking node holds
-    document: bool = True  # the reply is to bring a newer one along; nodes of this version wait for it
+    revision: int  # of the sender's catalog
+    document: bool = True  # include a newer document in the reply; nodes of this version set False
 
 
 @frozen
@@ -80,9 +80,9 @@
     """The leader's answer to `ForwardRead`."""
 
     request: int
-    confirmed: bool  # False: this node could not confirm that it still leads
+    confirmed: bool  # False: the sender could not confirm that it still leads
     revision: int = 0
-    document: bytes = b""  # empty if the asking node's revision is the newest
+    document: bytes = b""  # empty if not asked for, or if the asking node already has it
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/control_plane/node_status.py
+++ b/brackenladder/control_plane/node_status.py
@@ -1,4 +1,4 @@
-"""A control node's view of itself and of the system, gathered from its parts for operators."""
+"""Assembles a control node's status for operators from its parts."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 def node_status(
     member: Member, host: ConsensusHost, peers: PeerLinks, soft_state: SoftState
 ) -> ControlStatus:
-    """The status of the node that is this member."""
+    """The status of this node; `member` is its own entry in the member list."""
     replica, leader, catalog = host.replica, host.leader, host.catalog
-    places = {peer.replica_id: (peer.zone, peer.region) for peer, _ in peers.peers()}
-    places[member.replica_id] = (member.zone, member.region)
+    locations = {peer.replica_id: (peer.zone, peer.region) for peer, _ in peers.peers()}
+    locations[member.replica_id] = (member.zone, member.region)
     return ControlStatus(
-        node=member_statuses((member,), places)[0],
+        node=member_statuses((member,), locations)[0],
         role=replica.role.name.lower(),
         term=replica.term,
-        leader=None if leader is None else member_statuses((leader,), places)[0],
+        leader=None if leader is None else member_statuses((leader,), locations)[0],
         contact_age_ms=age_ms(host.contact_age()),
         in_touch=soft_state.in_touch,
-        voters=member_statuses(replica.members.voters, places),
-        outgoing=member_statuses(replica.members.outgoing, places),
-        learners=member_statuses(replica.members.learners, places),
+        voters=member_statuses(replica.members.voters, locations),
+        outgoing=member_statuses(replica.members.outgoing, locations),
+        learners=member_statuses(replica.members.learners, locations),
         last_index=replica.last_index,
         commit_index=replica.commit_index,
         applied_index=host.applied_index,
--- a/brackenladder/control_plane/operator_api.py
+++ b/brackenladder/control_plane/operator_api.py
@@ -1,4 +1,4 @@
-"""The operator's and the servers' calls to a control node, over HTTP."""
+"""HTTP interface of a control node for operators and servers."""
 
 from __future__ import annotations
 
@@ -31,17 +31,20 @@
 
 
 class ServerEvents(Protocol):
-    """Takes what servers say about themselves. False: this node is out of touch and must not acknowledge."""
+    """Handles servers' reports about themselves.
+
+    The methods return False if the node has lost contact with the quorum and must not acknowledge the report.
+    """
 
     async def heartbeat(self, record: ServerRecord) -> bool:
-        """A server's word, handed on to all nodes before this returns."""
+        """Handles a server's heartbeat; it has been sent to all connected nodes when this returns."""
 
     async def deregister(self, server_id: str) -> bool:
-        """A server's end, handed on to all nodes before this returns."""
+        """Removes a server; this has been sent to all connected nodes when this returns."""
 
 
 class OperatorApi:
-    """Handles one call at a time of `Listen.Control`."""
+    """Handles the requests at the address `Listen.Control`."""
 
     def __init__(
         self,
@@ -66,7 +69,7 @@
         }
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Paths are `/-/CALL` or `/-/CALL/NAME`."""
+        """Handles a request. Paths are `/-/CALL` or `/-/CALL/NAME`."""
         path = request.rel_url.raw_path
         prefix, _, rest = path[1:].partition("/")
         name, _, subject = rest.partition("/")
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -1,6 +1,7 @@
-"""Large orders on their way to the leader: in parts, a few ahead of the answers.
+"""Sends large orders to the leader in parts, with a window of unacknowledged bytes.
 
-Failure prevented: an order of megabytes goes as one message, and the heartbeats' answers wait behind it.
+Failure prevented: an order of several megabytes is sent as one message, and the answers to heartbeats on the
+same link are delayed behind it.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 PART_BYTES = 48 * 1024
 WINDOW_BYTES = 192 * 1024
 MAX_ORDER_BYTES = 9 * 1024 * 1024
-MAX_PARTIAL_ORDERS = 16  # orders at a time, over one link
-MAX_PARTIAL_BYTES = 2 * MAX_ORDER_BYTES  # of them together; a control node has 128 MB
+MAX_PARTIAL_ORDERS = 16  # orders received at the same time over one link
+MAX_PARTIAL_BYTES = 2 * MAX_ORDER_BYTES  # of these orders together; a control node has 128 MB of memory
 
 
 class OrderSender:
-    """The asking node's end, for one order."""
+    """Splits an order into parts; the sender's side."""
 
     def __init__(self, request: int, order: bytes) -> None:
         self._request = request
@@ -26,7 +27,7 @@
         self._acknowledged = 0
 
     def next_parts(self) -> list[OrderPart]:
-        """The parts to send now."""
+        """The parts that the window allows to send now."""
         parts = []
         while self._next < len(self._order) and self._next - self._acknowledged < WINDOW_BYTES:
             data = self._order[self._next : self._next + PART_BYTES]
@@ -35,7 +36,7 @@
         return parts
 
     def acknowledged(self, received: int) -> None:
-        """The leader's node has so many bytes."""
+        """The leader has acknowledged the first `received` bytes."""
         self._acknowledged = max(self._acknowledged, received)
 
 
@@ -46,13 +47,16 @@
 
 
 class OrderReceiver:
-    """The leader's end, for one link. Links keep the sequence, so a part out of place ends its order."""
+    """Reassembles the orders that arrive over one link; the leader's side.
+
+    A link delivers messages in sequence, so an order with a part out of sequence is dropped.
+    """
 
     def __init__(self) -> None:
         self._partial: dict[int, _PartialOrder] = {}
 
     def receive(self, part: OrderPart) -> OrderPartReceived | bytes | None:
-        """What to answer; the whole order once it is there; None for what fits nothing."""
+        """The acknowledgement to send, or the order if it is complete, or None for a part out of sequence."""
         partial = self._start(part) if part.offset == 0 else self._partial.get(part.request)
         if partial is None or part.offset != len(partial.data):
             self._partial.pop(part.request, None)
@@ -65,9 +69,9 @@
         return bytes(partial.data)
 
     def _evict_oldest(self, newest: int) -> None:
-        """Drops the oldest orders while there are too many bytes; their senders ask again.
+        """Drops the oldest orders while the total is above the limit; their senders will repeat them.
 
-        Failure prevented: orders that their senders gave up half-way fill the leader's memory.
+        Failure prevented: orders that were abandoned half-way fill the leader's memory.
         """
         while sum(len(one.data) for one in self._partial.values()) > MAX_PARTIAL_BYTES:
             oldest = next(request for request in self._partial if request != newest)
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -1,4 +1,4 @@
-"""The operator's orders and reads: decided by the leader, whichever control node they reach."""
+"""Handles operators' orders and reads on any control node; the leader decides them."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 from brackenladder.held_calls import HeldCalls
 from brackenladder.transport.link import Link
 
-CALL_SECONDS = 2.5  # longest that a caller is held without a clear answer
-ATTEMPT_SECONDS = 1.5  # a leader that has said nothing for so long is asked again
+CALL_SECONDS = 2.5  # longest time that a call waits for a definite answer
+ATTEMPT_SECONDS = 1.5  # if the leader has not replied by then, the call is repeated
 RETRY_SECONDS = 0.1
 DEPARTURE_TIMEOUT_SECONDS = 0.7  # longest wait for a quorum to confirm a drain; servers wait 1 s
-SLOWEST_BYTES_PER_SECOND = 500_000  # at which a large order is expected to travel
+SLOWEST_BYTES_PER_SECOND = 500_000  # lowest expected transfer rate of a large order
 MICROSECONDS_PER_SECOND = 1_000_000
 NO_DEFINITE_REPLY = OrderReply(0, OrderOutcome.UNAVAILABLE)
 
@@ -53,17 +53,17 @@
 
 @frozen
 class Document:
-    """The newest configuration as it is read back."""
+    """The newest configuration as JSON, and its catalog revision."""
 
     revision: int
     body: bytes
 
 
 class OrderService:
-    """Carries orders to the leader, and decides them when this node leads.
+    """Forwards orders to the leader, or decides them if this node is the leader.
 
-    An order may be committed more than once while leaders change; the catalog accepts a copy of what it has
-    taken and changes nothing, so that asking again is always safe.
+    An order may be committed more than once during a change of leader. The catalog accepts a repeated order
+    without changing anything, so it is always safe to repeat one.
     """
 
     def __init__(self, host: ConsensusHost, peers: PeerLinks, clock: Callable[[], int]) -> None:
@@ -72,24 +72,24 @@
         self._peers = peers
         self._clock = clock
         self._replies = ReplyTable()
-        self._senders: dict[int, OrderSender] = {}  # by request
+        self._senders: dict[int, OrderSender] = {}  # by request number
         self._receivers: dict[Link, OrderReceiver] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def submit(self, order: bytes) -> OrderReply:
-        """The clear answer to an encoded order, or UNAVAILABLE.
+        """The outcome of an encoded order, or UNAVAILABLE if it is not known in time.
 
-        That comes after `CALL_SECONDS`, and later for a large order, by the time that it takes to travel.
+        The time limit is `CALL_SECONDS` plus the expected transfer time of the order.
         """
         seconds = CALL_SECONDS + len(order) / SLOWEST_BYTES_PER_SECOND
         result = await self._retry(lambda: self._submit_once(order), seconds)
         return result.value_or(NO_DEFINITE_REPLY)
 
     async def submit_evacuation(self, order: EvacuationOrder) -> OrderReply:
-        """The same for an order that is no configuration, and so has no base that would tell it is late.
+        """Submits an evacuation order. It has no base version by which the catalog could reject a late copy.
 
-        To be cancelled once the caller is gone: each attempt reads the newest revision first, and the order
-        counts only for as long as the zone is not changed after that.
+        Instead, each attempt first reads the newest revision, and the order takes effect only if the zone has
+        not changed after it. The call must be cancelled when the operator disconnects.
         """
         result = await self._retry(lambda: self._submit_fenced(order))
         return result.value_or(NO_DEFINITE_REPLY)
@@ -99,15 +99,15 @@
         return await self._retry(self._fetch_once)
 
     async def reaches_quorum(self) -> bool:
-        """Whether a leader with a quorum has had all that this node wrote to its links before the call.
+        """Whether a quorum is reached, and has got all that this node wrote to its links before the call.
 
-        What is told to other nodes goes over the links that consensus uses, in sequence: the leader that
-        confirms a read has taken it, or a quorum has that answered this leader.
+        Updates for other nodes use the same links as consensus, in sequence. So if another node confirms the
+        read as the leader, it has got them; if this node leads, the quorum that answered it has.
         """
         return isinstance(await self._retry(self._newest_revision, DEPARTURE_TIMEOUT_SECONDS), Success)
 
     def received(self, link: Link, message: object) -> bool:
-        """A message of another control node; False if it isn't of this kind."""
+        """Handles a message of another control node; False if the message is for another part."""
         match message:
             case ForwardOrder():
                 self._spawn(self._serve_order(link, message))
@@ -126,7 +126,7 @@
     async def _retry(
         self, attempt: Callable[[], Awaitable[Result[Clear, Unavailable]]], seconds: float = CALL_SECONDS
     ) -> Result[Clear, Unavailable]:
-        """Repeats an attempt until it has a clear answer or the time is up."""
+        """Repeats an attempt until it succeeds or the time is up."""
         result: Result[Clear, Unavailable] = Failure(Unavailable.TIMEOUT)
         limit = self._clock() + int(seconds * MICROSECONDS_PER_SECOND)
         with self.held_calls.until(f"a call with {seconds:.1f} s", limit):
@@ -195,13 +195,13 @@
             self._spawn(self._serve_order(link, ForwardOrder(part.request, taken)))
 
     def link_closed(self, link: Link) -> None:
-        """A link has gone, and with it the parts that have come over it."""
+        """Drops the partial orders that have arrived over a closed link."""
         self._receivers.pop(link, None)
 
     async def _decide(self, order: bytes) -> OrderResult:
         """Decides an order as the leader.
 
-        What looks like a refusal is confirmed against the newest state first; it then needs no log entry.
+        If the order would be refused, this is confirmed against the newest state; a refusal is not logged.
         """
         if not self._host.leads:
             return Failure(Unavailable.NO_LEADER)
@@ -240,8 +240,8 @@
         reply = OrderReply(call.request, OrderOutcome.UNAVAILABLE)
         try:
             answer = await self._decide(call.order)
-        except OrderDecodeError as error:  # the other node runs a later version of the program
-            log.warning("order not understood: {}", error)
+        except OrderDecodeError as error:  # the sender runs a later program version
+            log.warning("order cannot be decoded: {}", error)
         else:
             if isinstance(answer, Success):
                 reply = _reply(call.request, answer.unwrap())
--- a/brackenladder/control_plane/peers.py
+++ b/brackenladder/control_plane/peers.py
@@ -1,4 +1,4 @@
-"""Links between control nodes: who they are, how a replica is reached, which addresses are dialled."""
+"""Links between control nodes: dials addresses, identifies peers, and routes messages by replica id."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 from brackenladder.transport.errors import LinkClosed
 from brackenladder.transport.link import Dialer, Link, Transport
 
-MAX_DIALLED_ADDRESSES = 16  # a bound on what other nodes can make this one dial
+MAX_DIALLED_ADDRESSES = 16  # limits what other nodes can make this one dial
 
 log = logbook.Logger("peers")
 
 
 class PeerListener(Protocol):
-    """Who is told what happens on the links."""
+    """Receives the events of the links."""
 
     def peer_connected(self, peer: Hello, link: Link) -> None:
-        """A link that this node dialled has come up, and its other end has said who it is."""
+        """A link is up and the other end has identified itself as a control node."""
 
     def peer_received(self, peer: Hello, link: Link, message: object) -> None:
-        """A message of a control node."""
+        """A control node has sent a message."""
 
     def gateway_received(self, link: Link, message: object) -> None:
-        """A message on a link whose other end isn't a control node: a gateway."""
+        """A message has arrived on a link whose other end is not a control node, but a gateway."""
 
     def link_closed(self, link: Link) -> None:
-        """A link has gone."""
+        """A link has been closed."""
 
 
 class PeerLinks:
-    """Dials every known control node and accepts links of all nodes.
+    """Dials every known control node, and accepts links from all nodes.
 
-    A replica is reached by the id its node tells when the link comes up, never by its address alone: a node
-    that lost its disk is another replica at the same address and must not get its predecessor's messages.
+    Messages are routed by the replica id that the other end sends when the link comes up, not by address: a
+    node that lost its disk is a new replica at the same address, and must not get messages for the old one.
     """
 
     def __init__(self, transport: Transport, listener: PeerListener, hello: Callable[[], Hello]) -> None:
@@ -49,11 +49,11 @@
         self._accepted: dict[str, Link] = {}
 
     async def listen(self, address: str) -> None:
-        """Accepts links at the node's inner address."""
+        """Accepts links at the node-to-node address."""
         await self._transport.listen(address, _AcceptedLinks(self))
 
     def set_addresses(self, addresses: Iterable[str]) -> None:
-        """Dials exactly these nodes from now on; links that exist to other ones are closed."""
+        """Dials exactly these addresses from now on, and closes dialled links to others."""
         wanted = set(addresses)
         wanted.discard(self._hello().address)
         for address in sorted(wanted - self._dialers.keys()):
@@ -63,35 +63,35 @@
             self._dialers.pop(address).close()
 
     def connected_addresses(self) -> tuple[str, ...]:
-        """The inner addresses of the control nodes that are connected now."""
+        """The node-to-node addresses of the control nodes that are connected now."""
         return tuple(sorted({peer.address for peer in self._peers.values()}))
 
     def peers(self) -> tuple[tuple[Hello, Link], ...]:
-        """Every connected control node once, with the link to it."""
+        """Every connected control node, with the link used for it."""
         links = {**self._accepted, **self._dialled}
         return tuple((self._peers[link], link) for link in links.values())
 
     def link(self, replica_id: str) -> Link | None:
-        """The link to a replica's node."""
+        """The link to a replica; None if it is not connected."""
         return self._dialled.get(replica_id) or self._accepted.get(replica_id)
 
     def send(self, replica_id: str, message: object) -> bool:
-        """Hands a message to a replica; False if there is no link or its queue is full."""
+        """Sends a message to a replica; False if there is no link or its queue is full."""
         link = self.link(replica_id)
         return link is not None and link.send(message)
 
     def broadcast(self, message: object) -> None:
-        """Hands a message to every connected control node."""
+        """Sends a message to every connected control node."""
         for _, link in self.peers():
             link.send(message)
 
     def register(self, link: Link, peer: Hello, table: dict[str, Link]) -> None:
-        """The other end has said who it is."""
+        """Records the identity of the other end of a link."""
         self._peers[link] = peer
         table[peer.replica_id] = link
 
     def dialled_received(self, link: Link, message: object) -> None:
-        """A message on a link that this node dialled."""
+        """Handles a message on a link that this node dialled."""
         if isinstance(message, Hello):
             self.register(link, message, self._dialled)
             self._listener.peer_connected(message, link)
@@ -99,7 +99,7 @@
         self._dispatch(link, message)
 
     def accepted_received(self, link: Link, message: object) -> None:
-        """A message on a link that another node dialled."""
+        """Handles a message on a link that another node dialled."""
         if isinstance(message, Hello):
             link.send(self._hello())
             self.register(link, message, self._accepted)
@@ -108,11 +108,11 @@
         self._dispatch(link, message)
 
     def dialled_connected(self, link: Link) -> None:
-        """A link that this node dialled is up."""
+        """A link that this node dialled has come up."""
         link.send(self._hello())
 
     def closed(self, link: Link, reason: LinkClosed) -> None:
-        """A link has gone."""
+        """A link has been closed."""
         peer = self._peers.pop(link, None)
         if peer is not None:
             log.debug("link to {} closed: {}", peer.address, reason)
@@ -122,7 +122,7 @@
         self._listener.link_closed(link)
 
     def close(self) -> None:
-        """Dials nobody any more."""
+        """Closes all dialled links, and stops dialling."""
         for dialer in self._dialers.values():
             dialer.close()
         self._dialers.clear()
@@ -136,7 +136,7 @@
 
 
 class _DialledLink:
-    """Handler of one dialled address."""
+    """The transport's handler for one dialled address."""
 
     def __init__(self, links: PeerLinks) -> None:
         self._links = links
@@ -152,13 +152,13 @@
 
 
 class _AcceptedLinks:
-    """Handler of all links that other nodes dialled."""
+    """The transport's handler for all links that other nodes dialled."""
 
     def __init__(self, links: PeerLinks) -> None:
         self._links = links
 
     def connected(self, link: Link) -> None:
-        """Nothing is known of the other end until it speaks."""
+        """Does nothing: the other end identifies itself by its first message."""
 
     def received(self, link: Link, message: object) -> None:
         self._links.accepted_received(link, message)
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -1,11 +1,14 @@
-"""What a control node keeps on disk beside its log to be of use before there is a leader again.
+"""State that a control node caches on disk beside its log, for use after a restart before there is a leader.
 
-The catalog is told to nobody before a majority has confirmed it (`restart_gate`).
+After a restart, a node does not know which entries of its log are committed until there is a leader, nor any
+servers until their heartbeats arrive. The cache bridges this time. It holds:
 
-After a restart the log does not tell which of its entries are committed until a leader does, and nothing
-tells where servers are until their heartbeats come. The cache holds the newest catalog that was applied here,
-which is committed, the region's servers, which are asked for their health, and the prefixes that servers
-keep, which are hints. All of it may be lost.
+- the newest catalog that was applied on this node, which is therefore committed; it is published only once a
+  majority has confirmed it (`restart_gate`),
+- the servers of the region, which are checked for their health before use,
+- the prompt prefixes that servers hold in their caches, as hints.
+
+The cache may be lost without harm.
 """
 
 from __future__ import annotations
@@ -28,14 +31,14 @@
 
 STATE_TAG = 1
 WRITE_INTERVAL = 300_000  # microseconds between two writes
-PREFIX_INTERVAL = 2_000_000  # the same where only prefixes may have changed
+PREFIX_INTERVAL = 2_000_000  # the same if only prefixes may have changed
 
 log = logbook.Logger("restart")
 
 
 @frozen
 class RememberedCatalog:
-    """A catalog that was committed."""
+    """A committed catalog, as read from the cache or written to it."""
 
     revision: int
     document: bytes
@@ -44,10 +47,10 @@
 
 @frozen
 class RestartState:
-    """The file's content. It is of use beside the log of the same replica only.
+    """The content of the cache file. It is only valid together with the log of the same replica.
 
-    Failure prevented: a log is begun anew in a folder where this file was left, and its revisions, lower than
-    the remembered one, are taken for older ones.
+    Failure prevented: a new log is started in a folder that still has this file; the new log's revisions are
+    lower than the cached one, and are taken for outdated.
     """
 
     replica_id: str
@@ -57,20 +60,20 @@
 
 
 class RestartListener(Protocol):
-    """Takes what was remembered."""
+    """Receives the content of the cache after a restart."""
 
     def catalog_remembered(self, catalog: RememberedCatalog) -> None:
-        """The catalog before the restart; there may be a newer one."""
+        """The catalog from before the restart. It may be outdated."""
 
     def prefixes_remembered(self, notices: tuple[PrefixNotice, ...]) -> None:
-        """The prefixes that servers kept."""
+        """The prefixes that servers held in their caches."""
 
     def server_found(self, record: ServerRecord) -> None:
-        """A server that a health check has found."""
+        """A server from the cache that has passed its health check."""
 
 
 class RestartCache:
-    """Reads the file at the start and replaces it as things change. Without a file it does nothing."""
+    """Reads the cache file at the start, and rewrites it after changes. Without a file it does nothing."""
 
     def __init__(
         self,
@@ -94,13 +97,13 @@
         self._write_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begins to read, and to ask the remembered servers."""
+        """Starts to read the cache and to check its servers."""
         if self._file is not None:
             self._restore_task = asyncio.get_running_loop().create_task(self._restore(self._file))
 
     @property
     def is_due(self) -> bool:
-        """Whether `note` is to be called: it is time, and the last write has ended."""
+        """Whether to call `save_if_changed`: the interval has passed and the last write has ended."""
         busy = self._write_task is not None and not self._write_task.done()
         return self._file is not None and not busy and self._clock() - self._written_at >= WRITE_INTERVAL
 
@@ -111,7 +114,7 @@
         health_paths: dict[str, str],
         prefixes: Callable[[], tuple[PrefixNotice, ...]],
     ) -> None:
-        """Writes what is of use after a restart, if catalog or servers have changed, or it is time."""
+        """Writes the cache if catalog or servers have changed, and at a longer interval if prefixes exist."""
         if self._file is None:
             return
         servers_to_save = self._memory.select(servers, health_paths)
@@ -128,7 +131,7 @@
         self._write_task = asyncio.get_running_loop().create_task(self._write(self._file, data))
 
     def close(self) -> None:
-        """Asks nobody any more. A write that hangs does not keep the process."""
+        """Cancels reading and writing. A write that hangs does not keep the process from exiting."""
         for task in (self._restore_task, self._write_task):
             if task is not None:
                 task.cancel()
@@ -144,7 +147,9 @@
         alive = [record for record in found if record is not None]
         for record in alive:
             self._listener.server_found(record)
-        log.info("catalog {}, {} of {} servers answer", state.catalog.revision, len(alive), len(found))
+        log.info(
+            "cached catalog {}, {} of {} servers healthy", state.catalog.revision, len(alive), len(found)
+        )
 
     async def _read(self, file: RestartFile) -> RestartState | None:
         content = await file.read()
--- a/brackenladder/control_plane/restart_file.py
+++ b/brackenladder/control_plane/restart_file.py
@@ -1,4 +1,4 @@
-"""Where the restart cache is kept: one file on the node's disk, replaced as a whole."""
+"""Storage of the restart cache: a file on the node's disk, always replaced as a whole."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class RestartFile(Protocol):
-    """One file that is read at the start and replaced as a whole. Both calls may take long."""
+    """A file that is read and replaced as a whole. Both calls may take long."""
 
     async def read(self) -> Result[bytes, StoreError]:
-        """What was written last; empty if nothing was."""
+        """The last content written; empty if there is none."""
 
     async def write(self, data: bytes) -> Result[None, StoreError]:
         """Replaces the content durably."""
 
 
 class DiskRestartFile:
-    """`RestartFile` in a folder of the file system; threads wait for the disk, the event loop goes on."""
+    """`RestartFile` in the file system. The disk is accessed in threads, so the event loop is not blocked."""
 
     def __init__(self, folder: str) -> None:
         self._path = os.path.join(folder, FILE_NAME)
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -1,7 +1,7 @@
-"""Whether a catalog that a node remembers over its restart is still the newest that was committed.
+"""Confirms that the catalog a node has cached across its restart is still the newest committed one.
 
-Every committed order is in the log of one member at least of any majority. So a remembered catalog is the
-newest once a majority of the members has said, after this node's start, that its log holds no later order.
+Every committed order is in the log of at least one member of any majority. So the cached catalog is the
+newest if a majority of the members has reported, after this node's start, that its log has no later order.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 
 
 class RestartGate:
-    """Takes what the members say of their logs; this node is one of them. Times are this host's."""
+    """Collects the members' reports on their logs, this node's included. Times are of this host's clock."""
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}  # by replica id
 
     def record(self, now: int, replica_id: str, newest_order: int) -> None:
-        """A replica's log holds orders up to this index, committed or not."""
+        """Records the index of the newest order in a replica's log, committed or not."""
         self._reports[replica_id] = _Report(newest_order, now)
 
     def confirms(self, now: int, members: Members, revision: int) -> bool:
-        """Whether no order after `revision` can have been committed before the members spoke, just now.
+        """Whether no order after `revision` can have been committed before the members' recent reports.
 
-        A node that knows of a later order speaks against it, member or not, however long ago: the members
-        known here may have been replaced.
+        A report of a later order prevents this whatever its age, even if it is not from a member: the member
+        list known here may be outdated.
 
-        Failure prevented: a node's disk answers long after its peers have greeted it, it is cut off
-        meanwhile, and tells what was the newest when they spoke.
+        Failure prevented: a node's disk answers long after its peers have reported, the node is disconnected
+        meanwhile, and publishes a catalog that was the newest at the time of the reports only.
         """
         if any(report.newest_order > revision for report in self._reports.values()):
             return False
--- a/brackenladder/control_plane/restart_recovery.py
+++ b/brackenladder/control_plane/restart_recovery.py
@@ -1,4 +1,4 @@
-"""What a control node remembers over its restart: written while it runs, told once it may be."""
+"""Writes a control node's restart cache while it runs, and publishes its content after a restart."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class RestartRecovery:
-    """Joins the restart cache, the gate of its catalog and those who are told; a `RestartListener`."""
+    """Connects the restart cache, the confirmation of its catalog and `SoftState`. A `RestartListener`."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         newest_order: Callable[[], int],
         local_servers: Callable[[], tuple[ServerRecord, ...]],
     ) -> None:
-        """`newest_order` is that of this node's log; `local_servers` are the living ones of its region."""
+        """`newest_order`: its index in this node's log. `local_servers`: the live servers of its region."""
         self._clock = clock
         self._host = host
         self._soft_state = soft_state
@@ -44,25 +44,25 @@
         )
 
     def start(self) -> None:
-        """Begins to read what was written before the restart."""
+        """Starts to read the cache from before the restart."""
         self._cache.start()
 
     def close(self) -> None:
-        """Ends at once."""
+        """Stops reading and writing at once."""
         self._cache.close()
 
     def tick(self) -> None:
-        """Writes what has changed, if it is time."""
+        """Writes changes to the cache if due."""
         if self._cache.is_due:
             self.write()
 
     def peer_reported(self, replica_id: str, newest_order: int) -> None:
-        """A peer's log holds orders up to this index."""
+        """A peer has reported the index of the newest order in its log."""
         self._gate.record(self._clock(), replica_id, newest_order)
         self._publish_if_confirmed()
 
     def write(self) -> None:
-        """Writes what is of use after a restart; there is nothing before the first configuration."""
+        """Updates the cache; does nothing before the first configuration."""
         catalog = self._host.catalog
         if catalog.configuration is None:
             return
@@ -86,7 +86,7 @@
         self._soft_state.heartbeat(record)
 
     def _publish_if_confirmed(self) -> None:
-        """Tells gateways what was committed before the restart, as soon as a majority confirms it."""
+        """Publishes the catalog from before the restart once a majority confirms that it is the newest."""
         remembered = self._remembered
         if remembered is None:
             return
@@ -95,5 +95,5 @@
         if not self._gate.confirms(now, self._host.replica.members, remembered.revision):
             return
         self._remembered = None
-        log.info("catalog {} of before the restart is confirmed", remembered.revision)
+        log.info("catalog {} from before the restart is confirmed", remembered.revision)
         self._soft_state.catalog_confirmed(remembered)
--- a/brackenladder/control_plane/server_calls.py
+++ b/brackenladder/control_plane/server_calls.py
@@ -1,4 +1,4 @@
-"""What servers say about themselves: taken, told on, and acknowledged once that may be relied on."""
+"""Handles servers' heartbeats and deregistrations, and decides when to acknowledge them."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 class ServerCalls:
     """The `operator_api.ServerEvents` of a control node.
 
-    That a server leaves is acknowledged only after a round of a quorum that began when it had been told on.
+    A drain or deregistration is acknowledged only after a quorum round that began after it was forwarded.
 
-    Failure prevented: a node that has just been cut off acknowledges a drain of which nobody hears, and
-    gateways send requests to the server for as long as its last heartbeats count.
+    Failure prevented: a node that has just been disconnected acknowledges a drain that no other node learns
+    of, and gateways go on sending requests to the server until its last heartbeat expires.
     """
 
     def __init__(self, soft_state: SoftState, orders: OrderService) -> None:
@@ -21,13 +21,13 @@
         self._orders = orders
 
     async def heartbeat(self, record: ServerRecord) -> bool:
-        """Take a server's word; whether it is acknowledged."""
+        """Handles a heartbeat; returns whether to acknowledge it."""
         in_touch = self._soft_state.heartbeat(record)
         if record.state is ServerState.READY:
             return in_touch
         return await self._orders.reaches_quorum()
 
     async def deregister(self, server_id: str) -> bool:
-        """Take a server's end; whether it is acknowledged."""
+        """Removes a server; returns whether to acknowledge it."""
         self._soft_state.deregister(server_id)
         return await self._orders.reaches_quorum()
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -1,4 +1,4 @@
-"""What a control node knows of servers and gateways, and who it tells: peers and subscribed gateways."""
+"""A control node's state about servers and gateways, and its distribution to peers and gateways."""
 
 from __future__ import annotations
 
@@ -30,31 +30,31 @@
 from brackenladder.transport.link import Link
 
 TICK_SECONDS = 0.1
-SILENT_HEARTBEATS = 4  # heartbeats without a word after which a server counts as gone
-SETTLE_HEARTBEATS = 1.1  # heartbeats after the start in which every living server has called some node
-FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks after which this process must have been frozen
-IN_TOUCH_AGE = 1_500_000  # contact with the leader up to which servers' and gateways' word is acknowledged
+SILENT_HEARTBEATS = 4  # missed heartbeats after which a server counts as gone
+SETTLE_HEARTBEATS = 1.1  # heartbeat intervals from the start until every live server has called some node
+FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks that show that this process was suspended
+IN_TOUCH_AGE = 1_500_000  # microseconds since the last quorum contact for which the node counts as in touch
 
 log = logbook.Logger("registry")
 
 
 class ReplicatedStateAge(Protocol):
-    """How new what this node has of the agreed state is. Ages are in microseconds."""
+    """The staleness of this node's replicated state. Ages are in microseconds."""
 
     def contact_age(self) -> int:
-        """Since the last contact with a quorum."""
+        """The time since the last contact with a quorum."""
 
     def catalog_age(self) -> int:
-        """Since a moment up to which nothing that was committed is missing here."""
+        """An upper bound on how stale the catalog is: all that was committed before is applied."""
 
     def lacks_committed(self) -> bool:
-        """Whether something that is known to be committed is missing here."""
+        """Whether an entry known to be committed is not applied yet."""
 
 
 class SoftState:
-    """Takes the word of servers, gateways and peers, and hands it on.
+    """Collects reports of servers, gateways and peers, and distributes them.
 
-    Whatever changes is written to the links before the call that brought it is answered.
+    A change is written to the links before the call that caused it is answered.
     """
 
     def __init__(
@@ -65,8 +65,8 @@
         heartbeat: int,
         region: str = "",
     ) -> None:
-        """`agreed` tells how new this node's state is; servers call every `heartbeat` microseconds.
-        `region` is this node's: gateways of it are told of prefixes before anything else.
+        """`state_age` tells how stale this node's replicated state is; servers call every `heartbeat`
+        microseconds. `region` is this node's region, whose gateways get the known prefixes first.
         """
         now = clock()
         self._clock = clock
@@ -82,30 +82,30 @@
         self._relay = PrefixRelay(now)
         self._subscribers: dict[str, Link] = {}
         self._subscriber_names: dict[Link, str] = {}
-        self._gateway_nodes: dict[str, str] = {}  # subscribed gateways: subscriber -> node
-        self._update_links: dict[str, Link] = {}  # the link over which a peer is told, by replica id
+        self._gateway_nodes: dict[str, str] = {}  # node names of subscribed gateways, by subscriber name
+        self._update_links: dict[str, Link] = {}  # the links used for updates to peers, by replica id
         self._last_subscriber = 0
-        self._confirmed_at: int | None = None  # when a majority confirmed a remembered catalog
+        self._confirmed_at: int | None = None  # when a majority confirmed the cached catalog
         self._ticked_at = now
 
     # -- calls of servers and clients
 
     def heartbeat(self, record: ServerRecord) -> bool:
-        """Takes a server's word, out of touch too; whether this node is in touch."""
+        """Records a heartbeat, even without quorum contact; returns whether the node is in touch."""
         if self._servers.heartbeat(self._clock(), record):
             log.debug("server {} {} {}", record.id, record.state.name, record.address)
             self.flush()
         return self._in_touch()
 
     def deregister(self, server_id: str) -> bool:
-        """The same for a server's end."""
+        """Removes a server; returns whether the node is in touch."""
         if self._servers.deregister(self._clock(), server_id):
             log.debug("server {} deregistered", server_id)
             self.flush()
         return self._in_touch()
 
     def resolve(self, client: ClientLocation) -> ResolvedGateways:
-        """The front addresses for a client; none while this node can't know of all gateways."""
+        """The front addresses for a client; none until this node has had time to learn of all gateways."""
         now = self._clock()
         if not self._gateways.settled(now):
             return NO_GATEWAYS
@@ -114,29 +114,29 @@
         current = self._may_publish_catalog(now) and not self._state_age.lacks_committed()
         return self._directory.resolve(now, client, current)
 
-    # -- what operators ask
+    # -- status
 
     @property
     def in_touch(self) -> bool:
-        """Whether the word of servers is acknowledged."""
+        """Whether this node has recent contact with a quorum, and so acknowledges servers' reports."""
         return self._in_touch()
 
     @property
     def may_publish_catalog(self) -> bool:
-        """Whether gateways are told the catalog: it was the newest a moment ago."""
+        """Whether the catalog may be sent to gateways, because it was the newest a moment ago."""
         return self._may_publish_catalog(self._clock())
 
     def servers_in(self, region: str, regions: Mapping[str, str]) -> tuple[ServerRecord, ...]:
-        """The living servers of a region; `regions` gives the region by zone."""
+        """The live servers of a region; `regions` maps zones to regions."""
         alive = self._servers.alive(self._clock())
         return tuple(record for record in alive if regions.get(record.zone) == region)
 
     def services(self) -> tuple[ServiceStatus, ...]:
-        """The living servers, counted by service."""
+        """The number of live servers by service."""
         return service_statuses(self._servers.alive(self._clock()))
 
     def gateways(self) -> tuple[GatewayStatus, ...]:
-        """The gateways that were heard lately, with what they have acknowledged here."""
+        """The live gateways, with the catalog revision that each has acknowledged to this node."""
         revisions = {node: self._publisher.revision_of(name) for name, node in self._gateway_nodes.items()}
         return gateway_statuses(self._gateways.list_living(self._clock()), revisions)
 
@@ -155,11 +155,11 @@
         self.flush()
 
     def update_link(self, replica_id: str) -> Link | None:
-        """The link over which a control node is told."""
+        """The link used for updates to a control node."""
         return self._update_links.get(replica_id)
 
     def peer_received(self, replica_id: str, message: object) -> bool:
-        """A message of a control node; False if it isn't of this kind."""
+        """Handles a message of a control node; False if the message is for another part."""
         if isinstance(message, PrefixNotices):
             self._relay.from_peer(self._clock(), message)
             self._relay_notices()
@@ -171,7 +171,7 @@
         return True
 
     def gateway_received(self, link: Link, message: object) -> None:
-        """A message of a gateway."""
+        """Handles a message of a gateway."""
         name = self._subscriber_names.get(link)
         match message:
             case Subscribe():
@@ -188,7 +188,7 @@
         self.flush()
 
     def link_closed(self, link: Link) -> None:
-        """A link has gone: a peer is told all again over the next one, a gateway subscribes anew."""
+        """Handles a closed link. A peer gets the full state over its next link; a gateway subscribes anew."""
         for replica_id, used in list(self._update_links.items()):
             if used is link:
                 self._restart_updates(replica_id)
@@ -199,17 +199,17 @@
             self._publisher.disconnected(name)
             self._relay.unsubscribe(name)
 
-    # -- changes of the agreed state
+    # -- changes of the replicated state
 
     def catalog_changed(self, catalog: Catalog) -> None:
-        """Publishes the newest catalog at once."""
+        """Publishes the new catalog."""
         self._publisher.set_catalog(catalog.revision, catalog.document, catalog.evacuated)
         configuration = catalog.configuration
         self._directory.set_configuration(catalog.revision, lambda: configuration)
         self.flush()
 
     def catalog_confirmed(self, catalog: RememberedCatalog) -> None:
-        """Publishes what was committed before this node's restart; a majority knows of nothing later."""
+        """Publishes the catalog from before the restart, after a majority has confirmed it as the newest."""
         self._confirmed_at = self._clock()
         self._publisher.set_catalog(catalog.revision, catalog.document, frozenset(catalog.evacuated))
         self._directory.set_configuration(
@@ -218,44 +218,44 @@
         self.flush()
 
     def prefixes_remembered(self, notices: tuple[PrefixNotice, ...]) -> None:
-        """Takes the prefixes that servers kept before this node's restart."""
+        """Adds the prefixes that servers held before this node's restart."""
         self._relay.restore(self._clock(), notices)
 
     def prefixes(self) -> tuple[PrefixNotice, ...]:
-        """The prefixes that traffic leans on most."""
+        """The prefixes that carry the most traffic."""
         return self._relay.heaviest(self._clock())
 
     def control_nodes_changed(
         self, revision: int, addresses: tuple[str, ...], zones: tuple[str, ...]
     ) -> None:
-        """Publishes where the control nodes listen, and the zone of each address."""
+        """Publishes the addresses of the control nodes and the zone of each."""
         self._publisher.set_control_nodes(revision, addresses, zones)
 
     # -- time
 
     def tick(self) -> None:
-        """Lets silence take effect; to be called every `TICK_SECONDS`."""
+        """Expires silent servers and gateways; to be called every `TICK_SECONDS`."""
         now = self._clock()
         gap = now - self._ticked_at
         self._ticked_at = now
         if gap > FREEZE_THRESHOLD:
-            log.info("stood still for {} ms", gap // 1000)
+            log.info("process was suspended for {} ms", gap // 1000)
             self._servers.compensate_pause(now, gap)
             self._gateways.compensate_pause(now, gap)
         for record in self._servers.expire(now, trusted=self._in_touch()):
-            log.info("server {} silent, gone", record.id)
+            log.info("server {} removed, no heartbeat", record.id)
         self._gateways.remove_expired(now)
         self._publish_gateway_count()
         self.flush()
         self._relay_notices()
 
     def flush(self) -> None:
-        """Writes all that is due to the links."""
+        """Sends all pending updates to peers and gateways."""
         now = self._clock()
-        for told in self._exchange.take_messages(now):
-            link = self._update_links.get(told.peer)
-            if link is None or not link.send(told.message):
-                self._restart_updates(told.peer)
+        for update in self._exchange.take_messages(now):
+            link = self._update_links.get(update.peer)
+            if link is None or not link.send(update.message):
+                self._restart_updates(update.peer)
         for delivery in self._publisher.take_messages(
             now, self._published_contact_age(now), self._may_publish_catalog(now)
         ):
@@ -264,7 +264,7 @@
                 subscriber.close()
 
     def _relay_notices(self) -> None:
-        """Writes the prefix notices that are due. They are hints: a link that takes none loses them."""
+        """Sends the pending prefix notices. They are hints, and are dropped if a link's queue is full."""
         for due in self._relay.take(self._clock()):
             if due.receiver is Receiver.PEERS:
                 self._peers.broadcast(due.message)
@@ -277,10 +277,10 @@
         return self._state_age.contact_age() <= IN_TOUCH_AGE
 
     def _may_publish_catalog(self, now: int) -> bool:
-        """Whether the catalog here is known to have been the newest a moment ago.
+        """Whether this node's catalog is known to have been the newest a moment ago.
 
-        Failure prevented: a node that is cut off, has restarted alone or is still taking in what it missed
-        hands an old configuration to gateways that have none, and leads clients by homes of the past.
+        Failure prevented: a node that is disconnected, has restarted alone or is still catching up sends an
+        old configuration to gateways that have none, and directs clients by outdated home regions.
         """
         confirmed = self._confirmed_at is not None and now - self._confirmed_at <= IN_TOUCH_AGE
         return confirmed or self._state_age.catalog_age() <= IN_TOUCH_AGE
@@ -289,19 +289,19 @@
         return self._state_age.catalog_age() if self._exchange.settled(now) else UNKNOWN_AGE
 
     def _send_known_prefixes(self, link: Link, name: str | None, message: Subscribe) -> None:
-        """A gateway's first word: it needs to know what servers keep before it has requests to place.
+        """Sends the known prefixes to a gateway that subscribes first, before it has requests to place.
 
-        Failure prevented: after a restart of all the requests that were held go out before the relay is
-        chosen, and prompts that servers keep are read again elsewhere.
+        Failure prevented: after a restart of all nodes, gateways send their held requests before a relay for
+        notices is chosen, and prompts cached on one server are processed again on another.
         """
-        kept = self.prefixes() if name is None and message.region == self._region else ()
-        if kept:
-            link.send(PrefixNotices(kept))
+        notices = self.prefixes() if name is None and message.region == self._region else ()
+        if notices:
+            link.send(PrefixNotices(notices))
 
     def _subscribed(self, link: Link, name: str, message: Subscribe) -> None:
-        """A gateway's presence. Peers hear it themselves; that it lives is told by its nearest node alone.
+        """Records a gateway's presence. Only the control node chosen as its relay reports it to the peers.
 
-        Failure prevented: each of five control nodes tells each other one of every gateway, each second.
+        Failure prevented: all five control nodes report every gateway to each of the others every second.
         """
         self._publisher.subscribed(name, message)
         self._relay.set_subscribed(name, message.relay)
@@ -323,7 +323,7 @@
             self._exchange.peer_connected(replica_id)
 
     def _restart_updates(self, replica_id: str) -> None:
-        """Begins anew over another link, if there is one."""
+        """Restarts the updates to a peer from the full state, over another link if there is one."""
         if self._update_links.pop(replica_id, None) is None:
             return
         self._exchange.peer_disconnected(replica_id)
--- a/brackenladder/control_plane/status.py
+++ b/brackenladder/control_plane/status.py
@@ -1,4 +1,4 @@
-"""What a control node tells of itself and of the system: the document of `GET /-/Status`."""
+"""A control node's status of itself and of the system: the document of `GET /-/Status`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from brackenladder.registry.records import ServerRecord, ServerState
 
 MICROSECONDS_PER_MILLISECOND = 1000
-MAX_AGE = 1 << 50  # microseconds; an age above was never measured
+MAX_AGE = 1 << 50  # microseconds; a greater age means that it was never measured
 
 
 @frozen
@@ -31,30 +31,30 @@
 
 @frozen
 class ServiceStatus:
-    """How many servers of a service are known, by what they say of themselves."""
+    """The number of known servers of a service, by the state that they report."""
 
     name: str = named("Name")
     ready: int = named("Ready")
     draining: int = named("Draining")
-    cold: int = named("Cold")  # of the ready ones
+    cold: int = named("Cold")  # subset of `ready`
 
 
 @frozen
 class GatewayStatus:
-    """A gateway that was heard lately."""
+    """A gateway whose presence was reported recently."""
 
     node: str = named("Node")
     front_address: str = named("FrontAddress")
     zone: str = named("Zone")
     region: str = named("Region")
     state: str = named("State")  # starting, ready or leaving
-    silent_ms: int = named("SilentMs")  # since any control node heard it
-    revision: int | None = named("Revision")  # acknowledged to this node; None: not connected to it
+    silent_ms: int = named("SilentMs")  # since any control node heard from it
+    revision: int | None = named("Revision")  # acknowledged to this node; None if not connected to it
 
 
 @frozen
 class ViolationStatus:
-    """How often the node has found an invariant broken since its process started."""
+    """How often the node has found an invariant violated since its process started."""
 
     invariant: str = named("Invariant")
     count: int = named("Count")
@@ -62,16 +62,16 @@
 
 @frozen
 class ControlStatus:
-    """One control node's view. All of it is its own: another node's may differ for a moment."""
+    """A control node's own view of the system. Other nodes' views may differ for a moment."""
 
     node: MemberStatus = named("Node")
     role: str = named("Role")  # leader, follower, candidate or learner
     term: int = named("Term")
     leader: MemberStatus | None = named("Leader")
-    contact_age_ms: int | None = named("ContactAgeMs")  # with the leader; of a leader: with a quorum
-    in_touch: bool = named("InTouch")  # it acknowledges what servers say
+    contact_age_ms: int | None = named("ContactAgeMs")  # with the leader, or for a leader with a quorum
+    in_touch: bool = named("InTouch")  # it acknowledges servers' reports
     voters: tuple[MemberStatus, ...] = named("Voters")
-    outgoing: tuple[MemberStatus, ...] = named("Outgoing")  # voters of the members that a change replaces
+    outgoing: tuple[MemberStatus, ...] = named("Outgoing")  # old voters during a joint change of members
     learners: tuple[MemberStatus, ...] = named("Learners")
     last_index: int = named("LastIndex")
     commit_index: int = named("CommitIndex")
@@ -85,20 +85,20 @@
 
 
 def member_statuses(
-    members: Iterable[Member], places: Mapping[str, tuple[str, str]]
+    members: Iterable[Member], locations: Mapping[str, tuple[str, str]]
 ) -> tuple[MemberStatus, ...]:
-    """Replicas as they are told; `places`: zone and region by replica id, as the nodes say themselves.
+    """The status of replicas; `locations` gives zone and region by replica id, as reported by the nodes.
 
-    The log knows no places of the first voters.
+    They are needed because the log does not hold the locations of the initial voters.
     """
     return tuple(
-        MemberStatus(one.replica_id, one.address, *places.get(one.replica_id, (one.zone, one.region)))
+        MemberStatus(one.replica_id, one.address, *locations.get(one.replica_id, (one.zone, one.region)))
         for one in members
     )
 
 
 def service_statuses(alive: Iterable[ServerRecord]) -> tuple[ServiceStatus, ...]:
-    """The servers by service, in the order of the names."""
+    """The number of servers by service, sorted by name."""
     counts = Counter((record.service, record.state) for record in alive)
     cold = Counter(
         record.service for record in alive if record.state is ServerState.READY and record.cold_for > 0
@@ -114,7 +114,7 @@
 def gateway_statuses(
     heard: Iterable[HeardGateway], revisions: Mapping[str, int]
 ) -> tuple[GatewayStatus, ...]:
-    """Gateways in the order of their names; `revisions`: acknowledged, by node."""
+    """The gateways sorted by node; `revisions` gives the acknowledged catalog revision by node."""
     return tuple(
         GatewayStatus(
             one.gateway.node,
@@ -130,7 +130,7 @@
 
 
 def violation_statuses(counts: Mapping[Invariant, int]) -> tuple[ViolationStatus, ...]:
-    """The invariants that were broken, in the order of their names."""
+    """The violated invariants, sorted by name."""
     told = [ViolationStatus(invariant.value, count) for invariant, count in counts.items()]
     return tuple(sorted(told, key=lambda one: one.invariant))
 
@@ -141,7 +141,7 @@
 
 
 def status_document(item: Any) -> Any:
-    """The JSON document of a status or of a part of one."""
+    """Converts a status, or a part of one, to a JSON document."""
     if attrs.has(type(item)):
         fields = attrs.fields(type(item))
         return {f.metadata[DOCUMENT_NAME]: status_document(getattr(item, f.name)) for f in fields}
--- a/brackenladder/control_plane/threads.py
+++ b/brackenladder/control_plane/threads.py
@@ -1,4 +1,4 @@
-"""Calls that wait on a disk, in threads that do not keep the process from ending."""
+"""Runs blocking disk calls in threads that do not keep the process from exiting."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 async def in_daemon_thread(call: Callable[[], T]) -> T:
-    """The call's result, or its exception; while the disk hangs the event loop goes on."""
+    """Runs a call in a thread without blocking the event loop; returns its result or raises its exception."""
     loop = asyncio.get_running_loop()
     done: asyncio.Future[T] = loop.create_future()
 
@@ -22,16 +22,16 @@
         if error is not None:
             done.set_exception(error)
         else:
-            done.set_result(result)  # type: ignore[arg-type]  # without an error it is the call's
+            done.set_result(result)  # type: ignore[arg-type]  # if there is no error, the result is of type T
 
     def run() -> None:
         result: T | None = None
         error: Exception | None = None
         try:
             result = call()
-        except Exception as raised:  # whoever waits gets it, whatever it is
+        except Exception as raised:  # any exception is passed on to the caller
             error = raised
-        with suppress(RuntimeError):  # the loop is closed: nobody waits any longer
+        with suppress(RuntimeError):  # the loop is closed, so no caller waits any more
             loop.call_soon_threadsafe(resolve, result, error)
 
     threading.Thread(target=run, name="disk", daemon=True).start()
--- a/brackenladder/control_plane/wire.py
+++ b/brackenladder/control_plane/wire.py
@@ -1,6 +1,6 @@
-"""The codec of all node-to-node messages.
+"""The codecs of node-to-node messages.
 
-A message's tag never changes: new messages go to the end of a block.
+The tag of a message must never change: new message types are added at the end of a block.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 def gateway_codec() -> Codec:
-    """What is spoken between gateways and control nodes."""
+    """The codec for messages between gateways and control nodes."""
     codec = Codec()
     _register(codec, DELIVERY_BLOCK, DELIVERY_TYPES)
     return codec
 
 
 def control_codec() -> Codec:
-    """What is spoken between control nodes, and with gateways."""
+    """The codec for messages between control nodes, and between them and gateways."""
     from brackenladder.consensus.messages import MESSAGE_TYPES as CONSENSUS_TYPES
 
     codec = gateway_codec()
