--- a/brackenladder/catalog/homes.py
+++ b/brackenladder/catalog/homes.py
@@ -22,11 +22,11 @@
     """
 
     known: bool = False  # whether any route has the host
-    bindings: tuple[Homes, ...] = ()  # the distinct home sets of its routes
+    home_sets: tuple[Homes, ...] = ()  # the distinct home sets of its routes
 
     def permits(self, region: str) -> bool:
         """Whether clients of other regions may be directed to gateways of this region."""
-        return self.known and all(region in homes for homes in self.bindings)
+        return self.known and all(region in homes for homes in self.home_sets)
 
     def forbidden(self, client_region: str, regions: Iterable[str]) -> list[str]:
         """Those of the regions that a client of `client_region` must not be directed to, sorted."""
@@ -59,9 +59,9 @@
 
 
 def _by_host(configuration: Configuration | None) -> Mapping[str, HostHomes]:
-    bindings: dict[str, dict[Homes, None]] = {}
+    home_sets: dict[str, dict[Homes, None]] = {}
     for route in configuration.routes if configuration is not None else ():
-        of_host = bindings.setdefault(route.host, {})
+        host_sets = home_sets.setdefault(route.host, {})
         if route.homes:
-            of_host[frozenset(route.homes)] = None
-    return {host: HostHomes(known=True, bindings=tuple(of_host)) for host, of_host in bindings.items()}
+            host_sets[frozenset(route.homes)] = None
+    return {host: HostHomes(known=True, home_sets=tuple(host_sets)) for host, host_sets in home_sets.items()}
--- a/brackenladder/catalog/model.py
+++ b/brackenladder/catalog/model.py
@@ -15,7 +15,7 @@
     """How a route's requests may be attempted."""
 
     SAFE = "safe"  # may be executed more than once
-    UNSAFE = "unsafe"  # may be executed at most once for each time the client sends it
+    UNSAFE = "unsafe"  # may be executed at most once per client request
     STREAMING = "streaming"  # answered by a stream of events; like `unsafe` unless `resumable`
 
 
--- a/brackenladder/catalog/strict_json.py
+++ b/brackenladder/catalog/strict_json.py
@@ -91,7 +91,7 @@
 
 
 def canonical(value: object) -> bytes:
-    """JSON text that is the same for all values with the same content, whatever the order of their keys."""
+    """JSON text in a canonical form, which does not depend on the order of keys."""
     return _CANONICAL.encode(value).encode()
 
 
--- a/brackenladder/catalog/update.py
+++ b/brackenladder/catalog/update.py
@@ -66,8 +66,8 @@
 
 def _with_items(items: Any, changes: list[Document]) -> list[Any]:
     by_name = {item[NAME]: item for item in changes}
-    kept = items if _is_named_list(items) else []
-    merged = [by_name.pop(item[NAME], item) for item in kept]
+    current = items if _is_named_list(items) else []
+    merged = [by_name.pop(item[NAME], item) for item in current]
     return merged + list(by_name.values())
 
 
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -33,7 +33,7 @@
 from brackenladder.transport.link import Link, Transport
 
 MICROSECONDS_PER_MILLISECOND = 1000
-ELECTION_HEAD_START = 350_000  # microseconds by which a starting node campaigns earlier
+ELECTION_HEAD_START = 350_000  # microseconds that a starting node's first election timeout is shorter
 STOP_SECONDS = 1.5  # longest orderly shutdown; bounds the sum of the waits below
 HANDOVER_SECONDS = 0.6  # longest wait for another leader before shutdown
 HTTP_GRACE_SECONDS = 0.3  # for open calls
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -32,7 +32,7 @@
         self._homes = ConfigurationHomes()
         self._revision = 0  # catalog revision that `_homes` comes from
         self._answers: Counter[Proximity] = Counter()
-        self._last_reaches: dict[tuple[str, str], Proximity] = {}  # by host and client region
+        self._last_proximity: dict[tuple[str, str], Proximity] = {}  # by host and client region
 
     def set_configuration(self, revision: int, read: ReadConfiguration) -> None:
         """Sets the configuration of a catalog revision; older revisions are ignored."""
@@ -65,32 +65,32 @@
         """The number of answers by proximity."""
         return dict(self._answers)
 
-    def _record_answer(self, now: int, host: str, region: str, reach: Proximity) -> None:
+    def _record_answer(self, now: int, host: str, region: str, proximity: Proximity) -> None:
         """Counts an answer, and logs when the proximity for a group of clients changes.
 
         Clients choose the names that they send, so log lines and memory are bounded. A change between zone
         and region is not logged: clients of different zones of a region get different answers in turn.
         """
-        self._answers[reach] += 1
-        place = (host, region)
-        before = self._last_reaches.get(place)
-        if before is None and len(self._last_reaches) >= MAX_TRACKED_GROUPS:
+        self._answers[proximity] += 1
+        group = (host, region)
+        previous = self._last_proximity.get(group)
+        if previous is None and len(self._last_proximity) >= MAX_TRACKED_GROUPS:
             return
-        self._last_reaches[place] = reach
-        if before is reach or before in OWN_REGION and reach in OWN_REGION:
+        self._last_proximity[group] = proximity
+        if previous is proximity or previous in OWN_REGION and proximity in OWN_REGION:
             return
         log.info(
             "{}: clients of {!r} are directed to {} (before: {}); gateways of their region: {}",
             host,
             region,
-            reach.value,
-            before.value if before is not None else "no earlier request",
+            proximity.value,
+            previous.value if previous is not None else "no earlier request",
             self._describe_region(now, region),
         )
 
     def _describe_region(self, now: int, region: str) -> str:
         """The known gateways of a region, as text for the log."""
-        known = [one for one in self._gateways.list_living(now) if one.gateway.region == region]
+        known = [gateway for gateway in self._gateways.list_living(now) if gateway.gateway.region == region]
         return ", ".join(map(_describe, known)) or "none known"
 
 
@@ -99,5 +99,5 @@
 
 
 def _describe(known: HeardGateway) -> str:
-    silent = known.age // MICROSECONDS_PER_MILLISECOND
-    return f"{known.gateway.node} {known.gateway.state.name.lower()}, heard {silent} ms ago"
+    silent_ms = known.age // MICROSECONDS_PER_MILLISECOND
+    return f"{known.gateway.node} {known.gateway.state.name.lower()}, heard {silent_ms} ms ago"
--- a/brackenladder/control_plane/directory_api.py
+++ b/brackenladder/control_plane/directory_api.py
@@ -13,10 +13,10 @@
 from brackenladder.registry.directory import ClientLocation, ResolvedGateways
 
 RESOLVE_PATH = "/-/resolve"
-NEAR_TIME_TO_LIVE = 1  # seconds
+NEAR_TIME_TO_LIVE = 1  # seconds; for answers within the client's region
 # If a client's region has no gateway, its directory is probably down too, and each lookup first waits in vain
 # for a second. A longer time to live makes such lookups rarer.
-FAR_TIME_TO_LIVE = 4.0  # seconds, at most
+FAR_TIME_TO_LIVE = 4.0  # seconds, at most; for answers with gateways of other regions
 MAX_HOLD_FACTOR = 3  # clients may use an answer for up to this multiple of its time to live
 MILLISECONDS_PER_SECOND = 1000
 
@@ -27,7 +27,7 @@
     """Handles calls of `Listen.Directory`."""
 
     def __init__(self, resolve: Resolve, bounds: Bounds) -> None:
-        """`bounds` limits the time to live, and the time in which a new configuration must take effect."""
+        """`bounds` limits the time to live, and the time until a new configuration takes effect."""
         self._resolve = resolve
         self._near_ttl = min(NEAR_TIME_TO_LIVE, bounds.ttl_max_s)
         # Home regions may change, so clients directed to another region must ask again before that deadline.
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -16,7 +16,7 @@
 from brackenladder.control_plane.soft_state import SoftState
 
 JOIN_INTERVAL = 300_000  # microseconds between join requests
-DIAL_INTERVAL = 5_000_000  # microseconds until the dialled addresses are updated without an event
+DIAL_INTERVAL = 5_000_000  # microseconds between updates of the dialled addresses without an event
 LEADER_SILENCE = 2_000_000  # microseconds without contact to a leader after which a member asks to join again
 NEIGHBOUR_LIFETIME = 20_000_000  # microseconds for which an address that only peers reported is kept
 
@@ -26,8 +26,8 @@
 def max_voters(losses: int) -> int:
     """The number of voters that tolerates the simultaneous loss of `losses` of them.
 
-    There must not be more: the number of voters never decreases. If a machine is replaced before its silence
-    is noticed, both the old and the new voter count, and voters that are gone for good could be the majority.
+    There must not be more, because the number of voters never decreases. If a machine is replaced before its
+    silence is noticed, its old and its new replica both count, and dead voters could become the majority.
     """
     return max(MIN_VOTERS, 2 * losses + 1)
 
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -73,7 +73,7 @@
 
         Failure prevented: orders that were abandoned half-way fill the leader's memory.
         """
-        while sum(len(one.data) for one in self._partial.values()) > MAX_PARTIAL_BYTES:
+        while sum(len(partial.data) for partial in self._partial.values()) > MAX_PARTIAL_BYTES:
             oldest = next(request for request in self._partial if request != newest)
             del self._partial[oldest]
 
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -188,11 +188,11 @@
 
     def _part_received(self, link: Link, part: OrderPart) -> None:
         receiver = self._receivers.setdefault(link, OrderReceiver())
-        taken = receiver.receive(part)
-        if isinstance(taken, OrderPartReceived):
-            link.send(taken)
-        elif taken is not None:
-            self._spawn(self._serve_order(link, ForwardOrder(part.request, taken)))
+        result = receiver.receive(part)
+        if isinstance(result, OrderPartReceived):
+            link.send(result)
+        elif result is not None:
+            self._spawn(self._serve_order(link, ForwardOrder(part.request, result)))
 
     def link_closed(self, link: Link) -> None:
         """Drops the partial orders that have arrived over a closed link."""
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -104,8 +104,8 @@
     @property
     def is_due(self) -> bool:
         """Whether to call `save_if_changed`: the interval has passed and the last write has ended."""
-        busy = self._write_task is not None and not self._write_task.done()
-        return self._file is not None and not busy and self._clock() - self._written_at >= WRITE_INTERVAL
+        writing = self._write_task is not None and not self._write_task.done()
+        return self._file is not None and not writing and self._clock() - self._written_at >= WRITE_INTERVAL
 
     def save_if_changed(
         self,
@@ -143,13 +143,11 @@
         self._listener.prefixes_remembered(state.prefixes)
         self._listener.catalog_remembered(state.catalog)
         answers = await self._health_checks().check_all(state.servers)
-        found = [verify(server, answer) for server, answer in zip(state.servers, answers, strict=True)]
-        alive = [record for record in found if record is not None]
+        checked = [verify(server, answer) for server, answer in zip(state.servers, answers, strict=True)]
+        alive = [record for record in checked if record is not None]
         for record in alive:
             self._listener.server_found(record)
-        log.info(
-            "cached catalog {}, {} of {} servers healthy", state.catalog.revision, len(alive), len(found)
-        )
+        log.info("cached catalog {}, {}/{} servers healthy", state.catalog.revision, len(alive), len(checked))
 
     async def _read(self, file: RestartFile) -> RestartState | None:
         content = await file.read()
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -145,7 +145,7 @@
     def peer_connected(self, replica_id: str) -> None:
         """A link to a control node is up.
 
-        What a node is told goes over the link that consensus uses: `OrderService.reaches_quorum` rests on the
+        Updates for a node use the same link as consensus: `OrderService.reaches_quorum` relies on the common
         sequence of both.
         """
         if replica_id not in self._update_links:
@@ -265,13 +265,13 @@
 
     def _relay_notices(self) -> None:
         """Sends the pending prefix notices. They are hints, and are dropped if a link's queue is full."""
-        for due in self._relay.take(self._clock()):
-            if due.receiver is Receiver.PEERS:
-                self._peers.broadcast(due.message)
+        for notice in self._relay.take(self._clock()):
+            if notice.receiver is Receiver.PEERS:
+                self._peers.broadcast(notice.message)
                 continue
-            subscriber = self._subscribers.get(due.name)
+            subscriber = self._subscribers.get(notice.name)
             if subscriber is not None:
-                subscriber.send(due.message)
+                subscriber.send(notice.message)
 
     def _in_touch(self) -> bool:
         return self._state_age.contact_age() <= IN_TOUCH_AGE
--- a/brackenladder/control_plane/status.py
+++ b/brackenladder/control_plane/status.py
@@ -92,8 +92,12 @@
     They are needed because the log does not hold the locations of the initial voters.
     """
     return tuple(
-        MemberStatus(one.replica_id, one.address, *locations.get(one.replica_id, (one.zone, one.region)))
-        for one in members
+        MemberStatus(
+            member.replica_id,
+            member.address,
+            *locations.get(member.replica_id, (member.zone, member.region)),
+        )
+        for member in members
     )
 
 
@@ -117,22 +121,22 @@
     """The gateways sorted by node; `revisions` gives the acknowledged catalog revision by node."""
     return tuple(
         GatewayStatus(
-            one.gateway.node,
-            one.gateway.front_address,
-            one.gateway.zone,
-            one.gateway.region,
-            one.gateway.state.name.lower(),
-            one.age // MICROSECONDS_PER_MILLISECOND,
-            revisions.get(one.gateway.node),
+            entry.gateway.node,
+            entry.gateway.front_address,
+            entry.gateway.zone,
+            entry.gateway.region,
+            entry.gateway.state.name.lower(),
+            entry.age // MICROSECONDS_PER_MILLISECOND,
+            revisions.get(entry.gateway.node),
         )
-        for one in sorted(heard, key=lambda one: one.gateway.node)
+        for entry in sorted(heard, key=lambda entry: entry.gateway.node)
     )
 
 
 def violation_statuses(counts: Mapping[Invariant, int]) -> tuple[ViolationStatus, ...]:
     """The violated invariants, sorted by name."""
-    told = [ViolationStatus(invariant.value, count) for invariant, count in counts.items()]
-    return tuple(sorted(told, key=lambda one: one.invariant))
+    statuses = [ViolationStatus(invariant.value, count) for invariant, count in counts.items()]
+    return tuple(sorted(statuses, key=lambda status: status.invariant))
 
 
 def age_ms(age: int) -> int | None:
