--- a/tests/catalog/catalog_samples.py
+++ b/tests/catalog/catalog_samples.py
@@ -1,4 +1,4 @@
-"""Documents for the tests of the catalog, in the form the operator sends."""
+"""Sample configuration documents and orders for the catalog tests."""
 
 from __future__ import annotations
 
@@ -82,12 +82,12 @@
 
 
 def whole(version: int = 7, **changes: Any) -> Document:
-    """A whole configuration that the caller may change."""
+    """A complete configuration, as a copy that the caller may modify."""
     return copy.deepcopy(WHOLE) | {"Version": version} | changes
 
 
 def route(name: str, **changes: Any) -> Document:
-    """A route of its own place."""
+    """A valid route with its own path prefix."""
     fields = {"Name": name, "Hostname": "ficu95.example", "PathPrefix": f"/{name}/", "Backend": "cards"}
     return fields | {"Kind": "unsafe", "TimeoutMs": 3000} | changes
 
--- a/tests/catalog/test_catalog_properties.py
+++ b/tests/catalog/test_catalog_properties.py
@@ -1,4 +1,4 @@
-"""Replicas that are fed alike are alike, whatever the operators send and wherever a snapshot is taken."""
+"""Property tests: replicas with the same log are equal, for any orders and any point of a snapshot."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 LOGS = st.lists(ORDERS, max_size=25)
 
 
-def feed(catalog: Catalog, orders: list[Order], start: int = 1) -> list[Outcome]:
+def apply_all(catalog: Catalog, orders: list[Order], start: int = 1) -> list[Outcome]:
     return [catalog.apply(index, encode_order(order)) for index, order in enumerate(orders, start)]
 
 
@@ -58,30 +58,30 @@
 
 class Determinism(unittest.TestCase):
     @given(LOGS)
-    def test_two_that_are_fed_alike_are_alike(self, log: list[Order]) -> None:
+    def test_replicas_with_the_same_log_are_equal(self, log: list[Order]) -> None:
         one, other = Catalog(), Catalog()
         for index, order in enumerate(log, 1):
-            other.check(order)  # only one of them is asked beforehand
+            other.check(order)  # a check on one replica must not change it
             data = encode_order(order)
             self.assertEqual(one.apply(index, data), other.apply(index, data))
             self.assertEqual(state(one), state(other))
 
     @given(LOGS, st.integers(0, 25))
-    def test_one_that_begins_with_a_snapshot_is_alike(self, log: list[Order], cut: int) -> None:
-        whole_log, late = Catalog(), Catalog()
-        feed(whole_log, log[:cut])
-        late.restore(whole_log.snapshot())
-        self.assertEqual(state(late), state(whole_log))
-        rest = feed(whole_log, log[cut:], cut + 1)
-        self.assertEqual(feed(late, log[cut:], cut + 1), rest)
-        self.assertEqual(state(late), state(whole_log))
+    def test_replica_started_from_a_snapshot_is_equal(self, log: list[Order], cut: int) -> None:
+        complete, restored = Catalog(), Catalog()
+        apply_all(complete, log[:cut])
+        restored.restore(complete.snapshot())
+        self.assertEqual(state(restored), state(complete))
+        rest = apply_all(complete, log[cut:], cut + 1)
+        self.assertEqual(apply_all(restored, log[cut:], cut + 1), rest)
+        self.assertEqual(state(restored), state(complete))
 
 
 class Rules(unittest.TestCase):
     @given(LOGS)
-    def test_what_was_taken_is_taken_for_ever(self, log: list[Order]) -> None:
+    def test_accepted_order_stays_accepted(self, log: list[Order]) -> None:
         catalog = Catalog()
-        outcomes = feed(catalog, log)
+        outcomes = apply_all(catalog, log)
         before = catalog.snapshot()
         for order, outcome in zip(log, outcomes, strict=True):
             if isinstance(outcome, Accepted) and isinstance(
@@ -92,9 +92,9 @@
         self.assertEqual(catalog.snapshot(), before)
 
     @given(LOGS)
-    def test_only_one_change_is_taken_on_top_of_a_version(self, log: list[Order]) -> None:
+    def test_only_one_change_per_base_version(self, log: list[Order]) -> None:
         catalog = Catalog()
-        taken: dict[int, Order] = {}
+        accepted: dict[int, Order] = {}
         version = 0
         for index, order in enumerate(log, 1):
             before = catalog.snapshot()
@@ -102,36 +102,36 @@
             if isinstance(order, BeginEvacuation | FinishEvacuation):
                 continue
             if isinstance(outcome, Accepted) and catalog.snapshot() != before:
-                self.assertNotIn(order.base, taken)
+                self.assertNotIn(order.base, accepted)
                 self.assertEqual(order.base, version)
                 self.assertGreater(outcome.version, version)
-                taken[order.base] = order
+                accepted[order.base] = order
                 version = outcome.version
             else:
                 self.assertEqual(catalog.snapshot(), before)
 
     @given(LOGS)
-    def test_what_is_read_back_is_what_is_in_force(self, log: list[Order]) -> None:
+    def test_document_matches_the_configuration(self, log: list[Order]) -> None:
         catalog = Catalog()
-        feed(catalog, log)
+        apply_all(catalog, log)
         if catalog.document:
             self.assertEqual(parse_configuration(catalog.document).unwrap(), catalog.configuration)
         else:
             self.assertIsNone(catalog.configuration)
 
     @given(LOGS)
-    def test_an_order_that_arrives_twice_counts_once(self, log: list[Order]) -> None:
-        """Each configuration order is in the log again after the next entry."""
+    def test_order_committed_twice_applies_once(self, log: list[Order]) -> None:
+        """The log has each configuration order a second time, after the next entry."""
         catalog, doubled = Catalog(), Catalog()
         last: Order | None = None
         for index, order in enumerate(log, 1):
             outcome = catalog.apply(index, encode_order(order))
             self.assertEqual(doubled.apply(index, encode_order(order)), outcome)
             if isinstance(last, ReplaceConfiguration | UpdateConfiguration):
-                was_taken = isinstance(catalog.check(last), Accepted)
+                was_accepted = isinstance(catalog.check(last), Accepted)
                 again = doubled.check(last)
-                self.assertEqual(isinstance(again, Accepted), was_taken)
-                if was_taken:
+                self.assertEqual(isinstance(again, Accepted), was_accepted)
+                if was_accepted:
                     doubled.apply(index, encode_order(last))
                     catalog.apply(index, encode_order(last))
             last = order
@@ -141,21 +141,21 @@
 class Documents(unittest.TestCase):
     @settings(max_examples=50)
     @given(st.lists(st.tuples(PARTS, REMOVED), max_size=8))
-    def test_updates_against_whole_configurations(self, changes: list[tuple[Document, Document]]) -> None:
-        """An update leaves what a whole configuration with the same items would."""
+    def test_updates_equal_whole_configurations(self, changes: list[tuple[Document, Document]]) -> None:
+        """An update has the same result as a whole configuration with the changed items."""
         catalog = Catalog()
         current = whole(version=1)
-        feed(catalog, [replace(0, current)])
+        apply_all(catalog, [replace(0, current)])
         for version, (upsert, remove) in enumerate(changes, 2):
             outcome = catalog.apply(
                 version, encode_order(update(current["Version"], version, upsert, remove))
             )
             if isinstance(outcome, Accepted):
-                current = self.by_hand(current, upsert, remove) | {"Version": version}
+                current = self.expected_document(current, upsert, remove) | {"Version": version}
             self.assertEqual(json.loads(catalog.document), current)
             self.assertEqual(catalog.configuration, parse_configuration(text(current)).unwrap())
 
-    def by_hand(self, current: Document, upsert: Document, remove: Document) -> Document:
+    def expected_document(self, current: Document, upsert: Document, remove: Document) -> Document:
         result = dict(current)
         for part in ("Routes", "Services"):
             items = {item["Name"]: item for item in current[part]}
--- a/tests/catalog/test_configuration.py
+++ b/tests/catalog/test_configuration.py
@@ -1,4 +1,4 @@
-"""Reading a configuration: what it means, what it leaves out, and every named defect with its place."""
+"""Parsing of configurations: fields, defaults, and each kind of fault with its location."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return parse_configuration(text(document)).failure()
 
 
-def places(document: object) -> dict[str, FaultKind]:
+def fault_locations(document: object) -> dict[str, FaultKind]:
     return {fault.location: fault.kind for fault in faults(document)}
 
 
@@ -50,7 +50,7 @@
     return document
 
 
-class ProperConfigurations(unittest.TestCase):
+class ValidConfigurations(unittest.TestCase):
     def test_every_field_is_read(self) -> None:
         configuration = parsed(whole())
         chat, bulk = configuration.routes
@@ -108,7 +108,7 @@
         self.assertEqual(configuration.routes[0].split, (Target("cards", 1.0),))
         self.assertEqual(configuration.services[0], Service("model"))
 
-    def test_no_routes_and_no_services_is_proper(self) -> None:
+    def test_no_routes_and_no_services_is_valid(self) -> None:
         self.assertEqual(parsed({"Version": 1, "Routes": [], "Services": []}), Configuration(1, (), ()))
 
     def test_unknown_fields_are_ignored(self) -> None:
@@ -117,50 +117,50 @@
         document["Services"][0]["Engine"]["Colour"] = ["red"]
         self.assertEqual(parsed(document), parsed(whole()))
 
-    def test_fractions_stand_for_durations(self) -> None:
+    def test_durations_may_be_fractions(self) -> None:
         configuration = parsed(with_route(TimeoutMs=15000.0, TargetLatencyMs=0.4, gap_aim_ms=12.5))
         bulk = configuration.routes[1]
         self.assertEqual((bulk.timeout_ms, bulk.target_latency_ms, bulk.gap_aim_ms), (15000, 1, 13))
         self.assertIs(type(bulk.timeout_ms), int)
 
-    def test_whole_numbers_may_be_written_as_fractions(self) -> None:
+    def test_integers_may_be_written_as_floats(self) -> None:
         configuration = parsed(whole(version=9.0))  # type: ignore[arg-type]
         self.assertEqual((configuration.version, type(configuration.version)), (9, int))
 
-    def test_a_kind_that_is_not_known_is_read_as_unsafe(self) -> None:
+    def test_unknown_route_kind_is_unsafe(self) -> None:
         self.assertIs(parsed(with_route(Kind="call")).routes[1].kind, RouteKind.UNSAFE)
         self.assertIs(parsed(with_route(Kind="safe")).routes[1].kind, RouteKind.SAFE)
 
-    def test_a_target_without_weight_gets_nothing(self) -> None:
+    def test_target_with_weight_0_is_dropped(self) -> None:
         split = [{"Backend": "model", "Weight": 0}, {"Backend": "cards", "Weight": 0.5}]
         self.assertEqual(parsed(with_route(TrafficSplit=split)).routes[1].split, (Target("cards", 0.5),))
 
-    def test_an_empty_split_leaves_the_backend(self) -> None:
+    def test_empty_split_uses_the_backend(self) -> None:
         bulk = parsed(with_route(TrafficSplit=[], Backend="cards")).routes[1]
         self.assertEqual(bulk.split, (Target("cards", 1.0),))
 
-    def test_a_split_holds_before_a_backend(self) -> None:
+    def test_split_takes_precedence_over_backend(self) -> None:
         bulk = parsed(with_route(Backend="cards")).routes[1]
         self.assertEqual(bulk.split, (Target("model", 90), Target("cards", 10)))
 
-    def test_hosts_are_taken_without_case_and_port(self) -> None:
+    def test_host_is_normalised(self) -> None:
         self.assertEqual(parsed(with_route(Hostname="Ficu95.Example:8080")).routes[1].host, "ficu95.example")
 
-    def test_zero_limits_are_the_usual_ones(self) -> None:
+    def test_limit_of_0_means_the_default(self) -> None:
         self.assertEqual(parsed(whole(Limits={"IdleTimeoutMs": 0})).limits, Limits())
 
 
-class NamedDefects(unittest.TestCase):
+class Faults(unittest.TestCase):
     def assert_fault(self, document: object, location: str, kind: FaultKind) -> None:
-        self.assertEqual(places(document), {location: kind})
+        self.assertEqual(fault_locations(document), {location: kind})
 
-    def test_cut_short(self) -> None:
+    def test_truncated_document(self) -> None:
         body = text(whole())
         for length in range(len(body)):
             (fault,) = parse_configuration(body[:length]).failure()
             self.assertEqual((fault.location, fault.kind), ("", FaultKind.MALFORMED))
 
-    def test_no_object(self) -> None:
+    def test_other_json_values(self) -> None:
         for value in ([], [whole()], "x", 7, None, True):
             self.assert_fault(value, "", FaultKind.MALFORMED)
 
@@ -173,20 +173,20 @@
         services = whole()["Services"][:1]
         self.assert_fault(whole(Services=services), location, FaultKind.UNKNOWN_SERVICE)
 
-    def test_same_place(self) -> None:
+    def test_same_host_and_prefix(self) -> None:
         for host in ("ficu95.example", "FICU95.example", "ficu95.example:80"):
             document = with_route(Hostname=host, PathPrefix="/pufi791/")
             self.assert_fault(document, "Routes[1].PathPrefix", FaultKind.SAME_PLACE)
 
-    def test_the_same_prefix_of_another_host_is_another_place(self) -> None:
+    def test_same_prefix_on_another_host_is_valid(self) -> None:
         self.assertEqual(len(parsed(with_route(Hostname="other", PathPrefix="/pufi791/")).routes), 2)
 
-    def test_no_weight(self) -> None:
+    def test_all_weights_0(self) -> None:
         for weights in ((0,), (0, 0), (0.0, 0)):
             split = [{"Backend": "model", "Weight": weight} for weight in weights]
             self.assert_fault(with_route(TrafficSplit=split), "Routes[1].TrafficSplit", FaultKind.NO_WEIGHT)
 
-    def test_weights_that_are_none(self) -> None:
+    def test_invalid_weights(self) -> None:
         weights = {
             -1: FaultKind.OUT_OF_RANGE,
             10**400: FaultKind.OUT_OF_RANGE,
@@ -198,12 +198,12 @@
             split = [{"Backend": "model", "Weight": 5}, {"Backend": "cards", "Weight": weight}]
             self.assert_fault(with_route(TrafficSplit=split), "Routes[1].TrafficSplit[1].Weight", kind)
 
-    def test_negative_weights_do_not_make_up_for_others(self) -> None:
+    def test_negative_weight(self) -> None:
         split = [{"Backend": "model", "Weight": 5}, {"Backend": "cards", "Weight": -5}]
         location = "Routes[1].TrafficSplit[1].Weight"
         self.assert_fault(with_route(TrafficSplit=split), location, FaultKind.OUT_OF_RANGE)
 
-    def test_no_timeout(self) -> None:
+    def test_invalid_timeout(self) -> None:
         for value, kind in ((0, FaultKind.OUT_OF_RANGE), (0.0, FaultKind.OUT_OF_RANGE)):
             self.assert_fault(with_route(TimeoutMs=value), "Routes[1].TimeoutMs", kind)
         for value in ("3000", None, True, [3000]):
@@ -211,7 +211,7 @@
         self.assert_fault(with_route(TimeoutMs=-1), "Routes[1].TimeoutMs", FaultKind.OUT_OF_RANGE)
         self.assert_fault(without_route_field("TimeoutMs"), "Routes[1].TimeoutMs", FaultKind.MISSING)
 
-    def test_shared_names(self) -> None:
+    def test_duplicate_names(self) -> None:
         self.assert_fault(with_route(Name="r-chat"), "Routes[1].Name", FaultKind.DUPLICATE_NAME)
         document = whole()
         document["Services"].append(dict(document["Services"][0]))
@@ -226,9 +226,9 @@
         for field in ("Version", "Routes", "Services"):
             document = whole()
             del document[field]
-            self.assertEqual(places(document).get(field), FaultKind.MISSING)
+            self.assertEqual(fault_locations(document).get(field), FaultKind.MISSING)
 
-    def test_a_route_that_leads_nowhere(self) -> None:
+    def test_route_without_a_target(self) -> None:
         self.assert_fault(with_route(TrafficSplit=None), "Routes[1].Backend", FaultKind.MISSING)
         self.assert_fault(with_route(TrafficSplit=[]), "Routes[1].Backend", FaultKind.MISSING)
         self.assert_fault(with_route(TrafficSplit=[], Backend=""), "Routes[1].Backend", FaultKind.MISSING)
@@ -238,7 +238,7 @@
             self.assert_fault(with_route(PathPrefix=prefix), "Routes[1].PathPrefix", FaultKind.OUT_OF_RANGE)
         self.assert_fault(with_route(PathPrefix=""), "Routes[1].PathPrefix", FaultKind.OUT_OF_RANGE)
 
-    def test_versions_of_the_wrong_form(self) -> None:
+    def test_invalid_versions(self) -> None:
         for version in ("7", None, True, 7.5, [7]):
             self.assert_fault(whole() | {"Version": version}, "Version", FaultKind.WRONG_TYPE)
         for version in (-1, 2**63):
@@ -263,26 +263,26 @@
         for field, value in wrong.items():
             self.assert_fault(with_route(**{field: value}), f"Routes[1].{field}", FaultKind.WRONG_TYPE)
 
-    def test_wrong_types_of_whole_parts(self) -> None:
+    def test_wrong_types_of_sections(self) -> None:
         for value in ({}, "x", 3, None, True):
-            self.assertEqual(places(whole(Routes=value)), {"Routes": FaultKind.WRONG_TYPE})
+            self.assertEqual(fault_locations(whole(Routes=value)), {"Routes": FaultKind.WRONG_TYPE})
         for value in ([], "x", 3, True):
-            self.assertEqual(places(whole(Limits=value)), {"Limits": FaultKind.WRONG_TYPE})
-        self.assertEqual(places(whole(Routes=["r"])), {"Routes[0]": FaultKind.WRONG_TYPE})
+            self.assertEqual(fault_locations(whole(Limits=value)), {"Limits": FaultKind.WRONG_TYPE})
+        self.assertEqual(fault_locations(whole(Routes=["r"])), {"Routes[0]": FaultKind.WRONG_TYPE})
 
     def test_wrong_types_of_a_service(self) -> None:
         document = whole()
         document["Services"][0]["Engine"]["Models"] = [{"Name": "m"}, {"Name": 3}]
         self.assert_fault(document, "Services[0].Engine.Models[1].Name", FaultKind.WRONG_TYPE)
 
-    def test_every_fault_is_told(self) -> None:
+    def test_all_faults_are_reported(self) -> None:
         document = whole(version=-1)
         document["Routes"][0] |= {"TimeoutMs": 0, "Hostname": 3}
         document["Routes"][1] |= {"PathPrefix": "a", "TrafficSplit": [{"Backend": "model", "Weight": "x"}]}
         document["Routes"].append(route("third", PathPrefix="third/"))
         document["Services"][1]["MaxConnections"] = "many"
         self.assertEqual(
-            places(document),
+            fault_locations(document),
             {
                 "Version": FaultKind.OUT_OF_RANGE,
                 "Routes[0].TimeoutMs": FaultKind.OUT_OF_RANGE,
@@ -293,11 +293,11 @@
             },
         )
 
-    def test_every_fault_between_items_is_told(self) -> None:
+    def test_all_faults_between_items_are_reported(self) -> None:
         document = whole()
         document["Routes"].append(route("r-chat", PathPrefix="/lohu930/", Backend="gone"))
         self.assertEqual(
-            places(document),
+            fault_locations(document),
             {
                 "Routes[2].Name": FaultKind.DUPLICATE_NAME,
                 "Routes[2].Backend": FaultKind.UNKNOWN_SERVICE,
@@ -305,7 +305,7 @@
             },
         )
 
-    def test_a_fault_reads_as_one_line(self) -> None:
+    def test_fault_as_text(self) -> None:
         (fault,) = faults(with_route(TimeoutMs=0))
         self.assertEqual(str(fault), "Routes[1].TimeoutMs: must be above 0")
         (fault,) = parse_configuration(b"{\n").failure()
@@ -314,7 +314,7 @@
 
 
 class RepeatedParsing(unittest.TestCase):
-    def test_shared_items_are_read_once(self) -> None:
+    def test_shared_items_are_parsed_once(self) -> None:
         parser = ConfigurationParser()
         document = whole()
         first = parser.parse(document).unwrap()
@@ -322,20 +322,20 @@
         self.assertIs(second.routes[0], first.routes[0])
         self.assertEqual(second.routes[2].name, "new")
 
-    def test_an_item_that_stands_twice_is_still_a_fault(self) -> None:
+    def test_repeated_item_is_a_fault(self) -> None:
         document = whole()
         document["Routes"].append(document["Routes"][0])
         kinds = {fault.kind for fault in parse_document(document).failure()}
         self.assertEqual(kinds, {FaultKind.DUPLICATE_NAME, FaultKind.SAME_PLACE})
 
-    def test_a_service_that_goes_takes_its_known_routes_along(self) -> None:
+    def test_removed_service_invalidates_reused_routes(self) -> None:
         parser = ConfigurationParser()
         document = whole()
         parser.parse(document).unwrap()
         kinds = {fault.kind for fault in parser.parse(document | {"Services": []}).failure()}
         self.assertEqual(kinds, {FaultKind.UNKNOWN_SERVICE})
 
-    def test_a_faulty_document_leaves_the_parser_usable(self) -> None:
+    def test_parser_is_usable_after_a_fault(self) -> None:
         parser = ConfigurationParser()
         self.assertIsInstance(parser.parse(with_route(TimeoutMs=0)), Failure)
         self.assertEqual(parser.parse(whole()).unwrap(), parse_document(whole()).unwrap())
@@ -361,9 +361,9 @@
 )
 
 
-class HostileDocuments(unittest.TestCase):
+class ArbitraryDocuments(unittest.TestCase):
     @given(path=st.sampled_from(PATHS), value=ANYTHING)
-    def test_any_value_in_any_place_is_read_or_refused(self, path: tuple[Any, ...], value: Any) -> None:
+    def test_any_value_in_any_field_is_parsed_or_refused(self, path: tuple[Any, ...], value: Any) -> None:
         document = whole()
         holder: Any = document
         for step in path[:-1]:
@@ -372,11 +372,11 @@
         result = parse_document(document)
         match result:
             case Success(configuration):
-                self.assert_sound(configuration)
+                self.assert_valid(configuration)
             case Failure(found):
                 self.assertTrue(found)
 
-    def assert_sound(self, configuration: Configuration) -> None:
+    def assert_valid(self, configuration: Configuration) -> None:
         services = {service.name for service in configuration.services}
         for one in configuration.routes:
             self.assertGreater(one.timeout_ms, 0)
@@ -387,5 +387,5 @@
             self.assertTrue(PurePosixPath(one.prefix).is_absolute() and one.prefix.endswith("/"))
 
     @given(body=st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
-    def test_any_bytes_are_read_or_refused(self, body: bytes) -> None:
+    def test_arbitrary_bytes_are_refused(self, body: bytes) -> None:
         self.assertIsInstance(parse_configuration(body), Failure)
--- a/tests/catalog/test_homes.py
+++ b/tests/catalog/test_homes.py
@@ -1,4 +1,4 @@
-"""The homes that bind a host, from the routes of a configuration."""
+"""The restrictions of a host by the home regions of its routes."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class HomesTest(TestCase):
-    def test_a_host_without_homes_is_open_to_all_regions(self) -> None:
+    def test_without_home_regions_all_regions_are_permitted(self) -> None:
         self.assertTrue(homes_of("a", route("a"), route("b", "north")).permits("south"))
 
-    def test_homes_bind_a_host_that_also_has_routes_without(self) -> None:
+    def test_routes_without_homes_do_not_lift_restrictions(self) -> None:
         homes = homes_of("a", route("a"), route("a", "north", "south"))
         self.assertEqual(
             [homes.permits(region) for region in ("north", "south", "east")], [True, True, False]
         )
 
-    def test_the_homes_of_all_routes_bind_together(self) -> None:
+    def test_restrictions_of_all_routes_combine(self) -> None:
         homes = homes_of("a", route("a", "north", "east"), route("a", "east", "south"))
         self.assertEqual(
             [homes.permits(region) for region in ("north", "south", "east")], [False, False, True]
@@ -35,13 +35,13 @@
         nothing_in_common = homes_of("a", route("a", "north"), route("a", "east"))
         self.assertFalse(any(nothing_in_common.permits(region) for region in ("north", "east")))
 
-    def test_a_host_that_no_route_names(self) -> None:
+    def test_unknown_host_permits_no_region(self) -> None:
         self.assertFalse(homes_of("new", route("a")).permits("north"))
         self.assertFalse(ConfigurationHomes().of("a").permits("north"))
 
-    def test_hosts_are_compared_as_requests_are(self) -> None:
+    def test_host_names_are_normalised(self) -> None:
         self.assertTrue(homes_of("A:80", route("a")).permits("north"))
 
-    def test_what_is_breached(self) -> None:
+    def test_forbidden_regions(self) -> None:
         homes = homes_of("a", route("a", "north"))
         self.assertEqual(homes.forbidden("east", ["north", "south", "east"]), ["south"])
--- a/tests/catalog/test_strict_json.py
+++ b/tests/catalog/test_strict_json.py
@@ -1,4 +1,4 @@
-"""JSON as it must be written, and the text that equal contents share."""
+"""The strict JSON decoder, and the canonical and compact encodings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def nested(levels: int) -> bytes:
-    """An object with so many levels of containers, itself among them."""
+    """An object with this number of nested containers, including itself."""
     inner = levels - 1
     return b'{"a":' + b"[" * inner + b"]" * inner + b"}"
 
@@ -34,36 +34,36 @@
         self.assertIs(result.failure().kind, FaultKind.MALFORMED)
 
     @given(OBJECTS)
-    def test_what_was_written_is_read(self, value: dict[str, Any]) -> None:
+    def test_round_trip(self, value: dict[str, Any]) -> None:
         for ascii_only in (True, False):
             body = json.dumps(value, ensure_ascii=ascii_only).encode()
             self.assertEqual(read_object(body).unwrap(), value)
 
-    def test_keys_keep_their_sequence(self) -> None:
+    def test_key_order_is_kept(self) -> None:
         self.assertEqual(list(read_object(b'{"b":1,"a":2}').unwrap()), ["b", "a"])
 
-    def test_white_space_around_is_allowed(self) -> None:
+    def test_surrounding_white_space_is_allowed(self) -> None:
         self.assertEqual(read_object(b' {"a":1}\r\n').unwrap(), {"a": 1})
 
-    def test_no_key_stands_twice(self) -> None:
+    def test_duplicate_keys_are_refused(self) -> None:
         self.assert_refused(b'{"a":1,"a":1}')
         self.assert_refused(b'{"a":[{"b":{"c":1,"d":2,"\\u0063":1}}]}')
 
-    def test_numbers_are_finite(self) -> None:
+    def test_non_finite_numbers_are_refused(self) -> None:
         for number in (b"NaN", b"Infinity", b"-Infinity", b"1e999", b"-1e999", b"9" * 5000):
             self.assert_refused(b'{"a":' + number + b"}")
 
-    def test_text_is_utf_8(self) -> None:
+    def test_other_encodings_are_refused(self) -> None:
         self.assert_refused(b'{"a":"\xff"}')
         self.assert_refused('{"a":1}'.encode("utf-16"))
         self.assert_refused(b'\xef\xbb\xbf{"a":1}')
 
-    def test_no_lone_surrogates(self) -> None:
+    def test_lone_surrogates_are_refused(self) -> None:
         self.assert_refused(b'{"a":"\\ud800"}')
         self.assert_refused(b'{"\\udfff":1}')
         self.assertEqual(read_object(b'{"a":"\\ud83d\\ude00"}').unwrap(), {"a": "\U0001f600"})
 
-    def test_nothing_else_around(self) -> None:
+    def test_malformed_json_is_refused(self) -> None:
         for body in (b"", b" ", b"{", b'{"a":1}x', b'{"a":1}{}', b'{"a":1,}', b"{'a':1}", b'{"a":"\n"}'):
             self.assert_refused(body)
 
@@ -75,18 +75,20 @@
 
 class Canonical(unittest.TestCase):
     @given(OBJECTS, st.randoms(use_true_random=False))
-    def test_it_does_not_depend_on_the_sequence_of_keys(self, value: dict[str, Any], random: Any) -> None:
+    def test_canonical_form_ignores_key_order(self, value: dict[str, Any], random: Any) -> None:
         items = list(value.items())
         random.shuffle(items)
         self.assertEqual(canonical(dict(items)), canonical(value))
 
     @given(OBJECTS, OBJECTS)
-    def test_different_contents_differ(self, one: dict[str, Any], other: dict[str, Any]) -> None:
+    def test_different_values_differ_in_canonical_form(
+        self, one: dict[str, Any], other: dict[str, Any]
+    ) -> None:
         if json.dumps(one, sort_keys=True) != json.dumps(other, sort_keys=True):
             self.assertNotEqual(canonical(one), canonical(other))
 
     @given(OBJECTS)
-    def test_both_forms_read_back_as_they_were(self, value: dict[str, Any]) -> None:
+    def test_both_encodings_round_trip(self, value: dict[str, Any]) -> None:
         self.assertEqual(json.loads(canonical(value)), value)
         self.assertEqual(json.loads(compact(value)), value)
         self.assertEqual(list(json.loads(compact(value))), list(value))
