--- a/tests/control_plane/control_cluster.py
+++ b/tests/control_plane/control_cluster.py
@@ -1,4 +1,4 @@
-"""Control nodes of one system in one process, over loopback addresses, and a client for their calls."""
+"""A test cluster: three control nodes in one process on loopback addresses, with an HTTP client."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from brackenladder.node.control_role import ControlRole
 from brackenladder.platform_settings import Listen, Platform, PortRange
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+PATIENCE = 20.0  # seconds; test timeout, reached only on failure
 POLL_SECONDS = 0.01
 FIRST_PORT = 20_000
 PORTS_PER_CLUSTER = 16
@@ -32,11 +32,11 @@
 
 @frozen
 class Answer:
-    """What a call got."""
+    """The response to a call."""
 
     status: int
     body: bytes
-    retry_after: str | None = None  # of the header; None: there was none
+    retry_after: str | None = None  # value of the header; None if it is missing
 
     @property
     def document(self) -> Any:
@@ -44,7 +44,7 @@
 
 
 def configuration(version: int, *route_names: str) -> dict[str, Any]:
-    """A valid configuration with these routes."""
+    """A valid configuration with routes of these names."""
     routes = [
         {
             "Name": name,
@@ -72,7 +72,7 @@
 
 
 def heartbeat(seq: int, state: str = "ready") -> dict[str, Any]:
-    """A server's heartbeat."""
+    """The body of a server's heartbeat."""
     return {
         "Backend": "api",
         "Address": "127.0.0.1:9999",
@@ -86,7 +86,7 @@
 
 
 class ControlCluster:
-    """Three control nodes that are the seeds of one system."""
+    """Three control nodes, each a seed of the same system."""
 
     def __init__(self) -> None:
         number = next(_cluster_numbers)
@@ -136,26 +136,26 @@
         return node
 
     async def start(self, number: int) -> None:
-        """Starts a node; later starts are no first starts of the system."""
+        """Starts a node. Only its first start may bootstrap the system."""
         self.roles[number] = ControlRole(self.platforms[number])
         await self.roles[number].start()
         self.platforms[number] = evolve(self.platforms[number], bootstrap=False)
 
     async def crash(self, number: int) -> None:
-        """Ends a node without a word."""
+        """Closes a node at once, without an orderly shutdown."""
         await self.node(number).close()
         del self.roles[number]
 
     async def stop(self, number: int) -> None:
-        """Ends a node as the platform does."""
+        """Shuts a node down in an orderly way, as on SIGTERM."""
         await self.roles.pop(number).stop()
 
     def wipe(self, number: int) -> None:
-        """Loses the disk of a node that is down."""
+        """Deletes the data folder of a stopped node."""
         shutil.rmtree(self.platforms[number].data_dir)
 
     async def leader(self) -> int:
-        """The number of the one leader, once all running nodes follow it."""
+        """Waits until all running nodes agree on a leader; returns its number."""
         await self.until(lambda: self._agreed_leader() is not None)
         leader = self._agreed_leader()
         assert leader is not None
@@ -174,13 +174,13 @@
         return leader.replica_id if leader is not None else ""
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Returns as soon as a condition holds."""
+        """Waits until a condition holds."""
         async with asyncio.timeout(PATIENCE):
             while not condition():
                 await asyncio.sleep(POLL_SECONDS)
 
     async def post(self, number: int, path: str, document: object = None, base: int | None = None) -> Answer:
-        """A POST to a node's operator API."""
+        """Sends a POST request to a node's operator API."""
         headers = {} if base is None else {BASE_VERSION: str(base)}
         body = document if isinstance(document, bytes) else json.dumps(document).encode()
         url = f"http://{self.platforms[number].listen.control}{path}"
@@ -189,17 +189,17 @@
         ) as answer:
             return Answer(answer.status, await answer.read(), answer.headers.get("Retry-After"))
 
-    async def insist(
+    async def post_until_answered(
         self, number: int, path: str, document: object = None, base: int | None = None
     ) -> Answer:
-        """As the operator does: the same order again until there is a clear answer."""
+        """Repeats the same order until the answer is not 503, as an operator's client does."""
         return await self.repeat(
             lambda: self.post(number, path, document, base),
             lambda answer: answer.status != HTTPStatus.SERVICE_UNAVAILABLE,
         )
 
     async def repeat(self, call: Callable[[], Awaitable[Answer]], accept: Callable[[Answer], bool]) -> Answer:
-        """Repeats a call until its answer is accepted."""
+        """Repeats a call until `accept` returns True for its answer."""
         async with asyncio.timeout(PATIENCE):
             while True:
                 answer = await call()
@@ -207,10 +207,10 @@
                     return answer
 
     async def get(self, address: str, path: str) -> Answer:
-        """A GET from any address."""
+        """Sends a GET request to any address."""
         async with self.session.get(f"http://{address}{path}") as answer:
             return Answer(answer.status, await answer.read(), answer.headers.get("Retry-After"))
 
     async def fetch(self, number: int) -> Answer:
-        """The configuration as a node reads it back."""
+        """Fetches the configuration from a node."""
         return await self.get(self.platforms[number].listen.control, "/-/Config.Fetch")
--- a/tests/control_plane/test_consensus_host.py
+++ b/tests/control_plane/test_consensus_host.py
@@ -1,4 +1,4 @@
-"""The host of a replica: the event loop goes on whatever the store does."""
+"""ConsensusHost: proposals, reads, and a store that hangs or fails without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 from brackenladder.storage.memory_log import MemoryLogStore
 from brackenladder.storage.writer import StoreWriter
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+PATIENCE = 20.0  # seconds; test timeout, reached only on failure
 POLL_SECONDS = 0.005
 ORDER = encode_order(BeginEvacuation("hall-1"))
 
 
-class TroubledStore(MemoryLogStore):
-    """A store whose disk hangs or refuses."""
+class FaultyStore(MemoryLogStore):
+    """A store that can be made to hang or to fail."""
 
     def __init__(self, replica_id: str) -> None:
         super().__init__(replica_id)
-        self.answers = Event()
-        self.answers.set()
-        self.refuses = False
+        self.available = Event()
+        self.available.set()
+        self.failing = False
 
     def apply(self, write: Write) -> Result[None, StoreError]:
-        self.answers.wait(PATIENCE)
-        return Failure(StoreFailed("the disk refuses")) if self.refuses else super().apply(write)
+        self.available.wait(PATIENCE)
+        return Failure(StoreFailed("disk error")) if self.failing else super().apply(write)
 
 
 class ConsensusHostTest(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         member = Member("one", "127.0.0.1:1")
-        self.store = TroubledStore("one")
+        self.store = FaultyStore("one")
         writer = StoreWriter(self.store, asyncio.get_running_loop())
         timing = Timing(election_min=50_000, election_max=100_000, write_limit=200_000, write_retry=50_000)
         now = monotonic_microseconds()
@@ -53,19 +53,19 @@
         self.catalog = Catalog()
         self.changes = 0
         self.host = ConsensusHost(
-            replica, writer, self.catalog, monotonic_microseconds, self.no_peer, self.changed
+            replica, writer, self.catalog, monotonic_microseconds, self.fail_on_message, self.count_change
         )
         self.host.start()
         self.addCleanup(writer.join, PATIENCE)
         self.addCleanup(writer.close)
         self.addCleanup(self.host.close)
-        self.addCleanup(self.store.answers.set)
+        self.addCleanup(self.store.available.set)
         await self.until(lambda: self.host.leads)
 
-    def no_peer(self, replica_id: str, message: object) -> None:
+    def fail_on_message(self, replica_id: str, message: object) -> None:
         self.fail(f"{message} for {replica_id}")
 
-    def changed(self) -> None:
+    def count_change(self) -> None:
         self.changes += 1
 
     async def until(self, condition: Callable[[], bool]) -> None:
@@ -74,39 +74,39 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     async def propose_once(self) -> OrderResult:
-        """The answer to an order."""
+        """Proposes an order once."""
         async with asyncio.timeout(PATIENCE):
             return await self.host.propose(ORDER)
 
     async def propose(self, order: bytes = ORDER) -> OrderResult:
-        """The answer to an order once there is a leader; a slow store may have cost this one its term."""
+        """Proposes an order, and waits for a leader if a slow store has ended the last leader's term."""
         async with asyncio.timeout(PATIENCE):
             while (answer := await self.host.propose(order)) == Failure(Unavailable.NO_LEADER):
                 await self.host.wait_for_leader_change(POLL_SECONDS)
             return answer
 
-    async def test_a_proposal_gets_the_answer_of_the_catalog(self) -> None:
+    async def test_proposal_returns_the_outcome_of_the_catalog(self) -> None:
         self.assertEqual(await self.propose(), Success(Accepted(0)))
         self.assertEqual(self.catalog.evacuated, {"hall-1"})
         self.assertEqual(self.changes, 1)
         self.assertEqual(await self.host.confirm_read(), Success(None))
 
-    async def test_a_hanging_store_ends_the_wait_without_an_answer(self) -> None:
-        self.store.answers.clear()
+    async def test_hanging_store_ends_the_wait_with_an_unknown_outcome(self) -> None:
+        self.store.available.clear()
         self.assertEqual(await self.propose_once(), Failure(Unavailable.LOST))
         self.assertFalse(self.host.leads)
         self.assertEqual(await self.host.confirm_read(), Failure(Unavailable.NO_LEADER))
-        self.store.answers.set()
+        self.store.available.set()
         self.assertEqual(await self.propose(), Success(Accepted(0)))
 
-    async def test_a_refusing_store_is_never_counted(self) -> None:
-        self.store.refuses = True
+    async def test_failed_write_is_not_counted_for_a_commit(self) -> None:
+        self.store.failing = True
         self.assertEqual(await self.propose_once(), Failure(Unavailable.LOST))
         self.assertEqual(self.catalog.evacuated, frozenset())
-        self.store.refuses = False
+        self.store.failing = False
         self.assertEqual(await self.propose(), Success(Accepted(0)))
 
-    async def test_a_snapshot_that_cannot_be_read_ends_its_say(self) -> None:
+    async def test_unreadable_snapshot_makes_the_node_unavailable(self) -> None:
         self.assertEqual(await self.propose(), Success(Accepted(0)))
         self.host._restore(Snapshot(self.host.applied_index, 1, Members(), b"of a later version"))
         self.assertEqual(await self.propose_once(), Failure(Unavailable.NO_LEADER))
@@ -115,13 +115,13 @@
         self.host._restore(Snapshot(self.host.applied_index, 1, Members(), self.catalog.snapshot()))
         self.assertEqual(await self.propose(), Success(Accepted(0)))
 
-    async def test_a_large_command_is_applied_whole(self) -> None:
+    async def test_large_command_is_reassembled(self) -> None:
         zone = "z" * (3 * PART_BYTES)
         answer = await self.propose(encode_order(BeginEvacuation(zone)))
         self.assertEqual(answer, Success(Accepted(0)))
         self.assertIn(zone, self.catalog.evacuated)
 
-    async def test_a_read_of_a_revision_waits_for_it(self) -> None:
+    async def test_wait_for_revision(self) -> None:
         waiting = asyncio.create_task(self.host.wait_for_revision(1))
         await asyncio.sleep(0)
         self.assertFalse(waiting.done())
@@ -129,21 +129,21 @@
         async with asyncio.timeout(PATIENCE):
             await waiting
 
-    async def test_a_wait_for_another_leader_that_is_given_up_ends_whenever_that_comes(self) -> None:
-        """A caller's time limit may pass in the turn in which the leader changes, or in one of the next."""
+    async def test_cancelled_wait_for_leader_change_ends(self) -> None:
+        """Cancels the wait in the event loop iteration of the leader change, or in one of the next."""
         for turns in range(5):
             waiting = asyncio.create_task(self.host.wait_for_leader_change(PATIENCE))
             await asyncio.sleep(0)
             self.host.leader_changed.set()
             for _ in range(turns):
                 await asyncio.sleep(0)
-            given_up = waiting.cancel()
+            was_cancelled = waiting.cancel()
             await asyncio.wait([waiting])
-            self.assertEqual(waiting.cancelled(), given_up, turns)
+            self.assertEqual(waiting.cancelled(), was_cancelled, turns)
             self.host.leader_changed.clear()
 
-    async def test_closing_ends_all_waits(self) -> None:
-        self.store.answers.clear()
+    async def test_close_ends_all_waits(self) -> None:
+        self.store.available.clear()
         last_index = self.host.replica.last_index
         waiting = asyncio.create_task(self.propose_once())
         reading = asyncio.create_task(self.host.confirm_read())
@@ -152,7 +152,7 @@
         self.assertEqual(await waiting, Failure(Unavailable.LOST))
         self.assertIn(await reading, (Success(None), Failure(Unavailable.LOST)))
 
-    async def test_a_closed_host_takes_nothing(self) -> None:
+    async def test_closed_host_refuses_calls(self) -> None:
         self.host.close()
         self.assertEqual(await self.propose_once(), Failure(Unavailable.NO_LEADER))
         self.assertEqual(await self.host.confirm_read(), Failure(Unavailable.NO_LEADER))
--- a/tests/control_plane/test_contact_first.py
+++ b/tests/control_plane/test_contact_first.py
@@ -1,4 +1,7 @@
-"""What a control node does not do before it has contact with a majority, in virtual time."""
+"""Control nodes without contact to a majority, in a simulated system.
+
+They must not acknowledge reports or orders, nor publish a catalog that may be outdated.
+"""
 
 from __future__ import annotations
 
@@ -27,8 +30,8 @@
 IDLE = Scenario(habits=Habits(), operators=0, servers=0)
 
 
-def in_a_world(play: Callable[[World], Awaitable[None]]) -> None:
-    """Boots three control nodes and three gateways, and plays."""
+def run_in_world(play: Callable[[World], Awaitable[None]]) -> None:
+    """Runs `play` in a simulated system of three control nodes and three gateways."""
     loop = VirtualEventLoop()
 
     async def main() -> None:
@@ -42,7 +45,7 @@
 
 
 def large_configuration(version: int) -> bytes:
-    """Some hundred kilobytes, which take a while to travel."""
+    """A configuration of several hundred kilobytes, whose transfer takes a while."""
     routes = [
         {
             "Name": f"route-{number}",
@@ -58,20 +61,20 @@
     return json.dumps({"Version": version, "Routes": routes, "Services": [{"Name": "service"}]}).encode()
 
 
-def cut_off(world: World, machine: ControlMachine) -> None:
+def isolate(world: World, machine: ControlMachine) -> None:
     for other in world.machines:
         if other is not machine:
             world.network.cut(machine.name, other.name)
 
 
 class ContactFirstTest(TestCase):
-    def test_alone_nothing_is_acknowledged_after_a_while(self) -> None:
+    def test_isolated_node_acknowledges_nothing(self) -> None:
         async def play(world: World) -> None:
             machine = world.machines[0]
             node = machine.node
             assert node is not None
             self.assertTrue(node.soft_state.in_touch)
-            cut_off(world, machine)
+            isolate(world, machine)
             await asyncio.sleep(2)
             self.assertFalse(node.soft_state.in_touch)
             self.assertFalse(node.soft_state.deregister("server"))
@@ -79,9 +82,9 @@
             self.assertEqual(reply.outcome, OrderOutcome.UNAVAILABLE)
             self.assertNotIsInstance(await node.orders.fetch(), Success)
 
-        in_a_world(play)
+        run_in_world(play)
 
-    def test_a_node_that_stood_still_is_not_in_contact_when_it_wakes(self) -> None:
+    def test_resumed_process_is_not_in_contact(self) -> None:
         async def play(world: World) -> None:
             machine = world.machines[0]
             assert machine.process is not None and machine.node is not None
@@ -96,33 +99,33 @@
             await asyncio.sleep(2)
             self.assertTrue(node.soft_state.in_touch)
 
-        in_a_world(play)
+        run_in_world(play)
 
-    def test_a_node_that_catches_up_does_not_tell_what_it_had_before(self) -> None:
+    def test_lagging_node_does_not_publish_its_old_catalog(self) -> None:
         async def play(world: World) -> None:
             leader = world.leader()
             assert leader is not None and leader.node is not None
-            late = next(machine for machine in world.machines if machine is not leader)
-            assert late.node is not None
-            cut_off(world, late)
+            lagging = next(machine for machine in world.machines if machine is not leader)
+            assert lagging.node is not None
+            isolate(world, lagging)
             await asyncio.sleep(2)
             for version in (1, 2, 3):
                 order = encode_order(ReplaceConfiguration(version - 1, large_configuration(version)))
                 self.assertEqual((await leader.node.orders.submit(order)).outcome, OrderOutcome.ACCEPTED)
             newest = leader.node.catalog.revision
             world.network.heal_all()
-            old_in_contact = 0
-            while late.node.catalog.revision < newest:
-                self.assertFalse(late.node.soft_state.may_publish_catalog)
-                old_in_contact += late.node.soft_state.in_touch
+            in_touch_while_outdated = 0
+            while lagging.node.catalog.revision < newest:
+                self.assertFalse(lagging.node.soft_state.may_publish_catalog)
+                in_touch_while_outdated += lagging.node.soft_state.in_touch
                 await asyncio.sleep(0.01)
-            self.assertGreater(old_in_contact, 0)  # else the test shows nothing
+            self.assertGreater(in_touch_while_outdated, 0)  # otherwise the test has not covered the case
             await asyncio.sleep(1)
-            self.assertTrue(late.node.soft_state.may_publish_catalog)
+            self.assertTrue(lagging.node.soft_state.may_publish_catalog)
 
-        in_a_world(play)
+        run_in_world(play)
 
-    def test_an_evacuation_whose_caller_has_left_is_not_carried_out(self) -> None:
+    def test_cancelled_evacuation_is_not_applied(self) -> None:
         async def play(world: World) -> None:
             leader = world.leader()
             assert leader is not None
@@ -130,30 +133,30 @@
             node = follower.node
             assert node is not None and leader.node is not None
             call = world.loop.create_task(node.orders.submit_evacuation(BeginEvacuation(ZONE)))
-            await asyncio.sleep(0.01)  # the round trip to the leader takes 0.07
+            await asyncio.sleep(0.01)  # the round trip to the leader takes 0.07 s
             call.cancel()
             await asyncio.sleep(2)
             self.assertEqual(leader.node.catalog.evacuated, frozenset())
 
-        in_a_world(play)
+        run_in_world(play)
 
-    def test_an_evacuation_that_another_order_overtook_is_decided_anew(self) -> None:
+    def test_outdated_evacuation_is_unavailable_and_may_be_repeated(self) -> None:
         async def play(world: World) -> None:
             leader = world.leader()
             assert leader is not None and leader.node is not None
             orders = leader.node.orders
-            begun = await orders.submit_evacuation(BeginEvacuation(ZONE))
-            self.assertEqual(begun.outcome, OrderOutcome.ACCEPTED)
-            late = await orders.submit(encode_order(FinishEvacuation(ZONE, seen_revision=0)))
-            self.assertEqual(late.outcome, OrderOutcome.UNAVAILABLE)
+            started = await orders.submit_evacuation(BeginEvacuation(ZONE))
+            self.assertEqual(started.outcome, OrderOutcome.ACCEPTED)
+            outdated = await orders.submit(encode_order(FinishEvacuation(ZONE, seen_revision=0)))
+            self.assertEqual(outdated.outcome, OrderOutcome.UNAVAILABLE)
             self.assertEqual(leader.node.catalog.evacuated, {ZONE})
             finished = await orders.submit_evacuation(FinishEvacuation(ZONE))
             self.assertEqual(finished.outcome, OrderOutcome.ACCEPTED)
             self.assertEqual(leader.node.catalog.evacuated, frozenset())
 
-        in_a_world(play)
+        run_in_world(play)
 
 
-class VotersTest(TestCase):
-    def test_as_many_as_bear_the_losses_and_no_fewer_than_three(self) -> None:
+class MaxVotersTest(TestCase):
+    def test_number_of_voters_for_tolerated_losses(self) -> None:
         self.assertEqual([max_voters(losses) for losses in range(5)], [3, 3, 5, 7, 9])
--- a/tests/control_plane/test_control_failures.py
+++ b/tests/control_plane/test_control_failures.py
@@ -1,4 +1,4 @@
-"""Control nodes that end, lose their disk or come back."""
+"""Control nodes that crash, shut down, lose their disk or restart."""
 
 from __future__ import annotations
 
@@ -19,19 +19,21 @@
         self.followers = [number for number in range(3) if number != self.leader]
 
     async def replace(self, number: int, version: int, base: int) -> None:
-        """A configuration that has to be accepted."""
-        answer = await self.cluster.insist(number, REPLACE, configuration(version, f"r{version}"), base)
+        """Submits a configuration, which must be accepted."""
+        answer = await self.cluster.post_until_answered(
+            number, REPLACE, configuration(version, f"r{version}"), base
+        )
         self.assertEqual(answer.status, HTTPStatus.OK, answer.body)
 
     async def assert_version(self, number: int, version: int) -> None:
-        """A confirmed read gives this version."""
+        """Checks the version that a confirmed read on a node returns."""
         fetched = await self.cluster.repeat(
             lambda: self.cluster.fetch(number),
             lambda answer: answer.status != HTTPStatus.SERVICE_UNAVAILABLE,
         )
         self.assertEqual(fetched.document["Version"], version)
 
-    async def test_a_lost_leader_is_replaced_and_nothing_acknowledged_is_lost(self) -> None:
+    async def test_leader_crash_loses_no_acknowledged_order(self) -> None:
         await self.replace(self.leader, 1, 0)
         await self.cluster.crash(self.leader)
         await self.replace(self.followers[0], 2, 1)
@@ -39,7 +41,7 @@
         await self.cluster.start(self.leader)
         await self.assert_version(self.leader, 2)
 
-    async def test_a_planned_end_hands_leadership_over(self) -> None:
+    async def test_shutdown_hands_over_leadership(self) -> None:
         await self.replace(self.leader, 1, 0)
         term = self.cluster.node(self.leader).host.replica.term
         await self.cluster.stop(self.leader)
@@ -47,7 +49,7 @@
         self.assertEqual(self.cluster.node(new_leader).host.replica.term, term + 1)
         await self.replace(self.followers[0], 2, 1)
 
-    async def test_without_a_majority_there_is_no_clear_answer(self) -> None:
+    async def test_no_definite_answer_without_a_majority(self) -> None:
         await self.replace(self.leader, 1, 0)
         for number in self.followers:
             await self.cluster.crash(number)
@@ -57,9 +59,11 @@
         await self.cluster.start(self.followers[0])
         await self.replace(self.leader, 2, 1)
 
-    async def test_all_nodes_end_at_once_and_come_back(self) -> None:
+    async def test_restart_of_all_nodes(self) -> None:
         await self.replace(self.leader, 1, 0)
-        self.assertEqual((await self.cluster.insist(0, "/-/Evacuations.Begin/hall-1")).status, HTTPStatus.OK)
+        self.assertEqual(
+            (await self.cluster.post_until_answered(0, "/-/Evacuations.Begin/hall-1")).status, HTTPStatus.OK
+        )
         for number in range(3):
             await self.cluster.crash(number)
         for number in range(3):
@@ -69,7 +73,7 @@
             lambda: all(self.cluster.node(number).catalog.evacuated == {"hall-1"} for number in range(3))
         )
 
-    async def test_a_node_that_lost_its_disk_takes_the_place_of_its_old_replica(self) -> None:
+    async def test_new_replica_replaces_the_old_one_after_disk_loss(self) -> None:
         await self.replace(self.leader, 1, 0)
         lost = self.followers[0]
         old_id = self.cluster.node(lost).member.replica_id
@@ -83,11 +87,11 @@
         await self.replace(self.leader, 2, 1)
         await self.assert_version(lost, 2)
 
-    async def test_the_log_is_compacted_and_a_new_disk_gets_the_snapshot(self) -> None:
+    async def test_new_replica_gets_a_snapshot_of_a_compacted_log(self) -> None:
         await self.replace(self.leader, 1, 0)
         for _ in range(110):
             for call in ("Begin", "Finish"):
-                answer = await self.cluster.insist(self.leader, f"/-/Evacuations.{call}/hall-3")
+                answer = await self.cluster.post_until_answered(self.leader, f"/-/Evacuations.{call}/hall-3")
                 self.assertEqual(answer.status, HTTPStatus.OK)
         lost = self.followers[0]
         await self.cluster.crash(lost)
@@ -97,10 +101,12 @@
         await self.cluster.until(lambda: self._voters() == self._running())
 
     def _voters(self) -> set[str]:
-        """Voters once every running node sees the same and nobody else is a member."""
-        seen = [self.cluster.node(number).host.replica.members for number in self.cluster.roles]
-        members = all_members(seen[0])
-        if any(other != seen[0] for other in seen) or len(members) != len(seen[0].voters):
+        """The voters; empty while running nodes disagree on the members, or there are non-voting members."""
+        member_lists = [self.cluster.node(number).host.replica.members for number in self.cluster.roles]
+        members = all_members(member_lists[0])
+        if any(other != member_lists[0] for other in member_lists) or len(members) != len(
+            member_lists[0].voters
+        ):
             return set()
         return {member.replica_id for member in members}
 
--- a/tests/control_plane/test_control_links.py
+++ b/tests/control_plane/test_control_links.py
@@ -1,4 +1,4 @@
-"""What a gateway tells its control nodes when one of them has brought a configuration."""
+"""A gateway reports a new configuration revision to its other control nodes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @define
 class RecordingLink:
-    """A link that takes everything."""
+    """A link that records the messages sent over it."""
 
     sent: list[object] = field(factory=list)
 
@@ -30,10 +30,10 @@
 
 
 class _NoTransport:
-    """Dials nobody."""
+    """A transport that must not dial."""
 
     def dial(self, *_: Any) -> None:
-        raise AssertionError("no seeds were told")
+        raise AssertionError("dialled without seeds")
 
 
 class ControlLinksTest(unittest.TestCase):
@@ -56,11 +56,11 @@
     def receive(self, address: str, message: object) -> None:
         self.links.received(address, cast(Link, self.by_address[address]), message)
 
-    def test_the_other_control_nodes_hear_that_a_configuration_has_come(self) -> None:
+    def test_other_control_nodes_get_an_ack_of_the_new_revision(self) -> None:
         self.receive("10.0.0.1:1", CatalogUpdate(7, 7, DOCUMENT))
         self.assertEqual(self.by_address["10.0.0.2:1"].sent, [Ack(UpdateKind.CATALOG, 7)])
 
-    def test_and_not_again_once_they_tell_the_same(self) -> None:
+    def test_no_ack_when_they_send_the_same_revision(self) -> None:
         self.receive("10.0.0.1:1", CatalogUpdate(7, 7, DOCUMENT))
         self.by_address["10.0.0.1:1"].sent.clear()
         self.receive("10.0.0.2:1", CatalogUpdate(7, 7))
--- a/tests/control_plane/test_control_restart.py
+++ b/tests/control_plane/test_control_restart.py
@@ -1,4 +1,4 @@
-"""Control nodes that start on a damaged store or a taken address, and that are told to end."""
+"""Control nodes that start with a damaged store or an address in use, and orderly shutdown."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 REPLACE = "/-/Config.Replace"
 ADDRESS = "127.0.0.1"
-SCHEDULING_SLACK = 0.5  # seconds that a crowded machine may take on top
+SCHEDULING_SLACK = 0.5  # seconds of extra time for a busy machine
 MICROSECONDS = 1_000_000
 
 
@@ -44,20 +44,20 @@
         self.cluster = await self.enterAsyncContext(ControlCluster())
         self.leader = await self.cluster.leader()
         self.damaged = next(number for number in range(3) if number != self.leader)
-        answer = await self.cluster.insist(self.leader, REPLACE, configuration(1, "r1"), 0)
+        answer = await self.cluster.post_until_answered(self.leader, REPLACE, configuration(1, "r1"), 0)
         self.assertEqual(answer.status, HTTPStatus.OK)
         await self.cluster.until(lambda: self._version(self.damaged) == 1)
 
     def _version(self, number: int) -> int:
-        held = self.cluster.node(number).catalog.configuration
-        return held.version if held is not None else 0
+        current = self.cluster.node(number).catalog.configuration
+        return current.version if current is not None else 0
 
     def _voters(self) -> set[str]:
         members = self.cluster.node(self.leader).host.replica.members
         return {voter.replica_id for voter in members.voters} if not members.outgoing else set()
 
     async def _damage(self) -> str:
-        """Ends a follower and changes a row of its store; its replica id."""
+        """Crashes a follower and corrupts a row of its store; returns its replica id."""
         old_id = self.cluster.node(self.damaged).member.replica_id
         await self.cluster.crash(self.damaged)
         path = os.path.join(self.cluster.platforms[self.damaged].data_dir, FILE_NAME)
@@ -65,7 +65,7 @@
             connection.execute("UPDATE hard_state SET term = term + 1")
         return old_id
 
-    async def test_its_node_takes_part_as_a_new_replica(self) -> None:
+    async def test_node_rejoins_as_a_new_replica(self) -> None:
         old_id = await self._damage()
         await self.cluster.start(self.damaged)
         new_id = self.cluster.node(self.damaged).member.replica_id
@@ -73,7 +73,7 @@
         self.assertNotIn(old_id, self._voters())
         await self.cluster.until(lambda: self._version(self.damaged) == 1)
 
-    async def test_it_founds_no_system_although_the_settings_still_say_so(self) -> None:
+    async def test_node_does_not_bootstrap_a_new_system(self) -> None:
         old_id = await self._damage()
         platform = self.cluster.platforms[self.damaged]
         self.cluster.platforms[self.damaged] = evolve(platform, bootstrap=True)
@@ -89,27 +89,27 @@
 
 
 class ListenerTest(IsolatedAsyncioTestCase):
-    """A killed predecessor's socket may be there for some moments."""
+    """The socket of a killed process may stay bound for a moment after the next one starts."""
 
     def setUp(self) -> None:
-        self.taken = socket.create_server((ADDRESS, 0))
-        self.addCleanup(self.taken.close)
-        self.address = f"{ADDRESS}:{self.taken.getsockname()[1]}"
+        self.bound_socket = socket.create_server((ADDRESS, 0))
+        self.addCleanup(self.bound_socket.close)
+        self.address = f"{ADDRESS}:{self.bound_socket.getsockname()[1]}"
         self.enterContext(patch.object(http_server, "BIND_RETRY_SECONDS", 0.01))
 
     async def handle(self, _request: web.BaseRequest) -> web.Response:
         return web.Response()
 
-    async def test_an_address_in_use_is_tried_again(self) -> None:
+    async def test_address_in_use_is_retried(self) -> None:
         listener = HttpListener(self.handle)
         listening = asyncio.create_task(listener.listen(self.address))
         await asyncio.sleep(0.1)
         self.assertFalse(listening.done())
-        self.taken.close()
+        self.bound_socket.close()
         await asyncio.wait_for(listening, PATIENCE)
         await listener.close(0.0)
 
-    async def test_one_that_stays_in_use_is_an_error(self) -> None:
+    async def test_address_that_stays_in_use_is_an_error(self) -> None:
         with (
             patch.object(http_server, "BIND_TIMEOUT_SECONDS", 0.05),
             self.assertRaises(OSError) as caught,
@@ -117,19 +117,19 @@
             await HttpListener(self.handle).listen(self.address)
         self.assertEqual(caught.exception.errno, errno.EADDRINUSE)
 
-    async def test_an_address_of_another_machine_is_an_error_at_once(self) -> None:
+    async def test_foreign_address_fails_immediately(self) -> None:
         with patch.object(asyncio, "sleep", side_effect=AssertionError), self.assertRaises(OSError):
             await HttpListener(self.handle).listen("192.0.2.1:9")
 
 
 class ClosingTest(IsolatedAsyncioTestCase):
-    async def test_a_call_that_never_ends_does_not_hold_up_the_close(self) -> None:
+    async def test_hanging_call_does_not_delay_close(self) -> None:
         called, released = asyncio.Event(), asyncio.Event()
         self.addCleanup(released.set)
 
         async def hang(_request: web.BaseRequest) -> web.Response:
             called.set()
-            while not released.is_set():  # not even by being cancelled
+            while not released.is_set():  # ignores cancellation
                 with suppress(asyncio.CancelledError):
                     await released.wait()
             return web.Response()
@@ -146,15 +146,15 @@
                 self.addCleanup(writer.close)
                 writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
                 await called.wait()
-                began = time.monotonic()
+                started_at = time.monotonic()
                 await listener.close(grace)
-                spent = time.monotonic() - began
+                elapsed = time.monotonic() - started_at
                 released.set()
-                self.assertLess(spent, grace + SCHEDULING_SLACK)
+                self.assertLess(elapsed, grace + SCHEDULING_SLACK)
 
 
-def take_no_entries(host: ConsensusHost) -> None:
-    """The host hears its leader, and acknowledges nothing that it is sent."""
+def drop_entries(host: ConsensusHost) -> None:
+    """Makes a host drop all entries, so that it stays in contact with its leader but acknowledges none."""
     step = host.step
 
     def step_without_entries(sender: str, message: object) -> None:
@@ -163,14 +163,14 @@
     host.step = step_without_entries  # type: ignore[method-assign]
 
 
-class OrderlyEndTest(IsolatedAsyncioTestCase):
-    """The platform's SIGTERM: whatever hangs, the process ends soon."""
+class ShutdownTest(IsolatedAsyncioTestCase):
+    """On SIGTERM the process ends within the time limit, whatever hangs."""
 
-    def test_the_parts_fit_into_the_whole(self) -> None:
+    def test_sum_of_the_waits_is_within_the_limit(self) -> None:
         parts = HANDOVER_SECONDS + HTTP_GRACE_SECONDS + LINK_GRACE / MICROSECONDS + STORE_GRACE_SECONDS
         self.assertLessEqual(parts, STOP_SECONDS)
 
-    async def test_a_leader_ends_in_time_with_a_hanging_disk_a_call_and_no_successor(self) -> None:
+    async def test_leader_shuts_down_in_time_with_hanging_disk_and_no_followers(self) -> None:
         cluster = await self.enterAsyncContext(ControlCluster())
         leader = await cluster.leader()
         released = threading.Event()
@@ -186,17 +186,17 @@
 
         others = [number for number in range(3) if number != leader]
         for number in others:
-            take_no_entries(cluster.node(number).host)
+            drop_entries(cluster.node(number).host)
         with patch.object(SqliteLogStore, "apply_batch", hang):
-            # While it leads: alone it would step down after a while, and write nothing.
+            # Submit while it still leads: without followers it would step down and write nothing.
             order = asyncio.create_task(cluster.post(leader, REPLACE, configuration(1, "r1"), 0))
             await cluster.until(hanging.is_set)
             for number in others:
                 await cluster.crash(number)
-            began = time.monotonic()
+            started_at = time.monotonic()
             await cluster.stop(leader)
-            spent = time.monotonic() - began
+            elapsed = time.monotonic() - started_at
             released.set()
-        self.assertLess(spent, STOP_SECONDS + SCHEDULING_SLACK)
+        self.assertLess(elapsed, STOP_SECONDS + SCHEDULING_SLACK)
         with suppress(Exception):
             await order
--- a/tests/control_plane/test_directory.py
+++ b/tests/control_plane/test_directory.py
@@ -1,4 +1,4 @@
-"""What a control node's directory answers by the homes that it knows, and the invariant that watches it."""
+"""The directory's answers by home regions, and the check of its invariant."""
 
 from __future__ import annotations
 
@@ -32,37 +32,38 @@
         offer = self.directory.resolve(0, CLIENT, current)
         return [address.split(":")[0] for address in offer.addresses]
 
-    def test_without_a_configuration_nobody_is_led_out_of_its_region(self) -> None:
+    def test_without_configuration_clients_stay_in_their_region(self) -> None:
         self.assertEqual(self.nodes(), [])
         self.gateways.record_presence(0, gateway("e1", zone="hall-e", region="east"))
         self.assertEqual(self.nodes(), ["e1"])
 
-    def test_homes_that_may_have_been_replaced_lead_nobody_out_of_its_region(self) -> None:
+    def test_outdated_homes_keep_clients_in_their_region(self) -> None:
         self.directory.set_configuration(1, configuration)
         self.assertEqual(self.nodes(), ["n1", "s1"])
         self.assertEqual(self.directory.resolve(0, CLIENT, current=False), NO_GATEWAYS)
 
-    def test_an_older_revision_changes_nothing(self) -> None:
+    def test_older_revision_is_ignored(self) -> None:
         self.directory.set_configuration(2, lambda: configuration("south"))
         self.directory.set_configuration(1, configuration)
         self.assertEqual(self.nodes(), ["s1"])
 
-    def test_a_region_whose_gateways_leave_start_or_fall_silent_keeps_the_homes(self) -> None:
+    def test_region_without_ready_gateways_respects_homes(self) -> None:
         self.directory.set_configuration(1, lambda: configuration("south"))
         for seq, state in enumerate((GatewayState.STARTING, GatewayState.READY, GatewayState.LEAVING)):
             own = gateway("e1", seq=seq, state=state, zone="hall-e", region="east")
             self.gateways.record_presence(0, own)
             self.assertEqual(self.nodes(), ["e1"] if state is GatewayState.READY else ["s1"])
 
-    def test_a_breach_is_counted(self) -> None:
+    def test_violation_is_counted(self) -> None:
         self.directory.set_configuration(1, lambda: configuration("south"))
         with VIOLATIONS.apart():
             before = VIOLATIONS.violations().get(Invariant.DIRECTORY_KEEPS_HOMES, 0)
-            real, answers = HostHomes.permits, iter((True, True))  # the choice errs, the check does not
-            erring = mock.patch.object(
+            # the first two calls, which choose the gateways, are wrong; those of the check are not
+            real, answers = HostHomes.permits, iter((True, True))
+            wrong_choice = mock.patch.object(
                 HostHomes, "permits", lambda homes, region: next(answers, None) or real(homes, region)
             )
-            with erring:
+            with wrong_choice:
                 self.assertEqual(self.nodes(), ["n1", "s1"])
             counted = VIOLATIONS.violations()[Invariant.DIRECTORY_KEEPS_HOMES] - before
         self.assertEqual(counted, 1)
--- a/tests/control_plane/test_directory_homes.py
+++ b/tests/control_plane/test_directory_homes.py
@@ -1,4 +1,4 @@
-"""The directory of running control nodes keeps the homes of a host's routes, even if that leaves nobody."""
+"""The directory of running control nodes respects home regions, even if no gateway is left."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from brackenladder.transport.link import LinkTiming
 from brackenladder.transport.tcp import TcpTransport
 
-FREE_HOST = "free.example"  # no route of it has homes
+FREE_HOST = "free.example"  # its routes have no home regions
 NORTH, SOUTH, EAST = "10.0.0.1:8144", "10.0.0.2:8144", "10.0.0.3:8144"  # the regions' gateways
 
 
@@ -54,35 +54,35 @@
         }
         for gateway in self.gateways.values():
             self.addAsyncCleanup(gateway.transport.close)
-        await self.put_in_force(1, north=["north", "south"], any_region=[])
+        await self.configure(1, north=["north", "south"], any_region=[])
 
-    async def put_in_force(self, version: int, at: int = 0, **homes: list[str]) -> None:
-        """A configuration with a route for each name, all of HOST; `any_region` is one of FREE_HOST too."""
+    async def configure(self, version: int, at: int = 0, **homes: list[str]) -> None:
+        """Sets a configuration with a HOST route for each keyword, and a FREE_HOST route without homes."""
         document = configuration(version, *homes)
         for route in document["Routes"]:
             route["HomeRegions"] = homes[route["Name"]]
         document["Routes"].append({**document["Routes"][-1], "Name": "free", "Hostname": FREE_HOST})
         document["Routes"][-1]["HomeRegions"] = []
-        answer = await self.cluster.insist(at, "/-/Config.Replace", document, version - 1)
+        answer = await self.cluster.post_until_answered(at, "/-/Config.Replace", document, version - 1)
         self.assertEqual(answer.status, HTTPStatus.OK)
 
     async def ask(self, region: str, host: str = HOST) -> Answer:
-        """What a client of a region gets from the directory of the first node."""
+        """Asks the directory of the first node as a client of a region."""
         for gateway in self.gateways.values():
             gateway.links.tick()
         address = self.cluster.platforms[0].listen.directory
         return await self.cluster.get(address, f"/-/resolve?Name={host}&Region={region}&Zone=hall-{region}")
 
-    async def told(self, region: str, addresses: set[str], host: str = HOST) -> None:
-        """The client is told just these addresses, as soon as the node knows of them."""
+    async def assert_resolves(self, region: str, addresses: set[str], host: str = HOST) -> None:
+        """Waits until a client of the region gets exactly these addresses."""
 
         def complete(answer: Answer) -> bool:
             return answer.status == HTTPStatus.OK and set(answer.document["Addresses"]) == addresses
 
         await self.cluster.repeat(lambda: self.ask(region, host), complete)
 
-    async def refused(self, region: str, host: str = HOST) -> None:
-        """The client is told of nobody, and when to come back."""
+    async def assert_unavailable(self, region: str, host: str = HOST) -> None:
+        """Waits until a client of the region gets a 503 answer with a Retry-After header."""
         answer = await self.cluster.repeat(
             lambda: self.ask(region, host), lambda answer: answer.status != HTTPStatus.OK
         )
@@ -93,46 +93,46 @@
         for front in fronts:
             self.gateways[front].presence.set_state(GatewayState.LEAVING)
 
-    async def test_a_region_without_gateways_is_led_to_the_homes_only(self) -> None:
-        await self.told("south", {SOUTH})
+    async def test_region_without_gateways_gets_home_regions_only(self) -> None:
+        await self.assert_resolves("south", {SOUTH})
         await self.leave(SOUTH)
-        await self.told("south", {NORTH})  # not to the east, which is no home
-        await self.told("south", {NORTH, EAST}, FREE_HOST)
-        await self.told("east", {EAST})  # its own region may always be named
+        await self.assert_resolves("south", {NORTH})  # not to the east, which is not a home region
+        await self.assert_resolves("south", {NORTH, EAST}, FREE_HOST)
+        await self.assert_resolves("east", {EAST})  # gateways of the client's own region are always allowed
 
-    async def test_nobody_is_named_where_no_permitted_gateway_is_ready(self) -> None:
-        await self.told("south", {SOUTH})
+    async def test_unavailable_if_no_permitted_gateway_is_ready(self) -> None:
+        await self.assert_resolves("south", {SOUTH})
         await self.leave(SOUTH, NORTH)
-        await self.refused("south")
-        await self.told("south", {EAST}, FREE_HOST)
+        await self.assert_unavailable("south")
+        await self.assert_resolves("south", {EAST}, FREE_HOST)
 
-    async def test_homes_that_change_bind_the_next_answer(self) -> None:
-        await self.told("south", {SOUTH})
+    async def test_changed_homes_apply_to_the_next_answer(self) -> None:
+        await self.assert_resolves("south", {SOUTH})
         await self.leave(SOUTH)
-        await self.told("south", {NORTH})
-        await self.put_in_force(2, north=["south", "east"], any_region=[])
-        await self.told("south", {EAST})
-        await self.put_in_force(3, north=["south"], any_region=[])
-        await self.refused("south")
-
-    async def test_all_homes_of_a_host_bind_together(self) -> None:
-        await self.put_in_force(2, north=["north", "east"], other=["east"], any_region=[])
+        await self.assert_resolves("south", {NORTH})
+        await self.configure(2, north=["south", "east"], any_region=[])
+        await self.assert_resolves("south", {EAST})
+        await self.configure(3, north=["south"], any_region=[])
+        await self.assert_unavailable("south")
+
+    async def test_homes_of_all_routes_of_a_host_combine(self) -> None:
+        await self.configure(2, north=["north", "east"], other=["east"], any_region=[])
         await self.leave(SOUTH)
-        await self.told("south", {EAST})
-        await self.put_in_force(3, north=["north"], other=["east"], any_region=[])
-        await self.refused("south")
+        await self.assert_resolves("south", {EAST})
+        await self.configure(3, north=["north"], other=["east"], any_region=[])
+        await self.assert_unavailable("south")
 
-    async def test_a_host_that_is_not_known_is_led_to_its_own_region_only(self) -> None:
-        await self.told("south", {SOUTH}, "new.example")
+    async def test_unknown_host_gets_its_own_region_only(self) -> None:
+        await self.assert_resolves("south", {SOUTH}, "new.example")
         await self.leave(SOUTH)
-        await self.refused("south", "new.example")
+        await self.assert_unavailable("south", "new.example")
 
-    async def test_a_node_that_hears_its_leader_but_lacks_entries_leads_nobody_out(self) -> None:
-        """Contact alone doesn't tell that the homes are the newest: entries may be on their way."""
-        await self.told("south", {SOUTH})
+    async def test_node_that_lacks_entries_keeps_clients_in_their_region(self) -> None:
+        """Contact with the leader does not mean that the homes are current: entries may be in transit."""
+        await self.assert_resolves("south", {SOUTH})
         await self.leave(SOUTH)
-        await self.told("south", {NORTH})
-        leader = await self.leader_beside(0)
+        await self.assert_resolves("south", {NORTH})
+        leader = await self.leader_other_than(0)
         host = self.cluster.node(0).host
         step = host.step
 
@@ -140,14 +140,14 @@
             step(sender, evolve(message, entries=()) if isinstance(message, AppendEntries) else message)
 
         with mock.patch.object(host, "step", step_without_entries):
-            await self.put_in_force(2, at=leader, north=["south"], any_region=[])
+            await self.configure(2, at=leader, north=["south"], any_region=[])
             acknowledged = monotonic_microseconds()
             await self.cluster.until(lambda: host.replica.quorum_contact_at > acknowledged)
             answer = await self.ask("south")
         self.assertEqual(answer.status, HTTPStatus.SERVICE_UNAVAILABLE, answer.body)
 
-    async def leader_beside(self, number: int) -> int:
-        """The leader, which isn't this node."""
+    async def leader_other_than(self, number: int) -> int:
+        """Makes another node than `number` the leader, if necessary; returns the leader."""
         while (leader := await self.cluster.leader()) == number:
             self.cluster.node(number).host.transfer_leadership()
             await self.cluster.until(lambda: not self.cluster.node(number).host.leads)
--- a/tests/control_plane/test_directory_log.py
+++ b/tests/control_plane/test_directory_log.py
@@ -1,4 +1,4 @@
-"""What a control node logs and counts of the answers of its directory."""
+"""Log lines and counters of the directory."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
             self.directory.resolve(now, CLIENT, current=True)
         return [record.message for record in handler.records]
 
-    def test_a_change_is_logged_once(self) -> None:
+    def test_change_is_logged_once(self) -> None:
         self.assertEqual(len(self.lines(0)), 1)
         self.assertEqual(self.lines(SECOND // 2), [])
 
-    def test_a_region_whose_gateways_leave_is_told_from_one_that_was_not_heard(self) -> None:
+    def test_leaving_gateways_are_distinguished_from_silent_ones(self) -> None:
         self.lines(0)
         leaving = gateway("a1", zone="hall-a", region="north", state=GatewayState.LEAVING, seq=2)
         self.gateways.record_presence(SECOND, leaving)
@@ -43,26 +43,26 @@
         [line] = self.lines(4 * SECOND)
         self.assertIn("a1 ready, heard 2000 ms ago", line)
 
-    def test_a_region_without_any(self) -> None:
+    def test_region_without_gateways(self) -> None:
         other = ClientLocation("a.example", "east", "hall-e")
         with logbook.TestHandler() as handler:
             self.directory.resolve(0, other, current=True)
         self.assertIn("of their region: none known", handler.records[0].message)
 
-    def test_answers_are_counted_by_their_reach(self) -> None:
+    def test_answers_are_counted_by_proximity(self) -> None:
         self.lines(0)
         self.directory.resolve(0, ClientLocation("a.example", "north", "hall-x"), current=True)
         self.assertEqual(self.directory.answers, {Proximity.ZONE: 1, Proximity.REGION: 1})
 
-    def test_clients_of_two_zones_of_a_region_are_no_change_of_each_other(self) -> None:
-        beside = ClientLocation("a.example", "north", "hall-without-gateways")
+    def test_zone_and_region_answers_in_turn_are_not_logged(self) -> None:
+        other_zone = ClientLocation("a.example", "north", "hall-without-gateways")
         with logbook.TestHandler() as handler:
             for _ in range(100):
                 self.directory.resolve(0, CLIENT, current=True)
-                self.directory.resolve(0, beside, current=True)
+                self.directory.resolve(0, other_zone, current=True)
         self.assertLessEqual(len(handler.records), 2)
 
-    def test_names_that_no_route_has_make_no_line_each(self) -> None:
+    def test_unknown_hosts_share_log_lines(self) -> None:
         with logbook.TestHandler() as handler:
             for number in range(1000):
                 self.directory.resolve(
@@ -70,14 +70,14 @@
                 )
         self.assertLess(len(handler.records), 10)
 
-    def test_a_name_makes_one_line_of_bounded_length(self) -> None:
+    def test_long_name_is_truncated_to_one_line(self) -> None:
         with logbook.TestHandler() as handler:
             self.directory.resolve(0, ClientLocation("x\ny" * 2000, "north", "hall-a"), current=True)
         for record in handler.records:
             self.assertNotIn("\n", record.message)
             self.assertLess(len(record.message), 1000)
 
-    def test_a_region_that_is_lost_and_comes_back_is_logged_each_time(self) -> None:
+    def test_each_loss_and_return_of_a_region_is_logged(self) -> None:
         for seq, state in enumerate((GatewayState.READY, GatewayState.LEAVING) * 3, start=2):
             self.gateways.record_presence(
                 0, gateway("a1", zone="hall-a", region="north", state=state, seq=seq)
--- a/tests/control_plane/test_directory_oracle.py
+++ b/tests/control_plane/test_directory_oracle.py
@@ -1,4 +1,7 @@
-"""Whatever routes, gateways and clients there are: nobody is led past homes or left alone without need."""
+"""Property test of the directory against a model.
+
+Clients must never be directed past home regions, nor be refused while a permitted gateway is ready.
+"""
 
 from __future__ import annotations
 
@@ -42,44 +45,48 @@
         st.integers(0, 1),
         st.booleans(),
     )
-    def test_answers_keep_the_homes_and_leave_nobody_out(
+    def test_answers_match_the_model(
         self,
-        of_hosts: list[tuple[str, tuple[str, ...]]],
-        known: list[tuple[str, GatewayState]],
+        host_homes: list[tuple[str, tuple[str, ...]]],
+        known_gateways: list[tuple[str, GatewayState]],
         asked: str,
         region: str,
         zone: int,
         current: bool,
     ) -> None:
         registry = GatewayRegistry()
-        for number, (of_region, state) in enumerate(known):
-            registry.record_presence(0, record(number, of_region, state))
+        for number, (gateway_region, state) in enumerate(known_gateways):
+            registry.record_presence(0, record(number, gateway_region, state))
         directory = Directory(registry)
-        parts = tuple(route(number, *part) for number, part in enumerate(of_hosts))
+        parts = tuple(route(number, *part) for number, part in enumerate(host_homes))
         directory.set_configuration(1, lambda: Configuration(1, parts, ()))
         offer = directory.resolve(0, ClientLocation(asked, region, f"hall-{region}-{zone}"), current)
 
-        named = {known[int(address.removeprefix("g").split(":")[0])][0] for address in offer.addresses}
-        ready = {of_region for of_region, state in known if state is GatewayState.READY}
-        bound = [part.homes for part in parts if part.host == FROM_ASKED.get(asked)]
-        allowed = {one for one in REGIONS if bound and all(not homes or one in homes for homes in bound)}
-        self.assertEqual(named, set(offer.regions))
+        offered = {
+            known_gateways[int(address.removeprefix("g").split(":")[0])][0] for address in offer.addresses
+        }
+        ready = {gateway_region for gateway_region, state in known_gateways if state is GatewayState.READY}
+        home_sets = [part.homes for part in parts if part.host == FROM_ASKED.get(asked)]
+        allowed = {
+            each for each in REGIONS if home_sets and all(not homes or each in homes for homes in home_sets)
+        }
+        self.assertEqual(offered, set(offer.regions))
         if region in ready:
-            self.assertEqual(named, {region})
+            self.assertEqual(offered, {region})
         elif current:
-            self.assertLessEqual(named, allowed)
-            self.assertEqual(bool(named), bool(allowed & ready))
+            self.assertLessEqual(offered, allowed)
+            self.assertEqual(bool(offered), bool(allowed & ready))
         else:
-            self.assertEqual(named, set())
+            self.assertEqual(offered, set())
         self.assertLessEqual(len(offer.addresses), MAX_ADDRESSES)
 
-    def test_an_evacuation_or_a_change_of_other_routes_keeps_the_homes(self) -> None:
+    def test_homes_are_kept_across_revisions(self) -> None:
         registry = GatewayRegistry()
         registry.record_presence(0, record(0, "north", GatewayState.READY))
         registry.record_presence(0, record(1, "south", GatewayState.READY))
         directory = Directory(registry)
         configuration = Configuration(1, (route(0, "a.example", ("north",)),), ())
-        for revision in range(1, 4):  # each evacuation is a revision of its own
+        for revision in range(1, 4):  # each evacuation has its own revision
             directory.set_configuration(revision, partial(evolve, configuration, version=revision))
             offer = directory.resolve(0, ClientLocation("a.example", "east", "hall-east-0"), True)
             self.assertEqual(offer.regions, {"north"})
--- a/tests/control_plane/test_heartbeat_parsing.py
+++ b/tests/control_plane/test_heartbeat_parsing.py
@@ -1,4 +1,4 @@
-"""Servers' heartbeats as they are read."""
+"""Parsing of servers' heartbeats."""
 
 from __future__ import annotations
 
@@ -63,17 +63,17 @@
         )
         self.assertEqual(parse_heartbeat("i-1", json.dumps(FULL).encode()), Success(record))
 
-    def test_what_is_left_out(self) -> None:
+    def test_defaults_of_missing_fields(self) -> None:
         parsed = parse_heartbeat("i-1", json.dumps(heartbeat(1)).encode()).unwrap()
         self.assertEqual((parsed.remaining, parsed.models, parsed.cold_for), (-1, (), 0))
 
-    def test_malformed_ones_are_refused(self) -> None:
+    def test_malformed_heartbeats_are_refused(self) -> None:
         for body in MALFORMED:
             encoded = body if isinstance(body, bytes) else json.dumps(body).encode()
             with self.subTest(body=encoded):
                 self.assertIsInstance(parse_heartbeat("i-1", encoded), Failure)
 
-    def test_what_is_taken_can_be_passed_on(self) -> None:
+    def test_accepted_values_can_be_encoded(self) -> None:
         largest = {
             **FULL,
             "Seq": 1 << 50,
@@ -83,5 +83,5 @@
         }
         record = parse_heartbeat("i-1", json.dumps(largest).encode()).unwrap()
         codec = control_codec()
-        told = ServersTold((record,))
-        self.assertEqual(codec.decode(codec.encode(told)), told)
+        message = ServersTold((record,))
+        self.assertEqual(codec.decode(codec.encode(message)), message)
--- a/tests/control_plane/test_links_reach_consensus.py
+++ b/tests/control_plane/test_links_reach_consensus.py
@@ -1,4 +1,4 @@
-"""A control node tells its replica of each link to another one that comes up."""
+"""A control node reports each new link to another control node to its replica."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class LinksReachConsensusTest(IsolatedAsyncioTestCase):
-    async def test_every_replica_hears_of_every_other(self) -> None:
+    async def test_every_link_is_reported(self) -> None:
         reached: set[tuple[str, str]] = set()
 
-        def note(host: ConsensusHost, replica_id: str) -> None:
+        def record(host: ConsensusHost, replica_id: str) -> None:
             reached.add((host.replica.member.replica_id, replica_id))
 
-        with mock.patch.object(ConsensusHost, "peer_connected", note):
+        with mock.patch.object(ConsensusHost, "peer_connected", record):
             async with ControlCluster() as cluster:
                 ids = {cluster.node(number).member.replica_id for number in cluster.roles}
                 pairs = {(one, other) for one in ids for other in ids if one != other}
--- a/tests/control_plane/test_order_parts.py
+++ b/tests/control_plane/test_order_parts.py
@@ -1,4 +1,4 @@
-"""Large orders in parts between two nodes, and answers on the link of their call."""
+"""Large orders sent in parts, and replies that are matched to the link of their call."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     def setUp(self) -> None:
         self.receiver = OrderReceiver()
 
-    def test_an_order_arrives_whole(self) -> None:
+    def test_order_is_reassembled(self) -> None:
         sender = OrderSender(1, ORDER)
         whole = None
         while (parts := sender.next_parts()) and whole is None:
@@ -40,38 +40,38 @@
                     whole = reply
         self.assertEqual(whole, ORDER)
 
-    def test_no_more_than_the_window_is_on_the_way(self) -> None:
+    def test_window_limits_unacknowledged_bytes(self) -> None:
         sender = OrderSender(1, ORDER)
         self.assertEqual(sum(len(part.data) for part in sender.next_parts()), WINDOW_BYTES)
         self.assertEqual(sender.next_parts(), [])
         sender.acknowledged(PART_BYTES)
         self.assertEqual(len(sender.next_parts()), 1)
 
-    def test_a_part_out_of_place_ends_its_order(self) -> None:
+    def test_part_out_of_sequence_drops_the_order(self) -> None:
         first, second, third, *_ = OrderSender(1, ORDER).next_parts()
         self.receiver.receive(first)
         self.assertIsNone(self.receiver.receive(third))
         self.assertIsNone(self.receiver.receive(second))
 
-    def test_an_order_that_is_too_large_is_not_begun(self) -> None:
+    def test_too_large_order_is_refused(self) -> None:
         self.assertIsNone(self.receiver.receive(OrderPart(1, 0, MAX_ORDER_BYTES + 1, b"x")))
 
-    def test_orders_that_are_never_finished_are_bounded(self) -> None:
+    def test_number_of_partial_orders_is_limited(self) -> None:
         for request in range(MAX_PARTIAL_ORDERS + 5):
             self.receiver.receive(OrderPart(request, 0, 100, b"x"))
         self.assertEqual(len(self.receiver._partial), MAX_PARTIAL_ORDERS)
 
-    def test_their_bytes_are_bounded_too_and_the_newest_goes_on(self) -> None:
+    def test_bytes_of_partial_orders_are_limited_but_the_newest_continues(self) -> None:
         size = MAX_ORDER_BYTES // 4
         for request in range(MAX_PARTIAL_ORDERS):
             for offset in range(0, size, PART_BYTES):
                 self.receiver.receive(OrderPart(request, offset, MAX_ORDER_BYTES, bytes(PART_BYTES)))
-        held = {request: len(one.data) for request, one in self.receiver._partial.items()}
+        held = {request: len(partial.data) for request, partial in self.receiver._partial.items()}
         self.assertLessEqual(sum(held.values()), MAX_PARTIAL_BYTES)
         self.assertIn(MAX_PARTIAL_ORDERS - 1, held)
         self.assertNotIn(0, held)
 
-    def test_an_order_that_was_dropped_is_not_finished(self) -> None:
+    def test_dropped_order_cannot_be_completed(self) -> None:
         first, second, *_ = OrderSender(1, ORDER).next_parts()
         self.receiver.receive(first)
         self.receiver._partial.clear()
@@ -79,7 +79,7 @@
 
 
 class ReplyTableTest(unittest.IsolatedAsyncioTestCase):
-    """Links are told apart by identity; any object stands for one."""
+    """Links are compared by identity only, so any object can stand for one."""
 
     async def asyncSetUp(self) -> None:
         self.table = ReplyTable()
@@ -89,25 +89,25 @@
     async def reply(self, request: int) -> object:
         return await self.table.wait(request, OrderReply, self.leader_changed, WAIT_SECONDS)
 
-    async def test_an_answer_on_the_link_of_its_call_counts(self) -> None:
+    async def test_reply_on_the_link_of_the_call_is_accepted(self) -> None:
         request = self.table.open(self.link)
         answer = OrderReply(request, OrderOutcome.ACCEPTED, 3)
         self.table.resolve(self.link, answer)
         self.assertEqual(await self.reply(request), Success(answer))
 
-    async def test_an_answer_on_another_link_does_not(self) -> None:
+    async def test_reply_on_another_link_is_ignored(self) -> None:
         request = self.table.open(self.link)
         self.table.resolve(self.other, OrderReply(request, OrderOutcome.ACCEPTED, 3))
         self.assertEqual(await self.reply(request), Failure(Unavailable.TIMEOUT))
 
-    async def test_a_second_answer_changes_nothing(self) -> None:
+    async def test_second_reply_is_ignored(self) -> None:
         request = self.table.open(self.link)
         first = OrderReply(request, OrderOutcome.ACCEPTED, 3)
         self.table.resolve(self.link, first)
         self.table.resolve(self.link, OrderReply(request, OrderOutcome.CONFLICT, 4))
         self.assertEqual(await self.reply(request), Success(first))
 
-    async def test_answers_of_calls_that_have_ended_are_dropped(self) -> None:
+    async def test_reply_after_the_call_has_ended_is_ignored(self) -> None:
         request = self.table.open(self.link)
         await self.reply(request)
         self.table.resolve(self.link, OrderReply(request, OrderOutcome.ACCEPTED, 3))
--- a/tests/control_plane/test_peer_links.py
+++ b/tests/control_plane/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Links between control nodes, over a network in memory."""
+"""Links between control nodes, over an in-memory network."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @define(eq=False)
 class Node:
-    """One end: its links, and what they told it."""
+    """A node with its links, which records their events."""
 
     network: MemoryNetwork
     name: str
     replica_id: str
     connected: list[str] = field(factory=list)
     received: list[tuple[str, object]] = field(factory=list)
-    strangers: list[object] = field(factory=list)
+    gateway_messages: list[object] = field(factory=list)
     links: PeerLinks = field(init=False)
     transport: MemoryTransport = field(init=False)
 
@@ -48,14 +48,14 @@
         self.received.append((peer.replica_id, message))
 
     def gateway_received(self, link: Link, message: object) -> None:
-        self.strangers.append(message)
+        self.gateway_messages.append(message)
 
     def link_closed(self, link: Link) -> None:
         pass
 
 
-class Talker:
-    """A handler that says one thing and no hello."""
+class SingleMessageHandler:
+    """A link handler that sends one message, and no Hello."""
 
     def __init__(self, message: object) -> None:
         self.message = message
@@ -78,7 +78,7 @@
             await node.start()
         self.network.run()
 
-    async def test_replicas_reach_one_another_by_id(self) -> None:
+    async def test_messages_are_sent_by_replica_id(self) -> None:
         self.assertTrue(self.a.links.send("replica-b", CALL))
         self.assertTrue(self.b.links.send("replica-a", CALL))
         self.network.run()
@@ -87,7 +87,7 @@
         self.assertEqual(self.a.links.connected_addresses(), (ADDRESSES["b"],))
         self.assertEqual([peer.replica_id for peer, _ in self.a.links.peers()], ["replica-b"])
 
-    async def test_nothing_meant_for_a_replica_reaches_its_successor_at_the_address(self) -> None:
+    async def test_new_replica_at_the_same_address_gets_no_messages_for_the_old_one(self) -> None:
         self.network.kill("b")
         self.network.run()
         self.assertFalse(self.a.links.send("replica-b", CALL))
@@ -99,14 +99,14 @@
         self.network.run()
         self.assertEqual(successor.received, [("replica-a", CALL)])
 
-    async def test_a_node_that_is_no_longer_kept_is_left(self) -> None:
+    async def test_removed_address_is_disconnected(self) -> None:
         self.b.links.close()
         self.a.links.set_addresses(())
         self.network.run()
         self.assertEqual(self.a.links.connected_addresses(), ())
 
-    async def test_who_says_no_hello_is_no_control_node(self) -> None:
+    async def test_link_without_hello_is_a_gateway(self) -> None:
         wanted = ServersWanted(("i-1",))
-        MemoryTransport(self.network, "gateway").dial(ADDRESSES["a"], Talker(wanted))
+        MemoryTransport(self.network, "gateway").dial(ADDRESSES["a"], SingleMessageHandler(wanted))
         self.network.run()
-        self.assertEqual((self.a.strangers, self.a.received), ([wanted], []))
+        self.assertEqual((self.a.gateway_messages, self.a.received), ([wanted], []))
--- a/tests/control_plane/test_restart_gate.py
+++ b/tests/control_plane/test_restart_gate.py
@@ -1,4 +1,4 @@
-"""When a remembered catalog counts as the newest that was committed."""
+"""Confirmation that a cached catalog is the newest committed one."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
         self.gate = RestartGate()
         self.gate.record(NOW, "a", 10)
 
-    def test_one_of_three_confirms_nothing(self) -> None:
+    def test_one_of_three_is_no_majority(self) -> None:
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 10))
 
-    def test_a_majority_whose_logs_hold_nothing_later_confirms(self) -> None:
+    def test_majority_without_later_orders_confirms(self) -> None:
         self.gate.record(NOW, "b", 9)
         self.assertTrue(self.gate.confirms(NOW, MEMBERS, 10))
 
-    def test_a_later_order_in_any_log_speaks_against_it(self) -> None:
+    def test_later_order_in_any_log_prevents_confirmation(self) -> None:
         self.gate.record(NOW, "b", 9)
         self.gate.record(NOW, "stranger", 11)
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 10))
 
-    def test_this_nodes_own_log_counts(self) -> None:
+    def test_later_order_in_the_own_log_prevents_confirmation(self) -> None:
         self.gate.record(NOW, "b", 9)
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 9))
 
-    def test_strangers_are_no_majority(self) -> None:
+    def test_non_members_are_no_majority(self) -> None:
         self.gate.record(NOW, "x", 0)
         self.gate.record(NOW, "y", 0)
         self.assertFalse(self.gate.confirms(NOW, MEMBERS, 10))
 
-    def test_a_joint_change_needs_both_majorities(self) -> None:
+    def test_joint_change_needs_both_majorities(self) -> None:
         self.gate.record(NOW, "b", 9)
         self.assertFalse(self.gate.confirms(NOW, JOINT, 10))
         self.gate.record(NOW, "d", 9)
         self.assertTrue(self.gate.confirms(NOW, JOINT, 10))
 
-    def test_a_node_without_members_confirms_nothing(self) -> None:
+    def test_empty_member_list_confirms_nothing(self) -> None:
         self.assertFalse(self.gate.confirms(NOW, Members(), 10))
 
-    def test_a_word_counts_for_a_while_and_speaks_against_for_ever(self) -> None:
+    def test_reports_expire_except_those_of_later_orders(self) -> None:
         self.gate.record(NOW, "b", 9)
         later = NOW + MAX_REPORT_AGE + 1
         self.assertTrue(self.gate.confirms(NOW + MAX_REPORT_AGE, MEMBERS, 10))
--- a/tests/control_plane/test_role_runner.py
+++ b/tests/control_plane/test_role_runner.py
@@ -1,4 +1,4 @@
-"""Role processes: signals, changed settings, and settings that can't be used."""
+"""Role processes: signals, changed settings and invalid settings."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from brackenladder.node.role_runner import EXIT_FAILED, EXIT_OK, RoleError, RoleRunner
 from brackenladder.platform_settings import Platform
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+PATIENCE = 20.0  # seconds; test timeout, reached only on failure
 SETTINGS = """
 NodeName = "control-1"
 Role = "control"
@@ -29,12 +29,12 @@
 
 
 class RecordingRole:
-    """A role that notes what the runner asks of it."""
+    """A role that records the runner's calls."""
 
     def __init__(self) -> None:
         self.started = asyncio.Event()
         self.reloaded: asyncio.Queue[Platform] = asyncio.Queue()
-        self.whole = False  # its start was done
+        self.start_completed = False  # whether `start` has completed
         self.stopped = False
         self.fault: RoleError | None = None
         self.may_start = asyncio.Event()
@@ -45,7 +45,7 @@
         await self.may_start.wait()
         if self.fault is not None:
             raise self.fault
-        self.whole = True
+        self.start_completed = True
 
     def reload(self, platform: Platform) -> None:
         self.reloaded.put_nowait(platform)
@@ -64,7 +64,7 @@
         with open(self.path, "w", encoding="utf-8") as file:
             file.write(SETTINGS.format(port=port))
 
-    async def test_sigterm_ends_the_role_in_order(self) -> None:
+    async def test_sigterm_stops_the_role(self) -> None:
         role = RecordingRole()
         running = asyncio.create_task(RoleRunner(role, self.path).run())
         await role.started.wait()
@@ -72,7 +72,7 @@
         self.assertEqual(await running, EXIT_OK)
         self.assertTrue(role.stopped)
 
-    async def test_sigterm_ends_a_start_that_takes_long(self) -> None:
+    async def test_sigterm_interrupts_a_slow_start(self) -> None:
         role = RecordingRole()
         role.may_start.clear()
         running = asyncio.create_task(RoleRunner(role, self.path).run())
@@ -81,7 +81,7 @@
         self.assertEqual(await running, EXIT_OK)
         self.assertTrue(role.stopped)
 
-    async def test_a_start_that_is_nearly_done_is_ended_in_order(self) -> None:
+    async def test_sigterm_during_start_still_stops_the_role(self) -> None:
         role = RecordingRole()
         role.may_start.clear()
         running = asyncio.create_task(RoleRunner(role, self.path).run())
@@ -91,17 +91,17 @@
             await asyncio.sleep(0)
         role.may_start.set()
         self.assertEqual(await running, EXIT_OK)
-        self.assertTrue(role.whole and role.stopped)
+        self.assertTrue(role.start_completed and role.stopped)
 
-    async def test_sigterm_before_the_role_can_take_it_waits(self) -> None:
+    async def test_early_sigterm_is_held_until_the_role_has_started(self) -> None:
         held_signal.hold()
         self.addCleanup(held_signal.release)
         signal.raise_signal(signal.SIGTERM)
         role = RecordingRole()
         self.assertEqual(await RoleRunner(role, self.path).run(), EXIT_OK)
-        self.assertTrue(role.whole and role.stopped)
+        self.assertTrue(role.start_completed and role.stopped)
 
-    async def test_changed_settings_are_taken_with_and_without_a_signal(self) -> None:
+    async def test_changed_settings_are_applied_with_and_without_a_signal(self) -> None:
         role = RecordingRole()
         with patch("brackenladder.node.role_runner.SETTINGS_CHECK_SECONDS", 0.01):
             running = asyncio.create_task(RoleRunner(role, self.path).run())
@@ -113,10 +113,10 @@
             os.kill(os.getpid(), signal.SIGTERM)
             await running
 
-    async def test_sighup_before_the_role_can_take_it_waits(self) -> None:
+    async def test_early_sighup_is_held_until_the_role_has_started(self) -> None:
         held_signal.hold()
         self.addCleanup(held_signal.release)
-        signal.raise_signal(signal.SIGHUP)  # to this thread: others that the test runner has don't hold it
+        signal.raise_signal(signal.SIGHUP)  # to this thread: the test runner's others do not block it
         role = RecordingRole()
         running = asyncio.create_task(RoleRunner(role, self.path).run())
         self.assertEqual((await self.reloaded(role)).seeds, ("127.0.0.1:1",))
@@ -124,10 +124,10 @@
         self.assertEqual(await running, EXIT_OK)
 
     async def reloaded(self, role: RecordingRole) -> Platform:
-        """The next settings that the role gets."""
+        """Waits for the next settings that are passed to the role."""
         return await asyncio.wait_for(role.reloaded.get(), PATIENCE)
 
-    async def test_a_role_that_cannot_start_ends_the_process(self) -> None:
+    async def test_failed_start_ends_the_process(self) -> None:
         role = RecordingRole()
         role.fault = RoleError("no disk")
         self.assertEqual(await RoleRunner(role, self.path).run(), EXIT_FAILED)
@@ -137,33 +137,36 @@
     def tearDown(self) -> None:
         held_signal.release()
 
-    def test_sighup_is_held_from_the_first_line_on(self) -> None:
+    def test_signals_are_held_from_the_start_of_serve(self) -> None:
         self.run_with(["nope"], "")
         held = signal.pthread_sigmask(signal.SIG_BLOCK, ())
         self.assertLessEqual({signal.SIGHUP, signal.SIGTERM}, held)
 
     def run_with(self, arguments: list[str], settings: str) -> tuple[int, list[str]]:
-        """Exit status, and the lines on standard error."""
-        with tempfile.NamedTemporaryFile("w", suffix=".toml") as file, redirect_stderr(io.StringIO()) as told:
+        """Runs `serve`; returns the exit status and the lines on standard error."""
+        with (
+            tempfile.NamedTemporaryFile("w", suffix=".toml") as file,
+            redirect_stderr(io.StringIO()) as output,
+        ):
             file.write(settings)
             file.flush()
             with patch.dict(os.environ, {serve.SETTINGS_VARIABLE: file.name}):
                 status = serve.main(arguments)
-        return status, told.getvalue().splitlines()
+        return status, output.getvalue().splitlines()
 
-    def test_an_unknown_role_is_refused(self) -> None:
+    def test_unknown_role_is_refused(self) -> None:
         for arguments in ([], ["door"], ["gateway", "control"]):
             self.assertEqual(self.run_with(arguments, SETTINGS), (serve.EXIT_USAGE, [serve.USAGE]))
 
-    def test_each_fault_of_the_settings_is_one_line(self) -> None:
+    def test_each_settings_fault_is_one_line(self) -> None:
         faulty = SETTINGS.format(port=1).replace("[7000, 7007]", "[7]").replace('"127.0.0.1"', '"here"')
         status, lines = self.run_with(["control"], faulty)
         self.assertEqual((status, len(lines)), (serve.EXIT_USAGE, 2))
 
-    def test_missing_settings_are_told(self) -> None:
+    def test_missing_settings_file_is_reported(self) -> None:
         with (
-            redirect_stderr(io.StringIO()) as told,
+            redirect_stderr(io.StringIO()) as output,
             patch.dict(os.environ, {serve.SETTINGS_VARIABLE: "/none"}),
         ):
             self.assertEqual(serve.main(["gateway"]), serve.EXIT_USAGE)
-        self.assertEqual(len(told.getvalue().splitlines()), 1)
+        self.assertEqual(len(output.getvalue().splitlines()), 1)
--- a/tests/control_plane/test_soft_state.py
+++ b/tests/control_plane/test_soft_state.py
@@ -1,4 +1,4 @@
-"""What a control node tells gateways and clients by its catalog, while it knows that to be the newest."""
+"""SoftState publishes its catalog, and uses it for the directory, only while it is known to be current."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class NoPeers:
-    """A node without other control nodes."""
+    """`PeerLinks` of a node without other control nodes."""
 
     def link(self, replica_id: str) -> None:
         return None
@@ -31,7 +31,7 @@
 
 
 class GatewayLink:
-    """The link of one gateway; keeps what is sent."""
+    """The link of a gateway, which records the messages sent over it."""
 
     silence = 0
 
@@ -42,12 +42,12 @@
         self.sent.append(message)
         return True
 
-    def of(self, kind: type) -> list[object]:
+    def messages(self, kind: type) -> list[object]:
         return [message for message in self.sent if isinstance(message, kind)]
 
 
 class CatalogAgeTest(TestCase):
-    """The node is in contact with its leader all the while."""
+    """Catalogs of different ages. The test case itself is the `ReplicatedStateAge`; contact is constant."""
 
     def contact_age(self) -> int:
         return 0
@@ -71,26 +71,26 @@
             self.link, Subscribe("gateway-1", 1, FRONT, "hall-1", "north", GatewayState.READY, 1)
         )
 
-    def test_a_catalog_that_may_be_old_is_told_to_nobody(self) -> None:
+    def test_outdated_catalog_is_not_published(self) -> None:
         self.assertTrue(self.state.in_touch)
-        self.assertEqual(self.link.of(CatalogUpdate), [])
+        self.assertEqual(self.link.messages(CatalogUpdate), [])
         self.age = IN_TOUCH_AGE
         self.state.tick()
-        [update] = self.link.of(CatalogUpdate)
+        [update] = self.link.messages(CatalogUpdate)
         assert isinstance(update, CatalogUpdate)
         self.assertEqual(update.revision, 5)
 
-    def test_nor_does_it_make_a_gateway_ready(self) -> None:
+    def test_outdated_catalog_makes_no_gateway_ready(self) -> None:
         self.now += 2 * HEARTBEAT
-        late = GatewayLink()
+        second_link = GatewayLink()
         self.state.gateway_received(
-            late, Subscribe("gateway-2", 1, FRONT, "hall-1", "north", GatewayState.STARTING, 1)
+            second_link, Subscribe("gateway-2", 1, FRONT, "hall-1", "north", GatewayState.STARTING, 1)
         )
-        [update] = late.of(ServersUpdate)
+        [update] = second_link.messages(ServersUpdate)
         assert isinstance(update, ServersUpdate)
         self.assertGreater(update.leader_contact_age, FRESH_AGE)
 
-    def test_nor_does_it_lead_clients_out_of_their_region(self) -> None:
+    def test_outdated_catalog_keeps_clients_in_their_region(self) -> None:
         self.now += SETTLE_TIME
         self.state.gateway_received(
             self.link, Subscribe("gateway-1", 1, FRONT, "hall-1", "north", GatewayState.READY, 2)
--- a/tests/control_plane/test_status.py
+++ b/tests/control_plane/test_status.py
@@ -1,4 +1,4 @@
-"""`GET /-/Status`: what a control node tells operators."""
+"""`GET /-/Status`: the status document for operators."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class ServiceCountsTest(TestCase):
-    def test_servers_are_counted_by_service_and_state(self) -> None:
+    def test_server_counts_by_service_and_state(self) -> None:
         records = [
             ServerRecord("a", "chat", "127.0.0.1:1", "z", 4, ServerState.READY, 1, cold_for=5),
             ServerRecord("b", "chat", "127.0.0.1:2", "z", 4, ServerState.READY, 1),
@@ -55,22 +55,22 @@
         self.leader = await self.cluster.leader()
 
     async def status(self, number: int) -> ControlStatus:
-        """The document read back into the type that it was made from."""
+        """Fetches a node's status, and checks that it survives a round trip through its type."""
         answer = await self.cluster.get(self.cluster.platforms[number].listen.control, STATUS)
         self.assertEqual(answer.status, HTTPStatus.OK)
         status = structure(ControlStatus, answer.document).unwrap()
         self.assertEqual(status_document(status), answer.document)
         return status
 
-    async def test_leader_members_version_servers_and_gateways_are_told(self) -> None:
-        await self.cluster.insist(0, "/-/Config.Replace", configuration(7, "a"), base=0)
-        await self.cluster.insist(0, "/-/Evacuations.Begin/hall-2")
-        await self.cluster.insist(1, "/-/Instances.Heartbeat/i-1", heartbeat(1))
-        links = self.follow()
+    async def test_leader_members_version_servers_and_gateways(self) -> None:
+        await self.cluster.post_until_answered(0, "/-/Config.Replace", configuration(7, "a"), base=0)
+        await self.cluster.post_until_answered(0, "/-/Evacuations.Begin/hall-2")
+        await self.cluster.post_until_answered(1, "/-/Instances.Heartbeat/i-1", heartbeat(1))
+        links = self.connect_gateway()
         async with asyncio.timeout(PATIENCE):
-            node, status = await self.leading()
+            node, status = await self.leader_status()
             while [one.revision for one in status.gateways] != [status.revision]:
-                node, status = await self.leading()
+                node, status = await self.leader_status()
         self.assertEqual(status.leader, status.node)
         self.assertEqual({voter.zone for voter in status.voters}, set(ZONES))
         self.assertEqual((len(status.voters), status.outgoing, status.learners), (3, (), ()))
@@ -83,7 +83,7 @@
         await links.close()
         await self.cluster.until(lambda: node.status().gateways[0].revision is None)
 
-    async def test_a_node_without_a_quorum_says_so(self) -> None:
+    async def test_node_without_a_quorum_is_not_in_touch(self) -> None:
         for number in {0, 1, 2} - {self.leader}:
             await self.cluster.crash(number)
         await self.cluster.until(lambda: not self.cluster.node(self.leader).soft_state.in_touch)
@@ -91,7 +91,7 @@
         self.assertFalse(status.in_touch)
         self.assertGreater(status.contact_age_ms or 0, 1000)
 
-    async def test_broken_invariants_are_told(self) -> None:
+    async def test_violated_invariants_are_reported(self) -> None:
         self.assertEqual((await self.status(0)).violations, ())
         with VIOLATIONS.apart():
             for _ in range(2):
@@ -100,21 +100,21 @@
         self.assertEqual(status.violations, (ViolationStatus("call-ends-in-time", 2),))
         self.assertIn("VIOLATED      call-ends-in-time: 2 times", status_lines(status))
 
-    async def test_an_older_node_tells_no_invariants(self) -> None:
+    async def test_status_of_an_older_node_has_no_violations(self) -> None:
         document = status_document(await self.status(0))
         del document["Violations"]
         self.assertEqual(structure(ControlStatus, document).unwrap().violations, ())
 
-    async def leading(self) -> tuple[ControlNode, ControlStatus]:
-        """The node that says that it leads, and its status. Beside load the leader may change."""
+    async def leader_status(self) -> tuple[ControlNode, ControlStatus]:
+        """The node that reports itself as leader, and its status. Under load the leader may change."""
         while True:
             number = await self.cluster.leader()
             status = await self.status(number)
             if status.role == "leader":
                 return self.cluster.node(number), status
 
-    def follow(self) -> TcpTransport:
-        """A gateway that follows the control nodes; to be closed."""
+    def connect_gateway(self) -> TcpTransport:
+        """Connects a gateway to the control nodes; returns its transport, which the caller must close."""
         transport = TcpTransport(gateway_codec(), LinkTiming(), Random(1))
         self.addAsyncCleanup(transport.close)
         presence = Presence("gateway-1", "127.0.0.1:8144", "hall-1", "north", 1)
--- a/tests/control_plane/test_wire_versions.py
+++ b/tests/control_plane/test_wire_versions.py
@@ -1,4 +1,4 @@
-"""Nodes of two versions side by side: what version 1 of the protocol says stays readable, both ways."""
+"""Compatibility of the node-to-node protocol: messages of version 1 stay readable in both directions."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 )
 from brackenladder.delivery.messages import MESSAGE_TYPES as DELIVERY_TYPES
 
-SURPLUS = [1, "of a later version", None, [2, 3]]
+EXTRA_FIELDS = [1, "of a later version", None, [2, 3]]
 
-# Version 1, as it was first shipped: required fields, then those that may be missing. A line is never
-# changed; new fields go to the end, with a default.
+# Version 1 as first released: required fields, then optional ones. A line must never be changed. New fields
+# are added at the end, with a default.
 MESSAGES = {
     1: "AppendEntries: sender to term prev_index prev_term commit round address | entries",
     2: "AppendReply: sender to term ok round prev_index | match received hint_index hint_term",
@@ -68,7 +68,7 @@
 
 
 def message_types() -> dict[int, type]:
-    """All messages by their tags."""
+    """All message types by tag."""
     blocks = (
         (CONSENSUS_BLOCK, CONSENSUS_TYPES),
         (DELIVERY_BLOCK, DELIVERY_TYPES),
@@ -78,7 +78,7 @@
 
 
 def sample(kind: Any) -> Any:
-    """A value of a type, with no field at its default where that can be helped."""
+    """A value of a type, with fields that differ from their defaults where possible."""
     if attrs.has(kind):
         hints = typing.get_type_hints(kind)
         return kind(*(sample(hints[field.name]) for field in attrs.fields(kind)))
@@ -93,7 +93,7 @@
 
 
 def parts_of(value: Any) -> Iterator[type]:
-    """The classes of a message and of all that it contains."""
+    """The class of a message and the classes of all values nested in it."""
     if attrs.has(type(value)):
         yield type(value)
         for field in attrs.fields(type(value)):
@@ -104,30 +104,30 @@
 
 
 def later_wire(value: Any) -> Any:
-    """A value as a node of a later version sends it: with more fields, in nested values too."""
+    """The encoding by a later version: with additional fields, also in nested values."""
     if attrs.has(type(value)):
-        return [later_wire(getattr(value, field.name)) for field in attrs.fields(type(value))] + SURPLUS
+        return [later_wire(getattr(value, field.name)) for field in attrs.fields(type(value))] + EXTRA_FIELDS
     return [later_wire(each) for each in value] if isinstance(value, tuple) else value
 
 
-def shortest(value: Any) -> Any:
-    """A value with every default, in nested values too."""
+def with_defaults(value: Any) -> Any:
+    """A value with all optional fields at their defaults, also in nested values."""
     if isinstance(value, tuple):
-        return tuple(shortest(each) for each in value)
+        return tuple(with_defaults(each) for each in value)
     if not attrs.has(type(value)):
         return value
     required = [field for field in attrs.fields(type(value)) if field.default is attrs.NOTHING]
-    return type(value)(*(shortest(getattr(value, field.name)) for field in required))
+    return type(value)(*(with_defaults(getattr(value, field.name)) for field in required))
 
 
-def shortest_wire(value: Any) -> Any:
-    """A value as an earlier version might send it: required fields only, in nested values too."""
+def earlier_wire(value: Any) -> Any:
+    """The encoding by an earlier version: only required fields, also in nested values."""
     if isinstance(value, tuple):
-        return [shortest_wire(each) for each in value]
+        return [earlier_wire(each) for each in value]
     if not attrs.has(type(value)):
         return value
     required = [field for field in attrs.fields(type(value)) if field.default is attrs.NOTHING]
-    return [shortest_wire(getattr(value, field.name)) for field in required]
+    return [earlier_wire(getattr(value, field.name)) for field in required]
 
 
 class LayoutTest(TestCase):
@@ -141,45 +141,45 @@
         without_default = [field.name for field in actual if field.default is attrs.NOTHING]
         self.assertEqual(without_default, required.split())
 
-    def test_tags_and_fields_keep_their_places(self) -> None:
+    def test_tags_and_fields_are_unchanged(self) -> None:
         types = message_types()
         for tag, line in MESSAGES.items():
             with self.subTest(line):
                 self.assert_layout(types[tag], line)
 
-    def test_so_do_those_of_nested_values(self) -> None:
+    def test_fields_of_nested_values_are_unchanged(self) -> None:
         nested = {part.__name__: part for kind in message_types().values() for part in parts_of(sample(kind))}
         for line in PARTS:
             with self.subTest(line):
                 self.assert_layout(nested[line.partition(":")[0]], line)
 
 
-class NeighbourVersionsTest(TestCase):
-    """Each message, as the versions before and after this one would send it."""
+class OtherVersionsTest(TestCase):
+    """Each message, as sent by the versions before and after this one."""
 
-    def test_all_messages_come_back_whole(self) -> None:
+    def test_round_trip(self) -> None:
         codec = control_codec()
         for kind in message_types().values():
             with self.subTest(kind.__name__):
                 message = sample(kind)
                 self.assertEqual(codec.decode(codec.encode(message)), message)
 
-    def test_surplus_fields_of_a_later_version_are_ignored(self) -> None:
+    def test_additional_fields_of_a_later_version_are_ignored(self) -> None:
         codec = control_codec()
         for tag, kind in message_types().items():
             with self.subTest(kind.__name__):
                 message = sample(kind)
                 self.assertEqual(codec.decode(msgpack.packb([tag, *later_wire(message)])), message)
 
-    def test_fields_that_an_earlier_version_lacks_take_their_defaults(self) -> None:
+    def test_missing_fields_get_their_defaults(self) -> None:
         codec = control_codec()
         for tag, kind in message_types().items():
             with self.subTest(kind.__name__):
                 message = sample(kind)
-                data = msgpack.packb([tag, *shortest_wire(message)])
-                self.assertEqual(codec.decode(data), shortest(message))
+                data = msgpack.packb([tag, *earlier_wire(message)])
+                self.assertEqual(codec.decode(data), with_defaults(message))
 
-    def test_gateways_and_control_nodes_agree_on_what_they_share(self) -> None:
+    def test_gateway_and_control_codecs_are_compatible(self) -> None:
         gateway, control = gateway_codec(), control_codec()
         for kind in DELIVERY_TYPES:
             with self.subTest(kind.__name__):
