--- a/brackenladder/gateway/__init__.py
+++ b/brackenladder/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane on a `front` machine: client requests to servers and their answers back."""
+"""The gateway: forwards client requests to servers and relays their responses."""
--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -1,4 +1,4 @@
-"""A call of the core for a client's request; its attempts run in the request's own task."""
+"""Connects one client request to the core: its attempts run in the task of the request."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class GatewayCall(PoolCall):
-    """One taking of a request by a service's pool: the request itself, or a broken stream's rest."""
+    """One pass of a request through a service's pool: the request itself, or the resumption of its stream."""
 
     def __init__(
         self,
@@ -33,19 +33,21 @@
         super().__init__(traits, left, repeat=last_event_id is not None)
         self.exchange = exchange
         self.pool = pool
-        self.server_deadline = server_deadline  # by the gateway's clock: what servers are told
+        # By the gateway's clock; servers are told the time that is left until then.
+        self.server_deadline = server_deadline
         self.last_event_id = last_event_id
         self.may_have_run = False
-        self.timed_out = False  # the last attempt
-        self.failure: WholeAnswer | None = None  # a server's own answer that is none of success
-        self._stream_over = False  # the pool was told so
+        self.timed_out = False  # whether the last attempt timed out
+        # A server's unsuccessful response, which the client gets if nothing better comes.
+        self.failure: WholeAnswer | None = None
+        self._stream_over = False  # the pool was told that the response has ended
         self._pending: RunnableAttempt | None = None
         self._running: RunnableAttempt | None = None
         self._conclusion: Conclusion | None = None
         self._waiter: asyncio.Future[None] | None = None
 
     def current_traits(self) -> CallTraits:
-        """With the route that the request would take by now, if that is another one."""
+        """The traits of the call, with the route that the current configuration gives the request."""
         newest = self.exchange.newest_route()
         if newest is not self.traits.newest:
             self.traits = evolve(self.traits, newest=newest)
@@ -54,20 +56,20 @@
     # ---- Call -----------------------------------------------------------------------------------------
 
     def served(self, answer: object) -> None:
-        """Take over the answer."""
+        """Accept the response as the result of the call."""
         assert isinstance(answer, WholeAnswer | OpenAnswer)
         self._conclude(answer)
 
     def refused(self, retry_after: int) -> None:
-        """Nothing more is tried; what is out is given up."""
+        """Conclude the call as refused, and cancel the attempts that are pending or running."""
         self._conclude(Refused(retry_after))
 
     def failed(self, why: Failure) -> None:
-        """Nothing more is tried; what is out is given up."""
+        """Conclude the call as failed, and cancel the attempts that are pending or running."""
         self._conclude(Failed(why))
 
     def gone(self) -> bool:
-        """Whether the client's connection is closing; the call is over then."""
+        """Whether the client's connection is closing; if so, the call is abandoned."""
         transport = self.exchange.request.transport
         if transport is not None and not transport.is_closing():
             return False
@@ -77,15 +79,16 @@
     # ---- attempts -------------------------------------------------------------------------------------
 
     def begin(self, attempt: RunnableAttempt) -> None:
-        """An attempt is to be made."""
+        """Take an attempt that is to be run next."""
         self._pending = attempt
         self._wake()
 
     def attempt_ended(self, attempt: RunnableAttempt, end: AttemptEnd) -> None:
-        """Note what an attempt's end says, before the core hears of it.
+        """Record what an attempt's end says about the request, before the core is told.
 
-        Failure prevented: the process stood still, the call's time is over, and the whole answer lies in the
-        socket. The call is concluded without it, and is no less in doubt for that.
+        If the process was suspended, the call may have expired while a complete response waited in the
+        socket. The call is then concluded without that response, but the request must still count as one that
+        may have run.
         """
         if end.outcome == Outcome.REJECTED:
             self.exchange.rejected_by(attempt.record.id)
@@ -96,24 +99,24 @@
             self.failure = end.answer
 
     def holds(self, answer: Answer | None) -> bool:
-        """Whether this answer was taken over."""
+        """Whether the call uses this response, so that its connection must not be discarded."""
         return answer is not None and (answer is self._conclusion or isinstance(answer, WholeAnswer))
 
     def abandon(self) -> None:
-        """The client has gone: nothing is owed."""
+        """Drop the call: the client has disconnected."""
         self.pool.host.left(self)
         pending, self._pending = self._pending, None
         if pending is not None:
             pending.drop()
 
     def end_stream(self) -> None:
-        """Tell the pool, once, that the answer's end has come: its place at the server is free."""
+        """Tell the pool, once, that the response has ended and no longer occupies the server."""
         if not self._stream_over:
             self._stream_over = True
             self.pool.stream_ended(self)
 
     async def drive(self) -> Conclusion:
-        """Hand the call to the pool and make its attempts until it is concluded."""
+        """Hand the call to the pool and run its attempts until it is concluded."""
         self.pool.take(self)
         while True:
             attempt, self._pending = self._pending, None
--- a/brackenladder/gateway/clients.py
+++ b/brackenladder/gateway/clients.py
@@ -1,4 +1,5 @@
-"""Client connections: aiohttp's low-level server, with bounds on heads that come slowly."""
+"""Client connections: aiohttp's low-level server, with timeouts for slow request heads and unread responses.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +16,10 @@
 from brackenladder.catalog.configuration import Limits
 from brackenladder.gateway.answers import Status, own_answer
 
-MAX_HEAD_FIELD = 65_536  # bytes; the configured bound on the whole head is lower
+MAX_HEAD_FIELD = 65_536  # bytes; the configured limit of the whole head is lower
 MAX_HEADERS = 256
-LINGER_SECONDS = 1.0  # how long the rest of a body that is not wanted is read
-UNREAD_SECONDS = 30.0  # for so long a client may take no byte of an answer; as the node's door has it
+LINGER_SECONDS = 1.0  # how long the rest of an unwanted request body is read before the connection is closed
+UNREAD_SECONDS = 30.0  # how long a client may read nothing of its response; the HTTP node uses the same limit
 MS_PER_S = 1000.0
 
 if TYPE_CHECKING:
@@ -45,14 +46,14 @@
             keepalive_timeout=limits.idle_timeout_ms / MS_PER_S,
             tcp_keepalive=False,
             logger=_silent_logger,
-            access_log=None,  # type: ignore[arg-type]  # as aiohttp's own runner passes it
+            access_log=None,  # type: ignore[arg-type]  # aiohttp's own runner passes None as well
             max_line_size=MAX_HEAD_FIELD,
             max_field_size=MAX_HEAD_FIELD,
             max_headers=MAX_HEADERS,
             lingering_time=LINGER_SECONDS,
             auto_decompress=False,
         )
-        self._arrivals: deque[float] = deque()  # loop times, of the requests that wait for their turn
+        self._arrivals: deque[float] = deque()  # when each waiting request was read, by the loop's clock
         self._head_seconds = limits.header_timeout_ms / MS_PER_S
         self._head_timer: asyncio.TimerHandle | None = None
         self._unread_timer: asyncio.TimerHandle | None = None
@@ -63,7 +64,7 @@
         return self._awaiting_head and self._head_timer is None
 
     def data_received(self, data: bytes) -> None:
-        """Read on; a head that is begun must be whole within its time."""
+        """Feed the parser, and start the timeout of a request head that has begun to arrive."""
         known = len(self._messages)
         super().data_received(data)
         self._arrivals.extend([self._loop.time()] * (len(self._messages) - known))
@@ -74,30 +75,30 @@
             self._stop_head_timer()
 
     def next_arrival(self) -> float:
-        """When the head of the request whose turn has come was read, by the loop's clock.
+        """When the head of the request that is served next was read, by the loop's clock.
 
-        Failure prevented: a request waits behind another one on its connection, its time counts from its
-        turn, and servers are told more of it than its client has left.
+        A pipelined request's deadline counts from this moment. If it counted from the start of its
+        processing, servers would be told more time than the client has left.
         """
         return self._arrivals.popleft() if self._arrivals else self._loop.time()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Free the connection."""
+        """Stop the timers."""
         self._stop_head_timer()
         self._stop_unread_timer()
         super().connection_lost(exc)
 
     def pause_writing(self) -> None:
-        """The client takes nothing of what is written to it.
+        """Start the timeout of a client that does not read its response.
 
-        Failure prevented: it stays connected and never reads, and its answer is held for ever.
+        Without it, a client that stays connected and never reads would keep its response in memory for ever.
         """
         super().pause_writing()
         self._stop_unread_timer()
         self._unread_timer = self._loop.call_later(UNREAD_SECONDS, self._abort_unread)
 
     def resume_writing(self) -> None:
-        """It reads again."""
+        """Stop that timeout: the client reads again."""
         self._stop_unread_timer()
         super().resume_writing()
 
@@ -113,7 +114,7 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """The answer to what is no proper request; the connection ends with it."""
+        """The response to an unparsable request; the connection is closed after it."""
         if request.writer.output_size > 0:
             raise ConnectionError("an answer has begun")
         answer = Status.BAD_REQUEST if status == Status.BAD_REQUEST else Status.BAD_GATEWAY
@@ -125,7 +126,7 @@
 
     @property
     def _awaiting_head(self) -> bool:
-        """Whether the connection waits for a whole head."""
+        """Whether the connection is waiting for a complete request head."""
         waiter = self._waiter
         return waiter is not None and not waiter.done() and not self._messages
 
@@ -151,7 +152,7 @@
 
 
 class ClientRequest(web.BaseRequest):
-    """A request that knows how long it has waited behind others on its connection."""
+    """A request that knows how long it waited behind earlier ones on its connection."""
 
     def __init__(
         self,
@@ -168,28 +169,28 @@
 
 
 class ClientServer(web.Server):
-    """Makes the connections; a handler is cancelled when its client has gone."""
+    """Creates the client connections; a request's handler is cancelled when its client disconnects."""
 
     def __init__(self, handler: Handler, limits: Callable[[], Limits]) -> None:
         super().__init__(handler, request_factory=ClientRequest, handler_cancellation=True)
         self._limits = limits
 
     def __call__(self) -> RequestHandler:
-        """A new connection, under the limits of this moment."""
+        """A new connection, with the limits that are configured now."""
         return ClientProtocol(self, self._limits(), asyncio.get_running_loop())
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is being read or served."""
+        """Close the connections on which no request is being read or served."""
         for connection in self.connections:
             if isinstance(connection, ClientProtocol):
                 connection.close_if_idle()
 
     def busy(self) -> bool:
-        """Whether a connection is left."""
+        """Whether any connection is open."""
         return bool(self.connections)
 
     def abort_all(self) -> None:
-        """Break off what is left."""
+        """Abort all open connections."""
         for connection in self.connections:
             transport: Any = connection.transport
             if transport is not None:
--- a/brackenladder/gateway/connections.py
+++ b/brackenladder/gateway/connections.py
@@ -1,4 +1,5 @@
-"""All connections of a gateway to servers, in aiohttp's pool: opened, counted and closed by address."""
+"""The gateway's connections to servers: aiohttp's connection pool, with limits and idle closing by address.
+"""
 
 from __future__ import annotations
 
@@ -17,20 +18,20 @@
 from brackenladder.gateway.server_protocol import ServerProtocol
 from brackenladder.gateway.stale_check import StaleCheck
 
-CONNECT_TIMEOUT_SECONDS = 0.6  # a connection that takes longer is given up, and nothing was sent
-TCP_USER_TIMEOUT_MS = 4_000  # a connection whose bytes are not acknowledged for so long is dead
-POOL_IDLE_SECONDS = 30.0  # aiohttp's own bound on idle connections; a server's is shorter
+CONNECT_TIMEOUT_SECONDS = 0.6  # connecting takes at most this long; nothing has been sent by then
+TCP_USER_TIMEOUT_MS = 4_000  # a connection is closed if sent data is not acknowledged for this long
+POOL_IDLE_SECONDS = 30.0  # aiohttp's limit for idle connections; the limit that a server announces is shorter
 
 
 OpenSocket = Callable[[tuple[Any, ...]], socket.socket]
 
 
 class ConnectFailed(Exception):
-    """No connection could be made: nothing was sent."""
+    """No connection could be established; nothing was sent."""
 
 
 class TooManyConnections(Exception):
-    """This gateway's part of the server's connections is in use: nothing was sent."""
+    """This gateway already uses its share of the server's connections; nothing was sent."""
 
 
 def server_socket(address: tuple[Any, ...]) -> socket.socket:
@@ -41,7 +42,7 @@
 
 
 class ServerConnector(TCPConnector):
-    """aiohttp's connection pool, of `ServerProtocol` connections."""
+    """aiohttp's connection pool, with `ServerProtocol` as the connections' protocol."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, open_socket: OpenSocket) -> None:
         super().__init__(
@@ -52,10 +53,11 @@
             happy_eyeballs_delay=None,
             socket_factory=open_socket,
         )
-        self._factory = partial(ServerProtocol, loop)  # type: ignore[assignment]  # a kind of ResponseHandler
+        # A subclass of ResponseHandler.
+        self._factory = partial(ServerProtocol, loop)  # type: ignore[assignment]
 
     def close_idle(self, request: ClientRequest) -> None:
-        """Close the connections of one server that carry nothing."""
+        """Close the idle connections to one server."""
         for protocol, _ in self._conns.pop(request.connection_key, ()):
             protocol.close()
 
@@ -64,7 +66,7 @@
     """All connections of this gateway to servers, by address."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, open_socket: OpenSocket = server_socket) -> None:
-        """`open_socket` makes the socket for an address of a server, not yet connected."""
+        """`open_socket` creates the unconnected socket for a server's address."""
         self._loop = loop
         self._connector = ServerConnector(loop, open_socket)
         self._timeout = ClientTimeout(sock_connect=CONNECT_TIMEOUT_SECONDS)
@@ -73,16 +75,16 @@
         self._stale_check = StaleCheck()
 
     def stale_check_seconds(self, connection: ServerConnection, address: str) -> float:
-        """How long to wait for a reset after the start of a request's head; 0: no check is due."""
+        """How many seconds to wait for a reset after sending the start of a request's head; 0: no check."""
         return self._stale_check.wait_seconds(address, connection.idle_for, self._loop.time())
 
     def found_stale(self, address: str) -> None:
-        """A server has forgotten a connection: what else is idle there is closed."""
+        """Note that a server had dropped an idle connection, and close the other idle ones to it."""
         self._stale_check.found_stale(self._loop.time())
         self.close_idle(address)
 
     async def open(self, address: str, most: int) -> ServerConnection:
-        """An idle connection to a server, or a new one; raises `ConnectFailed` or `TooManyConnections`."""
+        """Take an idle connection or open one; raises `ConnectFailed` or `TooManyConnections`."""
         if self._in_use[address] >= most:
             raise TooManyConnections
         self._in_use[address] += 1
@@ -96,13 +98,13 @@
         return ServerConnection(connection, protocol, partial(self._ended, address))
 
     def close_idle(self, address: str) -> None:
-        """Close the connections to a server that carry nothing."""
+        """Close the idle connections to a server."""
         request = self._requests.pop(address, None)
         if request is not None:
             self._connector.close_idle(request)
 
     def keep_only(self, addresses: set[str]) -> None:
-        """Close what is idle at other addresses: their servers are gone."""
+        """Close idle connections to all other addresses, whose servers no longer exist."""
         for address in [address for address in self._requests if address not in addresses]:
             self.close_idle(address)
             self._stale_check.forget(address)
@@ -112,7 +114,7 @@
         await self._connector.close()
 
     def _ended(self, address: str) -> None:
-        """A connection to an address is in use no more."""
+        """Count a connection as no longer in use."""
         self._in_use[address] -= 1
         if self._in_use[address] <= 0:
             del self._in_use[address]
@@ -129,7 +131,7 @@
         return connection
 
     def _request(self, address: str) -> ClientRequest:
-        """What names a server to aiohttp's pool; it is never sent."""
+        """The request object by which aiohttp's pool identifies a server; it is never sent."""
         request = self._requests.get(address)
         if request is None:
             url = URL(f"http://{address}/")
--- a/brackenladder/gateway/context.py
+++ b/brackenladder/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the exchanges of one gateway share."""
+"""The state that all requests of one gateway share."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @define
 class GatewayContext:
-    """Shared by all requests of a gateway."""
+    """The state that all requests of a gateway share."""
 
-    now: Callable[[], int]  # microseconds of the monotonic clock
+    now: Callable[[], int]  # the monotonic clock, in microseconds
     pools: ServicePools
     failures: FailureLog
     start_gate: StartGate
     held_calls: HeldCalls = field(factory=HeldCalls)
     draining: bool = False
-    intake_closed: bool = False  # what is read from now on can't be served to its end
+    intake_closed: bool = False  # requests read from now on are refused: there is no time to serve them
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -1,4 +1,4 @@
-"""What the parts of one request's way through the gateway know of one another."""
+"""The interfaces between the exchange, its calls, their attempts and the relay."""
 
 from __future__ import annotations
 
@@ -20,35 +20,35 @@
 
 @frozen
 class AttemptEnd:
-    """How an attempt ended, and the answer that it got."""
+    """How an attempt ended, and the response that it received."""
 
     outcome: Outcome
     answer: WholeAnswer | OpenAnswer | None = None
 
 
 class RunnableAttempt(Protocol):
-    """An attempt as the call sees it, which runs it in the task of the client's request."""
+    """An attempt as its call sees it; the call runs it in the task of the client's request."""
 
     @property
     def record(self) -> ServerRecord:
-        """The server that it goes to."""
+        """The server that the attempt goes to."""
 
     @property
     def written(self) -> bool:
         """Whether any byte of the request was sent."""
 
     async def run(self) -> None:
-        """Make the attempt; returns once its end has been told."""
+        """Run the attempt; returns after its end has been reported."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Give it up."""
+        """Cancel the attempt with this outcome."""
 
     def drop(self) -> None:
-        """Forget it before it has begun."""
+        """Discard the attempt before it has started."""
 
 
 class ExchangeContext(Protocol):
-    """What all requests of a gateway share, as far as a relay needs it."""
+    """The part of the gateway's shared state that a relay needs."""
 
     @property
     def now(self) -> Callable[[], int]:
@@ -56,23 +56,23 @@
 
     @property
     def failures(self) -> FailureLog:
-        """Where failures are counted and logged."""
+        """Counts and logs failures."""
 
 
 class ClientExchange(Protocol):
-    """A client's request, as its calls, attempts and the relay of its answer see it."""
+    """A client's request, as its calls, its attempts and the relay see it."""
 
     @property
     def context(self) -> ExchangeContext:
-        """What all requests of the gateway share."""
+        """The state shared by all requests of the gateway."""
 
     @property
     def request(self) -> web.BaseRequest:
-        """The request as it was read."""
+        """The request as received."""
 
     @property
     def request_id(self) -> str:
-        """The id that the client gave."""
+        """The id that the client gave the request."""
 
     @property
     def method(self) -> str:
@@ -80,33 +80,34 @@
 
     @property
     def route(self) -> Route:
-        """The route that the request takes."""
+        """The route that the request matched when it was read."""
 
     @property
     def client_deadline(self) -> int:
-        """The end of the client's patience, by the gateway's clock."""
+        """The end of the client's timeout, by the gateway's clock."""
 
     @property
     def max_silence(self) -> int:
-        """The silence in microseconds after which the client gives a stream up."""
+        """The microseconds without an event after which the client gives up a stream."""
 
     def newest_route(self) -> Route | None:
-        """The route that the request would take by now; None: the same one, or none any more."""
+        """The route that the request matches now; None if it is unchanged or was removed."""
 
     def may_be_sent_to(self, server_id: str) -> bool:
-        """Whether the routes that bind allow this server, beside those that may have run the request."""
+        """Whether the request may go to this server; more servers are allowed only up to the routes' limits.
+        """
 
     def sent_to(self, server_id: str) -> None:
-        """The request was written to a server."""
+        """Note that the request was written to a server."""
 
     def rejected_by(self, server_id: str) -> None:
-        """The server says that it has not run the request."""
+        """Note that a server rejected the request without running it."""
 
     def compose(self, server_id: str, left_ms: int, last_event_id: int | None) -> bytes:
-        """The request as a server gets it."""
+        """The request as it is sent to a server."""
 
     def may_resume(self) -> bool:
-        """Whether one more server may take this request's stream up."""
+        """Whether this request's stream may be resumed at one more server."""
 
     def finished(self, response: Response) -> Response:
-        """The response, ready for the client's connection."""
+        """The response with the connection headers set for the client's connection."""
--- a/brackenladder/gateway/events.py
+++ b/brackenladder/gateway/events.py
@@ -1,4 +1,4 @@
-"""Splits a `text/event-stream` body into whole events."""
+"""Splits a `text/event-stream` body into events."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 LARGEST_EVENT = 4 * 1024 * 1024  # bytes
 
 _END = re.compile(rb"\n\r?\n")  # the blank line that ends an event
-_END_LENGTH = 3  # at most, in bytes
+_END_LENGTH = 3  # the longest match of it, in bytes
 _ID = re.compile(rb"(?:^|\n)id: ?([0-9]{1,18})\r?\n")
 
 
@@ -19,19 +19,19 @@
 
 @frozen
 class Event:
-    """One event, byte for byte, with the blank line that ends it."""
+    """One event, as received, including the blank line that ends it."""
 
     raw: bytes
 
     @property
     def id(self) -> int | None:
-        """Its id; None if it has none, or one that is no number."""
+        """The event's numeric id; None if it has none."""
         match = _ID.search(self.raw)
         return int(match[1]) if match else None
 
 
 class EventParser:
-    """Takes a body in pieces and gives the whole events; `rest` is the beginning of the next one."""
+    """Splits a body that arrives in pieces; `rest` holds the incomplete event at its end."""
 
     __slots__ = ("rest",)
 
@@ -39,7 +39,7 @@
         self.rest = b""
 
     def feed_whole(self, data: bytes) -> bytes:
-        """The bytes of all events that are whole by now, together."""
+        """The complete events so far, as one byte string."""
         begin = max(0, len(self.rest) - _END_LENGTH)
         data = self.rest + data if self.rest else data
         last = 0
@@ -49,7 +49,7 @@
         return data[:last]
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole by now, one by one."""
+        """The complete events so far, one by one."""
         return split_events(self.feed_whole(data))
 
     def _keep(self, rest: bytes) -> None:
@@ -59,7 +59,7 @@
 
 
 def split_events(whole: bytes) -> list[Event]:
-    """The events of bytes that end with a whole event."""
+    """The events of a byte string that ends with a complete event."""
     events = []
     begin = 0
     for match in _END.finditer(whole):
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client: read, routed, served by a pool, answered."""
+"""Serves one client request: reads it, finds its route, passes it to a pool and returns the response."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 US_PER_MS = 1000
 US_PER_S = 1e6
-MIN_SILENCE = 2_000_000  # microseconds; a client never gives a stream up sooner
+MIN_SILENCE = 2_000_000  # microseconds; clients wait at least this long for the next event
 SILENCE_LATENCY_TARGETS = 4
 SILENCE_EVENT_GAPS = 8
-DEFAULT_PATIENCE_MS = 1000  # of a client that does not say how long it waits
+DEFAULT_PATIENCE_MS = 1000  # the timeout assumed for a client that announces none
 
 Response = TypeVar("Response", bound=web.StreamResponse)
 
@@ -56,7 +56,7 @@
 
 
 class Exchange:
-    """Owns one request from its head to the end of its answer."""
+    """Handles one request from its head to the end of its response."""
 
     def __init__(self, context: GatewayContext, request: web.BaseRequest) -> None:
         self.context = context
@@ -70,12 +70,12 @@
         self.body = b""
         self.prompt_tokens = 0
         self.client_deadline = 0  # by the gateway's clock, as are all times here
-        self.servers: set[str] = set()  # that may have run the request
+        self.servers: set[str] = set()  # the servers that may have run the request
         self._lines: bytes | None = None
         self._held: HeldCall
 
     async def handle(self) -> web.StreamResponse:
-        """Serve the request; what is returned was or will be sent by the caller."""
+        """Serve the request. The returned response has been sent already, or is sent by the caller."""
         with self.context.held_calls.until(f"a request of {self.target}", self.began + MAX_HOLD) as held:
             self._held = held
             return await self._serve()
@@ -112,8 +112,8 @@
     async def _read(self) -> Result[CallTraits, RequestFault]:
         """Check the head, find the route, read the body.
 
-        Failure prevented: a gateway that knows no configuration yet judges a request by usual limits, and
-        turns it away for good though the limits that are in force allow it.
+        Until a configuration is known, the request is answered 503. Checked against default limits, it could
+        be rejected for good although the configured limits allow it.
         """
         request = self.request
         headers = request.headers
@@ -194,26 +194,27 @@
         return GatewayCall(self, pool, traits, max(0, deadline - now), server_deadline)
 
     def successor_call(self, broken: GatewayCall, last_event_id: int, left: int) -> GatewayCall:
-        """The call that takes a stream up after the last event passed on, at a server that has not run it."""
+        """A call that resumes the stream after `last_event_id`, at a server that has not run the request yet.
+        """
         traits = evolve(broken.traits, exclude=frozenset(self.servers))
         return GatewayCall(self, broken.pool, traits, left, self.client_deadline, last_event_id)
 
     def newest_route(self) -> Route | None:
-        """The route that the request would take by now; None: the same one, or none any more.
+        """The route that the request matches now; None if it is unchanged or was removed.
 
-        Failure prevented: a request is read slowly, turned away, or its stream breaks, a configuration that
-        allows its route fewer regions or servers is in force by then, and the next attempt does not heed it.
+        A configuration may come into force while a request is read or between its attempts. The next attempt
+        must respect the new route if it allows fewer regions or servers.
         """
         newest = self.context.pools.routes.find(self.request.headers.get(HOST, ""), self.target)
         return None if newest is self.route or newest == self.route else newest
 
     def _binding_routes(self) -> tuple[Route, ...]:
-        """What bound the request when it was read, and what binds it now."""
+        """The route matched when the request was read, and the current one if it differs; both apply."""
         newest = self.newest_route()
         return (self.route,) if newest is None else (self.route, newest)
 
     def may_resume(self) -> bool:
-        """Whether the routes that bind allow this stream to be taken up at one more server."""
+        """Whether all binding routes allow the stream to be resumed at one more server."""
         return all(route.resumable for route in self._binding_routes()) and self._has_attempts()
 
     def _has_attempts(self) -> bool:
@@ -221,28 +222,30 @@
 
     @property
     def max_silence(self) -> int:
-        """The silence in microseconds after which the client gives a stream up."""
+        """The microseconds without an event after which the client gives up a stream."""
         route = self.route
         aims = SILENCE_LATENCY_TARGETS * route.target_latency_ms * US_PER_MS
         gaps = SILENCE_EVENT_GAPS * route.gap_aim_ms * US_PER_MS
         return max(MIN_SILENCE, aims, gaps)
 
     def may_be_sent_to(self, server_id: str) -> bool:
-        """Whether the routes that bind allow one more server, unless this one may have run it already."""
+        """Whether all binding routes allow another server; one that may have run the request is always
+        allowed.
+        """
         if server_id in self.servers or not self.servers:
             return True
         return self._has_attempts() and all(is_idempotent(route) for route in self._binding_routes())
 
     def sent_to(self, server_id: str) -> None:
-        """The request was written to a server."""
+        """Note that the request was written to a server."""
         self.servers.add(server_id)
 
     def rejected_by(self, server_id: str) -> None:
-        """The server says that it has not run the request."""
+        """Note that a server rejected the request without running it."""
         self.servers.discard(server_id)
 
     def compose(self, server_id: str, left_ms: int, last_event_id: int | None) -> bytes:
-        """The request as a server gets it."""
+        """The request as it is sent to a server."""
         lines = self._forwarded(last_event_id is not None)
         target = self.target.encode("utf-8", "surrogateescape")
         urgency = urgency_of(self.route, self.prompt_tokens, resumed=last_event_id is not None)
@@ -293,19 +296,19 @@
         return self.finished(unserved_answer(ending, call.may_have_run, call.timed_out))
 
     def finished(self, response: Response) -> Response:
-        """The response; the connection ends with it if the gateway is being drained."""
+        """The response, with `Connection: close` if the gateway is draining."""
         if self.context.draining:
             response.force_close()
         return response
 
 
 def waited_seconds(request: web.BaseRequest) -> float:
-    """How long a request has waited behind others on its connection."""
+    """How long the request waited behind earlier ones on its connection."""
     return request.waited if isinstance(request, ClientRequest) else 0.0
 
 
 def origin_form(target: str) -> str:
-    """A request target without a scheme and an authority; empty if it is no path."""
+    """The path and query of a request target; empty if it has no path."""
     if target.startswith("/"):
         return target
     scheme, separator, rest = target.partition("://")
--- a/brackenladder/gateway/failures.py
+++ b/brackenladder/gateway/failures.py
@@ -1,4 +1,4 @@
-"""Log lines of failures: one for each kind in a span of time, with how many there were."""
+"""Rate-limited logging of failures: at most one line of a kind in each interval."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FailureLog:
-    """Writes a failure to the log unless one of its kind was written a short while ago."""
+    """Logs a failure, unless one of its kind was logged a short while ago; then it is only counted."""
 
     def __init__(self, log: logbook.Logger, now: Callable[[], int]) -> None:
         self._log = log
@@ -25,7 +25,7 @@
         self._kinds: dict[str, _Kind] = {}
 
     def __call__(self, kind: str, detail: str) -> None:
-        """A failure of a kind, and what tells it from others of it."""
+        """Report a failure of a kind; `detail` says which server or error it was."""
         now = self._now()
         known = self._kinds.get(kind)
         if known is None:
--- a/brackenladder/gateway/framing.py
+++ b/brackenladder/gateway/framing.py
@@ -1,4 +1,4 @@
-"""Finds where the answers on a server connection end, so that surplus bytes never reach the parser."""
+"""Finds where each response on a server connection ends, so that surplus bytes never reach the parser."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 HEAD_END = b"\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 NO_BODY_STATUSES = frozenset((204, 304))
-LARGEST_HEAD = 262_144  # bytes; a longer one is left to the parser, which refuses it
+LARGEST_HEAD = 262_144  # bytes; a longer head is left to the parser, which refuses it
 
 _STATUS = re.compile(rb"HTTP/1\.[0-9] ([0-9]{3})")
 _LENGTH = re.compile(rb"\r\nContent-Length:[ \t]*([0-9]{1,18})[ \t]*\r\n", re.IGNORECASE)
@@ -17,16 +17,16 @@
 
 class _Part(Enum):
     HEAD = auto()
-    COUNTED = auto()  # a body with a length
+    COUNTED = auto()  # a body with a Content-Length
     CHUNKS = auto()
-    UNTIL_CLOSE = auto()  # the end can't be told: all that comes belongs to it
+    UNTIL_CLOSE = auto()  # no length is known: every byte until the connection closes belongs to the body
 
 
 class AnswerFraming:
-    """Divides what a connection brings at the ends of heads and bodies.
+    """Finds the ends of heads and bodies in the bytes of a connection.
 
-    `ended` says after each `take` whether a body's end was reached; a chunked one's is a guess, since a chunk
-    may hold the same bytes, and the parser has the last word.
+    `ended` says after each `take` whether the end of a body was reached. For a chunked body this is a guess
+    (`guessed`), since a chunk may contain the bytes of the last chunk; the parser decides.
     """
 
     __slots__ = ("_without_body", "_part", "_head", "_left", "_last", "ended", "guessed")
@@ -37,11 +37,11 @@
 
     @property
     def until_close(self) -> bool:
-        """Whether the body that comes has no length: the end of its connection is its own."""
+        """Whether the current body has no known length and ends when its connection closes."""
         return self._part is _Part.UNTIL_CLOSE
 
     def restart(self) -> None:
-        """The next bytes are the beginning of a head."""
+        """Expect the head of the next response."""
         self._part = _Part.HEAD
         self._head = b""
         self._left = 0
@@ -50,7 +50,7 @@
         self.guessed = False
 
     def take(self, data: bytes, begin: int) -> int:
-        """Where in `data` the part ends that begins there: at most its length."""
+        """The index in `data` at which the part that starts at `begin` ends; at most `len(data)`."""
         if self._part is _Part.HEAD:
             return self._take_head(data, begin)
         if self._part is _Part.COUNTED:
--- a/brackenladder/gateway/headers.py
+++ b/brackenladder/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Header names, and which headers end at one hop."""
+"""Header names, and which headers are not forwarded."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
         b"upgrade",
     )
 )
-# Written anew for the server: what the client sent of these does not go on.
+# The gateway writes these anew for the server; the client's values are dropped.
 REWRITTEN = frozenset(
     name.lower().encode() for name in (REQUEST_DEADLINE, EXPECTED_INSTANCE, PRIORITY, CONTENT_LENGTH, EXPECT)
 )
-# Go on even if `Connection` names them.
+# Forwarded even if `Connection` names them as hop-by-hop.
 PROTECTED = frozenset(
     name.lower().encode()
     for name in (HOST, REQUEST_ID, CONTENT_TYPE, LAST_EVENT_ID, MODEL, TOKEN_USAGE, PROMPT_PREFIX)
@@ -54,27 +54,27 @@
 
 
 def named_by_connection(raw_headers: RawHeaders) -> frozenset[bytes]:
-    """The headers that the `Connection` header declares to be of this hop only."""
+    """The headers that the `Connection` header declares to be hop-by-hop."""
     values = [value for name, value in raw_headers if name.lower() == b"connection"]
     names = frozenset(name.strip().lower() for value in values for name in value.split(b","))
     return names - PROTECTED
 
 
 def forwarded_lines(raw_headers: RawHeaders, without: Iterable[bytes] = ()) -> bytes:
-    """The header lines of a request that go on to a server, in the client's order."""
+    """The header lines of a request that are forwarded to a server, in the client's order."""
     ended = ENDED_IN_REQUESTS | named_by_connection(raw_headers) | frozenset(without)
     kept = [b"%b: %b\r\n" % (name, value) for name, value in raw_headers if name.lower() not in ended]
     return b"".join(kept)
 
 
 def header_bytes(raw_headers: RawHeaders, target: str) -> int:
-    """The size of a request's head, about as it was sent."""
+    """The approximate size of a request's head."""
     overhead = len(": \r\n")
     return len(target) + sum([len(name) + len(value) + overhead for name, value in raw_headers])
 
 
 def answer_headers(received: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """The headers of a server's answer that go on to the client."""
+    """The headers of a server's response that are forwarded to the client."""
     connection = received.get(CONNECTION)
     ended = ENDED_IN_ANSWERS
     if connection is not None and "," in connection:
@@ -87,7 +87,7 @@
 
 
 def encodable(value: str) -> bool:
-    """Whether a header's value can be written again; bytes that are no UTF-8 cannot."""
+    """Whether a header's value can be encoded as UTF-8 again; bytes that were not valid UTF-8 can't."""
     if value.isascii():
         return True
     try:
--- a/brackenladder/gateway/hints.py
+++ b/brackenladder/gateway/hints.py
@@ -1,4 +1,4 @@
-"""What a request says of itself in optional headers. A value that can't be read counts as absent."""
+"""Reads a request's optional headers. A value that can't be parsed counts as absent."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brackenladder.gateway.headers import MODEL, PROMPT_PREFIX, REQUEST_DEADLINE, TOKEN_USAGE
 from brackenladder.placement.traits import CallTraits, PromptPart
 
-MAX_PARTS = 64  # of a prompt; the header of a request that names more is not read
+MAX_PARTS = 64  # parts of a prompt; a header that names more is ignored
 MAX_TOKENS = 100_000_000
 MAX_DEADLINE_MS = 86_400_000
 
@@ -20,7 +20,7 @@
 
 
 def read_deadline_ms(headers: CIMultiDictProxy[str]) -> int | None:
-    """How many milliseconds the client waits; None if it does not say."""
+    """The client's timeout in milliseconds; None if it announces none."""
     value = headers.get(REQUEST_DEADLINE)
     if value is None:
         return None
@@ -31,7 +31,7 @@
 
 
 def read_prompt_parts(value: str | None) -> tuple[PromptPart, ...]:
-    """The parts of a prompt in order, of "ID:TOKENS,ID:TOKENS"."""
+    """The parts of a prompt in order, parsed from "ID:TOKENS,ID:TOKENS"."""
     if not value:
         return ()
     words = value.split(",")
@@ -52,7 +52,7 @@
     exclude: frozenset[str] = frozenset(),
     request_bytes: int = 0,
 ) -> CallTraits:
-    """The traits that the choice of a server rests on."""
+    """The properties of a request that determine the choice of a server."""
     usage = _USAGE.fullmatch(headers.get(TOKEN_USAGE, ""))
     parts = read_prompt_parts(headers.get(PROMPT_PREFIX))
     prompt_tokens = int(usage[1]) if usage else sum([part.tokens for part in parts])
@@ -69,7 +69,7 @@
 
 
 def is_idempotent(route: Route) -> bool:
-    """Whether a request of this route may run more than once."""
+    """Whether requests of this route may run more than once."""
     if route.kind is RouteKind.STREAMING:
         return route.resumable
     return route.kind is RouteKind.SAFE
--- a/brackenladder/gateway/metrics.py
+++ b/brackenladder/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""A gateway's own figures as text, in the exposition format of Prometheus."""
+"""The gateway's metrics in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 def metrics_text(
     by_service: Iterator[tuple[str, DecisionCounters]], violations: Mapping[Invariant, int]
 ) -> str:
-    """The figures of all services, times in seconds; then how often each invariant was broken."""
+    """The placement metrics of all services, then the number of violations of each invariant."""
     lines: list[str] = []
     for service, counters in by_service:
         for target, sums in counters.items():
--- a/brackenladder/gateway/open_answer.py
+++ b/brackenladder/gateway/open_answer.py
@@ -1,4 +1,4 @@
-"""A server's answer whose end has not come yet: a stream of events, or a large body."""
+"""A server's response that is not fully read yet: an event stream or a large body."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 
 class OpenAnswer:
-    """Gives the bytes of an answer as they come: of a stream in whole events, else as they are."""
+    """Returns a response's bytes as they arrive: an event stream in whole events, other bodies as they are.
+    """
 
     def __init__(
         self,
@@ -27,24 +28,24 @@
         self.status = message.code
         self.reason = message.reason
         self.streaming = streaming
-        self.whole = False  # it was read to its end
+        self.whole = False  # whether it was read to its end
         self._connection = connection
         self._message = message
         self._payload = payload
         self._parser = EventParser()
-        self._ahead = b""  # read, and not yet given
+        self._ahead = b""  # bytes that were read and not yet returned
 
     @property
     def headers(self) -> CIMultiDict[str]:
-        """The headers that go on to the client."""
+        """The headers that are forwarded to the client."""
         return answer_headers(self._message.headers)
 
     async def read_first_event(self) -> None:
-        """Return once a whole event, or the end, is in hand."""
+        """Return once a whole event, or the end of the body, was read."""
         self._ahead = await self._read_events()
 
     async def read_whole(self, most: int) -> bytes | None:
-        """The whole body; None if it is larger than `most`, and what was read is given by `read`."""
+        """The whole body; None if it is larger than `most`: `read` then returns it from its beginning."""
         parts: list[bytes] = []
         size = 0
         while size <= most:
@@ -57,7 +58,7 @@
         return None
 
     async def read(self) -> bytes:
-        """What comes next; empty once all was given. Raises `AnswerBroken` if the rest never comes."""
+        """The next bytes; empty at the end. Raises `AnswerBroken` if the connection fails before the end."""
         if self._ahead:
             ahead, self._ahead = self._ahead, b""
             return ahead
@@ -66,7 +67,7 @@
         return await (self._read_events() if self.streaming else self._read_some())
 
     def close(self) -> None:
-        """Give the connection back, or break it off if the answer was not read to its end."""
+        """Release the connection, or abort it if the response was not read to its end."""
         if self.whole:
             self._connection.release()
         else:
@@ -83,12 +84,13 @@
                 return events
 
     async def _read_some(self) -> bytes:
-        """The next bytes of the body; empty at its proper end."""
+        """The next bytes of the body; empty at its regular end."""
         try:
             data = await self._payload.readany()
         except AnswerBroken:
             raise
-        except Exception as error:  # aiohttp raises many kinds, all for the same: the body was cut
+        # aiohttp raises many types here; each of them means that the body is incomplete.
+        except Exception as error:
             raise AnswerBroken(repr(error)) from error
         if not data:
             self.whole = True
--- a/brackenladder/gateway/outcomes.py
+++ b/brackenladder/gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""What a server's status and headers say about the attempt."""
+"""Maps the status and headers of a server's response to the outcome of the attempt."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def outcome_of(status: int, headers: CIMultiDictProxy[str]) -> Outcome:
-    """The outcome of an attempt that got a whole answer with this head."""
+    """The outcome of an attempt that received a whole response with this head."""
     if status == MISDIRECTED or (status >= FIRST_FAILURE and NOT_EXECUTED in headers):
         return Outcome.REJECTED
     if status == GATEWAY_TIMEOUT:
@@ -26,8 +26,9 @@
 
 
 def may_be_passed_on(status: int) -> bool:
-    """Whether a failure that a server gave after it may have run can go to the client as it is.
+    """Whether a server's error response may be forwarded to the client, although the request may have run.
 
-    A promise status can't: only the server that says `Not-Executed` may make that promise.
+    A status that promises that the request has not run may not be forwarded: only a server that sends
+    `X-Brackenladder-Not-Executed` may make that promise.
     """
     return status not in NOT_RUN_STATUSES
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -1,4 +1,4 @@
-"""The pools of the configured services, the route table and the limits, as the newest configuration says."""
+"""Keeps one pool for each configured service, and the current route table and limits."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class PoolFactory(Protocol):
-    """Makes the pool of a service."""
+    """Creates the pool of a service."""
 
     def __call__(self, service: str, upstream: ServiceUpstream) -> ServicePool:
-        """A pool that sends by that upstream."""
+        """A pool whose attempts go through `upstream`."""
 
 
 class GatewayClock(Clock):
-    """The gateway's clock as the core wants it."""
+    """The gateway's clock with the interface that the core uses."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
 
 
 class ServicePools:
-    """Follows the view: one pool for each configured service."""
+    """The pools of all services, kept in line with the view's configuration."""
 
     def __init__(
         self,
@@ -68,9 +68,10 @@
         self.limits = Limits()
         self._services: dict[str, Service] = {}
         self._pools: dict[str, ServicePool] = {}
-        # Of services that are no more, until their calls and streams have ended; they follow the view too.
+        # Pools of services that were removed from the configuration, kept until their calls and streams have
+        # ended. They still follow the view's list of servers.
         self._leaving: list[ServicePool] = []
-        self._splits: dict[str, TrafficSplit] = {}  # by route
+        self._splits: dict[str, TrafficSplit] = {}  # by route name
         self._early = EarlyNotices()
         self._read_configuration()
         self._unsubscribe = view.subscribe(self._changed)
@@ -81,7 +82,7 @@
         return self.view.configuration is not None
 
     def choose(self, route: Route, parts: tuple[PromptPart, ...]) -> ServicePool | None:
-        """The pool that a request of this route goes to, by the targets' weights."""
+        """The pool for a request of this route, chosen by the targets' weights."""
         if not route.split:
             return None
         if len(route.split) == 1:
@@ -92,7 +93,9 @@
         return self._pools.get(split.choose(self._point(route, parts)).service)
 
     def prefixes_told(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Each pool takes the notices of its own servers; those of unknown ones wait for a moment."""
+        """Pass prefix notices to the pools. Notices about servers that no pool knows yet are kept for a
+        moment.
+        """
         for pool in self._pools.values():
             pool.prefixes_told(now, notices)
         self._early.add(now, [notice for notice in notices if not self._is_known(notice.server)])
@@ -107,23 +110,25 @@
             pool.prefixes_told(now, notices)
 
     def counters(self) -> Iterator[tuple[str, DecisionCounters]]:
-        """What placements came to, by service."""
+        """The counters of placement decisions, by service."""
         for name, pool in self._pools.items():
             yield name, pool.balancer.in_flight.counters
 
     def give_up(self) -> None:
-        """The gateway ends: calls without an answer are concluded."""
+        """Conclude all calls that have no response yet: the gateway is shutting down."""
         for pool in (*self._pools.values(), *self._leaving):
             pool.give_up()
 
     def close(self) -> None:
-        """End all pools."""
+        """Close all pools."""
         self._unsubscribe()
         for pool in (*self._pools.values(), *self._leaving):
             pool.close()
 
     def _point(self, route: Route, parts: tuple[PromptPart, ...]) -> float:
-        """Where among the weights a request falls, from 0 up to 1."""
+        """A point from 0 up to 1 that selects among the weighted targets; on sticky routes a hash of the
+        prompt.
+        """
         if route.sticky and parts:
             return crc32(parts[-1].id.encode()) / HASH_RANGE
         return self.random.random()
@@ -160,10 +165,10 @@
             self._leaving.remove(pool)
 
     def _reclaim_leaving(self, name: str) -> ServicePool | None:
-        """The pool of a service that is configured again while calls of before go on.
+        """The pool of a service that is configured again while earlier calls still use its old pool.
 
-        Failure prevented: two pools of one service each spend the gateway's whole part of the retry budget
-        and of the cold share.
+        A second pool would spend the gateway's share of the retry budget, and of the traffic for cold
+        servers, once more.
         """
         for pool in self._leaving:
             if pool.service == name:
@@ -192,7 +197,7 @@
     announcer: PrefixAnnouncer,
     log: Callable[[str], None],
 ) -> PoolFactory:
-    """The factory of the gateway's real pools."""
+    """The factory of the pools that a real gateway uses."""
     clock = GatewayClock(now)
 
     def make(service: str, upstream: ServiceUpstream) -> ServicePool:
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Passes an open answer on as it comes; a broken stream that may be resumed is taken up elsewhere."""
+"""Forwards a response to the client as it arrives, and resumes a broken stream at another server."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 US_PER_S = 1e6
 US_PER_MS = 1000
-DEADLINE_MARGIN = 250_000  # microseconds after the client's deadline until a stream is broken off
-STALL_EVENT_GAPS = 3  # pauses of the aim after which a stream is taken up elsewhere
-MIN_STALL = 800_000  # microseconds
+DEADLINE_MARGIN = 250_000  # microseconds after the client's deadline at which its stream is aborted
+# Multiples of the target gap between events; a longer pause makes the stream count as stalled.
+STALL_EVENT_GAPS = 3
+MIN_STALL = 800_000  # microseconds; a shorter pause never counts as a stall
 
 
 class StreamStalled(Exception):
-    """A stream pauses for so long that another server had better go on with it."""
+    """A stream has paused so long that it should be resumed at another server."""
 
 
 class RelayedResponse(web.StreamResponse):
@@ -32,7 +33,7 @@
 
 
 class Relay:
-    """Relays one answer to its client."""
+    """Relays one response to its client."""
 
     def __init__(
         self,
@@ -47,11 +48,12 @@
         self.order = EventOrder()
         self._successor_call = successor_call
         self._tracks_order = answer.streaming and exchange.route.resumable
-        self._no_successor = False  # no further look for another server while this one is only silent
+        # Set after no other server could take over a stalled stream: this one is waited for.
+        self._no_successor = False
         self._last_data_at = 0
 
     async def run(self) -> web.StreamResponse:
-        """Relay to the end; an answer that can't be completed ends with a broken connection."""
+        """Relay to the end. If the response can't be completed, the client's connection is aborted."""
         exchange = self.exchange
         answer = self.answer
         response = RelayedResponse(status=answer.status, reason=answer.reason, headers=answer.headers)
@@ -64,16 +66,16 @@
                 complete = await self._pass_all(response)
         except TimeoutError:
             exchange.context.failures("stream broken off at its deadline", self.answer.server_id)
-        except ConnectionError:  # the client has gone
+        except ConnectionError:  # the client has disconnected
             pass
         finally:
             self._end()
         if not complete:
             self._abort_client()
-        return exchange.finished(response)  # the drain may have begun after its head was sent
+        return exchange.finished(response)  # the gateway may have begun to drain after the head was sent
 
     async def _pass_all(self, response: web.StreamResponse) -> bool:
-        """Pass on what comes; False if the answer breaks and can't be taken up."""
+        """Forward all data; False if the response breaks and can't be resumed."""
         while True:
             try:
                 data = await self._read()
@@ -109,7 +111,8 @@
         return self._tracks_order and self.order.last_id is not None and self.exchange.may_resume()
 
     async def _resume_elsewhere(self) -> bool:
-        """Go on with the stream of another server, if there is one; the present one is closed then."""
+        """Continue with the stream of another server, if one takes it; the present response is closed then.
+        """
         last_id = self.order.last_id
         if last_id is None or not self._may_resume():
             return False
@@ -127,12 +130,12 @@
         return True
 
     def _end(self) -> None:
-        """The present server's answer is over, whole or not."""
+        """Close the current server's response, complete or not."""
         self.answer.close()
         self.call.end_stream()
 
     def _abort_client(self) -> None:
-        """Show the client that the answer is not whole."""
+        """Abort the client's connection, so that it sees that the response is incomplete."""
         transport = self.exchange.request.transport
         if transport is not None:
             transport.abort()
--- a/brackenladder/gateway/resume.py
+++ b/brackenladder/gateway/resume.py
@@ -1,4 +1,4 @@
-"""Taking up a broken stream at another server, inside the same answer."""
+"""Resumes a broken stream at another server, within the same response to the client."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class EventOrder:
-    """Lets each event of a stream pass once, in the order of the ids, whichever server sends it."""
+    """Drops events that were already forwarded, by their ascending ids, whichever server sends them."""
 
     def __init__(self) -> None:
-        self.last_id: int | None = None  # of the events that were passed on
+        self.last_id: int | None = None  # the id of the last event that was forwarded
 
     def pass_on(self, data: bytes) -> bytes:
-        """What of these events is to be passed on now; events with a known id are dropped."""
+        """The events in `data` that are to be forwarded; those with an id up to `last_id` are dropped."""
         passed = []
         taken = 0
         for event in split_events(data):
@@ -35,14 +35,14 @@
 
 @frozen
 class Successor:
-    """The server's stream that goes on, and the call that holds its place there."""
+    """A stream that continues a broken one, and the call that occupies its server."""
 
     call: GatewayCall
     answer: OpenAnswer
 
 
 async def resume(call: GatewayCall) -> Successor | None:
-    """Ask for the rest of a stream; None if no server gives it."""
+    """Request the rest of a stream; None if no server provides it."""
     conclusion = await call.drive()
     if isinstance(conclusion, OpenAnswer):
         if conclusion.streaming and conclusion.status == OK:
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -1,4 +1,4 @@
-"""The gateway role's servers: clients on `Front`, the platform's check on `Ready`, and the orderly end."""
+"""The gateway's listeners for clients (`Front`) and readiness checks (`Ready`), and its shutdown."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 
 READY_PATH = "/-/readyz"
 BACKLOG = 1024  # connections that wait to be accepted
-INTAKE_FRACTION = 0.4  # of the grace: so long clients may hold to an old answer of the directory
-# What is sent later than this after SIGTERM has to be answered whole, however long it takes; what is sent
-# earlier may be broken off in the last part of the grace (rule LOST).
+# Of the grace period: for this long clients may still use an outdated directory response.
+INTAKE_FRACTION = 0.4
+# A request that was sent later than this after SIGTERM has to be answered fully, however long it takes. One
+# that was sent earlier may be aborted at the end of the grace period (rule LOST of the soak test).
 LATEST_EXCUSED_SECONDS = 3.0
-MAX_INTAKE_SECONDS = LATEST_EXCUSED_SECONDS - 0.3  # what was still accepted takes a while to arrive
-GIVE_UP_FRACTION = (
-    1 / 10
-)  # of the grace, in which what is left is given up; a server at work is excused in a sixth
+MAX_INTAKE_SECONDS = LATEST_EXCUSED_SECONDS - 0.3  # accepted requests take a while to arrive
+# Of the grace period, at its end, in which open calls are given up. The soak rules excuse a server that is
+# aborted in the last sixth.
+GIVE_UP_FRACTION = 1 / 10
 MAX_GIVE_UP_SECONDS = 0.7
 DRAIN_STEP_SECONDS = 0.1
 
@@ -42,11 +43,11 @@
 
 
 def _discard_notices() -> None:
-    """For a gateway by itself: its notices go nowhere."""
+    """Ignores prefix notices, for a gateway that has no peers."""
 
 
 class Gateway:
-    """Serves clients from the view."""
+    """Serves clients, with the configuration and the servers that the view holds."""
 
     def __init__(
         self,
@@ -59,8 +60,9 @@
         front: socket | None = None,
         open_socket: OpenSocket = server_socket,
     ) -> None:
-        """`announcer` is told of placements; `front`: a socket that listens for clients already.
-        `open_socket` makes the sockets of connections to servers.
+        """`announcer` is told which prefixes servers are sent; `front` is a listening socket for clients.
+
+        `open_socket` creates the sockets of connections to servers.
         """
         self._ready = False
         self._start_gate: StartGate
@@ -79,7 +81,7 @@
         self._context: GatewayContext
 
     async def start(self) -> None:
-        """Listen; an OSError if an address can't be had."""
+        """Start listening. Raises OSError if an address can't be bound."""
         loop = asyncio.get_running_loop()
         make_pool = self._make_pool or pool_factory(
             self._view, self._platform, self._clock, self._random, self._announcer, log.info
@@ -100,7 +102,8 @@
         await self._listen(listen.ready, readiness)
 
     async def drain(self, grace_s: float) -> None:
-        """End in order within the grace: new requests are taken for a while, then the open ones finish."""
+        """Shut down within the grace period: accept requests for a while longer, then finish the open ones.
+        """
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.ready = False
@@ -112,9 +115,9 @@
             await self._give_up()
 
     async def _give_up(self) -> None:
-        """Answer whatever has no answer yet, and break off the answers that have begun.
+        """Answer all requests that have no response yet, and abort the responses that have begun.
 
-        Failure prevented: a request that waits, or whose server is silent, ends with its connection.
+        Without this, a request that is queued or whose server is silent would only see its connection closed.
         """
         self._failures("broken off at the end of the grace", str(len(self._clients.connections)))
         self._context.pools.give_up()
@@ -122,7 +125,7 @@
         self._clients.abort_all()
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close all listeners and connections at once."""
         for listener in self._listeners:
             listener.close()
         self._clients.abort_all()
@@ -130,12 +133,12 @@
         await self._connections.close()
 
     def check_held_calls(self) -> None:
-        """To be called again and again: counts the calls that are held past their limits."""
+        """Count the calls that are held beyond their time limits; has to be called periodically."""
         self._context.held_calls.look(self._clock())
 
     @property
     def ready(self) -> bool:
-        """What the platform's check is told."""
+        """Whether readiness checks succeed."""
         return self._ready
 
     @ready.setter
@@ -145,7 +148,7 @@
             self._start_gate.open()
 
     def prefixes_told(self, message: PrefixNotices) -> None:
-        """Other gateways have told which prefixes servers have been sent."""
+        """Pass on the notices of other gateways about prefixes that servers have been sent."""
         now = self._clock()
         for notice in message.notices:
             self._announcer.heard(now, notice)
@@ -153,7 +156,7 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where it listens: for clients, for the check."""
+        """The addresses that it listens on: for clients, for readiness checks."""
         return [listener.sockets[0].getsockname()[:2] for listener in self._listeners]
 
     async def _listen(self, address: str, factory: Callable[[], asyncio.BaseProtocol]) -> None:
@@ -163,7 +166,7 @@
         self._listeners.append(listener)
 
     async def _drained(self, until: float, until_idle: bool) -> bool:
-        """Wait until then, or until no connection is left; whether that came."""
+        """Wait until that time or until no connection is left; whether none is left."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             if until_idle:
@@ -176,7 +179,7 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
             return await Exchange(self._context, request).handle()
-        except Exception as error:  # whatever it is, it is this request's failure alone
+        except Exception as error:  # an exception of any kind affects only this request
             self._failures(f"fault in a request: {type(error).__name__}", repr(error))
             if request.writer.output_size > 0:
                 self._abort(request)
@@ -195,10 +198,10 @@
 
 
 def intake_seconds(grace_s: float) -> float:
-    """For how long after SIGTERM requests are taken."""
+    """How many seconds after SIGTERM new requests are accepted."""
     return min(grace_s * INTAKE_FRACTION, MAX_INTAKE_SECONDS)
 
 
 def give_up_seconds(grace_s: float) -> float:
-    """How long before the end of the grace what is left is given up."""
+    """How many seconds before the end of the grace period the open calls are given up."""
     return min(grace_s * GIVE_UP_FRACTION, MAX_GIVE_UP_SECONDS)
--- a/brackenladder/gateway/server_connection.py
+++ b/brackenladder/gateway/server_connection.py
@@ -12,10 +12,10 @@
 
 
 class ServerConnection:
-    """A connection that carries one request; ends by `release` or `discard`."""
+    """A connection in use by one request, until `release` or `discard` is called."""
 
     def __init__(self, connection: Connection, protocol: ServerProtocol, ended: Callable[[], None]) -> None:
-        """`ended` is called once, when the connection is in use no more."""
+        """`ended` is called once, when the connection is no longer in use."""
         self.protocol = protocol
         self._connection: Connection | None = connection
         self._ended = ended
@@ -23,14 +23,14 @@
 
     @property
     def idle_for(self) -> float:
-        """Seconds since its last answer ended; 0 for a new connection."""
+        """Seconds since the last response on it ended; 0 for a new connection."""
         return self.protocol.idle_for
 
     async def send_head_start(self, start: bytes, wait: float) -> bool:
         """Write the start of a request's head; False if the connection is lost within `wait` seconds.
 
-        Failure prevented: the server has forgotten the idle connection, the whole request meets a reset,
-        and as it may have run it can't be sent elsewhere. A head without its end has not run.
+        A server that has dropped the idle connection resets it. If that reset met a whole request, the
+        request might have run and could not be sent elsewhere; an incomplete head cannot have run.
         """
         transport = self.protocol.transport
         if transport is None or transport.is_closing():
@@ -39,7 +39,7 @@
         return not await self.protocol.wait_for_loss(wait)
 
     def send(self, data: bytes, request_id: str, without_body: bool) -> bool:
-        """Write a request; False if the connection is lost, and nothing was written."""
+        """Write a request; False if the connection is lost and nothing was written."""
         transport = self.protocol.transport
         if transport is None or transport.is_closing():
             return False
@@ -48,20 +48,21 @@
         return True
 
     async def read_head(self) -> tuple[RawResponseMessage, StreamReader]:
-        """The answer's head and its body's reader; raises `AnswerBroken`."""
+        """The head of the response and the reader of its body; raises `AnswerBroken`."""
         while True:
             try:
                 message, payload = await self.protocol.read()
             except AnswerBroken:
                 raise
-            except Exception as error:  # aiohttp raises many kinds, all for the same: no answer comes
+            # aiohttp raises many types here; each of them means that no response comes.
+            except Exception as error:
                 raise AnswerBroken(repr(error)) from error
             if message.code >= 200:
                 self._message = message
                 return message, payload
 
     def release(self) -> None:
-        """The answer was read whole: the connection may carry another request."""
+        """Return the connection to the pool; the response was read to its end."""
         connection = self._take()
         if connection is None:
             return
@@ -74,7 +75,7 @@
             connection.close()
 
     def discard(self) -> None:
-        """Break the connection off."""
+        """Abort the connection."""
         connection = self._take()
         if connection is None:
             return
--- a/brackenladder/gateway/server_protocol.py
+++ b/brackenladder/gateway/server_protocol.py
@@ -1,4 +1,4 @@
-"""The bytes of one server connection: which of them answer the request that is out, and what ends it."""
+"""The protocol of one server connection: matches responses to the current request, detects surplus bytes."""
 
 from __future__ import annotations
 
@@ -12,39 +12,40 @@
 from brackenladder.gateway.framing import AnswerFraming
 from brackenladder.gateway.headers import KEEP_ALIVE, REQUEST_ID
 
-DEFAULT_IDLE_SECONDS = 0.3  # a server that tells no idle time closes within its first second
-IDLE_MARGIN_SECONDS = 0.7  # a request must arrive before the server closes
-LEAST_IDLE_FRACTION = 0.3  # of a short idle time, from which the margin would take too much
+DEFAULT_IDLE_SECONDS = 0.3  # for servers that announce no idle timeout: they close within their first second
+# Subtracted from the server's idle timeout, so that a request arrives before the close.
+IDLE_MARGIN_SECONDS = 0.7
+LEAST_IDLE_FRACTION = 0.3  # used for short idle timeouts, of which the margin would leave too little
 MAX_HEAD_FIELD = 65_536  # bytes
 MAX_HEADERS = 256
 READ_BUFFER = 65_536  # bytes
 
 
 class AnswerBroken(Exception):
-    """What the server sent is no whole answer to the request."""
+    """The server did not send a complete response to the request."""
 
 
 class ServerProtocol(ResponseHandler):
-    """Reads one server connection.
+    """Reads the responses on one server connection.
 
-    A message whose request id is not the expected one belongs to another request and is passed over; bytes
-    that come after the answer, or while no request is out, end the connection.
+    A response with the id of another request is skipped. Bytes that follow the response, or arrive while no
+    request is open, make the connection unusable.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self.request_id: str | None = None  # of the request that is out
-        self.reusable_until = 0.0  # by the event loop's clock; 0: the connection carried no answer yet
-        self.idle_since = 0.0  # the same: the last answer's end; 0: there was none
+        self.request_id: str | None = None  # of the current request
+        self.reusable_until = 0.0  # by the event loop's clock; 0: there was no response yet
+        self.idle_since = 0.0  # when the last response ended, by the event loop's clock; 0: there was none
         self._framing = AnswerFraming(False)
-        self._accepted = False  # the head of the request's own answer came
-        self._answered = False  # and its last byte
-        self._ended_in_order = False  # the server has closed its side
-        self._surplus = False  # something came that is no part of it
+        self._accepted = False  # the head of the current request's response was received
+        self._answered = False  # that response was received to its end
+        self._ended_in_order = False  # the server closed its side with a FIN, not a reset
+        self._surplus = False  # bytes arrived that do not belong to the response
         self._lost_waiter: asyncio.Future[None] | None = None
 
     async def wait_for_loss(self, seconds: float) -> bool:
-        """Wait; whether the connection is lost by then."""
+        """Wait for up to `seconds`; whether the connection was lost."""
         waiter = self._lost_waiter = self._loop.create_future()
         timer = self._loop.call_later(seconds, _wake, waiter)
         try:
@@ -56,11 +57,11 @@
 
     @property
     def idle_for(self) -> float:
-        """Seconds since its last answer ended; 0 for a new connection."""
+        """Seconds since the last response ended; 0 for a new connection."""
         return self._loop.time() - self.idle_since if self.idle_since else 0.0
 
     def begin(self, request_id: str, without_body: bool) -> None:
-        """A request is about to be written; its answer is read next."""
+        """Prepare for the response to a request that is written next."""
         self.request_id = request_id
         self._framing = AnswerFraming(without_body)
         self._accepted = self._answered = False
@@ -75,7 +76,7 @@
         )
 
     def finish(self, message: RawResponseMessage) -> None:
-        """The answer was read whole: the connection is idle, unless something speaks against it."""
+        """Mark the connection as idle after a complete response, or as unusable if surplus bytes arrived."""
         self.request_id = None
         if self._surplus or not (self._answered or self._framing.ended):
             self.force_close()
@@ -83,7 +84,7 @@
         self.reusable_until = self.idle_since + idle_limit_seconds(message.headers.get(KEEP_ALIVE))
 
     def data_received(self, data: bytes) -> None:
-        """Give the parser what belongs to an answer, part by part."""
+        """Feed the parser with the bytes of responses only, one part at a time."""
         if not data:
             super().data_received(data)
             return
@@ -103,7 +104,7 @@
             self._surplus = True
 
     def feed_data(self, data: tuple[RawResponseMessage, StreamReader], size: int = 0) -> None:
-        """Take a message's head, unless it belongs to another request."""
+        """Accept the head of a response, unless it belongs to another request."""
         message = data[0]
         if message.code >= 200:
             if message.headers.get(REQUEST_ID) != self.request_id:
@@ -115,15 +116,15 @@
         super().feed_data(data, size)
 
     def set_exception(self, exc: BaseException, *cause: Any) -> None:
-        """End the answer: aiohttp does not tell its body's reader of every error."""
+        """Fail the response's body as well: aiohttp does not report every error to the body's reader."""
         super().set_exception(exc, *cause)
         self._fail_body(self._payload, exc)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """End the answer, if it is not whole.
+        """Fail the response if it is incomplete.
 
-        Failure prevented: an answer without a length is reset on its way, and what has come of it passes for
-        all of it, as aiohttp takes any end of the connection for the answer's.
+        aiohttp takes any end of the connection as the end of a body without a length, so that a body cut
+        short by a reset would pass as complete.
         """
         payload = self._payload
         if self._accepted and self._framing.until_close and not self._ended_in_order:
@@ -134,12 +135,12 @@
             _wake(self._lost_waiter)
 
     def eof_received(self) -> None:
-        """The server writes no more, which ends an answer without a length."""
+        """The server closed its side, which ends a body without a length."""
         self._ended_in_order = True
         super().eof_received()
 
     def is_connected(self) -> bool:
-        """Whether the connection may carry the next request."""
+        """Whether the connection may carry another request."""
         if self._surplus or self._idle_too_long():
             return False
         return super().is_connected()
@@ -163,7 +164,7 @@
 
 
 def idle_limit_seconds(keep_alive: str | None) -> float:
-    """How long a connection may be idle before its next request, by the server's `Keep-Alive`."""
+    """How long a connection may be idle before its next request, from the server's `Keep-Alive` header."""
     for part in (keep_alive or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
--- a/brackenladder/gateway/start_gate.py
+++ b/brackenladder/gateway/start_gate.py
@@ -1,4 +1,4 @@
-"""Requests that come while a gateway starts wait for the configuration and the first servers."""
+"""Holds requests back while a starting gateway waits for the configuration and the first servers."""
 
 from __future__ import annotations
 
@@ -7,16 +7,17 @@
 from brackenladder.delivery.view import SystemView, ViewChange
 from brackenladder.registry.records import ServerState
 
-HOLD_FRACTION = 0.25  # of the time that a client waits: held for no longer, it can still come again
+# Of the client's timeout; held no longer than this, the client still has time for a retry.
+HOLD_FRACTION = 0.25
 MAX_HOLD = 1_200_000  # microseconds
 US_PER_S = 1e6
 
 
 class StartGate:
-    """Closed until the view is of use: a configuration, and a server for each service that it names.
+    """Closed until the view has a configuration and a ready server for each configured service.
 
-    Failure prevented: every process was killed, clients are at the gateways again some tenths of a second
-    before the control nodes have a leader, and each request is refused twice within its client's patience.
+    After a restart of all processes, clients return some tenths of a second before the control nodes have
+    elected a leader. Without the gate, each request would be refused twice within its client's timeout.
     """
 
     def __init__(self, view: SystemView) -> None:
@@ -31,12 +32,12 @@
         return self._opened.is_set()
 
     def open(self) -> None:
-        """For good: what is missing in the view by now is truly missing."""
+        """Open the gate for good: what the view lacks by now is not going to arrive soon."""
         self._opened.set()
         self._unsubscribe()
 
     async def wait(self, patience: int) -> None:
-        """Return once the gate is open, or after the part of the client's `patience` that may be used."""
+        """Return once the gate is open, or after the usable part of the client's timeout `patience`."""
         try:
             async with asyncio.timeout(min(MAX_HOLD, patience * HOLD_FRACTION) / US_PER_S):
                 await self._opened.wait()
--- a/brackenladder/gateway/traffic_split.py
+++ b/brackenladder/gateway/traffic_split.py
@@ -1,4 +1,4 @@
-"""Which target of a route's `TrafficSplit` a request goes to, so that each gets its weight's share. Pure."""
+"""Chooses a target of a route's `TrafficSplit` so that each gets the share of its weight. Pure."""
 
 from __future__ import annotations
 
@@ -6,25 +6,27 @@
 
 from brackenladder.catalog.configuration import Target
 
-MAX_LEAD = 1.0  # requests by which a target may be ahead of its share
+MAX_LEAD = 1.0  # requests by which a target may exceed its share
 
 
 class TrafficSplit:
-    """The targets of one route, and how many requests each has been given here.
+    """The targets of one route, and how many requests each has received from this gateway.
 
-    Failure prevented: a few sessions carry most of a route's traffic, and where their hashes fall decides the
-    shares, at every gateway alike.
+    Choosing by a session's hash alone is not enough: if a few sessions carry most of the traffic, the
+    positions of their hashes would decide the shares, in the same way at every gateway.
     """
 
     def __init__(self, targets: Sequence[Target]) -> None:
-        """`targets`: at least one has a weight above 0."""
+        """At least one of the `targets` must have a weight above 0."""
         self.targets = tuple(targets)
         total = sum([target.weight for target in targets])
         self._shares = [target.weight / total for target in targets]
-        self._ahead = [0.0] * len(self._shares)  # requests given beyond the share
+        self._ahead = [0.0] * len(self._shares)  # requests received beyond the share
 
     def choose(self, point: float) -> Target:
-        """The target at `point`, from 0 up to 1 along the weights, or the one most behind if it is ahead."""
+        """The target at `point` (0 to 1 along the weights), or the one furthest below its share if it is
+        ahead.
+        """
         chosen = self._at(point)
         if self._ahead[chosen] + 1.0 - self._shares[chosen] > MAX_LEAD:
             chosen = min(range(len(self._ahead)), key=self._ahead.__getitem__)
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream of one service: attempts at its servers, and what became of them."""
+"""Makes the attempts of one service's calls at its servers, and reports their outcomes."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 from brackenladder.registry.records import ServerRecord, ServerState
 
 EVENT_STREAM = "text/event-stream"
-MAX_BUFFERED_BODY = 1024 * 1024  # bytes; a larger body is relayed as it comes
-LEAST_CONNECTIONS = 4  # to a server, whatever this gateway's part is
-CONNECTION_SHARE = 0.8  # of `MaxConnections` that all gateways use together
+MAX_BUFFERED_BODY = 1024 * 1024  # bytes; a larger body is relayed as it arrives
+LEAST_CONNECTIONS = 4  # to a server, however small this gateway's share is
+CONNECTION_SHARE = 0.8  # the fraction of `MaxConnections` that all gateways together use
 MICROSECONDS_PER_SECOND = 1e6
 END_OF_LINE = b"\r\n"
 END_OF_HEAD = END_OF_LINE * 2
 
 
 class Records(Protocol):
-    """Tells the server that an attempt names."""
+    """Looks up the servers that attempts go to."""
 
     def record(self, number: int) -> ServerRecord | None:
-        """The server's record; None if it is gone."""
+        """The server's record; None if the server no longer exists."""
 
     def region(self, record: ServerRecord) -> str:
-        """Where a server stands; empty if that is not known."""
+        """The region of a server; empty if unknown."""
 
 
 class ServiceUpstream:
-    """Makes the attempts of one service's pool. It chooses no server and repeats nothing."""
+    """Makes the attempts for one service's pool. It neither chooses servers nor retries."""
 
     def __init__(
         self,
@@ -62,14 +62,14 @@
         self.now = now
         self.connection_limit = connection_limit
         self.log = log
-        self.records: Records | None = None  # the pool, once it is made
+        self.records: Records | None = None  # the pool, set after its creation
 
     def record(self, server: int) -> ServerRecord | None:
-        """The server of that number, if it may still be used."""
+        """The record of a server, if it may still be used."""
         return None if self.records is None else self.records.record(server)
 
     def usable(self, server: int, server_id: str, traits: CallTraits) -> bool:
-        """Whether a call may still be sent to a server, by all that is known at this moment."""
+        """Whether a call may still be sent to a server, given its state, its zone and the call's routes."""
         record = self.record(server)
         if self.records is None or record is None or record.id != server_id:
             return False
@@ -78,26 +78,27 @@
         return traits.permits(self.records.region(record))
 
     def attempt(self, server: int, call: Call, expires: int, done: Done) -> Attempt | None:
-        """An attempt at a server; None if nothing may be sent there."""
+        """An attempt at a server; None if the call may not be sent there."""
         record = self.record(server)
-        gateway_call: GatewayCall = call  # type: ignore[assignment]  # the gateway's pools get no other
+        # This gateway's pools receive no other type.
+        gateway_call: GatewayCall = call  # type: ignore[assignment]
         if record is None or not gateway_call.exchange.may_be_sent_to(record.id):
             return None
         return ServerAttempt(self, server, record, gateway_call, expires, done)
 
     def probe(self, server: int, done: Probed) -> None:
-        """Servers are not probed: a probe takes a slot, and its price is not worth what it tells."""
+        """Servers are not probed: a probe would take up one of a server's slots and tell little in return."""
         done(False, ())
 
     def close_idle(self, server: int) -> None:
-        """Close the connections to a server that carry nothing."""
+        """Close the idle connections to a server."""
         record = self.record(server)
         if record is not None:
             self.connections.close_idle(record.address)
 
 
 def _check_homes(call: GatewayCall, record: ServerRecord) -> None:
-    """The invariant at the first byte, by the settings' own table of zones."""
+    """Check, just before writing, that the server is in a home region, by the platform's own zone table."""
     region = call.pool.platform.region_of(record.zone)
     for route in (call.exchange.route, call.exchange.newest_route()):
         if route is not None and route.homes and region not in route.homes:
@@ -108,7 +109,9 @@
 
 
 def _check_server(call: GatewayCall, record: ServerRecord, view: SystemView) -> None:
-    """The invariant at the first byte, by what the gateway was told, not by what the pool made of it."""
+    """Check, just before writing, that the server takes requests, by the gateway's view and not the pool's
+    state.
+    """
     known = view.servers.get(record.id)
     if known is None or known.state is not ServerState.READY or known.zone in view.evacuated:
         detail = (
@@ -118,12 +121,12 @@
 
 
 def connection_share(most: int, gateways: int) -> int:
-    """This gateway's part of the connections that a server accepts."""
+    """This gateway's share of the connections that a server accepts."""
     return max(LEAST_CONNECTIONS, int(most * CONNECTION_SHARE / max(1, gateways)))
 
 
 class ServerAttempt:
-    """One attempt. It runs in the task of the client's request, which waits for it."""
+    """One attempt. It runs in the task of the client's request."""
 
     def __init__(
         self,
@@ -148,12 +151,12 @@
         self._connection: ServerConnection | None = None
 
     def start(self, timeout: float) -> None:
-        """Hand the attempt to the task of its request; it may take `timeout` seconds."""
+        """Hand the attempt to its request's task; it may take `timeout` seconds."""
         self.timeout = timeout
         self.call.begin(self)
 
     def stop(self, outcome: Outcome) -> None:
-        """Give it up: it ends with this outcome, unless it has ended."""
+        """Cancel the attempt: it ends with this outcome, unless it has ended already."""
         if self.ended or self._stopped is not None:
             return
         self._stopped = outcome
@@ -162,7 +165,7 @@
             scope.reschedule(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
-        """Make the attempt, and tell its end."""
+        """Run the attempt and report its end."""
         try:
             end = await self._make()
         except asyncio.CancelledError:
@@ -172,7 +175,7 @@
         self._finish(end)
 
     def drop(self) -> None:
-        """It will never run."""
+        """Report an attempt that is never run as not sent."""
         if not self.ended:
             self._finish(AttemptEnd(Outcome.NOT_SENT))
 
@@ -193,14 +196,15 @@
         except (AnswerBroken, EventTooLarge) as error:
             self.upstream.log("answer broken", f"{self.record.address}: {error}")
             return AttemptEnd(Outcome.RESET)
-        except Exception as error:  # a fault here is this attempt's alone, and it may have run
+        # Such an error affects only this attempt, which may have run at the server.
+        except Exception as error:
             self.upstream.log(f"fault in an attempt: {type(error).__name__}", repr(error))
             return AttemptEnd(self._given_up(Outcome.RESET))
         finally:
             self._scope = None
 
     def _given_up(self, outcome: Outcome) -> Outcome:
-        """The outcome of an attempt that was given up; what was not written has not run."""
+        """The outcome of a cancelled attempt; if nothing was written, the request has not run."""
         if self.written:
             return outcome
         return Outcome.CONNECT_FAILED if outcome is Outcome.TIMEOUT else Outcome.NOT_SENT
@@ -238,7 +242,7 @@
         return self._connection
 
     async def _open_another(self, lost: ServerConnection) -> ServerConnection:
-        """A connection in place of one that the server has forgotten."""
+        """Open a connection in place of one that the server had dropped."""
         self._connection = None
         lost.discard()
         self.upstream.log("connection forgotten", self.record.address)
@@ -273,7 +277,7 @@
     # ---- the end --------------------------------------------------------------------------------------
 
     def _finish(self, end: AttemptEnd) -> None:
-        """Tell the end; the connection stays open only for an answer that the request takes over."""
+        """Report the end. The connection stays open only if the call uses the response that arrives on it."""
         self.ended = True
         self.call.attempt_ended(self, end)
         self.done(end.outcome, end.answer if end.outcome is Outcome.OK else None, ())
@@ -283,5 +287,5 @@
 
 
 def is_event_stream(headers: CIMultiDictProxy[str]) -> bool:
-    """Whether a body is a series of events."""
+    """Whether the body is an event stream."""
     return headers.get(CONTENT_TYPE, "").partition(";")[0].strip().lower() == EVENT_STREAM
