--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -104,7 +104,7 @@
 
     def abandon(self) -> None:
         """Drop the call: the client has disconnected."""
-        self.pool.host.left(self)
+        self.pool.host.client_left(self)
         pending, self._pending = self._pending, None
         if pending is not None:
             pending.drop()
--- a/brackenladder/gateway/clients.py
+++ b/brackenladder/gateway/clients.py
@@ -1,5 +1,4 @@
-"""Client connections: aiohttp's low-level server, with timeouts for slow request heads and unread responses.
-"""
+"""Client connections: aiohttp's low-level server, with timeouts for slow heads and unread responses."""
 
 from __future__ import annotations
 
--- a/brackenladder/gateway/connections.py
+++ b/brackenladder/gateway/connections.py
@@ -1,5 +1,4 @@
-"""The gateway's connections to servers: aiohttp's connection pool, with limits and idle closing by address.
-"""
+"""The gateway's connections to servers: aiohttp's pool, with limits and idle closing by address."""
 
 from __future__ import annotations
 
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -94,8 +94,7 @@
         """The route that the request matches now; None if it is unchanged or was removed."""
 
     def may_be_sent_to(self, server_id: str) -> bool:
-        """Whether the request may go to this server; more servers are allowed only up to the routes' limits.
-        """
+        """Whether the request may go to this server, given the attempts that the routes allow."""
 
     def sent_to(self, server_id: str) -> None:
         """Note that the request was written to a server."""
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -194,8 +194,7 @@
         return GatewayCall(self, pool, traits, max(0, deadline - now), server_deadline)
 
     def successor_call(self, broken: GatewayCall, last_event_id: int, left: int) -> GatewayCall:
-        """A call that resumes the stream after `last_event_id`, at a server that has not run the request yet.
-        """
+        """A call that resumes the stream after `last_event_id`, at a server that has not run the request."""
         traits = evolve(broken.traits, exclude=frozenset(self.servers))
         return GatewayCall(self, broken.pool, traits, left, self.client_deadline, last_event_id)
 
--- a/brackenladder/gateway/open_answer.py
+++ b/brackenladder/gateway/open_answer.py
@@ -13,8 +13,7 @@
 
 
 class OpenAnswer:
-    """Returns a response's bytes as they arrive: an event stream in whole events, other bodies as they are.
-    """
+    """Returns a response's body as it arrives: an event stream in whole events, other bodies unchanged."""
 
     def __init__(
         self,
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -97,7 +97,7 @@
         moment.
         """
         for pool in self._pools.values():
-            pool.prefixes_told(now, notices)
+            pool.receive_prefix_notices(now, notices)
         self._early.add(now, [notice for notice in notices if not self._is_known(notice.server)])
 
     def _is_known(self, server: int) -> bool:
@@ -107,7 +107,7 @@
         now = self.now()
         notices = self._early.take(now, self._is_known)
         for pool in self._pools.values():
-            pool.prefixes_told(now, notices)
+            pool.receive_prefix_notices(now, notices)
 
     def counters(self) -> Iterator[tuple[str, DecisionCounters]]:
         """The counters of placement decisions, by service."""
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -111,8 +111,7 @@
         return self._tracks_order and self.order.last_id is not None and self.exchange.may_resume()
 
     async def _resume_elsewhere(self) -> bool:
-        """Continue with the stream of another server, if one takes it; the present response is closed then.
-        """
+        """Continue with the stream of another server, if one takes it, and close the current response."""
         last_id = self.order.last_id
         if last_id is None or not self._may_resume():
             return False
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -102,8 +102,7 @@
         await self._listen(listen.ready, readiness)
 
     async def drain(self, grace_s: float) -> None:
-        """Shut down within the grace period: accept requests for a while longer, then finish the open ones.
-        """
+        """Shut down within the grace period: accept requests a while longer, then finish the open ones."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.ready = False
@@ -151,7 +150,7 @@
         """Pass on the notices of other gateways about prefixes that servers have been sent."""
         now = self._clock()
         for notice in message.notices:
-            self._announcer.heard(now, notice)
+            self._announcer.record_received(now, notice)
         self._context.pools.prefixes_told(now, message.notices)
 
     @property
--- a/brackenladder/http/front.py
+++ b/brackenladder/http/front.py
@@ -188,7 +188,7 @@
         """A client closed its connection with its request open, or nobody owes it that call any more."""
         call = self.by_connection.get(connection)
         if call is not None:
-            call.host.left(call)
+            call.host.client_left(call)
 
 
 def retry_after_header(wait: int) -> bytes:
