--- a/tests/gateway/gateway_loopback.py
+++ b/tests/gateway/gateway_loopback.py
@@ -1,4 +1,4 @@
-"""What a gateway meets in tests: stand-in servers that do as a script says, and clients on raw sockets."""
+"""Test fixtures for a gateway on loopback: scripted stand-in servers, and clients on raw sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from brackenladder.platform_settings import Listen, Platform, PortRange
 from brackenladder.registry.records import ServerRecord, ServerState
 
-PATIENCE = 10.0  # seconds; only a failure waits so long
+PATIENCE = 10.0  # seconds; only a failing test waits this long
 HOST = "shop.example"
 SERVICE = "cards"
 PLAIN = Route(
@@ -41,7 +41,7 @@
 
 @define
 class Received:
-    """A request as a stand-in server got it."""
+    """A request as a stand-in server received it."""
 
     method: str
     target: str
@@ -52,7 +52,7 @@
     writer: asyncio.StreamWriter
     reader: asyncio.StreamReader
     closed: asyncio.Event = Factory(asyncio.Event)  # the gateway has closed the connection
-    passed_on: asyncio.Event = Factory(asyncio.Event)  # the client has read a chunk of the answer
+    client_read: asyncio.Event = Factory(asyncio.Event)  # the client has read a chunk of the response
 
     def header(self, name: str) -> str | None:
         values = [value for key, value in self.lines if key.lower() == name.lower()]
@@ -69,7 +69,7 @@
         self.writer.transport.abort()
 
     async def client_closed(self) -> None:
-        """Returns once the gateway has closed the connection; `closed` tells others."""
+        """Wait until the gateway has closed the connection, then set `closed`."""
         try:
             while await self.reader.read(1000):
                 pass
@@ -83,7 +83,7 @@
 
 
 def answer(request_id: str, body: bytes = b"ok", status: str = "200 OK", extra: Iterable[str] = ()) -> bytes:
-    """A whole answer of a server."""
+    """A complete response of a server."""
     lines = [
         f"HTTP/1.1 {status}",
         f"X-Brackenladder-Request-Id: {request_id}",
@@ -96,7 +96,7 @@
 
 
 def stream_head(request_id: str, stamp: str = "stamp.1") -> bytes:
-    """The head of a stream."""
+    """The head of an event stream."""
     return (
         f"HTTP/1.1 200 OK\r\nX-Brackenladder-Request-Id: {request_id}\r\n"
         f"X-Brackenladder-Response-Signature: {stamp}\r\nContent-Type: text/event-stream\r\n"
@@ -119,7 +119,7 @@
     request.write(answer(request.id))
 
 
-async def turn_away(request: Received) -> None:
+async def reject_request(request: Received) -> None:
     extra = ["X-Brackenladder-Not-Executed: true"]
     request.write(answer(request.id, b"", "503 Service Unavailable", extra))
 
@@ -129,7 +129,7 @@
 
 
 class StandIn:
-    """One server of the service. Takes its behaviour for each request from the script it shares."""
+    """One server of the service. The shared script determines how it handles each request."""
 
     def __init__(self, name: str, script: Script) -> None:
         self.name = name
@@ -154,8 +154,8 @@
         for writer in self._writers:
             writer.transport.abort()
 
-    def take_no_connections(self) -> None:
-        """New connections neither come up nor are refused."""
+    def hang_connects(self) -> None:
+        """Let further connection attempts hang: they are neither accepted nor refused."""
         self._server.close()
         host, _, port = self.address.rpartition(":")
         self._full = socket.socket()
@@ -197,7 +197,7 @@
 
 
 class Script:
-    """What the servers do, in the order in which requests arrive at any of them; the last goes on."""
+    """How servers handle requests, in the order of their arrival at any server; the last entry repeats."""
 
     def __init__(self, *behaviours: Behaviour) -> None:
         self.behaviours = list(behaviours) or [serve_ok]
@@ -213,7 +213,7 @@
 
 @frozen
 class ClientAnswer:
-    """An answer as a client read it; `whole`: it ended as the protocol wants."""
+    """A response as a client read it; `whole`: it ended as HTTP requires."""
 
     status: int
     headers: dict[str, str]
@@ -229,7 +229,7 @@
     deadline_ms: int | None = 8000,
     method: str = "POST",
 ) -> bytes:
-    """A client's request."""
+    """The bytes of a client's request."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {HOST}", f"X-Brackenladder-Request-Id: {request_id}"]
     if deadline_ms is not None:
         lines.append(f"X-Brackenladder-Request-Deadline-Ms: {deadline_ms}")
@@ -270,7 +270,7 @@
         return await self.read_body(*await self.head())
 
     async def read_body(self, status: int = 200, headers: dict[str, str] | None = None) -> ClientAnswer:
-        """The rest of an answer whose head was read; in chunks, unless the head says otherwise."""
+        """The rest of a response whose head was read; chunked unless the headers say otherwise."""
         headers = {"transfer-encoding": "chunked"} if headers is None else headers
         if headers.get("transfer-encoding") == "chunked":
             return await self._read_chunks(status, headers)
@@ -293,11 +293,11 @@
         size = int(await self.reader.readuntil(b"\r\n"), 16)
         data = (await self.reader.readexactly(size + 2))[:-2]
         if self.script.requests:
-            self.script.requests[-1].passed_on.set()
+            self.script.requests[-1].client_read.set()
         return data
 
     async def at_end(self) -> bool:
-        """Whether the gateway ends the connection, with no further byte."""
+        """Whether the gateway closes the connection without sending another byte."""
         try:
             return not await self.reader.read(1)
         except ConnectionError:
@@ -305,7 +305,7 @@
 
 
 class GatewayTest(unittest.IsolatedAsyncioTestCase):
-    """A gateway before some stand-in servers of one service."""
+    """Starts a gateway and a few stand-in servers of one service for each test."""
 
     servers = 2
     routes: tuple[Route, ...] = ROUTES
@@ -346,7 +346,7 @@
         await self.gateway.close()
 
     def play(self, *behaviours: Behaviour) -> None:
-        """What the servers do from now on."""
+        """Set how the servers handle requests from now on."""
         self.script.behaviours = list(behaviours)
 
     def configure(
@@ -366,10 +366,10 @@
         return client
 
     async def ask(self, data: bytes) -> ClientAnswer:
-        """The answer to a request on a connection of its own."""
+        """The response to a request that is sent on a new connection."""
         client = await self.client()
         return await asyncio.wait_for(client.ask(data), PATIENCE)
 
-    async def arrival(self) -> Received:
+    async def next_request(self) -> Received:
         """The next request that arrives at a server."""
         return await asyncio.wait_for(self.script.arrivals.get(), PATIENCE)
--- a/tests/gateway/test_gateway_answers.py
+++ b/tests/gateway/test_gateway_answers.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway to servers and whole answers back."""
+"""Requests that a gateway forwards to servers, and their responses."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     Received,
     answer,
     post,
+    reject_request,
     serve_ok,
     silent,
-    turn_away,
 )
 
 from brackenladder.gateway.upstream import MAX_BUFFERED_BODY
 from brackenladder.registry.records import ServerState
 
 
-class PlainPath(GatewayTest):
-    async def test_request_goes_on_as_it_came_and_the_answer_comes_back(self) -> None:
+class PlainRequests(GatewayTest):
+    async def test_a_request_is_forwarded_unchanged_and_its_response_returned(self) -> None:
         extra = ["X-Own: kept", "Connection: x-drop", "X-Drop: gone", "Accept: a/b", "Priority: 1"]
         got = await self.ask(post("/plain/a%2Fb//c;d?x=%20y&&z=1", body=b"\x00raw", extra=extra))
         self.assertEqual((got.status, got.body, got.whole), (200, b"ok", True))
@@ -48,7 +48,7 @@
         for added in ("user-agent", "accept-encoding", "content-type", "connection"):
             self.assertNotIn(added, names)
 
-    async def test_connections_are_used_again_on_both_sides(self) -> None:
+    async def test_connections_are_reused_on_both_sides(self) -> None:
         client = await self.client()
         for number in range(6):
             got = await asyncio.wait_for(client.ask(post("/plain/x", f"r{number}")), PATIENCE)
@@ -73,13 +73,13 @@
         status, _ = await asyncio.wait_for(client.head(), PATIENCE)
         self.assertEqual(status, 200)
 
-    async def test_pipelined_requests_get_their_answers_in_order(self) -> None:
+    async def test_pipelined_requests_get_their_responses_in_order(self) -> None:
         client = await self.client()
         client.send(post("/plain/x", "a") + post("/plain/x", "b") + post("/plain/x", "c"))
         got = [await asyncio.wait_for(client.read(), PATIENCE) for _ in range(3)]
         self.assertEqual([g.headers["x-brackenladder-request-id"] for g in got], ["a", "b", "c"])
 
-    async def test_servers_own_failures_go_on_with_their_stamp(self) -> None:
+    async def test_error_responses_of_servers_are_forwarded_with_their_signature(self) -> None:
         for status in ("500 Oops", "404 Not Found", "504 Late"):
             with self.subTest(status):
 
@@ -101,7 +101,7 @@
         self.assertEqual((got.status, self.script.requests[0].body), (200, b"hi"))
         self.assertIsNone(self.script.requests[0].header("Expect"))
 
-    async def test_large_answer_is_relayed_and_a_cut_one_breaks_the_connection(self) -> None:
+    async def test_a_large_response_is_relayed_and_a_truncated_one_breaks_the_connection(self) -> None:
         large = bytes(3_000_000)
 
         async def give(request: Received) -> None:
@@ -120,14 +120,14 @@
 
 
 class Refusals(GatewayTest):
-    async def test_a_rejected_request_goes_to_another_server(self) -> None:
-        self.play(turn_away, serve_ok)
+    async def test_a_rejected_request_is_sent_to_another_server(self) -> None:
+        self.play(reject_request, serve_ok)
         got = await self.ask(post("/plain/x"))
         self.assertEqual((got.status, len(self.script.requests)), (200, 2))
         self.assertNotEqual(self.script.requests[0].server, self.script.requests[1].server)
 
-    async def test_rejected_everywhere_is_a_promise_with_a_time(self) -> None:
-        self.play(turn_away)
+    async def test_a_request_rejected_by_all_servers_gets_503_with_retry_after(self) -> None:
+        self.play(reject_request)
         got = await self.ask(post("/plain/x"))
         self.assertEqual(got.status, 503)
         self.assertGreater(float(got.headers["retry-after"]), 0)
@@ -140,7 +140,7 @@
         self.play(misdirected, serve_ok)
         self.assertEqual((await self.ask(post("/plain/x"))).status, 200)
 
-    async def test_a_bare_503_promises_nothing(self) -> None:
+    async def test_a_503_without_not_executed_becomes_502(self) -> None:
         async def bare(request: Received) -> None:
             request.write(answer(request.id, b"", "503 Service Unavailable"))
 
@@ -149,13 +149,13 @@
         self.assertEqual((got.status, len(self.script.requests)), (502, 1))
         self.assertNotIn("x-brackenladder-response-signature", got.headers)
 
-    async def test_a_dead_server_is_passed_over(self) -> None:
+    async def test_a_dead_server_is_skipped(self) -> None:
         self.stand_ins[0].stop_listening()
         for number in range(4):
             got = await self.ask(post("/plain/x", f"r{number}"))
             self.assertEqual(got.status, 200)
 
-    async def test_no_server_at_all_is_a_promise(self) -> None:
+    async def test_without_a_usable_server_the_response_is_503(self) -> None:
         for stand_in in self.stand_ins:
             stand_in.stop_listening()
         got = await self.ask(post("/plain/x"))
@@ -164,7 +164,7 @@
         got = await self.ask(post("/plain/x"))
         self.assertEqual((got.status, len(self.script.requests)), (503, 0))
 
-    async def test_requests_that_cannot_be_served(self) -> None:
+    async def test_invalid_requests_are_rejected(self) -> None:
         no_id = b"POST /plain/x HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 0\r\n\r\n"
         self.assertEqual((await self.ask(no_id)).status, 400)
         self.assertEqual((await self.ask(post("/other/x"))).status, 404)
@@ -173,7 +173,7 @@
         self.assertEqual((await self.ask(post("/plain/x", extra=["X-Big: " + "b" * 80_000]))).status, 431)
         self.assertEqual(self.script.requests, [])
 
-    async def test_unreadable_hints_are_no_fault(self) -> None:
+    async def test_unparsable_hints_are_ignored(self) -> None:
         extra = ["X-Brackenladder-Token-Usage: many", "X-Brackenladder-Prompt-Prefix: zz:1,,"]
         got = await self.ask(post("/plain/x", extra=extra, deadline_ms=None))
         self.assertEqual(got.status, 200)
@@ -184,7 +184,7 @@
         if args or changes:
             super().configure(*args, **changes)  # type: ignore[arg-type]
 
-    async def test_routes_follow_the_view(self) -> None:
+    async def test_routes_follow_the_configuration(self) -> None:
         got = await self.ask(post("/plain/x"))
         self.assertEqual(got.status, 503)
         self.assertIn("retry-after", got.headers)
@@ -200,8 +200,8 @@
         self.assertEqual(self.script.requests, [])
 
 
-class Doubt(GatewayTest):
-    async def test_a_reset_after_sending_is_not_repeated_unless_safe(self) -> None:
+class UnsafeRetries(GatewayTest):
+    async def test_a_reset_after_sending_is_retried_only_on_safe_routes(self) -> None:
         async def reset(request: Received) -> None:
             request.reset()
 
@@ -212,7 +212,7 @@
         got = await self.ask(post("/safe/x"))
         self.assertEqual((got.status, len(self.script.requests)), (200, 3))
 
-    async def test_answers_cut_short_or_garbled_are_not_passed_on(self) -> None:
+    async def test_truncated_or_malformed_responses_are_not_forwarded(self) -> None:
         whole = answer("r1", b"0123456789")
         bad_chunk = stream_like(b"zz\r\nno chunk")
         for sent in (whole[:-1], whole[:40], b"\x16\x03 garbage\r\n\r\n", bad_chunk):
@@ -229,8 +229,10 @@
                 self.assertEqual((got.status, got.whole), (502, True))
                 self.assertNotIn("x-brackenladder-response-signature", got.headers)
 
-    async def test_an_answer_without_a_length_ends_with_its_connection(self) -> None:
-        """The page: it 'may have no length and end with its connection; one that is reset isn't complete'."""
+    async def test_a_response_without_a_length_ends_with_its_connection(self) -> None:
+        """The specification: it 'may have no length and end with its connection; one that is reset isn't
+        complete'.
+        """
         for body in (b"", b"0123456789", b"x" * 100_000, b"y" * (MAX_BUFFERED_BODY + 10)):
             for chunks in (1, 3):
                 with self.subTest(size=len(body), chunks=chunks):
@@ -239,7 +241,7 @@
                     self.assertEqual((got.status, got.whole, len(got.body)), (200, True, len(body)))
                     self.assertEqual(got.body, body)
 
-    async def test_an_answer_without_a_length_that_is_reset_is_not_whole(self) -> None:
+    async def test_a_response_without_a_length_that_is_reset_is_incomplete(self) -> None:
         for size in (0, 1, 10, 100_000):
             with self.subTest(size=size):
                 self.play(in_parts(unframed(b"x" * size), 2, reset=True))
@@ -247,10 +249,10 @@
                 self.assertEqual((got.status, got.whole), (502, True))
                 self.assertNotIn("x-brackenladder-response-signature", got.headers)
 
-    async def test_a_large_one_that_is_reset_ends_its_clients_connection(self) -> None:
+    async def test_a_large_response_that_is_reset_ends_the_clients_connection(self) -> None:
         async def reset_later(request: Received) -> None:
             request.write(unframed(b"y" * (MAX_BUFFERED_BODY + 10)))
-            await request.passed_on.wait()
+            await request.client_read.wait()
             reset_connection(request)
 
         self.play(reset_later)
@@ -263,12 +265,12 @@
             while await asyncio.wait_for(client.read_chunk(), PATIENCE):
                 pass
 
-    async def test_silence_ends_at_the_deadline_with_504(self) -> None:
+    async def test_a_silent_server_leads_to_504_at_the_deadline(self) -> None:
         self.play(silent)
         got = await self.ask(post("/plain/x", deadline_ms=300))
         self.assertEqual(got.status, 504)
 
-    async def test_a_server_error_on_a_safe_route_is_tried_elsewhere_once(self) -> None:
+    async def test_a_server_error_on_a_safe_route_is_retried_once_elsewhere(self) -> None:
         async def fail(request: Received) -> None:
             request.write(answer(request.id, b"why", "500 Oops"))
 
@@ -279,30 +281,30 @@
         self.assertEqual((got.status, got.body), (500, b"why"))
         self.assertEqual(len(self.script.requests), 4)
 
-    async def test_a_client_that_leaves_frees_its_server(self) -> None:
+    async def test_a_disconnecting_client_frees_its_server(self) -> None:
         self.play(silent)
         client = await self.client()
         client.send(post("/plain/x"))
-        request = await self.arrival()
+        request = await self.next_request()
         client.close()
         await asyncio.wait_for(request.closed.wait(), PATIENCE)
 
 
 def unframed(body: bytes) -> bytes:
-    """An answer that tells no length."""
+    """A response without a length, which ends with its connection."""
     length = b"Content-Length: %d\r\n" % len(body)
     return answer("r1", body).replace(length, b"Connection: close\r\n")
 
 
 def reset_connection(request: Received) -> None:
-    """Ends the connection by a reset."""
+    """Close the connection with a reset."""
     connection = request.writer.get_extra_info("socket")
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     request.reset()
 
 
 def in_parts(data: bytes, parts: int, reset: bool) -> Behaviour:
-    """Writes an answer in some parts, then closes or resets the connection."""
+    """Write a response in several pieces, then close or reset the connection."""
 
     async def give(request: Received) -> None:
         size = len(data) // parts + 1
@@ -320,6 +322,6 @@
 
 
 def stream_like(body: bytes) -> bytes:
-    """A chunked answer with that body."""
+    """A chunked response with this body."""
     head = answer("r1", b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     return head + body
--- a/tests/gateway/test_gateway_clients.py
+++ b/tests/gateway/test_gateway_clients.py
@@ -1,4 +1,4 @@
-"""Client connections: limits, malformed requests, readiness and the orderly end."""
+"""Client connections of a gateway: limits, malformed requests, readiness checks and shutdown."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Malformed(GatewayTest):
-    async def test_two_lengths_are_refused_and_nothing_is_smuggled(self) -> None:
+    async def test_conflicting_lengths_are_refused_and_nothing_is_smuggled(self) -> None:
         inner = post("/plain/smuggled", "evil", b"")
         both = post("/plain/x", body=b"", extra=["Content-Length: 4", "Transfer-Encoding: chunked"])
         two = post("/plain/x", body=b"", extra=["Content-Length: 4", "Content-Length: 5"])
@@ -45,7 +45,7 @@
                 self.assertTrue(await asyncio.wait_for(client.at_end(), PATIENCE))
         self.assertEqual(self.script.requests, [])
 
-    async def test_a_body_in_bad_chunks(self) -> None:
+    async def test_a_body_with_malformed_chunks(self) -> None:
         client = await self.client()
         chunked = post("/plain/x", body=b"", extra=["Transfer-Encoding: chunked"])
         client.send(chunked + b"5\r\nhello\r\n")
@@ -54,13 +54,13 @@
         self.assertTrue(await asyncio.wait_for(client.at_end(), PATIENCE))
         self.assertEqual(self.script.requests, [])
 
-    async def test_no_request_at_all(self) -> None:
+    async def test_bytes_that_are_no_request(self) -> None:
         client = await self.client()
         client.send(b"\x16\x03\x01\x00 nonsense\r\n\r\n")
         self.assertEqual((await asyncio.wait_for(client.read(), PATIENCE)).status, 400)
         self.assertTrue(await asyncio.wait_for(client.at_end(), PATIENCE))
 
-    async def test_an_upgrade_is_not_taken_up(self) -> None:
+    async def test_an_upgrade_is_ignored(self) -> None:
         client = await self.client()
         upgrade = ["Connection: Upgrade", "Upgrade: websocket"]
         client.send(post("/plain/x", "a", b"body", extra=upgrade) + post("/plain/x", "b"))
@@ -76,10 +76,10 @@
         self.assertEqual((await self.ask(post("*", method="OPTIONS"))).status, 400)
 
 
-class Bounds(GatewayTest):
+class LimitsTest(GatewayTest):
     limits = Limits(max_header_bytes=400, max_body_bytes=10, header_timeout_ms=50, idle_timeout_ms=600)
 
-    async def test_bodies_over_the_bound(self) -> None:
+    async def test_bodies_over_the_limit(self) -> None:
         self.assertEqual((await self.ask(post("/plain/x", body=b"0123456789"))).status, 200)
         self.assertEqual((await self.ask(post("/plain/x", body=b"0123456789a"))).status, 413)
         chunked = post("/plain/x", body=b"", extra=["Transfer-Encoding: chunked"])
@@ -87,22 +87,22 @@
         self.assertEqual(got.status, 413)
         self.assertEqual(len(self.script.requests), 1)
 
-    async def test_heads_over_the_bound(self) -> None:
+    async def test_heads_over_the_limit(self) -> None:
         self.assertEqual((await self.ask(post("/plain/x", extra=["X: " + "x" * 400]))).status, 431)
 
-    async def test_a_head_that_comes_too_slowly_ends_the_connection(self) -> None:
+    async def test_a_slow_head_ends_the_connection(self) -> None:
         client = await self.client()
         client.send(b"POST /plain/x HTT")
         self.assertTrue(await asyncio.wait_for(client.at_end(), PATIENCE))
         self.assertEqual(self.script.requests, [])
 
-    async def test_a_body_that_does_not_come_ends_with_408(self) -> None:
+    async def test_a_missing_body_leads_to_408(self) -> None:
         client = await self.client()
         client.send(post("/plain/x", body=b"", extra=["Content-Length: 5"], deadline_ms=40))
         self.assertEqual((await asyncio.wait_for(client.read(), PATIENCE)).status, 408)
         self.assertEqual(self.script.requests, [])
 
-    async def test_a_body_is_waited_for_until_the_route_ends_it_whatever_the_client_allows(self) -> None:
+    async def test_a_body_is_waited_for_no_longer_than_the_routes_timeout(self) -> None:
         quick = evolve(PLAIN, name="quick", prefix="/quick/", timeout_ms=40)
         self.configure((quick,))
         client = await self.client()
@@ -117,7 +117,7 @@
 
 
 class UnreadAnswers(unittest.TestCase):
-    """A client that stays connected and reads nothing of its answer."""
+    """A client that stays connected and does not read its response."""
 
     def setUp(self) -> None:
         self.loop = VirtualEventLoop()
@@ -138,7 +138,7 @@
 
         self.loop.run_until_complete(main())
 
-    def test_is_broken_off_after_a_while(self) -> None:
+    def test_is_aborted_after_a_while(self) -> None:
         async def stays(protocol: ClientProtocol) -> None:
             protocol.pause_writing()
             await asyncio.sleep(UNREAD_SECONDS - 0.1)
@@ -148,7 +148,7 @@
 
         self.play(stays)
 
-    def test_goes_on_if_it_reads_now_and_then(self) -> None:
+    def test_continues_if_it_reads_now_and_then(self) -> None:
         async def reads(protocol: ClientProtocol) -> None:
             for _ in range(4):
                 protocol.pause_writing()
@@ -168,25 +168,25 @@
         self.transport.abort.assert_not_called()
 
 
-class Readiness(GatewayTest):
+class ReadinessAndDrain(GatewayTest):
     async def check_ready(self) -> int:
         client = await RawClient.connect(self.check, self.script)
         self.clients.append(client)
         got = await asyncio.wait_for(client.ask(b"GET /-/readyz HTTP/1.1\r\nHost: x\r\n\r\n"), PATIENCE)
         return got.status
 
-    async def test_readiness_is_what_the_role_says(self) -> None:
+    async def test_readiness_follows_the_role(self) -> None:
         self.assertEqual(await self.check_ready(), 503)
         self.gateway.ready = True
         self.assertEqual(await self.check_ready(), 200)
 
-    async def test_its_figures_are_told_at_the_address_of_the_check(self) -> None:
+    async def test_metrics_are_served_at_the_readiness_address(self) -> None:
         client = await RawClient.connect(self.check, self.script)
         self.clients.append(client)
         got = await asyncio.wait_for(client.ask(b"GET /-/metrics HTTP/1.1\r\nHost: x\r\n\r\n"), PATIENCE)
         self.assertEqual(got.status, 200)
 
-    async def test_drain_lets_open_requests_end(self) -> None:
+    async def test_drain_lets_open_requests_finish(self) -> None:
         go = asyncio.Event()
 
         async def wait(request: Received) -> None:
@@ -196,12 +196,12 @@
         self.play(wait)
         self.gateway.ready = True
         idle = await self.client()
-        self.play(serve_at_once, wait)
+        self.play(respond_at_once, wait)
         await asyncio.wait_for(idle.ask(post("/plain/x", "r0")), PATIENCE)
         busy = await self.client()
         busy.send(post("/stream/x"))
-        await self.arrival()
-        await self.arrival()
+        await self.next_request()
+        await self.next_request()
         ended = asyncio.ensure_future(self.gateway.drain(1.5))
         self.assertTrue(await asyncio.wait_for(idle.at_end(), PATIENCE))
         self.assertEqual(await self.check_ready(), 503)
@@ -212,13 +212,13 @@
         self.assertEqual((got.body, got.whole, got.headers["connection"]), (event(1), True, "close"))
         await asyncio.wait_for(ended, PATIENCE)
 
-    async def test_drain_still_takes_requests_at_first(self) -> None:
+    async def test_drain_still_accepts_requests_at_first(self) -> None:
         ended = asyncio.ensure_future(self.gateway.drain(1.0))
         got = await self.ask(post("/plain/x"))
         self.assertEqual((got.status, got.headers["connection"]), (200, "close"))
         await asyncio.wait_for(ended, PATIENCE)
 
-    async def test_what_outlasts_the_grace_is_answered_or_seen_to_be_cut(self) -> None:
+    async def test_requests_open_after_the_grace_period_get_502_or_a_broken_response(self) -> None:
         async def begin(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
             await request.client_closed()
@@ -226,9 +226,9 @@
         self.play(silent, begin)
         unanswered, begun = await self.client(), await self.client()
         unanswered.send(post("/plain/x", "r0"))
-        await self.arrival()
+        await self.next_request()
         begun.send(post("/stream/x"))
-        await self.arrival()
+        await self.next_request()
         await asyncio.wait_for(self.gateway.drain(0.8), PATIENCE)
         got = await asyncio.wait_for(unanswered.read(), PATIENCE)
         self.assertEqual((got.status, got.whole, got.headers["connection"]), (502, True, "close"))
@@ -237,9 +237,9 @@
         got = await asyncio.wait_for(begun.read(), PATIENCE)
         self.assertEqual((got.body, got.whole), (event(1), False))
 
-    async def test_what_was_sent_to_no_server_by_the_end_of_the_grace_is_promised_so(self) -> None:
+    async def test_requests_unsent_at_the_end_of_the_grace_period_get_503(self) -> None:
         for stand_in in self.stand_ins:
-            stand_in.take_no_connections()
+            stand_in.hang_connects()
         client = await self.client()
         client.send(post("/plain/x"))
         await self.until_open()
@@ -248,7 +248,7 @@
         self.assertEqual((got.status, got.whole, got.headers["connection"]), (503, True, "close"))
         self.assertEqual(self.script.requests, [])
 
-    async def test_what_is_read_after_the_intake_is_promised_not_to_run(self) -> None:
+    async def test_requests_read_after_the_intake_get_503(self) -> None:
         idle, late = await self.client(), await self.client()
         await asyncio.wait_for(idle.ask(post("/plain/x", "r0")), PATIENCE)
         request = post("/plain/x", "r1", b"hello")
@@ -262,7 +262,7 @@
         await asyncio.wait_for(ended, PATIENCE)
         self.assertEqual([one.id for one in self.script.requests], ["r0"])
 
-    async def test_a_stream_of_before_the_drain_ends_with_its_connection(self) -> None:
+    async def test_a_stream_begun_before_the_drain_ends_with_its_connection(self) -> None:
         go = asyncio.Event()
 
         async def begin(request: Received) -> None:
@@ -270,20 +270,21 @@
             await go.wait()
             request.write(chunk(event(2)) + LAST_CHUNK)
 
-        self.play(begin, serve_at_once)
+        self.play(begin, respond_at_once)
         client = await self.client()
         client.send(post("/stream/x"))
         await client.head()
         ended = asyncio.ensure_future(self.gateway.drain(30.0))
         self.addCleanup(ended.cancel)
-        await self.arrival()
+        await self.next_request()
         go.set()
         got = await asyncio.wait_for(client.read_body(), PATIENCE)
         self.assertEqual((got.body, got.whole), (event(1) + event(2), True))
         self.assertTrue(await asyncio.wait_for(client.at_end(), PATIENCE))
-        self.assertEqual((await self.ask(post("/plain/x", "r2"))).status, 200)  # others are still taken
+        # Other requests are still accepted.
+        self.assertEqual((await self.ask(post("/plain/x", "r2"))).status, 200)
 
-    def test_the_parts_of_the_grace(self) -> None:
+    def test_the_phases_of_the_grace_period(self) -> None:
         for grace in (1.0, 3.0, 6.0, 8.0, 30.0):
             with self.subTest(grace=grace):
                 self.assertLess(intake_seconds(grace), min(3.0, grace / 2))
@@ -291,26 +292,28 @@
                 self.assertGreaterEqual(give_up_seconds(grace), min(0.5, grace / 10))
 
     async def until_open(self) -> None:
-        """Returns once what was sent to the gateway before has been read there."""
+        """Return once the gateway has read everything that was sent to it before."""
         await asyncio.wait_for(self.ask(post("/none/x", "r9")), PATIENCE)
 
 
 class Split(GatewayTest):
     routes = (evolve(PLAIN, split=(evolve(PLAIN.split[0], weight=0.0), PLAIN.split[0])),)
 
-    async def test_targets_without_weight_get_nothing(self) -> None:
+    async def test_targets_without_weight_get_no_requests(self) -> None:
         self.assertEqual((await self.ask(post("/plain/x"))).status, 200)
 
 
-async def serve_at_once(request: Received) -> None:
+async def respond_at_once(request: Received) -> None:
     request.write(answer(request.id))
 
 
-class Behind(GatewayTest):
-    """Requests that wait behind another one on their connection."""
+class PipelinedRequests(GatewayTest):
+    """Pipelined requests that wait for an earlier one on their connection."""
 
-    async def test_the_time_spent_behind_another_request_counts(self) -> None:
-        """Before: the deadline that a server was told began when the request's turn came."""
+    async def test_time_spent_waiting_behind_another_request_counts(self) -> None:
+        """Servers used to be told a deadline that began when the request's processing started, not on its
+        arrival.
+        """
         waited = 0.3  # seconds
 
         async def late(request: Received) -> None:
--- a/tests/gateway/test_gateway_doubt.py
+++ b/tests/gateway/test_gateway_doubt.py
@@ -1,4 +1,8 @@
-"""What is promised of a request whose time is over at the moment at which its answer is read."""
+"""The response to a request that expires while a response from a server is being read.
+
+A 503 promises that the request has not run. It must not be sent for a request that was written to a server,
+unless that server rejected it.
+"""
 
 from __future__ import annotations
 
@@ -20,10 +24,10 @@
 
 
 class Exchange:
-    """Takes what a call tells of servers."""
+    """A stand-in for the exchange that a call reports rejections to."""
 
     def rejected_by(self, server_id: str) -> None:
-        """Nothing is kept."""
+        """Ignored here."""
 
 
 class DoubtTest(unittest.TestCase):
@@ -31,7 +35,7 @@
         self.call = GatewayCall(cast(Any, Exchange()), cast(Any, None), CallTraits(STREAM), 0, 0)
 
     def status_after(self, outcome: Outcome, written: bool, answer: WholeAnswer | None = None) -> int:
-        """The answer to a call that has expired, once its attempt has ended so."""
+        """The status that the client gets if a call expires and its attempt then ends with this outcome."""
         attempt = cast(Any, SimpleNamespace(record=SimpleNamespace(id="i-1"), written=written))
         attempt.stop = lambda _: None
         ending = Failed(Failure.EXPIRED)
@@ -39,11 +43,11 @@
         self.call.attempt_ended(attempt, AttemptEnd(outcome, answer))
         return unserved_answer(ending, self.call.may_have_run, self.call.timed_out).status
 
-    def test_an_answer_that_was_read_too_late_is_no_promise(self) -> None:
+    def test_a_response_read_too_late_leads_to_504(self) -> None:
         self.assertEqual(self.status_after(Outcome.OK, True, ANSWER), Status.GATEWAY_TIMEOUT)
 
-    def test_a_request_that_was_never_written_is_promised_not_to_have_run(self) -> None:
+    def test_a_request_never_written_gets_503(self) -> None:
         self.assertEqual(self.status_after(Outcome.NOT_SENT, False), Status.UNAVAILABLE)
 
-    def test_a_server_that_has_not_run_it_says_so(self) -> None:
+    def test_a_rejected_request_gets_503(self) -> None:
         self.assertEqual(self.status_after(Outcome.REJECTED, True), Status.UNAVAILABLE)
--- a/tests/gateway/test_gateway_early.py
+++ b/tests/gateway/test_gateway_early.py
@@ -1,4 +1,8 @@
-"""A server that answers before it has read a long body, keeps the connection, and reads on later."""
+"""A server that responds before it has read a long body, keeps the connection open, and reads the rest later.
+
+The gateway must not send another request on that connection, or the server would read it as the rest of the
+body.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +11,12 @@
 
 from gateway_loopback import PATIENCE, GatewayTest, Script, StandIn, answer, post
 
-BODY = bytes(range(256)) * 2_400  # more than the kernel's buffers take at once
+BODY = bytes(range(256)) * 2_400  # more than the kernel's buffers hold
 SMALL = b"small"
 
 
 class EarlyStandIn(StandIn):
-    """Answers each request from its head alone; bodies are read once `reads_on` is set."""
+    """Responds to each request after reading its head; bodies are read once `reads_on` is set."""
 
     def __init__(self, name: str, script: Script) -> None:
         super().__init__(name, script)
@@ -52,7 +56,7 @@
         with patch("gateway_loopback.StandIn", EarlyStandIn):
             await super().asyncSetUp()
 
-    async def test_the_server_gets_nothing_else_where_the_rest_of_the_body_is_due(self) -> None:
+    async def test_nothing_else_is_sent_where_the_rest_of_the_body_is_due(self) -> None:
         (server,) = self.stand_ins
         assert isinstance(server, EarlyStandIn)
         first = asyncio.create_task(self.ask(post("/plain/x", "r1", BODY, deadline_ms=1000)))
--- a/tests/gateway/test_gateway_forgotten.py
+++ b/tests/gateway/test_gateway_forgotten.py
@@ -1,4 +1,4 @@
-"""Idle connections that a server has forgotten: nothing that reached no server is lost on them."""
+"""Idle connections that a server has dropped: a request that meets one is sent on a new connection."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     StaleCheck,
 )
 
-LONG_CHECK = 5.0  # seconds; a reset comes long before
+LONG_CHECK = 5.0  # seconds; the reset arrives much earlier
 IDLE = 1.0  # seconds
 NOW = 100.0  # seconds of the monotonic clock
 
 
 async def forget(request: Received) -> None:
-    """Answer, and reset the connection at the next byte."""
+    """Respond, and reset the connection when its next byte arrives."""
     request.write(answer(request.id))
     if await request.reader.read(1):
         request.reset()
 
 
 class CheckedTest(GatewayTest):
-    """Every idle connection is checked."""
+    """Makes the gateway check every idle connection."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -47,7 +47,7 @@
         self.addCleanup(patch.stop)
 
 
-class Forgotten(CheckedTest):
+class StaleConnections(CheckedTest):
     servers = 1
 
     async def test_a_request_is_sent_on_a_new_connection(self) -> None:
@@ -58,7 +58,7 @@
             self.assertEqual((got.status, got.body), (200, b"ok"))
         self.assertEqual([request.connection for request in self.script.requests], [1, 2])
 
-    async def test_what_else_rests_there_is_closed(self) -> None:
+    async def test_other_idle_connections_to_the_server_are_closed(self) -> None:
         both = asyncio.Barrier(2)
 
         async def together(request: Received) -> None:
@@ -72,7 +72,7 @@
         self.assertEqual(got.status, 200)
         self.assertEqual(self.script.requests[-1].connection, 3)
 
-    async def test_a_connection_that_is_kept_gets_the_whole_request(self) -> None:
+    async def test_a_connection_that_is_still_open_gets_the_whole_request(self) -> None:
         self.set("LEAST_WAIT_SECONDS", 0.001)
         client = await self.client()
         for number in range(3):
@@ -83,10 +83,10 @@
         self.assertEqual({request.connection for request in self.script.requests}, {1})
 
 
-class Gone(CheckedTest):
+class TerminatedServer(CheckedTest):
     servers = 2
 
-    async def test_a_request_for_a_server_that_ended_goes_to_another(self) -> None:
+    async def test_a_request_for_a_terminated_server_goes_to_another(self) -> None:
         self.play(forget, serve_ok)
         client = await self.client()
         self.assertEqual((await client.ask(post("/plain/x", "r0"))).status, 200)
@@ -100,24 +100,24 @@
         self.assertNotIn(first, [request.server for request in self.script.requests[1:]])
 
 
-class When(unittest.TestCase):
+class CheckConditions(unittest.TestCase):
     def setUp(self) -> None:
         self.check = StaleCheck()
 
-    def test_only_an_idle_connection_over_a_short_way_is_checked(self) -> None:
+    def test_only_an_idle_connection_over_a_short_round_trip_is_checked(self) -> None:
         self.assertEqual(self.check.wait_seconds("near", 0.0, NOW), 0.0)
         self.assertEqual(self.check.wait_seconds("near", IDLE, NOW), LEAST_WAIT_SECONDS)
-        self.check.connected("near", LONG_ROUND_TRIP_SECONDS)  # of which most was spent in this process
+        self.check.connected("near", LONG_ROUND_TRIP_SECONDS)  # the time was mostly spent in this process
         self.assertEqual(self.check.wait_seconds("near", IDLE, NOW), MOST_WAIT_SECONDS)
 
-    def test_a_long_way_is_checked_after_one_was_forgotten(self) -> None:
+    def test_a_long_round_trip_is_checked_after_a_stale_connection(self) -> None:
         self.check.connected("far", 0.07)
         self.assertEqual(self.check.wait_seconds("far", IDLE, NOW), 0.0)
         self.check.found_stale(NOW)
         self.assertGreater(self.check.wait_seconds("far", IDLE, NOW), 0.07)
         self.assertEqual(self.check.wait_seconds("far", IDLE, NOW + SUSPICION_SECONDS + 1), 0.0)
 
-    def test_the_quickest_connect_counts_until_the_server_is_gone(self) -> None:
+    def test_the_shortest_connect_time_counts_until_the_server_is_gone(self) -> None:
         for took in (0.004, 0.003, 0.02):
             self.check.connected("near", took)
         self.assertEqual(self.check.wait_seconds("near", IDLE, NOW), 0.006)
@@ -125,8 +125,8 @@
         self.assertEqual(self.check.wait_seconds("near", IDLE, NOW), LEAST_WAIT_SECONDS)
 
 
-class Asked(GatewayTest):
-    async def test_by_the_time_that_the_connection_was_idle(self) -> None:
+class ConnectionChecks(GatewayTest):
+    async def test_the_check_depends_on_the_idle_time(self) -> None:
         kept = ServerConnections(asyncio.get_running_loop())
         connection = mock.create_autospec(ServerConnection, instance=True)
         connection.idle_for = 0.0
@@ -135,7 +135,7 @@
         self.assertEqual(kept.stale_check_seconds(connection, "near"), LEAST_WAIT_SECONDS)
         await kept.close()
 
-    async def test_by_what_was_found_stale_elsewhere(self) -> None:
+    async def test_the_check_depends_on_stale_connections_to_other_servers(self) -> None:
         kept = ServerConnections(asyncio.get_running_loop())
         kept._stale_check.connected("far", 0.07)
         connection = mock.create_autospec(ServerConnection, instance=True)
--- a/tests/gateway/test_gateway_parts.py
+++ b/tests/gateway/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""The pure parts of a gateway: events, headers, hints, statuses."""
+"""The pure parts of a gateway: events, framing, headers, hints and statuses."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Events(unittest.TestCase):
-    def test_any_division_gives_the_same_events(self) -> None:
+    def test_any_segmentation_gives_the_same_events(self) -> None:
         body = b"versions: 2\nid: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 30\ndata: id: 9\n\n"
         whole = EventParser().feed(body)
         self.assertEqual([one.id for one in whole], [1, 2, None, 30])
@@ -40,7 +40,7 @@
                 at += size
             self.assertEqual((got, parser.rest), (whole, b""))
 
-    def test_an_event_without_end_is_bounded(self) -> None:
+    def test_the_size_of_an_event_is_limited(self) -> None:
         with self.assertRaises(EventTooLarge):
             EventParser().feed(b"x" * (LARGEST_EVENT + 1))
 
@@ -52,7 +52,7 @@
 
 
 class Framing(unittest.TestCase):
-    def test_any_division_ends_at_the_same_place(self) -> None:
+    def test_any_segmentation_ends_at_the_same_place(self) -> None:
         bodies = (
             b"Content-Length: 12\r\n\r\n0123456789ab",
             b"content-length:0\r\n\r\n",
@@ -81,7 +81,7 @@
         self.assertEqual(ends, [data.index(b"a0") + 6, len(data)])
         self.assertTrue(framing.guessed)
 
-    def test_answers_without_body(self) -> None:
+    def test_responses_without_a_body(self) -> None:
         for status, without_body in ((b"204", False), (b"304", False), (b"100", False), (b"200", True)):
             framing = AnswerFraming(without_body)
             head = b"HTTP/1.1 " + status + b" X\r\nContent-Length: 5\r\n\r\n"
@@ -104,7 +104,7 @@
 
 
 class Headers(unittest.TestCase):
-    def test_only_end_to_end_headers_go_on(self) -> None:
+    def test_only_end_to_end_headers_are_forwarded(self) -> None:
         raw = (
             (b"Host", b"a"),
             (b"Connection", b"X-One, host, keep-alive"),
@@ -116,7 +116,7 @@
         self.assertEqual(forwarded_lines(raw), b"Host: a\r\nX-Two: 2\r\nX-Two: 3\r\n")
         self.assertEqual(forwarded_lines(raw, (b"x-two",)), b"Host: a\r\n")
 
-    def test_what_a_server_must_get_as_it_was_goes_on_whatever_connection_names(self) -> None:
+    def test_protected_headers_are_forwarded_even_if_connection_names_them(self) -> None:
         names = (b"X-Brackenladder-Model", b"X-Brackenladder-Token-Usage", b"X-Brackenladder-Prompt-Prefix")
         kept = [(name, b"1") for name in names]
         raw = [(b"Connection", b"close, " + b", ".join(names).lower()), *kept]
@@ -136,7 +136,7 @@
         ):
             self.assertEqual(origin_form(target), path)
 
-    def test_idle_time_of_a_server(self) -> None:
+    def test_the_idle_timeout_of_a_server(self) -> None:
         self.assertAlmostEqual(idle_limit_seconds("timeout=5, max=10"), 4.3)
         self.assertAlmostEqual(idle_limit_seconds("timeout=1"), 0.3)
         self.assertEqual(idle_limit_seconds(None), DEFAULT_IDLE_SECONDS)
@@ -155,7 +155,7 @@
         self.assertIs(outcome_of(404, headers()), Outcome.OK)
         self.assertIs(outcome_of(200, told), Outcome.OK)
 
-    def test_promises_only_without_doubt(self) -> None:
+    def test_503_only_if_the_request_cannot_have_run(self) -> None:
         refused, given_up, expired = Refused(100_000), Failed(Failure.GIVEN_UP), Failed(Failure.EXPIRED)
         for ending in (refused, given_up, expired):
             self.assertEqual(unserved_answer(ending, False, False).status, 503)
@@ -165,7 +165,7 @@
         self.assertEqual(unserved_answer(given_up, True, True).status, 504)
         self.assertEqual(unserved_answer(expired, True, False).status, 504)
 
-    def test_parts_of_the_connections(self) -> None:
+    def test_shares_of_the_connections(self) -> None:
         self.assertEqual(connection_share(360, 7), 41)
         self.assertEqual(connection_share(10, 7), 4)
         self.assertEqual(connection_share(10, 0), 8)
--- a/tests/gateway/test_gateway_promises.py
+++ b/tests/gateway/test_gateway_promises.py
@@ -1,4 +1,4 @@
-"""What clients and servers are promised: kept connections, clients that leave, servers that end, headers."""
+"""Guarantees to clients and servers: keep-alive, disconnects, leaving servers, forwarded headers."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class KeptConnection(GatewayTest):
-    async def test_whatever_the_server_does_a_request_gets_an_answer_and_the_connection_goes_on(self) -> None:
+    async def test_whatever_the_server_does_the_request_is_answered_and_the_connection_kept(self) -> None:
         client = await self.client()
         ills = (reset, close, garble, break_off, answer_another, break_before_an_event)
         for number, ill in enumerate(ills):
@@ -77,23 +77,23 @@
         self.assertEqual((got.status, got.whole), (200, True))
 
 
-class ClientThatLeaves(GatewayTest):
-    """No deadline or time-out ends a request within the test's patience."""
+class DisconnectingClient(GatewayTest):
+    """With routes and clients whose timeouts do not expire during the test."""
 
     servers = 1
     routes = tuple([evolve(route, timeout_ms=60_000, target_latency_ms=20_000) for route in ROUTES])
 
     async def leave(self, path: str, after_head: bool) -> Received:
-        """A client that leaves while its request is at a server."""
+        """Let a client disconnect while its request is at a server."""
         leaving = await self.client()
         leaving.send(post(path, "r1", deadline_ms=60_000))
-        request = await self.arrival()
+        request = await self.next_request()
         if after_head:
             await leaving.head()
         leaving.close()
         return request
 
-    async def test_its_server_is_free_at_once(self) -> None:
+    async def test_its_server_is_freed_at_once(self) -> None:
         async def begin(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
             await request.client_closed()
@@ -105,13 +105,13 @@
                 await asyncio.wait_for(request.closed.wait(), PATIENCE)
 
 
-class ClientThatWaits(GatewayTest):
-    """The servers are told late: until then requests wait."""
+class WaitingClient(GatewayTest):
+    """The servers become known late: until then requests wait in the gateway."""
 
     def list_servers(self, state: ServerState = ServerState.READY, seq: int = 1) -> None:
         pass
 
-    async def test_what_waits_when_its_client_leaves_is_never_sent(self) -> None:
+    async def test_a_waiting_request_whose_client_disconnects_is_never_sent(self) -> None:
         leaving = await self.client()
         leaving.send(post("/plain/x", "r1", b"", method="GET"))
         await self.ask(post("/none/x", "read", deadline_ms=20))
@@ -122,10 +122,10 @@
         self.assertEqual((got.status, [one.id for one in self.script.requests]), (200, ["r2"]))
 
 
-class ServerThatEnds(GatewayTest):
-    """A server may deregister first, and serve on."""
+class LeavingServer(GatewayTest):
+    """A server may deregister and continue with the requests that it has."""
 
-    async def test_what_it_has_begun_goes_on_and_nothing_new_is_sent(self) -> None:
+    async def test_open_requests_continue_and_no_new_ones_are_sent(self) -> None:
         go = asyncio.Event()
 
         async def begin(request: Received) -> None:
@@ -142,8 +142,8 @@
         streaming.send(post("/stream/x", "r1"))
         await streaming.head()
         waiting.send(post("/plain/x", "r2"))
-        await self.arrival()
-        await self.arrival()
+        await self.next_request()
+        await self.next_request()
         end(self.view, *{request.server for request in self.script.requests})
         got = await self.ask(post("/plain/x", "r3"))
         self.assertEqual(got.status, 200 if len(self.script.requests) == 3 else 503)
@@ -157,15 +157,15 @@
         self.assertEqual((got.status, got.whole), (200, True))
 
 
-class Prompt(GatewayTest):
+class PromptHeaders(GatewayTest):
     def lines(self, request: Received) -> list[tuple[str, str]]:
         names = {name.lower() for name, _ in PROMPT}
         return [(name, value) for name, value in request.lines if name.lower() in names]
 
-    async def test_its_headers_reach_every_server_as_they_came(self) -> None:
+    async def test_its_headers_reach_every_server_unchanged(self) -> None:
         async def broken(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
-            await request.passed_on.wait()
+            await request.client_read.wait()
             request.reset()
 
         async def rest(request: Received) -> None:
@@ -178,7 +178,7 @@
         self.assertEqual((got.body, got.whole), (event(1) + event(2), True))
         self.assertEqual([self.lines(one) for one in self.script.requests], [list(PROMPT)] * 2)
 
-    async def test_the_version_of_weights_goes_to_the_client(self) -> None:
+    async def test_the_model_versions_reach_the_client(self) -> None:
         versioned = b"versions: 4\nid: 1\ndata: piece\n\n"
 
         async def serve(request: Received) -> None:
@@ -193,7 +193,7 @@
 
 
 def end(view: SystemView, *servers: str) -> None:
-    """The servers have deregistered."""
+    """Deregister these servers."""
     known = [view.servers[server] for server in servers]
     view.merge_servers(0, [gone(record) for record in known])
 
--- a/tests/gateway/test_gateway_streams.py
+++ b/tests/gateway/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams through a gateway: whole events as they come, breaks that show, resumption at another server."""
+"""Event streams through a gateway: whole events, visible breaks, resumption at another server."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     chunk,
     event,
     post,
+    reject_request,
     serve_ok,
     silent,
     stream_head,
-    turn_away,
 )
 
 
@@ -28,10 +28,10 @@
     return b"".join(event(number) for number in numbers)
 
 
-def gives(*numbers: int, stamp: str = "stamp.1", end: bytes = LAST_CHUNK):  # type: ignore[no-untyped-def]
+def send_events(*numbers: int, stamp: str = "stamp.1", end: bytes = LAST_CHUNK):  # type: ignore[no-untyped-def]
     """A server that sends these events and then `end`.
 
-    Without an end it resets the connection, once the client has got events.
+    Without an end it resets the connection as soon as the client has received an event.
     """
 
     async def behaviour(request: Received) -> None:
@@ -43,14 +43,14 @@
         if end:
             return
         if numbers:
-            await request.passed_on.wait()
+            await request.client_read.wait()
         request.reset()
 
     return behaviour
 
 
 class Streams(GatewayTest):
-    async def test_events_go_on_as_they_come(self) -> None:
+    async def test_events_are_forwarded_as_they_arrive(self) -> None:
         more = asyncio.Event()
 
         async def paced(request: Received) -> None:
@@ -70,7 +70,7 @@
         more.set()
         self.assertEqual(await asyncio.wait_for(client.read_chunk(), PATIENCE), event(3))
         self.assertEqual(await asyncio.wait_for(client.read_chunk(), PATIENCE), b"")
-        self.play(gives(7))
+        self.play(send_events(7))
         got = await asyncio.wait_for(client.ask(post("/stream/x", "r2")), PATIENCE)
         self.assertEqual((got.body, got.whole), (event(7), True))
         self.assertLessEqual(sum(stand_in.connections for stand_in in self.stand_ins), 2)
@@ -84,27 +84,27 @@
             got = await self.ask(post(path))
             self.assertEqual((got.body, got.whole), (event(1) + b": rest", True))
 
-    async def test_nothing_is_answered_before_the_first_event(self) -> None:
-        self.play(gives(end=b""), gives(1, 2))
+    async def test_the_response_begins_with_the_first_event(self) -> None:
+        self.play(send_events(end=b""), send_events(1, 2))
         got = await self.ask(post("/resumable/x"))
         self.assertEqual((got.status, got.body, got.whole), (200, events(1, 2), True))
-        self.play(gives(end=b""))
+        self.play(send_events(end=b""))
         got = await self.ask(post("/stream/x"))
         self.assertEqual((got.status, got.whole), (502, True))
 
-    async def test_a_rejected_stream_goes_elsewhere(self) -> None:
-        self.play(turn_away, gives(1))
+    async def test_a_rejected_stream_is_sent_to_another_server(self) -> None:
+        self.play(reject_request, send_events(1))
         self.assertEqual((await self.ask(post("/stream/x"))).body, event(1))
 
-    async def test_a_break_shows_and_is_not_repeated(self) -> None:
-        self.play(gives(1, 2, end=b""))
+    async def test_a_broken_stream_is_visible_and_not_retried(self) -> None:
+        self.play(send_events(1, 2, end=b""))
         got = await self.ask(post("/stream/x"))
         self.assertEqual((got.status, got.whole), (200, False))
         self.assertIn(got.body, (events(1), events(1, 2)))
         self.assertEqual(len(self.script.requests), 1)
 
-    async def test_a_chunk_that_is_none_breaks_the_answer(self) -> None:
-        self.play(gives(1, end=b"nonsense\r\n"))
+    async def test_a_malformed_chunk_breaks_the_response(self) -> None:
+        self.play(send_events(1, end=b"nonsense\r\n"))
         got = await self.ask(post("/stream/x"))
         self.assertIn((got.status, got.whole), ((502, True), (200, False)))
         read = asyncio.Event()
@@ -122,7 +122,7 @@
         read.set()
         self.assertTrue(await asyncio.wait_for(client.at_end(), PATIENCE))
 
-    async def test_a_client_that_leaves_frees_its_server(self) -> None:
+    async def test_a_disconnecting_client_frees_its_server(self) -> None:
         async def endless(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
             await request.client_closed()
@@ -130,7 +130,7 @@
         self.play(endless)
         client = await self.client()
         client.send(post("/stream/x"))
-        request = await self.arrival()
+        request = await self.next_request()
         await asyncio.wait_for(client.head(), PATIENCE)
         client.close()
         await asyncio.wait_for(request.closed.wait(), PATIENCE)
@@ -151,8 +151,8 @@
     async def ask_stream(self, *extra: str) -> ClientAnswer:
         return await self.ask(post("/resumable/x", extra=extra))
 
-    async def test_a_broken_stream_goes_on_inside_the_same_answer(self) -> None:
-        self.play(gives(1, 2, end=b""), gives(2, 3, 4, stamp="stamp.2"))
+    async def test_a_broken_stream_is_resumed_within_the_same_response(self) -> None:
+        self.play(send_events(1, 2, end=b""), send_events(2, 3, 4, stamp="stamp.2"))
         client = await self.client()
         got = await asyncio.wait_for(client.ask(post("/resumable/x", extra=["Last-Event-Id: 0"])), PATIENCE)
         first, second = self.script.requests
@@ -171,15 +171,15 @@
         got = await asyncio.wait_for(client.ask(post("/resumable/x", "r2")), PATIENCE)
         self.assertEqual(got.status, 200)
 
-    async def test_events_that_were_passed_on_are_dropped(self) -> None:
+    async def test_events_already_forwarded_are_dropped(self) -> None:
         broken = asyncio.Event()
 
-        async def two_then_break(request: Received) -> None:
+        async def two_then_reset(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(events(1, 2)))
             await broken.wait()
             request.reset()
 
-        self.play(two_then_break, gives(1, 2, 3, 4))
+        self.play(two_then_reset, send_events(1, 2, 3, 4))
         client = await self.client()
         client.send(post("/resumable/x"))
         await asyncio.wait_for(client.head(), PATIENCE)
@@ -189,47 +189,47 @@
         self.assertEqual(await asyncio.wait_for(client.read_chunk(), PATIENCE), b"")
 
     async def test_no_more_servers_than_the_route_allows(self) -> None:
-        self.play(gives(1, end=b""), gives(2, end=b""), gives(3))
+        self.play(send_events(1, end=b""), send_events(2, end=b""), send_events(3))
         got = await self.ask_stream()
         self.assertFalse(got.whole)
         self.assertEqual(len(self.script.requests), 2)
 
-    async def test_a_successor_that_is_no_stream_breaks_the_answer(self) -> None:
-        for other in (serve_ok, turn_away):
+    async def test_a_successor_that_is_no_stream_breaks_the_response(self) -> None:
+        for other in (serve_ok, reject_request):
             with self.subTest(other.__name__):
-                self.play(gives(1, end=b""), other)
+                self.play(send_events(1, end=b""), other)
                 got = await self.ask_stream()
                 self.assertEqual((got.whole, got.body), (False, event(1)))
 
     async def test_a_break_before_an_event_with_an_id_cannot_be_resumed(self) -> None:
         async def no_id(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(b"data: x\n\n"))
-            await request.passed_on.wait()
+            await request.client_read.wait()
             request.reset()
 
-        self.play(no_id, gives(1))
+        self.play(no_id, send_events(1))
         got = await self.ask_stream()
         self.assertEqual((got.whole, len(self.script.requests)), (False, 1))
 
 
-class Silence(GatewayTest):
+class StalledStreams(GatewayTest):
     routes = (
         *ROUTES[:2],
         evolve(STREAM, gap_aim_ms=1),
         evolve(RESUMABLE, gap_aim_ms=1, target_latency_ms=40),
     )
 
-    async def test_a_long_pause_is_taken_up_elsewhere(self) -> None:
+    async def test_a_stalled_stream_is_resumed_elsewhere(self) -> None:
         async def stall(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
             await request.client_closed()
 
-        self.play(stall, gives(2, 3))
+        self.play(stall, send_events(2, 3))
         got = await self.ask(post("/resumable/x"))
         self.assertEqual((got.body, got.whole), (events(1, 2, 3), True))
         await asyncio.wait_for(self.script.requests[0].closed.wait(), PATIENCE)
 
-    async def test_a_pause_without_a_successor_is_waited_out(self) -> None:
+    async def test_a_stalled_stream_without_a_successor_is_waited_for(self) -> None:
         again = asyncio.Event()
 
         async def stall(request: Received) -> None:
@@ -238,14 +238,14 @@
             request.write(chunk(event(2)) + LAST_CHUNK)
 
         async def refuse(request: Received) -> None:
-            await turn_away(request)
+            await reject_request(request)
             again.set()
 
         self.play(stall, refuse)
         got = await self.ask(post("/resumable/x"))
         self.assertEqual((got.body, got.whole), (events(1, 2), True))
 
-    async def test_silence_before_the_first_event_is_tried_elsewhere(self) -> None:
-        self.play(silent, gives(1))
+    async def test_silence_before_the_first_event_is_retried_elsewhere(self) -> None:
+        self.play(silent, send_events(1))
         got = await self.ask(post("/resumable/x", deadline_ms=1000))
         self.assertEqual((got.status, got.body), (200, event(1)))
--- a/tests/gateway/test_gateway_surplus.py
+++ b/tests/gateway/test_gateway_surplus.py
@@ -1,4 +1,4 @@
-"""Bytes from servers that belong to no request, or to another one."""
+"""Bytes from servers that belong to no request, or to a different one."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 )
 
 
-class Surplus(GatewayTest):
+class SurplusBytes(GatewayTest):
     servers = 1
 
-    async def test_an_answer_to_another_request_is_passed_over(self) -> None:
+    async def test_a_response_to_another_request_is_skipped(self) -> None:
         async def late(request: Received) -> None:
             request.write(answer("other", b"wrong") + answer(request.id, b"right"))
 
@@ -31,7 +31,7 @@
         self.assertEqual((await self.ask(post("/plain/x", "r2"))).body, b"ok")
         self.assertEqual([r.connection for r in self.script.requests], [1, 2])
 
-    async def test_only_an_answer_to_another_request_is_a_doubt(self) -> None:
+    async def test_only_a_response_to_another_request_leads_to_502(self) -> None:
         async def wrong(request: Received) -> None:
             request.write(answer("other", b"wrong"))
             await request.writer.drain()
@@ -42,14 +42,14 @@
         got = await self.ask(post("/plain/x"))
         self.assertEqual((got.status, got.body), (502, b""))
 
-    async def test_an_answer_without_an_id_is_a_doubt(self) -> None:
+    async def test_a_response_without_an_id_leads_to_502(self) -> None:
         async def nameless(request: Received) -> None:
             request.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
         self.play(nameless)
         self.assertEqual((await self.ask(post("/plain/x"))).status, 502)
 
-    async def test_bytes_after_an_answer_end_the_connection(self) -> None:
+    async def test_bytes_after_a_response_end_the_connection(self) -> None:
         surplus = (
             answer("r1", b"again"),
             answer("r1", b"again")[:30],
@@ -87,7 +87,7 @@
         await asyncio.wait_for(request.closed.wait(), PATIENCE)
         self.assertEqual((await self.ask(post("/plain/x", "r2"))).body, b"ok")
 
-    async def test_a_connection_that_the_server_ends_is_not_used_again(self) -> None:
+    async def test_a_connection_that_the_server_closes_is_not_reused(self) -> None:
         async def last(request: Received) -> None:
             request.write(answer(request.id, b"bye", extra=["Connection: close"]))
             await request.client_closed()
@@ -102,9 +102,9 @@
 
 class ConnectionLimit(GatewayTest):
     servers = 1
-    max_connections = 5  # this gateway's part of which is four
+    max_connections = 5  # this gateway's share of them is four
 
-    async def test_no_more_connections_than_this_gateways_part(self) -> None:
+    async def test_no_more_connections_than_this_gateways_share(self) -> None:
         go = asyncio.Event()
 
         async def wait(request: Received) -> None:
@@ -117,7 +117,7 @@
             client.send(post("/safe/x", f"r{number}"))
         refused = self.ask(post("/safe/x", "r9"))
         for _ in range(3):
-            await self.arrival()
+            await self.next_request()
         got = await refused
         if len(self.script.requests) == 4:
             self.assertEqual(got.status, 503)
--- a/tests/gateway/test_gateway_trouble.py
+++ b/tests/gateway/test_gateway_trouble.py
@@ -1,4 +1,4 @@
-"""Servers that misbehave at random: what a client gets is a server's whole answer, or visibly none."""
+"""Servers that misbehave at random: a client gets a complete server response or can tell that it did not."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 CLIENTS = 6
 REQUESTS = 40  # of each client
-EVENTS = 6  # of a stream
-PATIENCE = 60.0  # seconds; only a failure waits so long
+EVENTS = 6  # of each stream
+PATIENCE = 60.0  # seconds; only a failing test waits this long
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
-class Trouble(GatewayTest):
-    """`runs` counts how often each request began to run at a server."""
+class RandomFaults(GatewayTest):
+    """`runs` counts how often a server has begun to run each request."""
 
     servers = 4
     routes = tuple([evolve(route, target_latency_ms=200, timeout_ms=3000) for route in ROUTES])
@@ -88,13 +88,13 @@
 
     # ---- clients --------------------------------------------------------------------------------------
 
-    async def test_answers_are_whole_or_visibly_broken(self) -> None:
+    async def test_responses_are_complete_or_visibly_broken(self) -> None:
         served = await asyncio.wait_for(
-            asyncio.gather(*[self.go_on_asking(number) for number in range(CLIENTS)]), PATIENCE
+            asyncio.gather(*[self.send_requests(number) for number in range(CLIENTS)]), PATIENCE
         )
         self.assertGreater(sum(served), CLIENTS * REQUESTS // 2)
 
-    async def go_on_asking(self, client_number: int) -> int:
+    async def send_requests(self, client_number: int) -> int:
         random = Random(client_number)
         served = 0
         client = await self.client()
@@ -112,9 +112,9 @@
 
     def examine(self, kind: str, request_id: str, body: bytes, got: ClientAnswer) -> None:
         what = (kind, request_id, got, self.runs[request_id])
-        stamped = "x-brackenladder-response-signature" in got.headers
+        signed = "x-brackenladder-response-signature" in got.headers
         self.assertIn(got.status, (200, 500, 502, 503, 504), what)
-        self.assertEqual(stamped, got.status in (200, 500), what)
+        self.assertEqual(signed, got.status in (200, 500), what)
         if got.status in NOT_RUN_STATUSES:
             self.assertEqual(self.runs[request_id], 0, what)
         self.assertLessEqual(self.runs[request_id], 1 if kind in ("plain", "stream") else 2, what)
@@ -127,5 +127,5 @@
             return
         everything = b"".join(event(one) for one in range(1, EVENTS + 1))
         self.assertTrue(everything.startswith(got.body), what)
-        if got.whole:  # a stream may also break between its last event and its end
+        if got.whole:  # the connection may also break between a stream's last event and its end
             self.assertEqual(got.body, everything, what)
--- a/tests/gateway/test_later_attempts.py
+++ b/tests/gateway/test_later_attempts.py
@@ -1,4 +1,4 @@
-"""What servers tell, and operators order, while a request is under way holds for its next attempt."""
+"""Changes of servers and evacuations during a request apply to its later attempts."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
     event,
     microseconds,
     post,
+    reject_request,
     serve_ok,
     stream_head,
-    turn_away,
 )
 
 from brackenladder.registry.records import ServerRecord, ServerState
@@ -38,43 +38,43 @@
         record = ServerRecord(server, SERVICE, address, ZONES[server], 16, state, 2)
         self.view.merge_servers(microseconds(), [record])
 
-    def evacuate_the_others(self, server: str) -> None:
+    def evacuate_other_zones(self, server: str) -> None:
         zones = frozenset(ZONES.values()) - {ZONES[server]}
         self.view.set_catalog(self.view.revision + 1, self.view.configuration, zones)
 
-    async def test_a_request_that_is_turned_away_goes_to_no_zone_that_is_evacuated_by_now(self) -> None:
-        async def turn_away_and_evacuate(request: Received) -> None:
-            self.evacuate_the_others(request.server)
-            await turn_away(request)
+    async def test_a_rejected_request_goes_to_no_zone_evacuated_meanwhile(self) -> None:
+        async def reject_and_evacuate(request: Received) -> None:
+            self.evacuate_other_zones(request.server)
+            await reject_request(request)
 
-        self.play(turn_away_and_evacuate, serve_ok)
+        self.play(reject_and_evacuate, serve_ok)
         await self.ask(post("/safe/x"))
         zones = {ZONES[request.server] for request in self.script.requests}
         self.assertEqual(len(zones), 1)
 
-    async def test_a_broken_stream_is_taken_up_in_no_zone_that_is_evacuated_by_now(self) -> None:
+    async def test_a_broken_stream_is_resumed_in_no_zone_evacuated_meanwhile(self) -> None:
         async def break_and_evacuate(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
-            await request.passed_on.wait()
-            self.evacuate_the_others(request.server)
+            await request.client_read.wait()
+            self.evacuate_other_zones(request.server)
             request.reset()
 
-        async def go_on(request: Received) -> None:
+        async def resume_stream(request: Received) -> None:
             request.write(stream_head(request.id, "stamp.2") + chunk(event(2)) + LAST_CHUNK)
 
-        self.play(break_and_evacuate, go_on)
+        self.play(break_and_evacuate, resume_stream)
         await self.ask(post("/resumable/x"))
         zones = {ZONES[request.server] for request in self.script.requests}
         self.assertEqual(len(zones), 1)
 
-    async def test_a_server_that_has_run_it_and_is_gone_counts_among_its_attempts(self) -> None:
-        async def break_and_be_gone(request: Received) -> None:
+    async def test_a_server_that_ran_the_request_and_is_gone_counts_as_an_attempt(self) -> None:
+        async def reset_and_leave(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(len(self.script.requests))))
-            await request.passed_on.wait()
+            await request.client_read.wait()
             self.end(request.server, ServerState.GONE)
             request.reset()
 
-        self.play(break_and_be_gone)
+        self.play(reset_and_leave)
         answer = await self.ask(post("/resumable/x"))
         self.assertFalse(answer.whole)
         self.assertEqual(len(self.script.requests), RESUMABLE.max_attempts)
--- a/tests/gateway/test_leaving_services.py
+++ b/tests/gateway/test_leaving_services.py
@@ -1,4 +1,6 @@
-"""A service that is configured no longer: its calls go on, by what is told of its servers meanwhile."""
+"""A service that is removed from the configuration: its calls continue, and its pool still follows the
+servers.
+"""
 
 from __future__ import annotations
 
@@ -28,19 +30,19 @@
 OTHER_ROUTE = evolve(RESUMABLE, name="moved", split=(Target(OTHER, 1.0),))
 
 
-async def begin_and_break(request: Received) -> None:
-    """One event, and once the client has it and something has changed, a reset."""
+async def begin_and_reset(request: Received) -> None:
+    """Send one event, and reset the connection once the client has the event and `closed` is set."""
     request.write(stream_head(request.id) + chunk(event(1)))
-    await request.passed_on.wait()
+    await request.client_read.wait()
     await request.closed.wait()  # set by the test
     request.reset()
 
 
-async def go_on(request: Received) -> None:
+async def resume_stream(request: Received) -> None:
     request.write(stream_head(request.id, "stamp.2") + chunk(event(2)) + LAST_CHUNK)
 
 
-class LeavingService(GatewayTest):
+class RemovedService(GatewayTest):
     def remove_service(self) -> None:
         self.configure((OTHER_ROUTE,), (OTHER,))
 
@@ -50,11 +52,11 @@
         self.view.merge_servers(microseconds(), [record])
 
     async def stream_of_a_removed_service(self) -> tuple[Received, asyncio.Task[bytes]]:
-        """Its first event has come, and the service is removed; the client reads on."""
-        self.play(begin_and_break, go_on)
+        """Start a stream, and remove its service once the first event has arrived; the client reads on."""
+        self.play(begin_and_reset, resume_stream)
         client = await self.client()
         client.send(post("/resumable/x"))
-        first = await self.arrival()
+        first = await self.next_request()
         await asyncio.wait_for(client.head(), PATIENCE)
         await asyncio.wait_for(client.read_chunk(), PATIENCE)
         self.remove_service()
@@ -73,39 +75,39 @@
     def other_than(self, server: str) -> str:
         return next(one.name for one in self.stand_ins if one.name != server)
 
-    async def test_a_stream_goes_on_though_its_service_is_removed(self) -> None:
+    async def test_a_stream_continues_although_its_service_is_removed(self) -> None:
         first, rest = await self.stream_of_a_removed_service()
         first.closed.set()
         self.assertEqual(await asyncio.wait_for(rest, PATIENCE), event(2))
 
-    async def test_it_is_not_taken_up_at_a_server_that_drains_since(self) -> None:
+    async def test_it_is_not_resumed_at_a_server_that_drains_meanwhile(self) -> None:
         first, rest = await self.stream_of_a_removed_service()
         self.tell(self.other_than(first.server), ServerState.DRAINING)
         first.closed.set()
         self.assertEqual(await asyncio.wait_for(rest, PATIENCE), b"")
         self.assertEqual(len(self.script.requests), 1)
 
-    async def test_nor_at_one_that_is_gone(self) -> None:
+    async def test_it_is_not_resumed_at_a_server_that_is_gone(self) -> None:
         first, rest = await self.stream_of_a_removed_service()
         self.tell(self.other_than(first.server), ServerState.GONE)
         first.closed.set()
         self.assertEqual(await asyncio.wait_for(rest, PATIENCE), b"")
         self.assertEqual(len(self.script.requests), 1)
 
-    async def test_a_service_that_comes_back_keeps_its_pool_while_calls_go_on(self) -> None:
+    async def test_a_service_configured_again_keeps_its_pool_while_calls_continue(self) -> None:
         self.play(silent)
         pools = self.gateway._context.pools
         before = pools._pools[SERVICE]
         client = await self.client()
         client.send(post("/plain/x"))
-        await self.arrival()
+        await self.next_request()
         self.remove_service()
         self.configure()
         self.assertIs(pools._pools[SERVICE], before)
         self.assertEqual(pools._leaving, [])
 
-    async def test_a_pool_that_misses_a_servers_draining_is_counted(self) -> None:
-        """The invariant would have shown the fault."""
+    async def test_a_pool_that_misses_a_drained_server_violates_the_invariant(self) -> None:
+        """If the pool missed the change, the invariant would count a violation."""
         self.gateway._context.pools._pools[SERVICE].close()
         self.list_servers(ServerState.DRAINING, seq=2)
         with VIOLATIONS.apart():
--- a/tests/gateway/test_newest_route.py
+++ b/tests/gateway/test_newest_route.py
@@ -1,4 +1,4 @@
-"""A configuration comes while a request is under way: later attempts keep to what it allows too."""
+"""A configuration that arrives during a request: later attempts must respect the old and the new route."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     event,
     microseconds,
     post,
+    reject_request,
     serve_ok,
     stream_head,
-    turn_away,
 )
 
 from brackenladder.catalog.configuration import Route
@@ -31,7 +31,7 @@
 from brackenladder.placement.traits import CallTraits
 from brackenladder.registry.records import ServerRecord, ServerState
 
-HERE, THERE = "ra", "rb"  # regions; `s0` stands in this gateway's, `s1` in the other
+HERE, THERE = "ra", "rb"  # regions; `s0` is in this gateway's region, `s1` in the other
 
 
 class NewestRoute(GatewayTest):
@@ -46,13 +46,13 @@
         self.view.merge_servers(microseconds(), records)
 
     def change(self, **changes: Any) -> None:
-        """All routes change so."""
+        """Change these fields of all routes."""
         self.configure(tuple([evolve(route, **changes) for route in self.routes]))
 
     def served_by(self) -> list[str]:
         return [request.server for request in self.script.requests]
 
-    async def test_homes_that_come_while_a_body_is_read_bind(self) -> None:
+    async def test_homes_configured_while_a_body_is_read_apply(self) -> None:
         whole = post("/safe/x", body=b"0123456789", extra=["Expect: 100-continue"])
         client = await self.client()
         client.send(whole[:-5])
@@ -64,69 +64,69 @@
         self.assertEqual(self.served_by(), ["s1"])
 
     async def until_read(self, client: Any) -> None:
-        """The gateway has found the request's route: it asks for the body."""
+        """Wait until the gateway has found the request's route, which it shows by asking for the body."""
         asked = await asyncio.wait_for(client.reader.readuntil(b"\r\n\r\n"), PATIENCE)
         self.assertIn(b"100 Continue", asked)
 
-    async def test_a_request_that_is_turned_away_goes_to_no_region_that_is_no_home_by_now(self) -> None:
-        async def turn_away_under_homes(request: Received) -> None:
+    async def test_a_rejected_request_stays_within_homes_configured_meanwhile(self) -> None:
+        async def reject_under_homes(request: Received) -> None:
             self.change(homes=(HERE,))
-            await turn_away(request)
+            await reject_request(request)
 
-        self.play(turn_away_under_homes, serve_ok)
+        self.play(reject_under_homes, serve_ok)
         answer = await self.ask(post("/safe/x"))
         self.assertEqual(answer.status, 503)
         self.assertEqual(self.served_by(), ["s0"])
 
-    async def test_both_the_old_homes_and_the_new_bind(self) -> None:
+    async def test_both_the_old_and_the_new_homes_apply(self) -> None:
         self.change(homes=(HERE,))
 
-        async def turn_away_under_other_homes(request: Received) -> None:
+        async def reject_under_other_homes(request: Received) -> None:
             self.change(homes=(THERE,))
-            await turn_away(request)
+            await reject_request(request)
 
-        self.play(turn_away_under_other_homes, serve_ok)
+        self.play(reject_under_other_homes, serve_ok)
         answer = await self.ask(post("/safe/x"))
         self.assertEqual(answer.status, 503)
         self.assertEqual(self.served_by(), ["s0"])
 
-    async def test_homes_that_are_lifted_bind_a_request_of_before(self) -> None:
+    async def test_removed_homes_still_apply_to_earlier_requests(self) -> None:
         self.change(homes=(HERE,))
 
-        async def turn_away_without_homes(request: Received) -> None:
+        async def reject_without_homes(request: Received) -> None:
             self.change(homes=())
-            await turn_away(request)
+            await reject_request(request)
 
-        self.play(turn_away_without_homes, serve_ok)
+        self.play(reject_without_homes, serve_ok)
         self.assertEqual((await self.ask(post("/safe/x"))).status, 503)
         self.assertEqual((await self.ask(post("/safe/x", "r2"))).status, 200)
 
-    async def test_a_route_that_is_dropped_binds_its_requests_as_it_was(self) -> None:
-        async def turn_away_and_drop(request: Received) -> None:
+    async def test_a_removed_route_still_applies_to_its_requests(self) -> None:
+        async def reject_and_drop(request: Received) -> None:
             self.configure((RESUMABLE,))
-            await turn_away(request)
+            await reject_request(request)
 
-        self.play(turn_away_and_drop, serve_ok)
+        self.play(reject_and_drop, serve_ok)
         answer = await self.ask(post("/safe/x"))
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.served_by(), ["s0", "s1"])
 
-    async def test_a_broken_stream_is_taken_up_in_no_region_that_is_no_home_by_now(self) -> None:
+    async def test_a_broken_stream_is_resumed_within_homes_configured_meanwhile(self) -> None:
         async def break_under_homes(request: Received) -> None:
             request.write(stream_head(request.id) + chunk(event(1)))
-            await request.passed_on.wait()
+            await request.client_read.wait()
             self.change(homes=(HERE,))
             request.reset()
 
-        async def go_on(request: Received) -> None:
+        async def resume_stream(request: Received) -> None:
             request.write(stream_head(request.id, "stamp.2") + chunk(event(2)) + LAST_CHUNK)
 
-        self.play(break_under_homes, go_on)
+        self.play(break_under_homes, resume_stream)
         answer = await self.ask(post("/resumable/x"))
         self.assertEqual((answer.body, answer.whole), (event(1), False))
         self.assertEqual(self.served_by(), ["s0"])
 
-    async def test_fewer_attempts_hold_for_a_request_of_before(self) -> None:
+    async def test_a_lower_attempt_limit_applies_to_earlier_requests(self) -> None:
         async def fail_with_fewer_attempts(request: Received) -> None:
             self.change(max_attempts=1)
             request.reset()
@@ -136,7 +136,7 @@
         self.assertEqual(answer.status, 502)
         self.assertEqual(self.served_by(), ["s0"])
 
-    async def test_a_choice_that_left_the_homes_would_be_counted(self) -> None:
+    async def test_a_server_outside_the_homes_violates_the_invariant(self) -> None:
         self.change(homes=(THERE,))
         with VIOLATIONS.apart(), patch.object(CallTraits, "permits", lambda *_: True):
             before = VIOLATIONS.violations().get(Invariant.SERVER_KEEPS_HOMES, 0)
@@ -145,8 +145,8 @@
         self.assertEqual(self.served_by(), ["s0"])
 
 
-class Regions:
-    """The records of a pool with one server."""
+class OneServer:
+    """The server lookup of a pool with one server."""
 
     def __init__(self, region: str) -> None:
         self.server = ServerRecord("s0", SERVICE, "10.0.0.1:80", "za", 16, ServerState.READY, 1)
@@ -160,20 +160,20 @@
 
 
 class BeforeTheFirstByte(GatewayTest):
-    """What is asked at the moment of writing, however long the connection took to come up."""
+    """The check just before writing, as the connection may have taken long to open."""
 
     def usable(self, region: str, route: Route, newest: Route | None = None) -> bool:
         upstream = ServiceUpstream(SystemView(), None, microseconds, lambda: 1, print)  # type: ignore[arg-type]
-        upstream.records = Regions(region)
+        upstream.records = OneServer(region)
         return upstream.usable(0, "s0", CallTraits(route, newest=newest))
 
-    async def test_the_homes_are_asked_again(self) -> None:
+    async def test_the_homes_are_checked_again(self) -> None:
         homed = evolve(SAFE, homes=(HERE,))
         self.assertTrue(self.usable(HERE, homed))
         self.assertFalse(self.usable(THERE, homed))
         self.assertFalse(self.usable(THERE, SAFE, newest=homed))
         self.assertFalse(self.usable(THERE, homed, newest=SAFE))
 
-    async def test_a_region_that_is_not_known_is_no_home(self) -> None:
+    async def test_an_unknown_region_is_no_home(self) -> None:
         self.assertTrue(self.usable("", SAFE))
         self.assertFalse(self.usable("", evolve(SAFE, homes=(HERE,))))
--- a/tests/gateway/test_prefix_notices_taken.py
+++ b/tests/gateway/test_prefix_notices_taken.py
@@ -1,4 +1,4 @@
-"""Prefix notices on their way into a gateway's pools, whatever comes first."""
+"""Prefix notices that reach a gateway before or after the configuration and the servers that they concern."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 class NoticesTakenTest(GatewayTest):
     def configure(self, *arguments: object, **changes: object) -> None:
-        """The view is empty when the gateway starts."""
+        """Leave the view empty when the gateway starts."""
 
     def list_servers(self, *arguments: object, **changes: object) -> None:
-        """As above."""
+        """Leave the view empty when the gateway starts."""
 
     def tell(self, name: str) -> None:
         notice = PrefixNotice(number_of(name), KEYS, TOKENS, unread=9_000)
@@ -29,7 +29,7 @@
         holders = pool.balancer.costs.holders.recent(microseconds(), KEYS[-1], pool.site.again)
         return number_of(name) in holders
 
-    async def test_one_that_comes_before_configuration_and_servers_is_taken_once_they_are_known(self) -> None:
+    async def test_a_notice_before_configuration_and_servers_is_applied_once_they_are_known(self) -> None:
         name = self.stand_ins[0].name
         self.tell(name)
         super().configure()
@@ -37,7 +37,7 @@
         super().list_servers()
         self.assertTrue(self.known(name))
 
-    async def test_one_of_a_known_server_is_taken_at_once(self) -> None:
+    async def test_a_notice_about_a_known_server_is_applied_at_once(self) -> None:
         super().configure()
         super().list_servers()
         name = self.stand_ins[0].name
@@ -45,7 +45,7 @@
         self.assertTrue(self.known(name))
         self.assertFalse(self.known(self.stand_ins[1].name))
 
-    async def test_one_of_a_server_that_never_comes_does_no_harm(self) -> None:
+    async def test_a_notice_about_an_unknown_server_is_ignored(self) -> None:
         super().configure()
         self.tell("nobody")
         super().list_servers()
--- a/tests/gateway/test_start_gate.py
+++ b/tests/gateway/test_start_gate.py
@@ -1,4 +1,4 @@
-"""Requests that come while a gateway starts."""
+"""Requests that arrive while a gateway starts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     def setUp(self) -> None:
         self.view = SystemView()
 
-    def test_a_view_that_is_of_use_opens_it_at_once(self) -> None:
+    def test_a_complete_view_opens_it_at_once(self) -> None:
         self.view.set_catalog(1, configuration("a"), frozenset())
         self.view.merge_servers(0, [server("s1", "a")])
         self.assertTrue(StartGate(self.view).is_open)
@@ -42,7 +42,7 @@
         self.view.merge_servers(0, [server("s3", "b")])
         self.assertTrue(gate.is_open)
 
-    async def test_requests_go_on_as_soon_as_it_opens(self) -> None:
+    async def test_requests_continue_as_soon_as_it_opens(self) -> None:
         gate = StartGate(self.view)
         waiting = asyncio.ensure_future(gate.wait(LONG))
         await asyncio.sleep(0)
@@ -50,7 +50,7 @@
         gate.open()
         await asyncio.wait_for(waiting, PATIENCE)
 
-    async def test_it_holds_no_request_for_longer_than_it_may(self) -> None:
+    async def test_it_holds_requests_no_longer_than_allowed(self) -> None:
         gate = StartGate(self.view)
         await asyncio.wait_for(gate.wait(0), PATIENCE)
         self.assertFalse(gate.is_open)
@@ -58,10 +58,10 @@
 
 class HeldRequests(GatewayTest):
     def configure(self, *arguments: object, **changes: object) -> None:
-        """The view is empty when the gateway starts."""
+        """Leave the view empty when the gateway starts."""
 
     def list_servers(self, *arguments: object, **changes: object) -> None:
-        """As above."""
+        """Leave the view empty when the gateway starts."""
 
     async def test_a_request_waits_for_configuration_and_servers(self) -> None:
         client = await self.client()
@@ -72,12 +72,12 @@
         got = await asyncio.wait_for(answer, PATIENCE)
         self.assertEqual(got.status, 200)
 
-    async def test_a_gateway_that_is_ready_holds_nothing(self) -> None:
+    async def test_a_ready_gateway_holds_no_requests(self) -> None:
         self.gateway.ready = True
         got = await self.ask(post("/plain/x"))
         self.assertEqual(got.status, 503)
 
-    async def test_without_a_configuration_no_limit_is_known(self) -> None:
+    async def test_without_a_configuration_no_limits_apply(self) -> None:
         self.gateway.ready = True
         large = post("/plain/x", extra=["X-Big: " + "b" * 20_000])
         self.assertEqual((await self.ask(large)).status, 503)
--- a/tests/gateway/test_traffic_split.py
+++ b/tests/gateway/test_traffic_split.py
@@ -1,4 +1,4 @@
-"""Each target of a split gets its weight's share, whatever sessions the requests are of."""
+"""Each target of a split gets the share of its weight, however the requests are distributed over sessions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,9 @@
 
 class TrafficSplitTest(TestCase):
     def check(self, weights: tuple[int, ...], points: list[float]) -> None:
-        """Requests with these points, spread over gateways: any 200 in a row have the shares."""
+        """Spread requests with these points over the gateways, and check the shares in the first and last
+        200.
+        """
         splits = [TrafficSplit(targets(weights)) for _ in range(GATEWAYS)]
         given = [splits[number % GATEWAYS].choose(point).service for number, point in enumerate(points)]
         for begin in (0, len(given) - 200):
@@ -42,19 +44,19 @@
             with self.subTest(weights=weights):
                 self.check(weights, random.choices(sessions, popularity, k=REQUESTS))
 
-    def test_draws_of_their_own(self) -> None:
+    def test_requests_without_sessions(self) -> None:
         random = Random(6)
         for weights in WEIGHTS:
             with self.subTest(weights=weights):
                 self.check(weights, [random.random() for _ in range(REQUESTS)])
 
-    def test_a_target_without_weight_gets_nothing(self) -> None:
+    def test_a_target_without_weight_gets_no_requests(self) -> None:
         for weights in ((0, 5), (5, 0), (3, 0, 2)):
             split = TrafficSplit(targets(weights))
             given = {split.choose(point / 50).service for point in range(50)}
             self.assertEqual(given, {f"s{number}" for number, weight in enumerate(weights) if weight})
 
-    def test_sessions_stay_while_the_shares_hold(self) -> None:
+    def test_most_sessions_stay_at_their_target(self) -> None:
         random = Random(7)
         split = TrafficSplit(targets((50, 50)))
         sessions = [(number + 0.5) / 200 for number in range(200)]
