--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -1,6 +1,7 @@
-"""Client ends: one that leaves while its request waits, and what is owed at an answer that closes.
+"""Clients that disconnect while a request waits, and what is still sent on a connection that closes.
 
-Each waiting place is left FIN and RST, with the end in the socket and the loop not told of it.
+At each point where a request waits, the client closes with FIN or with RST. Its end is in the socket, but the
+event loop has not reported it yet.
 """
 
 from __future__ import annotations
@@ -21,8 +22,8 @@
 REJECTED = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-class Held(Server):
-    """Answers with each request's own id, once `release` is set."""
+class DelayedServer(Server):
+    """Responds with each request's own id, once `release` is set."""
 
     def __init__(self) -> None:
         super().__init__(self.later)
@@ -39,18 +40,18 @@
 
 
 async def settled(bench: Bench) -> None:
-    """All clients have left, and nothing is open in the core."""
+    """All clients have disconnected, and the core has no open call."""
     await until(lambda: not bench.node.front.clients.connections and not bench.pool.host.calls)
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_a_client_that_left_while_it_waited_to_be_let_in_is_not_sent_on(how):
+def test_no_request_is_sent_after_leaving_in_the_backlog(how):
     async def scene():
         bench = await Bench(server := Server()).start()
         for _ in range(DEPARTURES // 50):
             for _ in range(50):
                 Raw(bench.port, call("invite")).leave(how)
-            assert (await bench.once(call("view")))[0] == 200  # taken after them
+            assert (await bench.once(call("view")))[0] == 200  # accepted after them
             await settled(bench)
         assert len(server.requests) == DEPARTURES // 50
 
@@ -58,23 +59,24 @@
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_a_client_that_left_while_its_connection_came_up_is_not_sent_on(how):
+def test_no_request_is_sent_after_leaving_during_the_connect(how):
     async def scene():
         bench = await Bench(server := Server()).start()
         pool = bench.pool.upstream.pool
         (endpoint,) = pool.endpoints.values()
 
         def none_is_left() -> bool:
-            endpoint.close_idle()  # after a stall one is put aside a moment later than its request ends
+            endpoint.close_idle()  # after a suspension it becomes idle a moment after its request ended
             return pool.open == 0
 
         for n in range(DEPARTURES):
             held = hold_connects(bench)
             client = Raw(bench.port, call("invite"))
             await until(lambda held=held: held.up == 1)
-            await asyncio.sleep(0.0015)  # as connects take at least; no more is asked of the order
+            # Connecting takes at least this long; a stricter order can't be enforced.
+            await asyncio.sleep(0.0015)
             client.leave(how)
-            held.go.set()  # the connect's task goes on before the loop looks at any socket
+            held.go.set()  # the connecting task continues before the loop polls any socket
             await settled(bench)
             pool.loop = held.loop
             await until(none_is_left)
@@ -84,16 +86,16 @@
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_a_client_that_left_while_requests_waited_behind_one_another_is_not_sent_on(how):
-    """So many wait that nothing more is read from it, its end neither."""
+def test_no_request_is_sent_after_leaving_with_pipelined_requests(how):
+    """So many requests wait that the connection is not read any more, and its end is not seen either."""
 
     async def scene():
-        bench = await Bench(server := Held()).start()
+        bench = await Bench(server := DelayedServer()).start()
         for n in range(DEPARTURES // 8):
             server.release.clear()
             client = Raw(bench.port, b"".join(call("view") for _ in range(9)))
             await until(lambda n=n: len(server.requests) == n + 1)
-            client.send(call("view"))  # one too many: nothing more is read
+            client.send(call("view"))  # one more than may wait: the connection is not read any further
             await until(lambda: any(c.paused for c in bench.node.front.clients.connections))
             client.leave(how)
             server.release.set()
@@ -104,8 +106,10 @@
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_a_client_that_left_during_a_stall_is_not_sent_on(how):
-    """The process stood still; request and end are read one after the other, and the wait is over between."""
+def test_no_request_is_sent_after_leaving_during_a_suspension(how):
+    """After a suspension, request and end are read one after the other, and the request's wait ends in
+    between.
+    """
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -113,9 +117,9 @@
         front = bench.node.front
         taken = front.handle_request
 
-        def slowly(connection, message):
+        def handle_slowly(connection, message):
             taken(connection, message)
-            time.sleep(0.005)  # so the timer is due before the loop looks at the sockets again
+            time.sleep(0.005)  # so that the timer is due before the loop polls the sockets again
 
         for n in range(DEPARTURES // 2):
             client = Raw(bench.port, call("view"))
@@ -123,7 +127,7 @@
             client.send(call("invite"))
             client.leave(how)
             stall.wary_until = time.monotonic() + 60
-            front.handle_request = slowly
+            front.handle_request = handle_slowly
             await until(lambda: not front.clients.connections)
             front.handle_request = taken
             stall.wary_until = 0.0
@@ -135,8 +139,10 @@
 
 @pytest.mark.parametrize("how", LEAVES)
 @pytest.mark.parametrize("first", ["client", "server"])
-def test_a_client_that_left_before_a_retry_is_not_sent_on(how, first, monkeypatch):
-    """Its end and the answer that asks for a further attempt are there in one turn, in both orders."""
+def test_no_request_is_sent_after_leaving_before_a_retry(how, first, monkeypatch):
+    """The client's end and the response that leads to a retry arrive in the same turn of the loop, in both
+    orders.
+    """
     monkeypatch.setattr("brackenladder.core.call.FRESH", 0)
 
     async def scene():
@@ -146,7 +152,7 @@
             if first == "client":
                 clients.pop().leave(how)
                 return REJECTED
-            writer.write(REJECTED)  # at once, by the transport
+            writer.write(REJECTED)  # written by the transport at once
             clients.pop().leave(how)
             return None
 
@@ -162,9 +168,9 @@
 
 
 @pytest.mark.parametrize("how", LEAVES)
-def test_a_client_that_left_while_it_was_held_in_a_later_tier_is_not_sent_on(how):
+def test_no_request_is_sent_after_leaving_while_held_in_a_later_tier(how):
     async def scene():
-        bench = await Bench(server := Held(), layers=["front", "store"], tier=1).start()
+        bench = await Bench(server := DelayedServer(), layers=["front", "store"], tier=1).start()
         host, connections = bench.pool.host, bench.node.front.clients.connections
         left = 0
         while left < DEPARTURES:
@@ -173,15 +179,15 @@
             names = [b"%d-%d" % (left, n) for n in range(60)]
             clients = {name.decode(): Raw(bench.port, call("view", name=name)) for name in names}
 
-            def all_stand(before: int = before) -> bool:
-                """All were taken: refused, held, or read by the server."""
+            def all_accepted(before: int = before) -> bool:
+                """All were accepted: refused, held, or received by the server."""
                 out = sum(c.current_attempt is not None for c in host.calls.values())
                 return (
                     sum(c.requests_started for c in connections) == 60
                     and len(server.requests) == before + out
                 )
 
-            await until(all_stand)
+            await until(all_accepted)
             waits = {c.name.decode() for c in host.calls.values() if c.open and c.current_attempt is None}
             assert waits
             for name in waits:
@@ -190,7 +196,7 @@
             left += len(waits)
             for name in server.names[before:]:
                 assert name.encode() in await clients.pop(name).answer()
-            for client in clients.values():  # refused
+            for client in clients.values():  # their requests were refused
                 client.leave("fin")
             await settled(bench)
             assert not waits & set(server.names)
@@ -199,10 +205,10 @@
 
 
 def test_a_request_that_failed_in_the_node_does_not_answer_the_next_one():
-    """An exception after the call was handed on: it is over with its 500."""
+    """If an exception occurs after the call was handed to the core, the 500 concludes the call."""
 
     async def scene():
-        bench = await Bench(server := Held()).start()
+        bench = await Bench(server := DelayedServer()).start()
         host = bench.pool.host
         take = host.take
 
@@ -228,10 +234,10 @@
 
 @pytest.mark.parametrize("ends", ["served", "refused", "failed"])
 def test_a_call_answers_its_own_request_only(ends):
-    """A connection has gone on to its next request: the end of an earlier call is nothing to it."""
+    """The end of an earlier call must not answer the request that its connection has moved on to."""
 
     async def scene():
-        bench = await Bench(server := Held()).start()
+        bench = await Bench(server := DelayedServer()).start()
         front, host = bench.node.front, bench.pool.host
         client = await bench.client()
         client.send(call("view", name=b"mine"))
@@ -252,8 +258,8 @@
     play(scene)
 
 
-def test_a_request_that_comes_again_under_its_id_is_not_out_twice():
-    """Its first client's end waits in the socket, and its first attempt is out: that is given up first."""
+def test_a_repeated_request_id_is_not_in_progress_twice():
+    """The first client has left unnoticed: its attempt is cancelled before the second one starts."""
 
     async def scene():
         async def silent_first(request, writer):
@@ -275,11 +281,11 @@
     play(scene)
 
 
-def test_what_waits_behind_a_last_answer_is_answered():
-    """A node that ends, with whole requests waiting behind the open one."""
+def test_requests_behind_a_last_response_are_answered():
+    """During a shutdown, complete requests that wait behind the open one are answered as well."""
 
     async def scene():
-        bench = await Bench(server := Held()).start()
+        bench = await Bench(server := DelayedServer()).start()
         bench.node.front.clients.handover = 0.0
         client = await bench.client()
         client.send(b"".join(call("view", name=b"n%d" % n) for n in range(4)) + b"GET /view HTTP/1.1\r\nHa")
@@ -297,8 +303,10 @@
     play(scene)
 
 
-def test_a_client_that_goes_on_asking_does_not_hold_up_the_end():
-    """What it sends after its answers have begun to be the last ones is another node's."""
+def test_a_client_that_continues_to_send_does_not_delay_the_shutdown():
+    """Requests that arrive after the last responses have begun are not served; the client can use another
+    node.
+    """
 
     async def scene():
         turns = asyncio.Semaphore(0)
@@ -329,9 +337,9 @@
     play(scene)
 
 
-def test_what_waits_before_an_upgrade_is_answered():
+def test_requests_before_an_upgrade_are_answered():
     async def scene():
-        bench = await Bench(server := Held()).start()
+        bench = await Bench(server := DelayedServer()).start()
         client = await bench.client()
         offer = b"Connection: Upgrade\r\nUpgrade: other\r\n"
         client.send(call("view", name=b"a") + call("view", name=b"b") + call("view", name=b"c", extra=offer))
@@ -344,8 +352,8 @@
 
 
 @pytest.mark.parametrize("by", ["drain", "room", "pause"])
-def test_an_answer_that_its_client_has_not_taken_is_not_cut_off(by, monkeypatch):
-    """It is answered for the node, and half of it is still in the process."""
+def test_a_response_that_its_client_has_not_read_is_not_cut_off(by, monkeypatch):
+    """The request counts as answered, but half of its response is still in the write buffer."""
     for name in ("SETTLE", "LINGER", "TAKING"):
         monkeypatch.setattr(f"brackenladder.http.client_connections.{name}", 0.0)
     monkeypatch.setattr("brackenladder.sockets.listener.LINGER", 600.0)
@@ -360,10 +368,9 @@
         client = await bench.client()
         await until(lambda: len(client_connections.connections) == 1)
         connection = next(iter(client_connections.connections))
-        connection.transport.set_write_buffer_limits(
-            high=2 * size
-        )  # the server's side is done with it at once
-        client.reader._limit = 1024  # reads nothing more once it has so much
+        # The whole response fits into the write buffer, so that the server's side finishes at once.
+        connection.transport.set_write_buffer_limits(high=2 * size)
+        client.reader._limit = 1024  # reads nothing more once it has buffered this much
         client.send(call("view"))
         await until(lambda: connection.requests_started == 1 and connection.open_request is None)
         assert connection.has_unsent_output()
@@ -385,8 +392,8 @@
     play(scene)
 
 
-def test_an_answer_is_framed_for_its_own_client_and_not_for_the_request_behind_it():
-    """A client that knows chunks, with a request behind that says it does not."""
+def test_a_response_is_framed_for_its_own_request():
+    """The client speaks HTTP/1.1 with chunks, but its next request is an HTTP/1.0 one."""
     body = b"x" * 200_000
 
     async def scene():
@@ -413,8 +420,8 @@
 
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 @pytest.mark.parametrize("gives", [True, False])
-def test_a_large_answer_is_cut_off_only_when_its_server_gives_nothing_more(gives, version, monkeypatch):
-    """It goes on beyond its client's time. What is cut off the client can tell from a whole one."""
+def test_a_large_response_is_cut_off_only_when_its_server_stalls(gives, version, monkeypatch):
+    """It continues beyond the client's timeout; if it is cut off, the client can tell."""
     if not gives:
         monkeypatch.setattr("brackenladder.http.relay.STALLED", 0.3)
 
@@ -426,7 +433,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for n in range(64):
                 writer.write(b"1000\r\n" + bytes(4096) + b"\r\n")
-                if n == 32:  # more than is held
+                if n == 32:  # more than is buffered
                     await until(lambda: bench.pool.host.now() > calls[0].deadline + 500_000)
                     while not gives and not writer.transport.is_closing():
                         await asyncio.sleep(0.01)
@@ -443,15 +450,15 @@
             reset = True
         if gives:
             assert data.count(b"\0") == 64 * 4096 and not reset
-        else:  # an end in order would be the end of an answer with no chunks
+        else:  # without chunks, a regular close would end the response
             assert reset if version == b"HTTP/1.0" else not data.endswith(b"\r\n0\r\n\r\n")
         await until(lambda: not bench.pool.host.calls)
 
     play(scene)
 
 
-def test_a_half_closed_client_with_an_unread_answer_does_not_go_on():
-    """Its end stands behind an answer that it does not take: what it has asked since is not sent on."""
+def test_a_half_closed_client_with_an_unread_response_is_served_no_further():
+    """The client's FIN is behind a response that it does not read: its later request is not sent on."""
 
     async def scene():
         size = 16 << 20
--- a/tests/endings/test_server_ends.py
+++ b/tests/endings/test_server_ends.py
@@ -1,4 +1,4 @@
-"""Server ends: a connection that ends between choice and first byte, and a repeat that comes late."""
+"""Servers that close a connection before the request's first byte, and retries that are written too late."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
-def test_a_connection_that_ends_as_it_comes_up_has_carried_nothing(how):
-    """An unsafe request goes on to another server: nothing was written to the first."""
+def test_a_connection_closed_at_once_has_carried_nothing(how):
+    """An unsafe request is sent to another server, as nothing was written to the first."""
 
     async def scene():
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -33,10 +33,10 @@
             bench.discovery.say(43, False, good.entry("s0"))
             await until(lambda: bench.node.http.source.version == 43)
             sock, _ = listener.accept()
-            listener.close()  # after a stall the node looks again, and would find it anew
+            listener.close()  # after a suspension the node would choose again and could reconnect to it
             leave(sock, how)
             held.wait_for_its_end()
-            held.go.set()  # the connect's task goes on before the loop looks at any socket
+            held.go.set()  # the connecting task continues before the loop polls any socket
             assert (await client.answer()).startswith(b"HTTP/1.1 200")
             assert len(good.requests) == 1
             client.leave("fin")
@@ -44,8 +44,10 @@
     play(scene)
 
 
-def test_a_connection_that_ends_while_a_stalled_process_reads_the_news_is_not_written_to():
-    """The process stood still: a request waits a moment for news of the list, its connection does not."""
+def test_a_connection_closed_during_the_wait_for_updates_is_not_used():
+    """After a suspension, a request waits briefly for list updates, and its connection is closed in that
+    time.
+    """
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -54,14 +56,14 @@
         front = bench.node.front
         taken = front.handle_request
 
-        def slowly(connection, message):
+        def handle_slowly(connection, message):
             taken(connection, message)
             number = server.writers[0].get_extra_info("socket").fileno()
             with socket.socket(fileno=os.dup(number)) as sock:
                 sock.shutdown(socket.SHUT_RDWR)
-            time.sleep(0.005)  # the wait is over before the loop looks at the sockets again
+            time.sleep(0.005)  # the wait is over before the loop polls the sockets again
 
-        front.handle_request = slowly
+        front.handle_request = handle_slowly
         bench.pool.upstream.pool.stall.wary_until = time.monotonic() + 60
         status, _, _ = await client.ask(call("invite"))
         assert (status, server.connections, len(server.requests)) == (200, 2, 2)
@@ -70,8 +72,8 @@
 
 
 @pytest.mark.parametrize("late", [False, True])
-def test_a_keyed_repeat_is_not_written_after_its_window(late):
-    """It was decided within the window, and its connection came up after it."""
+def test_a_keyed_retry_is_not_written_after_its_window(late):
+    """The retry is decided within the window, but its connection is established after it."""
     window = 300_000
 
     async def scene():
@@ -88,7 +90,7 @@
         held = hold_connects(bench)
         client = Raw(bench.port, call("offer"))
         await until(lambda: held.up == 1)
-        line = read_line(Fields(second.entry("second")))  # for the repeat
+        line = read_line(Fields(second.entry("second")))  # for the retry
         bench.pool.told(Listing(ListKind.CHANGES, 42, (line,)))
         held.go.set()
         held.go.clear()
@@ -108,11 +110,11 @@
     play(scene)
 
 
-def test_a_host_that_cannot_be_named_ends_its_attempt_and_leaves_no_trace():
+def test_an_invalid_host_name_ends_the_attempt_and_leaks_nothing():
     async def scene():
         bench = await Bench(Server()).start()
         (endpoint,) = bench.pool.upstream.pool.endpoints.values()
-        endpoint.host = "a" * 70 + ".\udcff"  # no name of a host
+        endpoint.host = "a" * 70 + ".\udcff"  # not a valid host name
         assert (await bench.once(call("invite")))[0] == 503
         assert bench.pool.upstream.pool.open == 0
 
@@ -120,8 +122,8 @@
 
 
 @pytest.mark.parametrize("size", [2, 100_000])
-def test_a_second_answer_that_comes_before_the_request_is_whole_is_not_taken_for_its_own(size):
-    """A server begins a request when its last byte has come, and part of this one is still in the node."""
+def test_a_response_before_the_end_of_the_request_is_not_accepted(size):
+    """A server begins a request at its last byte, and part of this one is still in the node."""
     stale = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (size, b"x" * size)
 
     async def scene():
--- a/tests/http/test_large_bodies.py
+++ b/tests/http/test_large_bodies.py
@@ -1,4 +1,4 @@
-"""BodyBudget for large bodies, and slow requests, with times that the test moves."""
+"""The memory budget for large bodies, and the rate limit of slow requests, with times that the test sets."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 )
 
 
-def test_room_is_given_in_the_order_of_asking():
-    """Failure prevented: small bodies are let past a large one for ever."""
+def test_reservations_are_granted_in_order():
+    """Prevents that small bodies overtake a large one for ever."""
     budget = BodyBudget(100)
     first, large, small = BodyReservation(), BodyReservation(), BodyReservation()
     assert budget.request(first, 60, 0.0)
@@ -27,7 +27,7 @@
     assert budget.release(small) == [] == budget.release(large) and budget.used == 0
 
 
-def test_a_claim_that_gives_up_its_wait_frees_what_it_had():
+def test_a_reservation_released_while_it_waits_frees_its_memory():
     budget = BodyBudget(100)
     growing, other = BodyReservation(), BodyReservation()
     assert budget.request(growing, 50, 0.0) and budget.request(other, 40, 0.0)
@@ -36,7 +36,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 120)), max_size=40))
-def test_the_room_is_never_overdrawn_and_nobody_waits_for_nothing(steps):
+def test_the_budget_is_never_exceeded_and_nobody_waits_needlessly(steps):
     budget, reservations = BodyBudget(100), [BodyReservation() for _ in range(6)]
     for at, (which, size) in enumerate(steps):
         reservation = reservations[which]
@@ -54,7 +54,7 @@
             assert budget.used + budget.queue[0].requested_bytes - budget.queue[0].granted_bytes > 100
 
 
-def test_what_can_never_fit_is_told_at_once():
+def test_what_can_never_fit_is_known_at_once():
     assert BodyBudget(100).can_fit(100) and not BodyBudget(100).can_fit(101)
     assert not BodyBudget(1 << 40).can_fit(LARGEST_BODY + 1)
     steps = [65536]
@@ -67,12 +67,12 @@
     ("age", "head_complete", "body_bytes", "slow"),
     [
         (2.0, False, 0, False),
-        (2.6, False, 100_000, True),  # of a head, what follows it does not count
+        (2.6, False, 100_000, True),  # bytes received after an incomplete head do not count
         (2.6, True, 0, True),
         (3.0, True, 65_536, False),
-        (4.0, True, 131_072, False),  # 64 kB a second after two seconds for the head
+        (4.0, True, 131_072, False),  # within 2.5 s for the head and 4 s for the body
         (30.0, True, 131_072, True),
     ],
 )
-def test_a_request_must_keep_up_a_rate(age, head_complete, body_bytes, slow):
+def test_a_request_must_arrive_at_a_minimum_rate(age, head_complete, body_bytes, slow):
     assert too_slow(age, head_complete, body_bytes) == slow
--- a/tests/waits/test_each_turn.py
+++ b/tests/waits/test_cancelled_waits.py
@@ -1,4 +1,4 @@
-"""Waits of the service end when they are given up, in whichever turn of the event loop that comes."""
+"""The service's waits end when they are cancelled, in whichever turn of the event loop that happens."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from unittest.mock import patch
 
 from returns.result import Result, Success
-from waits.each_turn import Wait, WaitLost, must_end, play_each_turn
+from waits.cancel_each_turn import Wait, WaitNotEnded, cancel_in_each_turn, run_to_end
 
 from brackenladder.catalog.catalog import Catalog
 from brackenladder.catalog.orders import BeginEvacuation, encode_order
@@ -34,7 +34,7 @@
 
 
 class HeldWriter:
-    """Makes writes durable at once, or once `held` is taken away."""
+    """Makes writes durable at once, or, while `held` is set, when `release` is called."""
 
     def __init__(self) -> None:
         self.held = False
@@ -60,7 +60,7 @@
 
 
 async def leading_host(writer: HeldWriter) -> ConsensusHost:
-    """A system of one replica that leads."""
+    """A cluster of one replica that is the leader."""
     loop = asyncio.get_running_loop()
     member = Member("one", "127.0.0.1:1")
     replica = Replica(member, DurableState(), Timing(), Random(1), 0, Members((member,)))
@@ -73,12 +73,12 @@
     return host
 
 
-async def leader_change() -> Wait:
+async def leadership_change_wait() -> Wait:
     host = await leading_host(HeldWriter())
     return Wait(lambda: host.wait_for_leader_change(PATIENCE), lambda: host.leader_changed.set())
 
 
-async def proposal() -> Wait:
+async def proposal_wait() -> Wait:
     writer = HeldWriter()
     host = await leading_host(writer)
     writer.held = True
@@ -89,10 +89,11 @@
     )
 
 
-async def read_round() -> Wait:
+async def read_round_wait() -> Wait:
     host = await leading_host(HeldWriter())
     answers = host._answer_reads
-    host._answer_reads = lambda _output: None  # type: ignore[method-assign]  # the round does not end by itself
+    # The round does not end by itself.
+    host._answer_reads = lambda _output: None  # type: ignore[method-assign]
 
     def end() -> None:
         host._answer_reads = answers  # type: ignore[method-assign]
@@ -102,7 +103,7 @@
     return Wait(host.confirm_read, end, lambda: str(list(host._reads) if host._reads else ""))
 
 
-async def newer_catalog() -> Wait:
+async def newer_catalog_wait() -> Wait:
     host = await leading_host(HeldWriter())
     host.catalog = SimpleNamespace(revision=0)  # type: ignore[assignment]  # all that the wait looks at
 
@@ -113,12 +114,12 @@
     return Wait(lambda: host.wait_for_revision(9), end)
 
 
-def reply_of_a_leader(by_change: bool) -> Callable[[], object]:
+def leader_reply_wait(by_change: bool) -> Callable[[], object]:
     async def make() -> Wait:
         table = ReplyTable()
         link = object()
         changed = asyncio.Event()
-        request = table.open(link)  # type: ignore[arg-type]  # it is compared only
+        request = table.open(link)  # type: ignore[arg-type]  # it is only compared
 
         def end() -> None:
             if by_change:
@@ -132,55 +133,57 @@
     return make
 
 
-async def start_gate() -> Wait:
+async def start_gate_wait() -> Wait:
     gate = StartGate(SystemView())
     return Wait(lambda: gate.wait(1 << 40), gate.open)
 
 
-async def reset_of_a_rested_connection() -> Wait:
+async def loss_of_an_idle_connection() -> Wait:
     protocol = ServerProtocol(asyncio.get_running_loop())
     left = lambda: "a waiter" if protocol._lost_waiter is not None else ""  # noqa: E731
     return Wait(lambda: protocol.wait_for_loss(PATIENCE), lambda: protocol.connection_lost(None), left)
 
 
-class EachTurnTest(TestCase):
+class CancelledWaitsTest(TestCase):
     def test_a_wait_for_another_leader(self) -> None:
-        play_each_turn(leader_change)
+        cancel_in_each_turn(leadership_change_wait)
 
     def test_an_order_that_waits_for_its_commit(self) -> None:
-        play_each_turn(proposal)
+        cancel_in_each_turn(proposal_wait)
 
     def test_a_read_that_waits_for_a_quorum(self) -> None:
-        play_each_turn(read_round)
+        cancel_in_each_turn(read_round_wait)
 
     def test_a_read_that_waits_for_the_nodes_own_log(self) -> None:
-        play_each_turn(newer_catalog)
+        cancel_in_each_turn(newer_catalog_wait)
 
-    def test_an_answer_of_the_leader(self) -> None:
-        play_each_turn(reply_of_a_leader(by_change=False))  # type: ignore[arg-type]
+    def test_a_reply_of_the_leader(self) -> None:
+        cancel_in_each_turn(leader_reply_wait(by_change=False))  # type: ignore[arg-type]
 
-    def test_an_answer_that_another_leader_ends(self) -> None:
-        play_each_turn(reply_of_a_leader(by_change=True))  # type: ignore[arg-type]
+    def test_a_reply_that_a_leader_change_ends(self) -> None:
+        cancel_in_each_turn(leader_reply_wait(by_change=True))  # type: ignore[arg-type]
 
     def test_a_request_that_waits_at_the_start_gate(self) -> None:
-        play_each_turn(start_gate)
+        cancel_in_each_turn(start_gate_wait)
 
-    def test_a_look_at_a_rested_connection(self) -> None:
-        play_each_turn(reset_of_a_rested_connection)
+    def test_the_check_of_an_idle_connection(self) -> None:
+        cancel_in_each_turn(loss_of_an_idle_connection)
 
 
-class PlantedTest(TestCase):
-    """The two faults that CI beside load has found, and the plainest of their class."""
+class PlantedFaultsTest(TestCase):
+    """Planted faults that the checks have to find: two that CI has found under load, and the simplest of
+    their kind.
+    """
 
-    def test_a_cancellation_that_is_dropped(self) -> None:
+    def test_a_lost_cancellation(self) -> None:
         async def dropping(self: ConsensusHost, timeout: float) -> None:
             with suppress(TimeoutError):
                 await asyncio.wait_for(self._leader_changed.wait(), timeout)
 
-        with patch.object(ConsensusHost, "wait_for_leader_change", dropping), self.assertRaises(WaitLost):
-            play_each_turn(leader_change)
+        with patch.object(ConsensusHost, "wait_for_leader_change", dropping), self.assertRaises(WaitNotEnded):
+            cancel_in_each_turn(leadership_change_wait)
 
-    def test_a_connection_that_never_hears_of_its_end(self) -> None:
+    def test_a_connection_that_never_learns_of_its_end(self) -> None:
         aborted = TcpTransport._abort_all
 
         def forgets_none(self: TcpTransport) -> None:
@@ -188,11 +191,11 @@
             aborted(self)
             self._incoming |= links
 
-        end_of_a_transport()
-        with patch.object(TcpTransport, "_abort_all", forgets_none), self.assertRaises(WaitLost):
-            end_of_a_transport()
+        close_transport_while_accepting()
+        with patch.object(TcpTransport, "_abort_all", forgets_none), self.assertRaises(WaitNotEnded):
+            close_transport_while_accepting()
 
-    def test_an_end_that_comes_to_nobody(self) -> None:
+    def test_an_end_that_is_not_noticed(self) -> None:
         async def make() -> Wait:
             waiter = asyncio.get_running_loop().create_future()
 
@@ -203,16 +206,16 @@
 
             return Wait(wait, lambda: None)
 
-        with self.assertRaises(WaitLost):
-            play_each_turn(make)
+        with self.assertRaises(WaitNotEnded):
+            cancel_in_each_turn(make)
 
 
-def end_of_a_transport() -> None:
-    """A transport closes in the turn in which asyncio has made a protocol for a connection, and drops it."""
+def close_transport_while_accepting() -> None:
+    """Close a transport in the turn in which asyncio creates a connection's protocol, then drop that."""
 
     async def close() -> None:
         transport = TcpTransport(Codec(), LinkTiming(close_grace=1_000), Random(1))
         transport._accept(object())  # type: ignore[arg-type]  # nothing is ever handed over
         await transport.close()
 
-    must_end(close)
+    run_to_end(close)
--- a/tests/waits/test_no_wait_for.py
+++ b/tests/waits/test_no_wait_for.py
@@ -1,4 +1,4 @@
-"""`asyncio.wait_for` drops a cancellation that comes in the turn in which its wait ends (Python 3.11)."""
+"""`asyncio.wait_for` loses a cancellation that arrives in the turn in which its wait ends (Python 3.11)."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def users(root: Path) -> set[str]:
-    """The files that call it, by their paths below `root`."""
+    """The files below `root` that call it."""
     return {str(path.relative_to(root)) for path in root.rglob("*.py") if NAME in path.read_text()}
 
 
 class NoWaitForTest(TestCase):
-    def test_the_program_uses_timeouts_that_drop_nothing(self) -> None:
+    def test_the_program_uses_timeouts_that_lose_no_cancellation(self) -> None:
         self.assertEqual(users(SOURCES), PLANTED)
