--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -38,7 +38,7 @@
         self.last_event_id = last_event_id
         self.may_have_run = False
         self.timed_out = False  # whether the last attempt timed out
-        # A server's unsuccessful response, which the client gets if nothing better comes.
+        # A server's unsuccessful response, returned to the client if no other attempt succeeds.
         self.failure: WholeAnswer | None = None
         self._stream_over = False  # the pool was told that the response has ended
         self._pending: RunnableAttempt | None = None
--- a/brackenladder/gateway/connections.py
+++ b/brackenladder/gateway/connections.py
@@ -82,9 +82,9 @@
         self._stale_check.found_stale(self._loop.time())
         self.close_idle(address)
 
-    async def open(self, address: str, most: int) -> ServerConnection:
+    async def open(self, address: str, max_connections: int) -> ServerConnection:
         """Take an idle connection or open one; raises `ConnectFailed` or `TooManyConnections`."""
-        if self._in_use[address] >= most:
+        if self._in_use[address] >= max_connections:
             raise TooManyConnections
         self._in_use[address] += 1
         try:
--- a/brackenladder/gateway/events.py
+++ b/brackenladder/gateway/events.py
@@ -9,7 +9,7 @@
 LARGEST_EVENT = 4 * 1024 * 1024  # bytes
 
 _END = re.compile(rb"\n\r?\n")  # the blank line that ends an event
-_END_LENGTH = 3  # the longest match of it, in bytes
+_END_LENGTH = 3  # the length of its longest match, in bytes
 _ID = re.compile(rb"(?:^|\n)id: ?([0-9]{1,18})\r?\n")
 
 
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -48,7 +48,7 @@
 MIN_SILENCE = 2_000_000  # microseconds; clients wait at least this long for the next event
 SILENCE_LATENCY_TARGETS = 4
 SILENCE_EVENT_GAPS = 8
-DEFAULT_PATIENCE_MS = 1000  # the timeout assumed for a client that announces none
+DEFAULT_TIMEOUT_MS = 1000  # the timeout assumed for a client that announces none
 
 Response = TypeVar("Response", bound=web.StreamResponse)
 
@@ -104,8 +104,8 @@
     async def _wait_for_start(self) -> None:
         gate = self.context.start_gate
         if not gate.is_open:
-            told = read_deadline_ms(self.request.headers)
-            await gate.wait((told or DEFAULT_PATIENCE_MS) * US_PER_MS)
+            announced_ms = read_deadline_ms(self.request.headers)
+            await gate.wait((announced_ms or DEFAULT_TIMEOUT_MS) * US_PER_MS)
 
     # ---- reading --------------------------------------------------------------------------------------
 
@@ -139,8 +139,8 @@
         return Success(read_traits(headers, route, request_bytes=len(self.body)))
 
     def _set_deadlines(self) -> None:
-        told = read_deadline_ms(self.request.headers)
-        wait_ms = self.route.timeout_ms if told is None else told
+        announced_ms = read_deadline_ms(self.request.headers)
+        wait_ms = self.route.timeout_ms if announced_ms is None else announced_ms
         self.client_deadline = self.began + wait_ms * US_PER_MS
         self._held.limit = min(self.client_deadline, self.began + self.route.timeout_ms * US_PER_MS)
 
@@ -162,7 +162,7 @@
         except web.RequestPayloadError:
             return RequestFault.MALFORMED
 
-    async def _read_slow_body(self, most: int) -> RequestFault | None:
+    async def _read_slow_body(self, max_bytes: int) -> RequestFault | None:
         parts: list[bytes] = []
         size = 0
         while True:
@@ -171,7 +171,7 @@
                 break
             parts.append(data)
             size += len(data)
-            if size > most:
+            if size > max_bytes:
                 return RequestFault.BODY_TOO_LARGE
         self.body = b"".join(parts)
         return None
--- a/brackenladder/gateway/open_answer.py
+++ b/brackenladder/gateway/open_answer.py
@@ -43,11 +43,11 @@
         """Return once a whole event, or the end of the body, was read."""
         self._ahead = await self._read_events()
 
-    async def read_whole(self, most: int) -> bytes | None:
-        """The whole body; None if it is larger than `most`: `read` then returns it from its beginning."""
+    async def read_whole(self, max_bytes: int) -> bytes | None:
+        """The whole body; None if it exceeds `max_bytes`: `read` then returns it from its beginning."""
         parts: list[bytes] = []
         size = 0
-        while size <= most:
+        while size <= max_bytes:
             data = await self._read_some()
             if not data:
                 return b"".join(parts)
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -185,8 +185,8 @@
 
     def _connection_limit(self, name: str) -> int:
         service = self._services.get(name)
-        most = service.max_connections if service is not None else 0
-        return connection_share(most, self.view.gateways)
+        max_connections = service.max_connections if service is not None else 0
+        return connection_share(max_connections, self.view.gateways)
 
 
 def pool_factory(
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -100,9 +100,9 @@
         if self._no_successor or not self._may_resume():
             return await self.answer.read()
         gap = self.exchange.route.gap_aim_ms * US_PER_MS
-        patience = max(STALL_EVENT_GAPS * gap, MIN_STALL)
+        stall_time = max(STALL_EVENT_GAPS * gap, MIN_STALL)
         try:
-            async with asyncio.timeout(patience / US_PER_S):
+            async with asyncio.timeout(stall_time / US_PER_S):
                 return await self.answer.read()
         except TimeoutError:
             raise StreamStalled from None
--- a/brackenladder/gateway/server_protocol.py
+++ b/brackenladder/gateway/server_protocol.py
@@ -45,7 +45,7 @@
         self._lost_waiter: asyncio.Future[None] | None = None
 
     async def wait_for_loss(self, seconds: float) -> bool:
-        """Wait for up to `seconds`; whether the connection was lost."""
+        """Wait for up to `seconds`, and return whether the connection was lost."""
         waiter = self._lost_waiter = self._loop.create_future()
         timer = self._loop.call_later(seconds, _wake, waiter)
         try:
@@ -168,8 +168,8 @@
     for part in (keep_alive or "").split(","):
         name, _, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            told = float(value)
-            return max(told - IDLE_MARGIN_SECONDS, told * LEAST_IDLE_FRACTION)
+            announced = float(value)
+            return max(announced - IDLE_MARGIN_SECONDS, announced * LEAST_IDLE_FRACTION)
     return DEFAULT_IDLE_SECONDS
 
 
--- a/brackenladder/gateway/stale_check.py
+++ b/brackenladder/gateway/stale_check.py
@@ -21,15 +21,15 @@
 
     def __init__(self) -> None:
         self._round_trips: dict[str, float] = {}  # the shortest connect time of each address
-        self._found_at = -SUSPICION_SECONDS
+        self._found_stale_at = -SUSPICION_SECONDS
 
-    def connected(self, address: str, took: float) -> None:
+    def connected(self, address: str, seconds: float) -> None:
         """Record how long connecting to an address took."""
-        self._round_trips[address] = min(took, self._round_trips.get(address, took))
+        self._round_trips[address] = min(seconds, self._round_trips.get(address, seconds))
 
     def found_stale(self, now: float) -> None:
         """Record that a check was answered by a reset."""
-        self._found_at = now
+        self._found_stale_at = now
 
     def forget(self, address: str) -> None:
         """Forget an address whose server no longer exists."""
@@ -43,4 +43,4 @@
         wait = max(LEAST_WAIT_SECONDS, WAIT_ROUND_TRIPS * round_trip)
         if round_trip <= LONG_ROUND_TRIP_SECONDS:
             return min(wait, MOST_WAIT_SECONDS)
-        return wait if now - self._found_at <= SUSPICION_SECONDS else 0.0
+        return wait if now - self._found_stale_at <= SUSPICION_SECONDS else 0.0
--- a/brackenladder/gateway/start_gate.py
+++ b/brackenladder/gateway/start_gate.py
@@ -36,10 +36,10 @@
         self._opened.set()
         self._unsubscribe()
 
-    async def wait(self, patience: int) -> None:
-        """Return once the gate is open, or after the usable part of the client's timeout `patience`."""
+    async def wait(self, client_timeout: int) -> None:
+        """Return once the gate is open, or after the usable part of the client's timeout."""
         try:
-            async with asyncio.timeout(min(MAX_HOLD, patience * HOLD_FRACTION) / US_PER_S):
+            async with asyncio.timeout(min(MAX_HOLD, client_timeout * HOLD_FRACTION) / US_PER_S):
                 await self._opened.wait()
         except TimeoutError:
             pass
--- a/brackenladder/gateway/traffic_split.py
+++ b/brackenladder/gateway/traffic_split.py
@@ -30,16 +30,16 @@
         chosen = self._at(point)
         if self._ahead[chosen] + 1.0 - self._shares[chosen] > MAX_LEAD:
             chosen = min(range(len(self._ahead)), key=self._ahead.__getitem__)
-        for number, share in enumerate(self._shares):
-            self._ahead[number] -= share
+        for index, share in enumerate(self._shares):
+            self._ahead[index] -= share
         self._ahead[chosen] += 1.0
         return self.targets[chosen]
 
     def _at(self, point: float) -> int:
         last = 0
-        for number, share in enumerate(self._shares):
+        for index, share in enumerate(self._shares):
             if share > 0:
-                last = number
+                last = index
                 point -= share
                 if point < 0:
                     break
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -120,9 +120,9 @@
         VIOLATIONS.check(Invariant.SERVER_TAKES_REQUESTS, False, detail)
 
 
-def connection_share(most: int, gateways: int) -> int:
+def connection_share(max_connections: int, gateways: int) -> int:
     """This gateway's share of the connections that a server accepts."""
-    return max(LEAST_CONNECTIONS, int(most * CONNECTION_SHARE / max(1, gateways)))
+    return max(LEAST_CONNECTIONS, int(max_connections * CONNECTION_SHARE / max(1, gateways)))
 
 
 class ServerAttempt:
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -205,7 +205,7 @@
             return
         key = name.lower()
         headers = request.headers
-        request.lines.append((key, name, value))  # one slice may bring more headers than are allowed
+        request.lines.append((key, name, value))  # the limit is checked after each slice, which may exceed it
         request.size += len(name) + len(value)
         if key not in headers:
             headers[key] = value
@@ -239,19 +239,19 @@
             return
         request.parts.append(body)
         request.length += len(body)
-        room = LARGE_BODY if request.reservation is None else request.reservation.requested_bytes
-        if request.length > room and request.reservation not in self.owner.waiting_reservations:
-            self.reserve(request, next_step(room) if room < LARGEST_BODY else LARGEST_BODY + 1)
+        limit = LARGE_BODY if request.reservation is None else request.reservation.requested_bytes
+        if request.length > limit and request.reservation not in self.owner.waiting_reservations:
+            self.reserve(request, next_step(limit) if limit < LARGEST_BODY else LARGEST_BODY + 1)
 
     def reserve(self, request: HttpRequest, size: int) -> None:
         """Reserves memory for a large body. The connection is not read until the reservation is granted."""
-        room = self.owner.body_budget
-        if not room.can_fit(size):
+        budget = self.owner.body_budget
+        if not budget.can_fit(size):
             self.reject(413)
             return
         if request.reservation is None:
             request.reservation = BodyReservation()
-        if not room.request(request.reservation, size, self.last_active):
+        if not budget.request(request.reservation, size, self.last_active):
             self.owner.waiting_reservations[request.reservation] = self
             self.transport.pause_reading()
 
@@ -361,9 +361,10 @@
             self.owner.loop.call_soon(self.start_next)
 
     def is_last_answer(self, request: HttpRequest) -> bool:
-        """Whether this response is the connection's last; at a shutdown, waiting requests come first.
+        """Whether this response is the connection's last.
 
-        Otherwise complete requests that wait behind the last response would be lost.
+        While the node shuts down, the complete requests that wait behind this one are answered first, and
+        reading stops.
         """
         if not request.keep:
             return True
@@ -599,11 +600,11 @@
         # On a shared socket the successor process keeps serving, so `/ready` must not change.
         self.draining = not self.listener.shared
 
-        def look(since: float) -> None:
+        def close_finished(seconds: float) -> None:
             now = self.loop.time()
             # On a shared socket, new connections reach the successor.
-            self.closing = self.closing or since >= self.handover or self.listener.shared
-            if since < self.handover:
+            self.closing = self.closing or seconds >= self.handover or self.listener.shared
+            if seconds < self.handover:
                 return
             for connection in list(self.connections):
                 if connection.transport is None:
@@ -617,9 +618,9 @@
                 if (
                     settled
                     and connection.idle()
-                    or since > latest
+                    or seconds > latest
                     and (not connection.open_request or connection.write_paused)
                 ):
                     connection.transport.abort()
 
-        await self.listener.drain(look)
+        await self.listener.drain(close_finished)
--- a/brackenladder/http/relay.py
+++ b/brackenladder/http/relay.py
@@ -70,9 +70,9 @@
             framing = b"Content-Length: %d\r\n" % self.length
         client.head(status, headers + framing, close=self.length is None and not self.chunked)
         self.timer = self.loop.call_later(STALLED, self.check_stalled)
-        self.data(body)
+        self.forward(body)
 
-    def data(self, body: bytes) -> None:
+    def forward(self, body: bytes) -> None:
         """Forwards more of the body."""
         if self.client is None or not body:
             return
@@ -106,7 +106,7 @@
             else:
                 self.connection.transport.resume_reading()
 
-    def whole(self) -> None:
+    def complete(self) -> None:
         """Ends the relay: the body is complete."""
         client = self.end()
         if client is not None:
--- a/brackenladder/http/server_connection.py
+++ b/brackenladder/http/server_connection.py
@@ -242,7 +242,7 @@
         if self.complete:
             return
         if self.relay is not None:
-            self.relay.data(body)
+            self.relay.forward(body)
             return
         self.body += body
         if len(self.body) > LARGE_BODY:
@@ -276,7 +276,7 @@
         if not self.complete:
             relay.stop()
             return
-        relay.whole()
+        relay.complete()
         if (
             self.keep
             and not self.unexpected_input
--- a/brackenladder/http/server_pool.py
+++ b/brackenladder/http/server_pool.py
@@ -62,9 +62,9 @@
         now = self.loop.time()
         self.sweeping = False
         self.idle_time = min(self.max_idle_time, self.idle_time * IDLE_REGAIN)
-        most = max(self.idle_time - SWEEP, self.idle_time / 2)
+        max_age = max(self.idle_time - SWEEP, self.idle_time / 2)
         for endpoint in self.endpoints.values():
-            while endpoint.idle and now - endpoint.idle[0].idle_since > most:
+            while endpoint.idle and now - endpoint.idle[0].idle_since > max_age:
                 endpoint.idle.pop(0).close()
             self.sweeping = self.sweeping or bool(endpoint.idle)
         if self.sweeping:
@@ -83,13 +83,13 @@
         """Whether one more connection may be opened; at the limit, the longest idle one is closed for it."""
         if self.open < self.max_connections:
             return True
-        held = [e for e in self.endpoints.values() if e.idle]
-        if held:
-            oldest = min(held, key=lambda e: e.idle[0].idle_since)
+        with_idle = [endpoint for endpoint in self.endpoints.values() if endpoint.idle]
+        if with_idle:
+            oldest = min(with_idle, key=lambda endpoint: endpoint.idle[0].idle_since)
             connection = oldest.idle.pop(0)
             connection.close()
             self.lost(connection)
-        return bool(held)
+        return bool(with_idle)
 
     def opened(self, connection: Connection) -> None:
         """Counts a connection that is being opened."""
--- a/brackenladder/http/upstream.py
+++ b/brackenladder/http/upstream.py
@@ -55,7 +55,11 @@
                     endpoint.retire()
         for number, line in latest.items():
             self.update_server(number, line)
-        for number in [n for n, e in endpoints.items() if not e.ready and not e.open_exchanges]:
+        for number in [
+            number
+            for number, endpoint in endpoints.items()
+            if not endpoint.ready and not endpoint.open_exchanges
+        ]:
             del endpoints[number]
 
     def update_server(self, number: int, line: Line) -> None:
--- a/brackenladder/sockets/listener.py
+++ b/brackenladder/sockets/listener.py
@@ -15,11 +15,11 @@
 from brackenladder.core.ending import TAKING
 
 BACKLOG = 512
-ACCEPTS = 64  # connections accepted in one go
+MAX_ACCEPTS = 64  # connections accepted in one go
 FRESH = 0.05  # seconds after the accept in which a client that has sent nothing yet is not evicted
 STALLED = 0.5  # seconds after which a connection with an incomplete request may be evicted
 LINGER = 1.0  # seconds in which the client may read its last response while it is still sending
-LOOK = 0.02
+DRAIN_INTERVAL = 0.02  # seconds between two calls of `close_finished`
 
 Address = tuple[str, int]
 
@@ -129,9 +129,9 @@
         """
         if self.sock is None:
             return
-        room = len(self.connections) < self.max_connections or self.find_evictable() is not None
-        self.set_accepting(room)
-        if not room and self.recheck_timer is None:
+        has_room = len(self.connections) < self.max_connections or self.find_evictable() is not None
+        self.set_accepting(has_room)
+        if not has_room and self.recheck_timer is None:
             self.recheck_timer = self.loop.call_later(FRESH, self.recheck)
 
     def recheck(self) -> None:
@@ -190,7 +190,7 @@
 
     def accept(self) -> None:
         """Accepts the connections that wait in the backlog."""
-        for _ in range(ACCEPTS):
+        for _ in range(MAX_ACCEPTS):
             if self.sock is None or not (len(self.connections) < self.max_connections or self.evict_one()):
                 break
             try:
@@ -235,16 +235,16 @@
         for accepted in waiting:
             self.attach_accepted(accepted)
 
-    async def drain(self, look: Callable[[float], None]) -> None:
+    async def drain(self, close_finished: Callable[[float], None]) -> None:
         """Shuts down after the service has been handed over.
 
-        The socket is closed after TAKING seconds. `look` is called repeatedly with the seconds since the
-        start, and closes connections that may be closed, until none is left.
+        The socket is closed after TAKING seconds. `close_finished` is called repeatedly with the seconds
+        since the start, and closes connections that may be closed, until none is left.
         """
         start = self.loop.time()
         while self.sock is not None or self.connections:
-            since = self.loop.time() - start
-            if since >= TAKING or self.shared:
+            seconds = self.loop.time() - start
+            if seconds >= TAKING or self.shared:
                 self.stop()
-            look(since)
-            await asyncio.sleep(LOOK)
+            close_finished(seconds)
+            await asyncio.sleep(DRAIN_INTERVAL)
--- a/brackenladder/sockets/operator_listener.py
+++ b/brackenladder/sockets/operator_listener.py
@@ -9,7 +9,8 @@
 from brackenladder.sockets.listener import AcceptedConnection, Address, Listener
 
 MAX_CONNECTIONS = 16  # connections at once; they have file descriptors of their own
-PATIENCE = 10.0  # seconds within which a line has to be complete, unless its connection is evicted earlier
+# Seconds within which a line has to be complete, unless its connection is evicted earlier.
+LINE_TIMEOUT = 10.0
 LINGER = 1.0  # seconds in which a client may read its response before the connection is reset
 
 Handle = Callable[[OperatorCall], bytes]
@@ -26,7 +27,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.timer = self.owner.loop.call_later(PATIENCE, self.transport.abort)
+        self.timer = self.owner.loop.call_later(LINE_TIMEOUT, self.transport.abort)
 
     def is_busy(self) -> bool:
         return self.answered
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -40,7 +40,7 @@
 
 
 async def settled(bench: Bench) -> None:
-    """All clients have disconnected, and the core has no open call."""
+    """Wait until all clients have disconnected and the core has no open call."""
     await until(lambda: not bench.node.front.clients.connections and not bench.pool.host.calls)
 
 
--- a/tests/gateway/test_gateway_promises.py
+++ b/tests/gateway/test_gateway_promises.py
@@ -78,7 +78,7 @@
 
 
 class DisconnectingClient(GatewayTest):
-    """With routes and clients whose timeouts do not expire during the test."""
+    """The timeouts are too long to expire during a test."""
 
     servers = 1
     routes = tuple([evolve(route, timeout_ms=60_000, target_latency_ms=20_000) for route in ROUTES])
--- a/tests/http/test_large_transfers.py
+++ b/tests/http/test_large_transfers.py
@@ -40,7 +40,7 @@
 
 
 async def read_response(client: Client) -> tuple[int, dict[str, str], bytes]:
-    """One response, framed_response by length or by chunks."""
+    """One response, framed by length or by chunks."""
     reader = client.reader
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head[:-4].split("\r\n")
