--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -228,8 +228,9 @@
         return max(MIN_SILENCE, aims, gaps)
 
     def may_be_sent_to(self, server_id: str) -> bool:
-        """Whether all binding routes allow another server; one that may have run the request is always
-        allowed.
+        """Whether the request may go to this server, given the attempts that the routes allow.
+
+        A server that may have run the request already does not count as a further attempt.
         """
         if server_id in self.servers or not self.servers:
             return True
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -93,9 +93,7 @@
         return self._pools.get(split.choose(self._point(route, parts)).service)
 
     def prefixes_told(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Pass prefix notices to the pools. Notices about servers that no pool knows yet are kept for a
-        moment.
-        """
+        """Pass prefix notices to the pools; those about servers that no pool knows yet are kept for a moment."""
         for pool in self._pools.values():
             pool.receive_prefix_notices(now, notices)
         self._early.add(now, [notice for notice in notices if not self._is_known(notice.server)])
@@ -126,9 +124,7 @@
             pool.close()
 
     def _point(self, route: Route, parts: tuple[PromptPart, ...]) -> float:
-        """A point from 0 up to 1 that selects among the weighted targets; on sticky routes a hash of the
-        prompt.
-        """
+        """A point from 0 up to 1 that selects a weighted target; on sticky routes a hash of the prompt."""
         if route.sticky and parts:
             return crc32(parts[-1].id.encode()) / HASH_RANGE
         return self.random.random()
--- a/brackenladder/gateway/traffic_split.py
+++ b/brackenladder/gateway/traffic_split.py
@@ -24,8 +24,9 @@
         self._ahead = [0.0] * len(self._shares)  # requests received beyond the share
 
     def choose(self, point: float) -> Target:
-        """The target at `point` (0 to 1 along the weights), or the one furthest below its share if it is
-        ahead.
+        """The target at `point`, or the one furthest below its share if that target is ahead of its own.
+
+        `point` is a position from 0 up to 1 along the targets' shares.
         """
         chosen = self._at(point)
         if self._ahead[chosen] + 1.0 - self._shares[chosen] > MAX_LEAD:
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -109,8 +109,9 @@
 
 
 def _check_server(call: GatewayCall, record: ServerRecord, view: SystemView) -> None:
-    """Check, just before writing, that the server takes requests, by the gateway's view and not the pool's
-    state.
+    """Check, just before writing, that the server takes requests.
+
+    The check uses the gateway's view and not the state of the pool that chose the server.
     """
     known = view.servers.get(record.id)
     if known is None or known.state is not ServerState.READY or known.zone in view.evacuated:
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -164,8 +164,9 @@
             )
 
     def feed(self, data: bytes) -> None:
-        """Parses a slice. Slices are small compared to the limit of a head, which is checked once for each
-        slice.
+        """Parses a slice of the received bytes.
+
+        The limits of a head are checked after each slice, so slices are small compared to them.
         """
         try:
             self.parser.feed_data(data)
@@ -542,9 +543,7 @@
                 connection.reservation_granted()
 
     def sweep(self) -> None:
-        """Ends connections whose request is incomplete after its time limit, and idle ones without any
-        request.
-        """
+        """Ends connections whose request arrives too slowly, and those that have sent no request in time."""
         now = self.loop.time()
         for reservation in self.body_budget.overdue(now):
             connection = self.waiting_reservations.get(reservation)
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -107,9 +107,7 @@
 
 @pytest.mark.parametrize("how", LEAVES)
 def test_no_request_is_sent_after_leaving_during_a_suspension(how):
-    """After a suspension, request and end are read one after the other, and the request's wait ends in
-    between.
-    """
+    """After a suspension, the request and the client's end are read in turn, and the wait ends in between."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -140,9 +138,7 @@
 @pytest.mark.parametrize("how", LEAVES)
 @pytest.mark.parametrize("first", ["client", "server"])
 def test_no_request_is_sent_after_leaving_before_a_retry(how, first, monkeypatch):
-    """The client's end and the response that leads to a retry arrive in the same turn of the loop, in both
-    orders.
-    """
+    """The client's end and the response that causes a retry arrive in one turn of the loop, in both orders."""
     monkeypatch.setattr("brackenladder.core.call.FRESH", 0)
 
     async def scene():
@@ -304,9 +300,7 @@
 
 
 def test_a_client_that_continues_to_send_does_not_delay_the_shutdown():
-    """Requests that arrive after the last responses have begun are not served; the client can use another
-    node.
-    """
+    """Requests that arrive after the last responses have begun are left to another node."""
 
     async def scene():
         turns = asyncio.Semaphore(0)
--- a/tests/endings/test_server_ends.py
+++ b/tests/endings/test_server_ends.py
@@ -45,9 +45,7 @@
 
 
 def test_a_connection_closed_during_the_wait_for_updates_is_not_used():
-    """After a suspension, a request waits briefly for list updates, and its connection is closed in that
-    time.
-    """
+    """After a suspension, a request waits for list updates, and its connection is closed in that time."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
--- a/tests/gateway/test_gateway_clients.py
+++ b/tests/gateway/test_gateway_clients.py
@@ -311,9 +311,7 @@
     """Pipelined requests that wait for an earlier one on their connection."""
 
     async def test_time_spent_waiting_behind_another_request_counts(self) -> None:
-        """Servers used to be told a deadline that began when the request's processing started, not on its
-        arrival.
-        """
+        """The deadline sent to a server must count from the request's arrival, not from its processing."""
         waited = 0.3  # seconds
 
         async def late(request: Received) -> None:
--- a/tests/gateway/test_leaving_services.py
+++ b/tests/gateway/test_leaving_services.py
@@ -1,6 +1,4 @@
-"""A service that is removed from the configuration: its calls continue, and its pool still follows the
-servers.
-"""
+"""A service removed from the configuration: its calls continue, and its pool still follows the servers."""
 
 from __future__ import annotations
 
--- a/tests/gateway/test_traffic_split.py
+++ b/tests/gateway/test_traffic_split.py
@@ -19,9 +19,7 @@
 
 class TrafficSplitTest(TestCase):
     def check(self, weights: tuple[int, ...], points: list[float]) -> None:
-        """Spread requests with these points over the gateways, and check the shares in the first and last
-        200.
-        """
+        """Spread requests over the gateways, and check the shares among the first and the last 200."""
         splits = [TrafficSplit(targets(weights)) for _ in range(GATEWAYS)]
         given = [splits[number % GATEWAYS].choose(point).service for number, point in enumerate(points)]
         for begin in (0, len(given) - 200):
--- a/tests/http/test_large_transfers.py
+++ b/tests/http/test_large_transfers.py
@@ -60,9 +60,7 @@
 @pytest.mark.parametrize("how", ["length", "chunks", "pieces"])
 @pytest.mark.parametrize("size", SIZES)
 def test_a_large_body_arrives_as_it_was_sent(size, how):
-    """Guards against a slice that is read twice, and against later bytes that are taken for a part of the
-    body.
-    """
+    """Guards against a slice that is read twice, or later bytes that are taken for a part of the body."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
--- a/tests/waits/test_cancelled_waits.py
+++ b/tests/waits/test_cancelled_waits.py
@@ -171,8 +171,9 @@
 
 
 class PlantedFaultsTest(TestCase):
-    """Planted faults that the checks have to find: two that CI has found under load, and the simplest of
-    their kind.
+    """Planted faults that the checks have to find.
+
+    Two of them were found by CI on a loaded machine; the third is the simplest of their kind.
     """
 
     def test_a_lost_cancellation(self) -> None:
