--- a/brackenladder/http/server_exchange.py
+++ b/brackenladder/http/server_exchange.py
@@ -135,9 +135,7 @@
         self.stop(Outcome.CONNECT_FAILED if self.connection is None else Outcome.TIMEOUT)
 
     def stop(self, outcome: Outcome) -> None:
-        """Cancels the exchange; its connection is closed, so that a late response can't reach another
-        request.
-        """
+        """Cancels the exchange and closes its connection: a late response must not reach another request."""
         if self.over:
             return
         if self.connection is not None:
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("how", LEAVES)
 @pytest.mark.parametrize("first", ["client", "server"])
 def test_no_request_is_sent_after_leaving_before_a_retry(how, first, monkeypatch):
-    """The client's end and the response that causes a retry arrive in one turn of the loop, in both orders."""
+    """The client's end and the response that causes a retry arrive in the same turn, in both orders."""
     monkeypatch.setattr("brackenladder.core.call.FRESH", 0)
 
     async def scene():
