--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -25,8 +25,8 @@
 from brackenladder.sockets.listener import LINGER, AcceptedConnection, Address, Listener
 
 LARGEST_HEAD = 32768
-PARSE_SLICE = 8192  # bytes that are parsed at once while they may contain a head
-BODY_SLICE = 65536  # bytes that are parsed at once in the middle of a body
+PARSE_SLICE = 8192  # bytes parsed in one go while they may contain a head
+BODY_SLICE = 65536  # bytes parsed in one go in the middle of a body
 LARGEST_LINES = 128  # header lines of one request
 # The bytes received for a body may be this many times its length, because of chunk framing.
 MAX_FRAMING_FACTOR = 8
@@ -611,7 +611,6 @@
                 settled = now - connection.last_active > SETTLE
                 # A request that is still incomplete long after the last accept is dropped. A response that
                 # its client has not read yet is still owed, and so are the requests behind it.
-                # answer that its client has not taken is, and so is what waits behind it.
                 owed = connection.open_request or connection.has_unsent_output()
                 latest = FLUSH_TIMEOUT if owed else max(TAKING, self.handover) + LINGER
                 if (
--- a/brackenladder/http/front.py
+++ b/brackenladder/http/front.py
@@ -164,7 +164,6 @@
         if same_id is not None and not same_id.gone():
             # Servers reject a second request with the same id as an error of the client. Counted as errors of
             # the servers, such responses would eject servers and lower the concurrency limit for all clients.
-            # server has made, eject servers and close the limit to everybody else.
             connection.answer(409)
             return
         repeat = b"x-again" in headers and headers[b"x-again"] == b"1"
--- a/brackenladder/http/server_exchange.py
+++ b/brackenladder/http/server_exchange.py
@@ -80,7 +80,7 @@
         limit = pool.loop.call_later(pool.connect_timeout, self.connect_timed_out, connection)
         try:
             await pool.loop.create_connection(lambda: connection, self.endpoint.host, self.endpoint.port)
-        except (OSError, UnicodeError):  # UnicodeError if it can't be a host name
+        except (OSError, UnicodeError):  # UnicodeError: the name is not a valid host name
             pool.lost(connection)
             self.end(Outcome.CONNECT_FAILED, None)
             return
