--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -98,7 +98,7 @@
         if isinstance(end.answer, WholeAnswer) and end.outcome in (Outcome.ERROR, Outcome.TIMEOUT):
             self.failure = end.answer
 
-    def holds(self, answer: Answer | None) -> bool:
+    def uses(self, answer: Answer | None) -> bool:
         """Whether the call uses this response, so that its connection must not be discarded."""
         return answer is not None and (answer is self._conclusion or isinstance(answer, WholeAnswer))
 
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -71,13 +71,13 @@
         self.prompt_tokens = 0
         self.client_deadline = 0  # by the gateway's clock, as are all times here
         self.servers: set[str] = set()  # the servers that may have run the request
-        self._lines: bytes | None = None
-        self._held: HeldCall
+        self._cached_lines: bytes | None = None
+        self._held_call: HeldCall
 
     async def handle(self) -> web.StreamResponse:
         """Serve the request. The returned response has been sent already, or is sent by the caller."""
         with self.context.held_calls.until(f"request for {self.target}", self.began + MAX_HOLD) as held:
-            self._held = held
+            self._held_call = held
             return await self._serve()
 
     async def _serve(self) -> web.StreamResponse:
@@ -95,11 +95,11 @@
         conclusion = await call.drive()
         if isinstance(conclusion, WholeAnswer):
             call.end_stream()
-            return self._whole(conclusion)
+            return self._whole_response(conclusion)
         if isinstance(conclusion, OpenAnswer):
-            self._held.limit = self.client_deadline + DEADLINE_MARGIN
+            self._held_call.limit = self.client_deadline + DEADLINE_MARGIN
             return await Relay(self, call, conclusion, self.successor_call).run()
-        return self._unserved(call, conclusion)
+        return self._unserved_response(call, conclusion)
 
     async def _wait_for_start(self) -> None:
         gate = self.context.start_gate
@@ -142,7 +142,7 @@
         announced_ms = read_deadline_ms(self.request.headers)
         wait_ms = self.route.timeout_ms if announced_ms is None else announced_ms
         self.client_deadline = self.began + wait_ms * US_PER_MS
-        self._held.limit = min(self.client_deadline, self.began + self.route.timeout_ms * US_PER_MS)
+        self._held_call.limit = min(self.client_deadline, self.began + self.route.timeout_ms * US_PER_MS)
 
     async def _read_body(self, limits: Limits) -> RequestFault | None:
         content = self.request.content
@@ -155,7 +155,7 @@
             self.body = content.read_nowait(-1)
             return RequestFault.BODY_TOO_LARGE if len(self.body) > limits.max_body_bytes else None
         try:
-            async with asyncio.timeout((self._held.limit - self.context.now()) / US_PER_S):
+            async with asyncio.timeout((self._held_call.limit - self.context.now()) / US_PER_S):
                 return await self._read_slow_body(limits.max_body_bytes)
         except TimeoutError:
             return RequestFault.BODY_TOO_SLOW
@@ -246,7 +246,7 @@
 
     def compose(self, server_id: str, left_ms: int, last_event_id: int | None) -> bytes:
         """The request as it is sent to a server."""
-        lines = self._forwarded(last_event_id is not None)
+        lines = self._forwarded_lines(last_event_id is not None)
         target = self.target.encode("utf-8", "surrogateescape")
         urgency = urgency_of(self.route, self.prompt_tokens, resumed=last_event_id is not None)
         resumed = b"" if last_event_id is None else b"Last-Event-Id: %d\r\n" % last_event_id
@@ -267,13 +267,13 @@
             self.body,
         )
 
-    def _forwarded(self, resumed: bool) -> bytes:
+    def _forwarded_lines(self, resumed: bool) -> bytes:
         raw_headers = self.request.raw_headers
         if resumed:
             return forwarded_lines(raw_headers, (LAST_EVENT_ID.lower().encode(),))
-        if self._lines is None:
-            self._lines = forwarded_lines(raw_headers)
-        return self._lines
+        if self._cached_lines is None:
+            self._cached_lines = forwarded_lines(raw_headers)
+        return self._cached_lines
 
     # ---- towards the client ---------------------------------------------------------------------------
 
@@ -283,16 +283,16 @@
             response.force_close()
         return self.finished(response)
 
-    def _whole(self, answer: WholeAnswer) -> web.Response:
+    def _whole_response(self, answer: WholeAnswer) -> web.Response:
         response = web.Response(
             status=answer.status, reason=answer.reason, headers=answer.headers, body=answer.body
         )
         return self.finished(response)
 
-    def _unserved(self, call: GatewayCall, ending: Refused | Failed) -> web.Response:
+    def _unserved_response(self, call: GatewayCall, ending: Refused | Failed) -> web.Response:
         failure = call.failure
         if failure is not None and may_be_passed_on(failure.status):
-            return self._whole(failure)
+            return self._whole_response(failure)
         return self.finished(unserved_answer(ending, call.may_have_run, call.timed_out))
 
     def finished(self, response: Response) -> Response:
--- a/brackenladder/gateway/failures.py
+++ b/brackenladder/gateway/failures.py
@@ -11,7 +11,7 @@
 
 
 @define
-class _Kind:
+class _FailureCount:
     logged_at: int
     unlogged: int = 0
 
@@ -22,14 +22,14 @@
     def __init__(self, log: logbook.Logger, now: Callable[[], int]) -> None:
         self._log = log
         self._now = now
-        self._kinds: dict[str, _Kind] = {}
+        self._kinds: dict[str, _FailureCount] = {}
 
     def __call__(self, kind: str, detail: str) -> None:
         """Report a failure of a kind; `detail` says which server or error it was."""
         now = self._now()
         known = self._kinds.get(kind)
         if known is None:
-            self._kinds[kind] = _Kind(now)
+            self._kinds[kind] = _FailureCount(now)
             self._log.warning("{}: {}", kind, detail)
         elif now - known.logged_at < LOG_INTERVAL:
             known.unlogged += 1
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -92,7 +92,7 @@
             split = self._splits[route.name] = TrafficSplit(route.split)
         return self._pools.get(split.choose(self._point(route, parts)).service)
 
-    def prefixes_told(self, now: int, notices: Sequence[PrefixNotice]) -> None:
+    def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
         """Pass prefix notices to the pools, and keep those about still unknown servers for a moment."""
         for pool in self._pools.values():
             pool.receive_prefix_notices(now, notices)
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -63,7 +63,7 @@
         try:
             async with asyncio.timeout(left / US_PER_S):
                 await response.prepare(exchange.request)
-                complete = await self._pass_all(response)
+                complete = await self._forward_all(response)
         except TimeoutError:
             exchange.context.failures("stream aborted at its deadline", self.answer.server_id)
         except ConnectionError:  # the client has disconnected
@@ -74,7 +74,7 @@
             self._abort_client()
         return exchange.finished(response)  # the gateway may have begun to drain after the head was sent
 
-    async def _pass_all(self, response: web.StreamResponse) -> bool:
+    async def _forward_all(self, response: web.StreamResponse) -> bool:
         """Forward all data; False if the response breaks and can't be resumed."""
         while True:
             try:
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -146,12 +146,12 @@
         if ready:
             self._start_gate.open()
 
-    def prefixes_told(self, message: PrefixNotices) -> None:
+    def receive_prefix_notices(self, message: PrefixNotices) -> None:
         """Pass on the notices of other gateways about prefixes that servers have been sent."""
         now = self._clock()
         for notice in message.notices:
             self._announcer.record_received(now, notice)
-        self._context.pools.prefixes_told(now, message.notices)
+        self._context.pools.receive_prefix_notices(now, message.notices)
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -283,7 +283,7 @@
         self.call.attempt_ended(self, end)
         self.done(end.outcome, end.answer if end.outcome is Outcome.OK else None, ())
         connection = self._connection
-        if connection is not None and not self.call.holds(end.answer):
+        if connection is not None and not self.call.uses(end.answer):
             connection.discard()
 
 
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -290,7 +290,7 @@
             self.transport.pause_reading()
 
     def reject(self, status: int) -> None:
-        """Responds with an error at once and read no further, even if a request is open or others wait.
+        """Responds with an error at once and reads no further, even if a request is open or others wait.
 
         After malformed input the boundaries of earlier requests are in doubt as well, so an open request is
         given up; and the error must not wait for the response to that request.
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -96,7 +96,7 @@
             self._surroundings.clock,
             self._surroundings.random(),
             RelayChoice(self._platform.node_name, self._platform.zone, self._platform.zones),
-            self._gateway.prefixes_told,
+            self._gateway.receive_prefix_notices,
         )
         try:
             await self._gateway.start()
--- a/brackenladder/sockets/listener.py
+++ b/brackenladder/sockets/listener.py
@@ -115,7 +115,7 @@
         """Listens on an inherited socket descriptor. Raises OSError if it is not a listening socket."""
         sock = socket.socket(fileno=number)
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(errno.EINVAL, "the passed descriptor is no listening socket")
+            raise OSError(errno.EINVAL, "the inherited descriptor is not a listening socket")
         sock.setblocking(False)
         self.sock = sock
         self.shared = True
--- a/tests/gateway/test_prefix_notices_taken.py
+++ b/tests/gateway/test_prefix_notices_taken.py
@@ -19,7 +19,7 @@
 
     def tell(self, name: str) -> None:
         notice = PrefixNotice(number_of(name), KEYS, TOKENS, unread=9_000)
-        self.gateway.prefixes_told(PrefixNotices((notice,)))
+        self.gateway.receive_prefix_notices(PrefixNotices((notice,)))
 
     def known(self, name: str) -> bool:
         """Whether the service's pool knows that the server was sent the prefix."""
