--- a/tests/node/test_node_of_pools.py
+++ b/tests/node/test_node_of_pools.py
@@ -78,8 +78,8 @@
         front.attend(Service.REFUSING)
         error, _ = await client.ask("view", 2)
         assert error[0] == "refused" and error[2] == "this node pauses" and len(server.calls) == 1
-        for guest in front.clients:
-            guest.active -= 1  # as if it had been quiet for so long
+        for client_connection in front.clients:
+            client_connection.last_active -= 1  # as if it had been quiet for so long
         front.attend(Service.REFUSING)
         await until(lambda: not front.clients)
         front.attend(Service.SERVING)
--- a/tests/node/test_operations.py
+++ b/tests/node/test_operations.py
@@ -210,8 +210,8 @@
             listener = Listener(loop, 8, lambda: AcceptedConnection(loop.time()))
             listener.adopt(os.dup(sock.fileno()))
             first = await Client(sock.getsockname()[1]).open()
-            await until(lambda: any(g.transport for g in listener.connections))
-            listener.turn(False)  # as if it had no time to look
+            await until(lambda: any(connection.transport for connection in listener.connections))
+            listener.set_accepting(False)  # as if it had no time to look
             waiting = await Client(sock.getsockname()[1]).open()
             looked = []
             drain = asyncio.create_task(listener.drain(looked.append))
