--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-# Microseconds after which an omitted server is removed:
-RETRACTED_TIMEOUT = 10_000_000  # if one of the control nodes that omit it had listed it before
-OMITTED_TIMEOUT = 60_000_000  # otherwise
+# Microseconds after which a server that all control nodes omit is removed, if one of them had listed it.
+RETRACTED_TIMEOUT = 10_000_000
+OMITTED_TIMEOUT = 60_000_000  # microseconds; the same if none of them had listed the server
 
 
 class OmittedServers:
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -132,8 +132,8 @@
 
         `leader_contact_age` is sent along: a starting gateway relies on control nodes whose leader contact is
         at most `FRESH_AGE` old. Callers pass `UNKNOWN_AGE` while this node knows that it lacks log entries or
-        servers, and `tells_catalog=False` while the catalog may have been replaced without its knowledge: no
-        catalog is sent then.
+        servers. They pass `may_send_catalog=False` while the catalog may have been replaced without this
+        node's knowledge: no catalog is sent then.
         """
         this_round = _Round(now, leader_contact_age, may_send_catalog)
         self._mark_if_changed(this_round)
--- a/brackenladder/delivery/subscriptions.py
+++ b/brackenladder/delivery/subscriptions.py
@@ -40,7 +40,7 @@
     have_revision: int  # revision of the subscriber's catalog, received from any control node
     nearest: bool = False  # this control node is the gateway's nearest one
     document_deferred_since: int | None = None  # when a document was first left to the nearest control node
-    fresh: bool = False  # the freshness that was last sent
+    fresh: bool = False  # whether this control node's data was fresh, as last reported to the subscriber
     channels: dict[UpdateKind, Channel] = field(factory=lambda: {kind: Channel() for kind in UpdateKind})
 
     def acknowledged(self, ack: Ack) -> bool:
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -23,7 +23,7 @@
 
 @frozen
 class LocalUpdates:
-    """Ids of servers about which this node received something itself, for its peers."""
+    """Ids of servers that sent messages to this node itself, to be passed on to its peers."""
 
     changed: tuple[str, ...]
     heartbeats: tuple[str, ...]  # ids of servers whose heartbeats changed nothing
--- a/brackenladder/storage/atomic_file.py
+++ b/brackenladder/storage/atomic_file.py
@@ -1,6 +1,7 @@
-"""A small file that is replaced as a whole: a reader finds what was written last or before, or nothing.
+"""A small checksummed file that is replaced atomically: readers get the new content, the old one or nothing.
 
-For what may be lost: it is kept beside the database so that losing or damaging it costs the log nothing.
+It is for data that may be lost, and is separate from the database so that damage to it does not affect the
+log.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from brackenladder.storage.sqlite_file import sync_to_disk
 
 CHECKSUM_BYTES = 16
-LARGEST_BYTES = 4 << 20
+MAX_BYTES = 4 << 20
 UNFINISHED_SUFFIX = ".new"
 
 
 def write_atomically(path: str, data: bytes) -> Result[None, StoreError]:
-    """Replace the file durably. It may hang for as long as the disk does."""
+    """Replace the file durably. Blocks for as long as the disk does."""
     unfinished = path + UNFINISHED_SUFFIX
     try:
         with open(unfinished, "wb") as file:
@@ -36,16 +37,16 @@
 
 
 def read_checked(path: str) -> Result[bytes, StoreError]:
-    """What was written; empty if there is no file."""
+    """Return the content; empty if there is no file."""
     try:
         with open(path, "rb") as file:
-            content = file.read(LARGEST_BYTES + 1)
+            content = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return Success(b"")
     except OSError as error:
         return Failure(StoreFailed(f"{path}: {error.strerror}"))
     checksum, data = content[:CHECKSUM_BYTES], content[CHECKSUM_BYTES:]
-    if len(content) > LARGEST_BYTES or checksum != _checksum(data):
+    if len(content) > MAX_BYTES or checksum != _checksum(data):
         return Failure(StoreCorrupt(f"{path}: damaged"))
     return Success(data)
 
--- a/brackenladder/storage/handover.py
+++ b/brackenladder/storage/handover.py
@@ -1,7 +1,6 @@
-"""The file in which a process leaves its successor the list of servers.
+"""The handover file, in which a process leaves the server list for the process that replaces it.
 
-It stands beside the file of holds, is written whole about once a second, and is of use for as long as what it
-says is fresh.
+It is in the same folder as the holds file, is rewritten about once a second, and is used only while fresh.
 """
 
 from __future__ import annotations
@@ -13,18 +12,18 @@
 
 from brackenladder.membership.listing import Line
 
-NAME = "brackenladder-handover.json"
+FILE_NAME = "brackenladder-handover.json"
 FORMAT = 1
-LARGEST_FILE = 4 << 20  # bytes
-FRESH = 10_000_000  # microseconds after which it is of no use
+MAX_FILE_BYTES = 4 << 20  # bytes
+MAX_AGE = 10_000_000  # microseconds; an older file is ignored
 
 
 class HandoverError(Exception):
-    """The file cannot be read or written; the text is one line."""
+    """The file cannot be read or written. The message is one line."""
 
 
 def write_handover(folder: str, now: int, version: int, lines: list[Line]) -> None:
-    """Leaves it in one step. `now`: microseconds of Unix time. A HandoverError if that cannot be done."""
+    """Writes the file atomically. `now`: Unix time in microseconds. Raises HandoverError."""
     table = {"format": FORMAT, "at": now, "version": version}
     servers = [
         {
@@ -39,7 +38,7 @@
         }
         for line in lines
     ]
-    path = os.path.join(folder, NAME)
+    path = os.path.join(folder, FILE_NAME)
     new = f"{path}.{os.getpid()}"
     try:
         with open(new, "w") as file:
@@ -52,22 +51,22 @@
 
 
 def read_handover(folder: str, now: int) -> dict[str, Any] | None:
-    """What a predecessor has left, as an object; None if there is nothing fresh.
+    """Returns the content of a predecessor's file as a JSON object; None if there is no fresh file.
 
-    Its list is in discovery's form, under the same names. A HandoverError for what cannot be used.
+    The server list has the form in which discovery sends it. Raises HandoverError if the file is invalid.
     """
     try:
-        with open(os.path.join(folder, NAME), "rb") as file:
-            data = file.read(LARGEST_FILE + 1)
+        with open(os.path.join(folder, FILE_NAME), "rb") as file:
+            data = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         return None
     except OSError as e:
         raise HandoverError(f"handover: {e.strerror}") from None
     try:
         table = json.loads(data)
-        if len(data) > LARGEST_FILE or table["format"] != FORMAT:
+        if len(data) > MAX_FILE_BYTES or table["format"] != FORMAT:
             raise ValueError
-        fresh = 0 <= now - int(table["at"]) <= FRESH
+        fresh = 0 <= now - int(table["at"]) <= MAX_AGE
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError):
-        raise HandoverError("handover: not a file of a predecessor's") from None
+        raise HandoverError("handover: not a valid handover file") from None
     return table if fresh else None
--- a/brackenladder/storage/holds.py
+++ b/brackenladder/storage/holds.py
@@ -1,6 +1,6 @@
-"""The file in which the processes of one node share what operators hold back.
+"""The holds file, in which the processes of one node share which servers operators hold out of service.
 
-It stands in the node's private folder, outlives the process that is replaced, and goes with the node.
+It is in the node's private folder, outlives a process that is replaced, and is removed with the node.
 """
 
 from __future__ import annotations
@@ -13,66 +13,71 @@
 
 from brackenladder.operations.maintenance import MOST_HELD, Hold
 
-NAME = "brackenladder-holds.json"
+FILE_NAME = "brackenladder-holds.json"
 FORMAT = 1
-LARGEST_FILE = 1 << 20  # bytes
+MAX_FILE_BYTES = 1 << 20  # bytes
 
 
 class HoldsError(Exception):
-    """The file cannot be read or written; the text is one line."""
+    """The file cannot be read or written. The message is one line."""
 
 
 class HoldsFile:
-    """`folder`: where the file stands."""
+    """The holds file in `folder`."""
 
     def __init__(self, folder: str) -> None:
-        self.path = os.path.join(folder, NAME)
-        self.seen: tuple[int, int, int] | None = None  # of the file as this process last knew it
+        self.path = os.path.join(folder, FILE_NAME)
+        self.last_stamp: tuple[int, int, int] | None = None  # of the file as last read or written here
 
     @contextmanager
     def locked(self) -> Iterator[None]:
-        """Keeps the node's other process from writing in between. A HoldsError if the folder is no use."""
+        """Locks the file against the node's other process. Raises HoldsError if the folder is not usable."""
         try:
             lock = os.open(f"{self.path}.lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         except OSError as e:
             raise HoldsError(f"holds: {e.strerror}") from None
         try:
-            fcntl.flock(lock, fcntl.LOCK_EX)  # held for one small write
+            fcntl.flock(lock, fcntl.LOCK_EX)  # blocks briefly: the lock is held for one small write
             yield
         finally:
             os.close(lock)
 
     def stamp(self) -> tuple[int, int, int] | None:
         try:
-            found = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return None
-        return found.st_ino, found.st_mtime_ns, found.st_size
+        return status.st_ino, status.st_mtime_ns, status.st_size
 
     def changed(self) -> bool:
-        """Whether another process has written since this one last read or wrote."""
-        return self.stamp() != self.seen
+        """Whether another process has written the file since this one last read or wrote it."""
+        return self.stamp() != self.last_stamp
 
     def read(self) -> dict[str, Hold]:
-        """What is noted; a HoldsError for a file that cannot be used. None there is none noted."""
-        self.seen = self.stamp()
-        if self.seen is None:
+        """Returns the holds by server; empty if there is no file. Raises HoldsError for an invalid file."""
+        self.last_stamp = self.stamp()
+        if self.last_stamp is None:
             return {}
         try:
             with open(self.path, "rb") as file:
-                data = file.read(LARGEST_FILE + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
             table = json.loads(data)
-            if len(data) > LARGEST_FILE or table["format"] != FORMAT or len(table["holds"]) > MOST_HELD:
+            if len(data) > MAX_FILE_BYTES or table["format"] != FORMAT or len(table["holds"]) > MOST_HELD:
                 raise ValueError
-            return {str(s): Hold(int(since), int(until)) for s, (since, until) in table["holds"].items()}
+            return {
+                str(server): Hold(int(since), int(until)) for server, (since, until) in table["holds"].items()
+            }
         except OSError as e:
             raise HoldsError(f"holds: {e.strerror}") from None
         except (ValueError, TypeError, KeyError, AttributeError, RecursionError):
-            raise HoldsError("holds: not a file of holds") from None
+            raise HoldsError("holds: not a valid holds file") from None
 
     def write(self, holds: Mapping[str, Hold]) -> None:
-        """Notes the holds in one step; a HoldsError if that cannot be done, and the file stays as it was."""
-        table = {"format": FORMAT, "holds": {s: [h.since, h.until] for s, h in holds.items()}}
+        """Writes the holds atomically. Raises HoldsError if that fails; the file is then unchanged."""
+        table = {
+            "format": FORMAT,
+            "holds": {server: [hold.since, hold.until] for server, hold in holds.items()},
+        }
         new = f"{self.path}.{os.getpid()}"
         try:
             with open(new, "w") as file:
@@ -82,4 +87,4 @@
             with suppress(OSError):
                 os.unlink(new)
             raise HoldsError(f"holds: {e.strerror}") from None
-        self.seen = self.stamp()
+        self.last_stamp = self.stamp()
--- a/brackenladder/storage/log_codec.py
+++ b/brackenladder/storage/log_codec.py
@@ -1,7 +1,7 @@
-"""Members and snapshots of the replicated log as bytes (msgpack).
+"""Encoding of the members and snapshots of the replicated log (msgpack).
 
-An object is an array of its fields. Fields may be added at the end: a reader gives missing ones their
-defaults and ignores surplus ones, so that two versions can read one another's log.
+An object is an array of its fields. Fields may be added at the end: a reader fills missing ones with their
+defaults and ignores extra ones, so that two program versions can read each other's logs.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 
 @frozen
 class LogCodecError:
-    """The bytes are no encoding of the value that was asked for."""
+    """The bytes do not encode a value of the requested type."""
 
     detail: str
 
 
 class _Malformed(Exception):
-    """Stops decoding; it never leaves this module."""
+    """Aborts decoding; it is always caught in this module."""
 
 
 def encode_members(members: Members) -> bytes:
-    """The data of an entry of kind `EntryKind.MEMBERS`."""
+    """Encodes the data of an entry of kind `EntryKind.MEMBERS`."""
     return _pack(_members_row(members))
 
 
 def decode_members(data: bytes) -> Result[Members, LogCodecError]:
-    """The reverse of `encode_members`."""
+    """Decodes the output of `encode_members`."""
     return _decode("members", _read_members, data)
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """A snapshot with its members and its data."""
+    """Encodes a snapshot, including its members and its data."""
     return _pack([snapshot.index, snapshot.term, _members_row(snapshot.members), snapshot.data])
 
 
 def decode_snapshot(data: bytes) -> Result[Snapshot, LogCodecError]:
-    """The reverse of `encode_snapshot`."""
+    """Decodes the output of `encode_snapshot`."""
     return _decode("snapshot", _read_snapshot, data)
 
 
@@ -86,14 +86,14 @@
 
 def _array(value: Any, least: int, name: str) -> Sequence[Any]:
     if not isinstance(value, list) or len(value) < least:
-        raise _Malformed(f"{name} is no array of at least {least} fields")
+        raise _Malformed(f"{name} is not an array of at least {least} fields")
     return value
 
 
 def _read_member(value: Any) -> Member:
     row = _array(value, 2, "member")[:MEMBER_FIELDS]
     if not all(isinstance(text, str) for text in row):
-        raise _Malformed("a member's field is no text")
+        raise _Malformed("a field of a member is not a string")
     return Member(*row)
 
 
@@ -106,5 +106,5 @@
 def _read_snapshot(value: Any) -> Snapshot:
     index, term, members, data = _array(value, SNAPSHOT_FIELDS, "snapshot")[:SNAPSHOT_FIELDS]
     if type(index) is not int or type(term) is not int or not isinstance(data, bytes):
-        raise _Malformed("a snapshot's field is of another type")
+        raise _Malformed("a field of a snapshot has the wrong type")
     return Snapshot(index, term, _read_members(members), data)
--- a/brackenladder/storage/log_store.py
+++ b/brackenladder/storage/log_store.py
@@ -1,4 +1,4 @@
-"""The durable store of a replica's log: its interface, its errors, and how the log may change."""
+"""The durable store of a replica's log: the interface, the errors, and which changes of a log are valid."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from brackenladder.consensus.types import DurableState, Entry, Snapshot, Write
 
-FORMAT = 1  # of the store on disk; raised when an older program can no longer read it
+FORMAT = 1  # format version on disk; increased when older programs can no longer read the store
 
 
 @frozen
 class StoreIdentity:
-    """Whose store it is. The replica id is made with the store and never changes."""
+    """The replica that owns a store. The id is generated when the store is created and never changes."""
 
     replica_id: str
     format: int
@@ -23,7 +23,7 @@
 
 @frozen
 class StoreError:
-    """A store refuses, and keeps what it held. `detail` is one line for people."""
+    """A store operation failed and changed nothing. `detail` is a one-line message."""
 
     detail: str
 
@@ -32,11 +32,11 @@
 
 
 class StoreFull(StoreError):
-    """The disk, or the store's own bound, has no room. A write that drops entries may succeed."""
+    """The disk is full, or the store has reached its size limit. A write that drops entries may succeed."""
 
 
 class StoreFailed(StoreError):
-    """The disk refused to read, write or sync. The same write may be tried again."""
+    """A read, write or sync of the disk failed. The same write may be retried."""
 
 
 class StoreInUse(StoreError):
@@ -44,63 +44,63 @@
 
 
 class StoreClosed(StoreError):
-    """The store was closed by its owner."""
+    """The store has been closed by its owner."""
 
 
 class StoreForeign(StoreError):
-    """The file is not a log store. It is left as it is."""
+    """The file is not a log store. It is left unchanged."""
 
 
 class StoreCorrupt(StoreError):
-    """The file is a log store whose content is damaged. It is left as it is."""
+    """The file is a log store with damaged content. It is left unchanged."""
 
 
 class StoreTooNew(StoreError):
-    """The store was written in a later format by a later program. It is left as it is."""
+    """The store was written by a newer program in a newer format. It is left unchanged."""
 
 
 class WriteOutOfOrder(StoreError):
-    """The write would leave a gap in the log, or go behind its snapshot."""
+    """The write would leave a gap in the log, or add entries that its snapshot already covers."""
 
 
 class LogStore(Protocol):
-    """What holds a replica's log over a restart. One writer at a time."""
+    """Keeps a replica's log across restarts. One writer at a time."""
 
     @property
     def identity(self) -> StoreIdentity: ...
 
     def load(self) -> Result[DurableState, StoreError]:
-        """All that was made durable."""
+        """Returns everything that was made durable."""
 
     def apply(self, write: Write) -> Result[None, StoreError]:
-        """Takes effect as a whole and is durable on return; after a failure nothing has changed."""
+        """Applies a write atomically; it is durable on return. After a failure nothing has changed."""
 
     def close(self) -> None:
-        """Releases the store; may be called again."""
+        """Releases the store; further calls do nothing."""
 
 
 @runtime_checkable
 class BatchLogStore(Protocol):
-    """A log store that makes several writes durable for the price of one."""
+    """A log store that can make several writes durable with one sync."""
 
     def apply_batch(self, writes: Sequence[Write]) -> Result[None, StoreError]:
-        """Applies them in order; all of them or none."""
+        """Applies the writes in order; either all of them or none."""
 
 
 @frozen
 class LogSpan:
-    """Which entries a log holds: those after `base`, the index of its snapshot, up to `last`."""
+    """The range of entries in a log: those after `base`, the index of its snapshot, up to `last`."""
 
     base: int = 0
     last: int = 0
 
     def after(self, write: Write) -> Result[LogSpan, StoreError]:
-        """The span once the write has taken effect, if the log may change in this way."""
-        return self._installed(write).bind(
+        """Returns the range after a write, or an error if the write is not valid for this log."""
+        return self._with_snapshot(write).bind(
             lambda span: span._truncated(write.truncate_from)._appended(write.entries)
         )
 
-    def _installed(self, write: Write) -> Result[LogSpan, StoreError]:
+    def _with_snapshot(self, write: Write) -> Result[LogSpan, StoreError]:
         span = LogSpan(self.base, self.base) if write.clear else self
         if write.snapshot is None:
             return Success(span)
@@ -126,7 +126,7 @@
 
 
 def span_of(snapshot: Snapshot | None, entries: Sequence[Entry]) -> Result[LogSpan, StoreError]:
-    """The span of a log as it was read; entries must follow the snapshot and one another."""
+    """Returns the range of a log that was read; entries must follow the snapshot without a gap."""
     base = 0 if snapshot is None else snapshot.index
     span = LogSpan(base, base).after(Write(0, entries=tuple(entries)))
     return span.alt(lambda error: StoreCorrupt(f"the log has a gap: {error.detail}"))
--- a/brackenladder/storage/memory_log.py
+++ b/brackenladder/storage/memory_log.py
@@ -1,4 +1,4 @@
-"""A log store in memory, for tests and rehearsals."""
+"""A log store in memory, for tests and simulations."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @define
 class _Content:
-    """What a disk would hold."""
+    """The content that a disk would hold."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -20,7 +20,7 @@
 
 
 class MemoryLogStore:
-    """Keeps the log for as long as the object, or one that `reopen` gave, is held."""
+    """Keeps the log in memory. `reopen` passes it on to a new store object."""
 
     def __init__(self, replica_id: str) -> None:
         self.identity = StoreIdentity(replica_id, FORMAT)
@@ -28,27 +28,27 @@
         self._closed = False
 
     def reopen(self) -> MemoryLogStore:
-        """The store as a restarted process finds it; this object is closed."""
+        """Closes this object and returns a store with the same content, as after a process restart."""
         self.close()
         store = MemoryLogStore(self.identity.replica_id)
         store._content = self._content
         return store
 
     def load(self) -> Result[DurableState, StoreError]:
-        """All that was applied."""
+        """Returns everything that was applied."""
         if self._closed:
             return Failure(StoreClosed("the store is closed"))
         content = self._content
         return Success(DurableState(content.hard_state, content.snapshot, tuple(content.entries)))
 
     def apply(self, write: Write) -> Result[None, StoreError]:
-        """Takes effect as a whole or not at all."""
+        """Applies a write atomically."""
         if self._closed:
             return Failure(StoreClosed("the store is closed"))
         return self._content.span.after(write).map(lambda span: self._change(write, span))
 
     def close(self) -> None:
-        """Refuses everything from now on."""
+        """Closes the store; later calls fail."""
         self._closed = True
 
     def _change(self, write: Write, span: LogSpan) -> None:
--- a/brackenladder/storage/quarantine.py
+++ b/brackenladder/storage/quarantine.py
@@ -1,8 +1,8 @@
-"""Setting a damaged store aside, so that its node can begin again as a new replica.
+"""Quarantine of a damaged store, so that its node can start again as a new replica.
 
-To the others this is a disk that was wiped: the old replica never votes again, and the new one, under an id
-of its own, joins as a learner. The database goes first and durably. Without it what is left of the store
-counts as damaged, whereas the database without its journal could pass for an older state of the replica.
+To the other replicas this looks like a wiped disk: the old replica never votes again, and the new one joins
+as a learner under a new id. The database is renamed first, durably. A journal left without its database
+counts as damaged, whereas a database without its journal could be taken for an older state of the replica.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 
 from brackenladder.storage.sqlite_file import FILE_NAME, SIDE_SUFFIXES, sync_to_disk
 
-MOST_KEPT = 2  # damaged stores in a folder; older ones are removed
-MOST_KEPT_BYTES = 2 << 20  # of each of their files, for whoever looks into it; the disk is small
+MAX_QUARANTINED = 2  # quarantined stores per folder; older ones are removed
+MAX_QUARANTINED_BYTES = 2 << 20  # to which each of their files is truncated; the disk is small
 
-_MARK = ".corrupt-"
+_SUFFIX = ".corrupt-"
 
 
 def has_quarantined_store(folder: str) -> bool:
-    """Whether a replica has ended here by damage: its node is not one that starts for the first time."""
+    """Whether a damaged store was quarantined here, so that this is not the first start of the node."""
     return bool(_numbers(folder))
 
 
 def quarantine_store(folder: str) -> str:
-    """Renames the store in `folder`, durably; returns its new name. OSError: it may be tried again."""
+    """Renames the store in `folder` durably and returns its new name. May be retried after an OSError."""
     numbers = _numbers(folder)
     number = max(numbers, default=0) + 1
-    name = f"{FILE_NAME}{_MARK}{number}"
+    name = f"{FILE_NAME}{_SUFFIX}{number}"
     for suffix in ("", *SIDE_SUFFIXES):
         _move(os.path.join(folder, FILE_NAME + suffix), os.path.join(folder, name + suffix))
         sync_to_disk(folder)
-    for old in sorted(numbers)[: -(MOST_KEPT - 1)]:
-        _remove(os.path.join(folder, f"{FILE_NAME}{_MARK}{old}"))
+    for old in sorted(numbers)[: -(MAX_QUARANTINED - 1)]:
+        _remove(os.path.join(folder, f"{FILE_NAME}{_SUFFIX}{old}"))
     return name
 
 
 def _numbers(folder: str) -> set[int]:
-    """The numbers of the stores that were set aside; of some only a journal may be there."""
+    """The numbers of the quarantined stores, including those of which only a journal is left."""
     numbers = set()
     for name in os.listdir(folder):
-        start, mark, rest = name.partition(_MARK)
+        start, separator, rest = name.partition(_SUFFIX)
         number = rest.partition("-")[0]
-        if start == FILE_NAME and mark and number.isdecimal():
+        if start == FILE_NAME and separator and number.isdecimal():
             numbers.add(int(number))
     return numbers
 
@@ -50,8 +50,8 @@
 def _move(path: str, target: str) -> None:
     with suppress(FileNotFoundError):
         os.rename(path, target)
-        if os.path.getsize(target) > MOST_KEPT_BYTES:
-            os.truncate(target, MOST_KEPT_BYTES)
+        if os.path.getsize(target) > MAX_QUARANTINED_BYTES:
+            os.truncate(target, MAX_QUARANTINED_BYTES)
 
 
 def _remove(path: str) -> None:
--- a/brackenladder/storage/sqlite_errors.py
+++ b/brackenladder/storage/sqlite_errors.py
@@ -1,4 +1,4 @@
-"""The errors of sqlite3 and of the file system as typed errors of a log store."""
+"""Converts errors of sqlite3 and of the file system to the errors of a log store."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     StoreInUse,
 )
 
-PRIMARY_CODE = 0xFF  # the bits of an extended result code that name the kind of error
+PRIMARY_CODE = 0xFF  # mask of the primary result code within an extended one
 _ERROR_TYPES: dict[int, type[StoreError]] = {
-    sqlite3.SQLITE_ERROR: StoreCorrupt,  # tables or text that are not as this program writes them
+    sqlite3.SQLITE_ERROR: StoreCorrupt,  # tables or text that this program does not write
     sqlite3.SQLITE_CONSTRAINT: StoreCorrupt,
     sqlite3.SQLITE_FULL: StoreFull,
     sqlite3.SQLITE_CORRUPT: StoreCorrupt,
@@ -28,11 +28,11 @@
 
 
 class CorruptRow(Exception):
-    """A row of the store fails its check; the text says which and how."""
+    """A row of the store is invalid; the message says which one and why."""
 
 
 def store_error(error: sqlite3.Error | OSError | CorruptRow, path: str) -> StoreError:
-    """What a store at `path` reports for an error that it ran into."""
+    """Returns the store error for an error that occurred at `path`."""
     if isinstance(error, CorruptRow):
         return StoreCorrupt(f"{path}: {error}")
     if isinstance(error, OSError):
--- a/brackenladder/storage/sqlite_log.py
+++ b/brackenladder/storage/sqlite_log.py
@@ -1,7 +1,7 @@
-"""The log of a replica in one sqlite3 file.
+"""A log store in one sqlite3 database.
 
-The file is in WAL mode with exclusive locking (no shared-memory index) and `synchronous=FULL`: a commit
-returns after its frames in the WAL are synced, and pages of the file itself are overwritten only from a
+The database is in WAL mode with exclusive locking (no shared-memory index) and `synchronous=FULL`: a commit
+returns after its frames in the WAL are synced, and pages of the database file are overwritten only from a
 synced WAL.
 """
 
@@ -30,20 +30,20 @@
 
 
 class SqliteLogStore:
-    """An open store. It may be used from several threads, one call at a time."""
+    """An open store. It is thread-safe; calls are serialised by a lock."""
 
     def __init__(
         self, path: str, connection: sqlite3.Connection, identity: StoreIdentity, created: bool
     ) -> None:
         self.path = path
         self.identity = identity
-        self.created = created  # by the call of `open_store` that gave this object
+        self.created = created  # whether `open_store` created the store when it returned this object
         self._lock = Lock()
         self._connection: sqlite3.Connection | None = connection
         self._span = sqlite_tables.read_span(connection)
 
     def load(self) -> Result[DurableState, StoreError]:
-        """All that was made durable. A log with damage or a gap is a failure."""
+        """Returns everything that was made durable; fails if the log is damaged or has a gap."""
         with self._lock:
             if self._connection is None:
                 return self._closed()
@@ -54,11 +54,11 @@
         return span_of(state.snapshot, state.entries).map(lambda _: state)
 
     def apply(self, write: Write) -> Result[None, StoreError]:
-        """One transaction: durable on return; after a failure nothing has changed."""
+        """Applies a write in one transaction; durable on return. After a failure nothing has changed."""
         return self.apply_batch((write,))
 
     def apply_batch(self, writes: Sequence[Write]) -> Result[None, StoreError]:
-        """All writes in one transaction, in their order."""
+        """Applies all writes in one transaction, in order."""
         with self._lock:
             if self._connection is None:
                 return self._closed()
@@ -72,7 +72,7 @@
             return done
 
     def close(self) -> None:
-        """Releases the file; later calls do nothing."""
+        """Closes the database; further calls do nothing."""
         with self._lock:
             if self._connection is not None:
                 self._connection.close()
@@ -83,7 +83,7 @@
 
     def _commit(self, connection: sqlite3.Connection, writes: Sequence[Write]) -> Result[None, StoreError]:
         try:
-            _roll_back(connection)  # in case that failed after the last error
+            _roll_back(connection)  # in case the rollback after the last error failed
             connection.execute("BEGIN IMMEDIATE")
             for write in writes:
                 sqlite_tables.write_change(connection, write)
@@ -93,13 +93,13 @@
                 _roll_back(connection)
             return Failure(store_error(error, self.path))
         if any(write.snapshot is not None for write in writes):
-            with suppress(sqlite3.Error):  # the writes are durable; the next snapshot tries again
+            with suppress(sqlite3.Error):  # the writes are durable; this is retried with the next snapshot
                 sqlite_tables.release_pages(connection)
         return Success(None)
 
 
 def open_store(folder: str, new_replica_id: Callable[[], str]) -> Result[SqliteLogStore, StoreError]:
-    """Opens the store in `folder`, or makes one with a new replica id if there is none."""
+    """Opens the store in `folder`, or creates one with a new replica id if there is none."""
     path = os.path.join(os.path.abspath(folder), sqlite_file.FILE_NAME)
     try:
         sqlite_file.remove_unfinished(path)
@@ -109,9 +109,9 @@
             case refused:
                 return Failure(refused.failure())
         if not found:
-            sqlite_file.make_store(path, new_replica_id())
+            sqlite_file.create_store(path, new_replica_id())
         elif lost_commits(path, path + sqlite_file.WAL_SUFFIX, sqlite_file.PAGE_BYTES):
-            return Failure(StoreCorrupt(f"{path}: its WAL is damaged before commits that were acknowledged"))
+            return Failure(StoreCorrupt(f"{path}: its WAL is damaged and acknowledged commits would be lost"))
         return _open(path, created=not found)
     except (sqlite3.Error, OSError) as error:
         return Failure(store_error(error, path))
@@ -120,7 +120,7 @@
 def _open(path: str, created: bool) -> Result[SqliteLogStore, StoreError]:
     connection = sqlite_file.connect(path)
     try:
-        opened = _recognise(path, connection, created)
+        opened = _prepare(path, connection, created)
     except (sqlite3.Error, OSError, CorruptRow) as error:
         opened = Failure(store_error(error, path))
     if not isinstance(opened, Success):
@@ -128,16 +128,14 @@
     return opened
 
 
-def _recognise(
-    path: str, connection: sqlite3.Connection, created: bool
-) -> Result[SqliteLogStore, StoreError]:
-    marks = sqlite_file.read_marks(connection)
-    match sqlite_file.check_marks(marks, path):
+def _prepare(path: str, connection: sqlite3.Connection, created: bool) -> Result[SqliteLogStore, StoreError]:
+    fields = sqlite_file.read_header_fields(connection)
+    match sqlite_file.check_header_fields(fields, path):
         case Success(_):
             sqlite_file.use_wal(connection)
         case refused:
             return Failure(refused.failure())
-    identity = StoreIdentity(sqlite_tables.read_replica_id(connection), marks.format)
+    identity = StoreIdentity(sqlite_tables.read_replica_id(connection), fields.format)
     return Success(SqliteLogStore(path, connection, identity, created))
 
 
--- a/brackenladder/storage/sqlite_tables.py
+++ b/brackenladder/storage/sqlite_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the log store: statements, and rows from and to values. Transactions are the caller's."""
+"""The tables of the log store: SQL, and conversion of rows. Callers manage transactions."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from brackenladder.storage.log_store import FORMAT, LogSpan
 from brackenladder.storage.sqlite_errors import CorruptRow
 
-APPLICATION_ID = 0x626C6C67  # "bllg", in the file's header
-FREE_PAGES_KEPT = 256  # for reuse; more are handed back to the disk
-FREE_PAGES_STEP = 512  # most that one write hands back
+APPLICATION_ID = 0x626C6C67  # "bllg"; in the header of the database file
+FREE_PAGES_KEPT = 256  # unused pages kept for reuse; the rest is returned to the file system
+FREE_PAGES_STEP = 512  # maximum number of unused pages returned at a time
 
 _TABLES = (
     "CREATE TABLE identity (only INTEGER PRIMARY KEY CHECK (only = 1), replica_id TEXT NOT NULL)",
@@ -31,7 +31,7 @@
 
 
 def create_tables(connection: sqlite3.Connection, replica_id: str) -> None:
-    """Makes an empty log with its identity and the marks by which its file is recognised."""
+    """Creates an empty log with its replica id, and the header values that identify the file."""
     for statement in _TABLES:
         connection.execute(statement)
     connection.execute("INSERT INTO identity VALUES (1, ?)", (replica_id,))
@@ -40,17 +40,17 @@
 
 
 def read_pragma(connection: sqlite3.Connection, name: str) -> int:
-    """A pragma that answers with one number."""
+    """Returns the value of a pragma that is one number."""
     return int(connection.execute(f"PRAGMA {name}").fetchone()[0])
 
 
 def has_tables(connection: sqlite3.Connection) -> bool:
-    """Whether the file holds any table at all."""
+    """Whether the database has any table."""
     return connection.execute("SELECT 1 FROM sqlite_master LIMIT 1").fetchone() is not None
 
 
 def read_replica_id(connection: sqlite3.Connection) -> str:
-    """The identity's part that belongs to this file alone."""
+    """Returns the replica id of the store."""
     row = connection.execute("SELECT replica_id FROM identity").fetchone()
     if row is None or not isinstance(row[0], str) or not row[0]:
         raise CorruptRow("the store has no replica id")
@@ -58,30 +58,30 @@
 
 
 def read_span(connection: sqlite3.Connection) -> LogSpan:
-    """Which entries the log holds, without reading them."""
+    """Returns the range of entries in the log, without reading the entries."""
     row = connection.execute("SELECT position FROM snapshot").fetchone()
     base = 0 if row is None else row[0]
     last = connection.execute("SELECT max(position) FROM entry").fetchone()[0]
     if not isinstance(base, int):
-        raise CorruptRow("the snapshot's index is no number")
+        raise CorruptRow("the snapshot's index is not a number")
     return LogSpan(base, base if last is None else max(base, int(last)))
 
 
 def read_state(connection: sqlite3.Connection) -> DurableState:
-    """The whole content; each row is checked."""
+    """Reads the whole content, checking each row."""
     entries = connection.execute("SELECT position, term, kind, data, checksum FROM entry ORDER BY position")
     try:
         return DurableState(
             _read_hard_state(connection),
             _read_snapshot(connection),
-            tuple(_entry(*row) for row in entries),
+            tuple(_read_entry(*row) for row in entries),
         )
     except (TypeError, AttributeError, StructError) as error:
-        raise CorruptRow(f"a row holds a value of another type: {error}") from None
+        raise CorruptRow(f"a row has a value of the wrong type: {error}") from None
 
 
 def write_change(connection: sqlite3.Connection, write: Write) -> None:
-    """Carries out a write, in the order that `Write` states."""
+    """Executes a write, in the order that `Write` defines."""
     if write.clear:
         connection.execute("DELETE FROM entry")
     if write.snapshot is not None:
@@ -89,28 +89,30 @@
     if write.truncate_from:
         connection.execute("DELETE FROM entry WHERE position >= ?", (write.truncate_from,))
     rows = [
-        (entry.index, entry.term, int(entry.kind), entry.data, _entry_sum(entry)) for entry in write.entries
+        (entry.index, entry.term, int(entry.kind), entry.data, _entry_checksum(entry))
+        for entry in write.entries
     ]
     connection.executemany("INSERT INTO entry VALUES (?, ?, ?, ?, ?)", rows)
     if write.hard_state is not None:
         state = write.hard_state
-        row = (state.term, state.voted_for, _hard_state_sum(state))
+        row = (state.term, state.voted_for, _hard_state_checksum(state))
         connection.execute("REPLACE INTO hard_state VALUES (1, ?, ?, ?)", row)
 
 
 def release_pages(connection: sqlite3.Connection) -> None:
-    """Hands unused pages back to the disk if there are many, in a transaction of its own."""
+    """Returns unused pages to the file system if there are many, in a separate transaction."""
     surplus = read_pragma(connection, "freelist_count") - FREE_PAGES_KEPT
     if surplus > 0:
         pages = min(surplus, FREE_PAGES_STEP)
-        connection.executescript(f"PRAGMA incremental_vacuum({pages})")  # `execute` ends after one page
+        # `execute` would stop after one page.
+        connection.executescript(f"PRAGMA incremental_vacuum({pages})")
 
 
 def _write_snapshot(connection: sqlite3.Connection, snapshot: Snapshot) -> None:
     connection.execute("DELETE FROM entry WHERE position <= ?", (snapshot.index,))
-    connection.execute("DELETE FROM snapshot")  # first, so that the new one takes the old one's pages
+    connection.execute("DELETE FROM snapshot")  # first, so that the new one reuses the old one's pages
     members = encode_members(snapshot.members)
-    checksum = _snapshot_sum(snapshot.index, snapshot.term, members, snapshot.data)
+    checksum = _snapshot_checksum(snapshot.index, snapshot.term, members, snapshot.data)
     row = (snapshot.index, snapshot.term, members, snapshot.data, checksum)
     connection.execute("INSERT INTO snapshot VALUES (1, ?, ?, ?, ?, ?)", row)
 
@@ -120,7 +122,7 @@
     if row is None:
         return HardState()
     state = HardState(row[0], row[1])
-    if _hard_state_sum(state) != row[2]:
+    if _hard_state_checksum(state) != row[2]:
         raise CorruptRow("the hard state fails its checksum")
     return state
 
@@ -130,7 +132,7 @@
     if row is None:
         return None
     position, term, members, data, checksum = row
-    if _snapshot_sum(position, term, members, data) != checksum:
+    if _snapshot_checksum(position, term, members, data) != checksum:
         raise CorruptRow(f"the snapshot at {position} fails its checksum")
     match decode_members(members):
         case Success(decoded):
@@ -139,24 +141,24 @@
             raise CorruptRow(f"the snapshot at {position}: {failed.failure().detail}")
 
 
-def _entry(position: int, term: int, kind: int, data: bytes, checksum: int) -> Entry:
+def _read_entry(position: int, term: int, kind: int, data: bytes, checksum: int) -> Entry:
     try:
         entry = Entry(position, term, EntryKind(kind), data)
     except ValueError:
-        raise CorruptRow(f"entry {position} is of unknown kind {kind}") from None
-    if _entry_sum(entry) != checksum:
+        raise CorruptRow(f"entry {position} has unknown kind {kind}") from None
+    if _entry_checksum(entry) != checksum:
         raise CorruptRow(f"entry {position} fails its checksum")
     return entry
 
 
-def _entry_sum(entry: Entry) -> int:
+def _entry_checksum(entry: Entry) -> int:
     return crc32(entry.data, crc32(_NUMBERS.pack(entry.index, entry.term, entry.kind)))
 
 
-def _snapshot_sum(position: int, term: int, members: bytes, data: bytes) -> int:
+def _snapshot_checksum(position: int, term: int, members: bytes, data: bytes) -> int:
     numbers = _NUMBERS.pack(position, term, len(members))
     return crc32(data, crc32(members, crc32(numbers)))
 
 
-def _hard_state_sum(state: HardState) -> int:
+def _hard_state_checksum(state: HardState) -> int:
     return crc32(state.voted_for.encode(), crc32(_NUMBERS.pack(state.term, 0, 0)))
--- a/brackenladder/storage/state_store.py
+++ b/brackenladder/storage/state_store.py
@@ -1,9 +1,9 @@
-"""What a node keeps on disk to come back with: two files, written in turn, each whole or not at all.
+"""A node's desired state on disk, for use after a restart: two files that are replaced in turn.
 
-A write goes to a temporary file, is synced, takes the older file's place, and the folder is synced: a power
-cut at any step leaves the file before it. A file names its owner, its format and its checksum; what does not
-fit is named and passed over for the other one. `DiskFiles` alone touches a disk, so that tests
-can cut the power at each of its steps.
+A write goes to a temporary file, which is synced and renamed over the older file; then the folder is synced.
+A power loss at any step leaves the newer file intact. Each file contains its owner, format and checksum; one
+that is invalid is logged and ignored in favour of the other. Only `DiskFiles` accesses the disk, so that
+tests can simulate a power loss at each step.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 import msgspec
 
 FORMAT = 1
-LARGEST = 2 << 20  # bytes of a file
+MAX_FILE_BYTES = 2 << 20  # bytes in a file
 FILE_NAMES = ("state-a.json", "state-b.json")
-SUM = 16  # bytes of the checksum
+CHECKSUM_BYTES = 16  # bytes in the checksum
 
 
 class StateOwner(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Whose state it is: a folder that was exchanged, or copied from another node, is told by it."""
+    """The owner of a state file; detects a folder that was swapped with, or copied from, another node's."""
 
     node: str
     tier: int
@@ -30,7 +30,7 @@
 
 
 class SavedState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is kept. `state`: the canonical desired state; `at`: Unix seconds, for people only."""
+    """The saved state. `state`: the desired state in canonical form; `at`: Unix time, informational only."""
 
     counter: int
     digest: str
@@ -39,7 +39,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A file. `sum`: of `kept`'s bytes."""
+    """The content of a file. `sum`: checksum of the bytes of `kept`."""
 
     format: int
     owner: StateOwner
@@ -48,7 +48,7 @@
 
 
 class FileSystem(Protocol):
-    """What the store does to a folder."""
+    """The file operations that the store needs."""
 
     def read(self, path: str) -> bytes: ...
 
@@ -60,11 +60,11 @@
 
 
 class DiskFiles:
-    """The disk."""
+    """File operations on the real disk."""
 
     def read(self, path: str) -> bytes:
         with open(path, "rb") as file:
-            return file.read(LARGEST + 1)
+            return file.read(MAX_FILE_BYTES + 1)
 
     def write(self, path: str, data: bytes) -> None:
         number = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
@@ -88,7 +88,7 @@
 
 
 class StateStore:
-    """One node's. Nothing here raises for what a disk does: it is logged, and the node goes on without."""
+    """The saved state of one node. Disk errors are logged and never raised: the node runs on without it."""
 
     def __init__(
         self, folder: str, owner: StateOwner, log: Callable[[str], None], files: FileSystem | None = None
@@ -97,11 +97,11 @@
         self.owner = owner
         self.log = log
         self.files = files or DiskFiles()
-        self.next = 0  # the file that is written next: the older one
+        self.next_index = 0  # index of the file that is written next, the older one
         self.failures = 0
 
     def load(self) -> SavedState | None:
-        """What was kept last, if any of it can be used."""
+        """Returns the state that was saved last; None if no file is valid."""
         found: list[tuple[int, int, SavedState]] = []
         for number, name in enumerate(FILE_NAMES):
             path = os.path.join(self.folder, name)
@@ -112,41 +112,43 @@
                 continue
             except (OSError, ValueError) as e:
                 self.failures += 1
-                self.log(f"state: {path}: {e}: passed over")
+                self.log(f"state: {path}: {e}: file ignored")
         if not found:
             return None
         newest = max(found, key=lambda entry: entry[0])
-        self.next = 1 - newest[1]
+        self.next_index = 1 - newest[1]
         return newest[2]
 
     def decode(self, data: bytes) -> SavedState:
-        """A file's content. A ValueError names what is wrong with it."""
-        if len(data) > LARGEST:
-            raise ValueError(f"over {LARGEST} bytes")
+        """Decodes the content of a file. Raises a ValueError that names the defect."""
+        if len(data) > MAX_FILE_BYTES:
+            raise ValueError(f"over {MAX_FILE_BYTES} bytes")
         try:
             envelope = msgspec.json.decode(data, type=Envelope)
             if envelope.format != FORMAT:
                 raise ValueError(f"format {envelope.format}; this build reads {FORMAT}")
-            if envelope.sum != blake2b(envelope.kept, digest_size=SUM).hexdigest():
+            if envelope.sum != blake2b(envelope.kept, digest_size=CHECKSUM_BYTES).hexdigest():
                 raise ValueError("damaged")
             if envelope.owner != self.owner:
-                raise ValueError(f"of node {envelope.owner.node}, tier {envelope.owner.tier}")
+                raise ValueError(f"belongs to node {envelope.owner.node}, tier {envelope.owner.tier}")
             return msgspec.json.decode(envelope.kept, type=SavedState)
         except (msgspec.DecodeError, RecursionError) as e:
-            raise ValueError(f"not a state: {e}") from None
+            raise ValueError(f"not a state file: {e}") from None
 
     def save(self, kept: SavedState) -> bool:
-        """Writes in place of the older file; whether it is on the disk."""
+        """Replaces the older file; returns whether the state is durable."""
         raw = msgspec.json.encode(kept)
-        envelope = Envelope(FORMAT, self.owner, blake2b(raw, digest_size=SUM).hexdigest(), msgspec.Raw(raw))
-        path = os.path.join(self.folder, FILE_NAMES[self.next])
+        envelope = Envelope(
+            FORMAT, self.owner, blake2b(raw, digest_size=CHECKSUM_BYTES).hexdigest(), msgspec.Raw(raw)
+        )
+        path = os.path.join(self.folder, FILE_NAMES[self.next_index])
         try:
             self.files.write(f"{path}.new", msgspec.json.encode(envelope))
             self.files.replace(f"{path}.new", path)
             self.files.sync_folder(self.folder)
         except OSError as e:
             self.failures += 1
-            self.log(f"state: {path}: {e.strerror or e}: not kept")
+            self.log(f"state: {path}: {e.strerror or e}: not saved")
             return False
-        self.next = 1 - self.next
+        self.next_index = 1 - self.next_index
         return True
--- a/brackenladder/storage/wal_check.py
+++ b/brackenladder/storage/wal_check.py
@@ -1,11 +1,11 @@
-"""Finds commits that a damaged WAL would lose without a word.
+"""Detects acknowledged commits that sqlite3 would silently drop because the WAL is damaged.
 
-sqlite3 takes a WAL up to its first frame that fails the chain of checksums; what follows counts as a
-transaction that a loss of power has torn. A transaction that begins behind a commit was begun once that one
-was synced. So where two commits follow one another in one unbroken chain behind the frame that fails, the
-first of them was acknowledged. What a refused transaction has left there stands in a chain of its own.
+sqlite3 reads a WAL up to the first frame whose chained checksum is wrong, and takes the rest for a
+transaction torn by a power loss. But a transaction starts only after the previous commit was synced. So if
+two commits follow each other in one valid chain after the bad frame, the first of them was acknowledged.
+Frames left over from a failed transaction are in a separate chain.
 
-Damage to the last commit looks like a loss of power during it, and can't be told from one.
+Damage to the last commit cannot be distinguished from a power loss during that commit.
 """
 
 from __future__ import annotations
@@ -16,77 +16,86 @@
 
 from attrs import frozen
 
-HEAD_BYTES = 32
-FRAME_HEAD_BYTES = 24  # before each page
-SUMMED_HEAD_BYTES = 8  # of it, that its checksums cover beside the page
-MOST_TORN_COMMITS = 1  # that a loss of power leaves in one chain, its own frame counted
+HEADER_BYTES = 32
+FRAME_HEADER_BYTES = 24  # header before each page
+SUMMED_HEADER_BYTES = 8  # leading part of a frame's header that its checksums cover, besides the page
+MAX_TORN_COMMITS = 1  # maximum that a power loss leaves in one chain, including the torn commit itself
 
-_HEAD = Struct(">8I")  # magic, version, page size, sequence, two salts, two checksums
-_FRAME = Struct(">6I")  # page, size of the file after a commit or 0, two salts, two checksums
-_MAGIC = 0x377F0682  # its lowest bit: words are summed up as big-endian ones
+_HEADER = Struct(">8I")  # magic, version, page size, sequence, two salts, two checksums
+_FRAME = Struct(">6I")  # page, database size after a commit or 0, two salts, two checksums
+_MAGIC = 0x377F0682  # with the lowest bit set, checksums are computed over big-endian words
 _WORD_MASK = 0xFFFFFFFF
 
-Sums = tuple[int, int]
+Checksums = tuple[int, int]
 
 
 @frozen
 class WalFrame:
-    """One page of a transaction. `size`: of the file in pages, if the frame ends a commit; else 0."""
+    """One page of a transaction. `size`: database size in pages if the frame ends a commit, otherwise 0."""
 
     page: int
     size: int
     salts: tuple[int, int]
-    sums: Sums
-    at: int  # offset of the page in the WAL
+    checksums: Checksums
+    page_offset: int  # offset of the page within the WAL
 
 
 class WalContent:
-    """A WAL file as it was read."""
+    """The content of a WAL file."""
 
     def __init__(self, data: bytes, page_bytes: int) -> None:
         self._data = data
         self._page_bytes = page_bytes
-        magic, _, _, _, salt_1, salt_2, sum_1, sum_2 = _HEAD.unpack_from(data)
+        magic, _, _, _, salt_1, salt_2, sum_1, sum_2 = _HEADER.unpack_from(data)
         self._big_endian = bool(magic & 1)
         self.salts = (salt_1, salt_2)
-        self._head_sums = (sum_1, sum_2)
+        self._header_checksums = (sum_1, sum_2)
         known = magic & ~1 == _MAGIC
-        self.head_holds = known and self._summed(data[: HEAD_BYTES - 8], (0, 0)) == self._head_sums
+        self.header_valid = (
+            known and self._add_to_checksums(data[: HEADER_BYTES - 8], (0, 0)) == self._header_checksums
+        )
 
     def frames(self) -> Iterator[WalFrame]:
-        """All that are there whole, whatever they say."""
-        step = FRAME_HEAD_BYTES + self._page_bytes
-        for offset in range(HEAD_BYTES, len(self._data) - step + 1, step):
+        """Yields all complete frames, valid or not."""
+        step = FRAME_HEADER_BYTES + self._page_bytes
+        for offset in range(HEADER_BYTES, len(self._data) - step + 1, step):
             page, size, salt_1, salt_2, sum_1, sum_2 = _FRAME.unpack_from(self._data, offset)
-            yield WalFrame(page, size, (salt_1, salt_2), (sum_1, sum_2), offset + FRAME_HEAD_BYTES)
+            yield WalFrame(page, size, (salt_1, salt_2), (sum_1, sum_2), offset + FRAME_HEADER_BYTES)
 
     def page(self, frame: WalFrame) -> bytes:
-        """A frame's page."""
-        return self._data[frame.at : frame.at + self._page_bytes]
+        """Returns the page of a frame."""
+        return self._data[frame.page_offset : frame.page_offset + self._page_bytes]
 
     def torn_commits(self) -> int:
-        """The most commits that follow one another in one chain, from the first frame that fails on."""
-        sums = self._head_sums
-        holds = True
-        most = commits = 0
+        """Returns the largest number of commits in one valid chain from the first bad frame on."""
+        checksums = self._header_checksums
+        valid = True
+        longest = commits = 0
         for frame in self.frames():
-            follows = frame.salts == self.salts and frame.sums == self._chained(frame, sums)
-            sums = frame.sums
-            if holds and follows:
+            follows = frame.salts == self.salts and frame.checksums == self._frame_checksums(frame, checksums)
+            checksums = frame.checksums
+            if valid and follows:
                 continue
             commits = commits if follows else 0
-            holds = False
+            valid = False
             commits += frame.salts == self.salts and frame.size > 0
-            most = max(most, commits)
-        return most
-
-    def _chained(self, frame: WalFrame, sums: Sums) -> Sums:
-        """The checksums of a frame that follows one with these."""
-        head = self._data[frame.at - FRAME_HEAD_BYTES : frame.at - FRAME_HEAD_BYTES + SUMMED_HEAD_BYTES]
-        return self._summed(head + self.page(frame), sums)
+            longest = max(longest, commits)
+        return longest
+
+    def _frame_checksums(self, frame: WalFrame, checksums: Checksums) -> Checksums:
+        """Computes the checksums of a frame from those of the frame before it."""
+        header = self._data[
+            frame.page_offset - FRAME_HEADER_BYTES : frame.page_offset
+            - FRAME_HEADER_BYTES
+            + SUMMED_HEADER_BYTES
+        ]
+        return self._add_to_checksums(header + self.page(frame), checksums)
 
     def committed_pages(self) -> dict[int, bytes]:
-        """Pages as the last commit left them, for a WAL whose head is lost; by the first frame's salts."""
+        """Returns the pages as of the last commit, for a WAL with a damaged header.
+
+        Only frames with the salts of the first frame are used.
+        """
         pages: dict[int, bytes] = {}
         pending: dict[int, bytes] = {}
         salts: tuple[int, int] | None = None
@@ -100,9 +109,9 @@
                 pending = {}
         return pages
 
-    def _summed(self, data: bytes, sums: Sums) -> Sums:
+    def _add_to_checksums(self, data: bytes, checksums: Checksums) -> Checksums:
         words = Struct(f"{'>' if self._big_endian else '<'}{len(data) // 4}I").unpack(data)
-        one, two = sums
+        one, two = checksums
         for even, odd in zip(words[::2], words[1::2], strict=True):
             one = (one + even + two) & _WORD_MASK
             two = (two + odd + one) & _WORD_MASK
@@ -110,21 +119,25 @@
 
 
 def lost_commits(path: str, wal_path: str, page_bytes: int) -> bool:
-    """Whether commits that were acknowledged would be lost if the store at `path` were opened. OSError."""
+    """Whether opening the store at `path` would lose acknowledged commits. Raises OSError."""
     if not os.path.exists(wal_path):
         return False
     with open(wal_path, "rb") as file:
         data = file.read()
-    if len(data) < HEAD_BYTES + FRAME_HEAD_BYTES + page_bytes:
+    if len(data) < HEADER_BYTES + FRAME_HEADER_BYTES + page_bytes:
         return False
     wal = WalContent(data, page_bytes)
-    if wal.head_holds:
-        return wal.torn_commits() > MOST_TORN_COMMITS
-    return _differs(path, wal.committed_pages(), page_bytes)
+    if wal.header_valid:
+        return wal.torn_commits() > MAX_TORN_COMMITS
+    return _database_lacks_pages(path, wal.committed_pages(), page_bytes)
+
 
+def _database_lacks_pages(path: str, pages: dict[int, bytes], page_bytes: int) -> bool:
+    """Whether the database lacks pages of a WAL with a damaged header.
 
-def _differs(path: str, pages: dict[int, bytes], page_bytes: int) -> bool:
-    """Whether the file lacks what a WAL without its head holds: a WAL begins anew only once it has it all."""
+    A WAL is restarted only after all its pages were copied to the database, so a header torn by a restart
+    loses nothing.
+    """
     with open(path, "rb") as file:
         content = file.read()
     return any(content[(page - 1) * page_bytes : page * page_bytes] != data for page, data in pages.items())
--- a/brackenladder/storage/writer.py
+++ b/brackenladder/storage/writer.py
@@ -1,4 +1,4 @@
-"""The thread that makes writes of the log durable while the event loop goes on."""
+"""The thread that makes log writes durable without blocking the event loop."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from brackenladder.consensus.types import Write
 from brackenladder.storage.log_store import BatchLogStore, LogStore, StoreClosed, StoreError, StoreFailed
 
-LARGEST_BATCH = 64  # writes in one transaction
-LARGEST_BATCH_BYTES = 1 << 20  # of data, after which a transaction takes no more writes
+MAX_BATCH = 64  # writes in one transaction
+MAX_BATCH_BYTES = 1 << 20  # bytes of data after which no more writes are added to a transaction
 
 WriteCallback = Callable[[Write, Result[None, StoreError]], None]
 
 
 @frozen
 class PendingWrite:
-    """A write and who is told its result."""
+    """A write and the callback for its result."""
 
     write: Write
     done: WriteCallback
@@ -31,43 +31,43 @@
 
 @frozen
 class FinishedWrite:
-    """A write that is durable, or failed."""
+    """A write that is durable or has failed."""
 
     pending: PendingWrite
     result: Result[None, StoreError]
 
 
 class LogWriter(Protocol):
-    """Makes writes durable in the order in which they are submitted."""
+    """Makes writes durable in the order of their submission."""
 
     def submit(self, write: Write, done: WriteCallback) -> None:
-        """Queues a write; `done` is called in the event loop once it is durable, or was refused."""
+        """Queues a write; `done` is called in the event loop once it is durable or has failed."""
 
     def close(self) -> None:
-        """Takes no more writes; those that are queued are still made durable."""
+        """Accepts no more writes; those already queued are still made durable."""
 
     def join(self, timeout_s: float) -> bool:
-        """Waits for the queued writes after `close`; False: the disk still holds them up."""
+        """Waits for the queued writes after `close`; False if they were not done in time."""
 
 
 class StoreWriter:
-    """Applies writes to `store` one after another in a thread of its own.
+    """Applies writes to `store` in a separate thread, in order.
 
-    Writes that queue up behind a slow one share a transaction. `done` is called in `loop`, in the order of
-    the submissions. The thread sleeps while there is nothing to write.
+    Writes that queue up while another one is in progress share a transaction. `done` is called in `loop`, in
+    the order of submission. The thread sleeps while there is nothing to write.
     """
 
     def __init__(self, store: LogStore, loop: AbstractEventLoop) -> None:
         self._store = store
         self._loop = loop
-        self._changed = Condition()  # guards the two below
+        self._changed = Condition()  # guards `_queue` and `_closing`
         self._queue: deque[PendingWrite] = deque()
         self._closing = False
         self._thread = Thread(target=self._run, name="store-writer", daemon=True)
         self._thread.start()
 
     def submit(self, write: Write, done: WriteCallback) -> None:
-        """Queues a write. Never blocks on the disk."""
+        """Queues a write without blocking on the disk."""
         pending = PendingWrite(write, done)
         with self._changed:
             refused = self._closing
@@ -78,13 +78,13 @@
             self._report((FinishedWrite(pending, Failure(StoreClosed("the writer is closed"))),))
 
     def close(self) -> None:
-        """Takes no more writes. The thread applies those that are queued, closes the store and ends."""
+        """Accepts no more writes. The thread applies the queued ones, closes the store and ends."""
         with self._changed:
             self._closing = True
             self._changed.notify()
 
     def join(self, timeout_s: float) -> bool:
-        """Waits for the end of the thread after `close`; False: the disk still holds it up."""
+        """Waits for the thread to end after `close`; False if it did not end in time."""
         self._thread.join(timeout_s)
         return not self._thread.is_alive()
 
@@ -94,13 +94,13 @@
         self._store.close()
 
     def _next_batch(self) -> tuple[PendingWrite, ...]:
-        """Waits for writes; empty once the writer is closed and its queue done."""
+        """Waits for writes; returns an empty batch once the writer is closed and the queue is empty."""
         with self._changed:
             while not self._queue and not self._closing:
                 self._changed.wait()
             batch: list[PendingWrite] = []
-            room = LARGEST_BATCH_BYTES
-            while self._queue and room > 0 and len(batch) < LARGEST_BATCH:
+            room = MAX_BATCH_BYTES
+            while self._queue and room > 0 and len(batch) < MAX_BATCH:
                 batch.append(self._queue.popleft())
                 room -= _data_bytes(batch[-1].write)
             return tuple(batch)
@@ -117,7 +117,7 @@
             if len(writes) == 1:
                 return self._store.apply(writes[0])
             return self._apply_together(writes)
-        except Exception as error:  # the thread must not end while others wait for it
+        except Exception as error:  # the thread must not end while callers wait for results
             return Failure(StoreFailed(f"{type(error).__name__}: {error}"))
 
     def _apply_together(self, writes: tuple[Write, ...]) -> Result[None, StoreError]:
@@ -126,11 +126,11 @@
         return Failure(StoreFailed("the store takes one write at a time"))
 
     def _report(self, finished: tuple[FinishedWrite, ...]) -> None:
-        with suppress(RuntimeError):  # the loop is closed: nobody waits any longer
+        with suppress(RuntimeError):  # the loop is closed, so nobody waits for the result
             self._loop.call_soon_threadsafe(self._deliver, finished)
 
     def _deliver(self, finished: tuple[FinishedWrite, ...]) -> None:
-        for one in finished:  # each as a callback of its own: an error in one keeps none of the others
+        for one in finished:  # a separate callback each, so that an error in one does not affect the others
             self._loop.call_soon(one.pending.done, one.pending.write, one.result)
 
 
--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -1,4 +1,4 @@
-"""The store under power cuts, and what it passes over."""
+"""The state store under power losses and with invalid files."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Failing(DiskFiles):
-    """A disk whose power goes at a step; a write that is cut leaves a part of the bytes."""
+    """A disk that fails at a step; an interrupted write leaves a part of its bytes."""
 
     def __init__(self, at: int, part: float = 0.5, error: type[Exception] = PowerCut) -> None:
         self.at = at
@@ -85,7 +85,7 @@
 def test_a_full_disk_is_a_line_and_no_more(tmp_path: Path) -> None:
     for at in (1, 2, 3):
         full, lines = store(tmp_path, Failing(at, error=OSError))
-        assert not full.save(kept(1)) and full.failures == 1 and "not kept" in lines[0]
+        assert not full.save(kept(1)) and full.failures == 1 and "not saved" in lines[0]
 
 
 @pytest.mark.parametrize("how", ["cut", "flipped", "other node", "later format", "empty", "a folder"])
@@ -97,7 +97,7 @@
     data = newest.read_bytes()
     if how == "other node":
         other, _ = store(tmp_path, owner=StateOwner("n2", 0, ("view",)))
-        other.next = 1
+        other.next_index = 1
         other.save(kept(9))
     elif how == "a folder":
         os.unlink(newest)
@@ -113,7 +113,7 @@
         )
     again, lines = store(tmp_path)
     found = again.load()
-    assert found is not None and found.counter == 1 and len(lines) == 1 and "passed over" in lines[0]
+    assert found is not None and found.counter == 1 and len(lines) == 1 and "ignored" in lines[0]
     if how != "a folder":  # which takes no file's place
         assert again.save(kept(3)) and store(tmp_path)[0].load() == kept(3)
 
--- a/tests/storage/log_store_contract.py
+++ b/tests/storage/log_store_contract.py
@@ -1,4 +1,4 @@
-"""What every log store does, as a mixin of unittest cases; and the values these use."""
+"""Tests that every log store has to pass, as a mixin for unittest cases, with their sample values."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def random_write(random: Random, token: int, state: DurableState, largest: int = 9000) -> Write:
-    """A write of the kinds a replica makes, which fits the state."""
+    """A random write, of the kinds that a replica makes, which is valid after `state`."""
     base = state.snapshot.index if state.snapshot else 0
     last = state.entries[-1].index if state.entries else base
     kind = random.choice(["append"] * 6 + ["vote", "truncate", "compact", "install"])
@@ -69,13 +69,13 @@
 
 
 class LogStoreContract:
-    """A subclass is also a `unittest.TestCase`, and says how its store is made and made again."""
+    """The tests. A subclass is also a `unittest.TestCase`, and creates and reopens its kind of store."""
 
     def new_store(self) -> LogStore:
         raise NotImplementedError
 
     def reopened(self, store: LogStore) -> LogStore:
-        """The store as the next process finds it."""
+        """The store as the next process opens it."""
         raise NotImplementedError
 
     def setUp(self: Any) -> None:
@@ -102,7 +102,7 @@
     def test_a_new_store_is_empty(self: Any) -> None:
         self.assert_holds(DurableState())
 
-    def test_the_identity_lasts(self: Any) -> None:
+    def test_the_identity_survives_reopening(self: Any) -> None:
         self.assertEqual(self.store.identity, StoreIdentity(REPLICA_ID, FORMAT))
         self.reopen()
         self.assertEqual(self.store.identity, StoreIdentity(REPLICA_ID, FORMAT))
@@ -165,29 +165,29 @@
         self.apply(Write(1, HardState(4, "replica-2"), entries=entries(1, 2)), Write(2))
         self.assert_holds(DurableState(HardState(4, "replica-2"), entries=entries(1, 2)))
 
-    def test_a_gap_is_refused(self: Any) -> None:
+    def test_a_gap_is_rejected(self: Any) -> None:
         self.apply(Write(1, entries=entries(1, 3)))
         self.assert_out_of_order(Write(2, HardState(9), entries=entries(5, 6)))
         self.assert_out_of_order(Write(2, HardState(9), entries=(entry(4), entry(6))))
 
-    def test_an_entry_that_is_there_is_not_overwritten(self: Any) -> None:
+    def test_an_existing_entry_is_not_overwritten(self: Any) -> None:
         self.apply(Write(1, entries=entries(1, 3)))
         self.assert_out_of_order(Write(2, entries=entries(3, 4, term=2)))
 
-    def test_an_older_snapshot_is_refused(self: Any) -> None:
+    def test_an_older_snapshot_is_rejected(self: Any) -> None:
         self.apply(Write(1, entries=entries(1, 6)), Write(2, snapshot=snapshot(5)))
         self.assert_out_of_order(Write(3, HardState(9), snapshot=snapshot(4)))
 
-    def test_entries_that_the_snapshot_covers_are_refused(self: Any) -> None:
+    def test_entries_that_the_snapshot_covers_are_rejected(self: Any) -> None:
         self.apply(Write(1, entries=entries(1, 6)), Write(2, snapshot=snapshot(6)))
         self.assert_out_of_order(Write(3, truncate_from=3, entries=entries(3, 7)))
 
-    def test_the_next_write_after_a_refused_one(self: Any) -> None:
+    def test_the_next_write_after_a_rejected_one(self: Any) -> None:
         self.store.apply(Write(1, entries=entries(2, 2))).failure()
         self.apply(Write(2, entries=entries(1, 2)))
         self.assert_holds(DurableState(entries=entries(1, 2)))
 
-    def test_a_closed_store_refuses(self: Any) -> None:
+    def test_a_closed_store_rejects_calls(self: Any) -> None:
         self.apply(Write(1, entries=entries(1, 2)))
         self.store.close()
         self.store.close()
--- a/tests/storage/power_loss.py
+++ b/tests/storage/power_loss.py
@@ -1,9 +1,10 @@
-"""What the files of a sqlite3 store may look like after a loss of power.
+"""Generates the files that a sqlite3 store may have after a power loss.
 
-sqlite3 offers no hook below it in Python, so the writes of a transaction are told from copies of the folder
-before and after it. In WAL mode with `synchronous=FULL` they come in four phases, each synced before the
-next: the head of a WAL that starts anew, the frames of the commit, the pages that a checkpoint copies, the
-end of the WAL at `close`. Within a phase each write may be present, missing or torn on its own.
+Python's sqlite3 module has no hook for file operations, so the writes of a transaction are derived from
+copies of the folder before and after it. In WAL mode with `synchronous=FULL` they happen in four phases, each
+synced before the next: the header of a restarted WAL, the frames of the commit, the pages copied by a
+checkpoint, and the removal of the WAL at `close`. Within a phase, each write may independently be present,
+missing or torn.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 WAL_HEAD_BYTES = 32
 FRAME_HEAD_BYTES = 24
 
-Files = dict[str, bytes]  # of a folder, by name
+Files = dict[str, bytes]  # the files of a folder, by name
 
 
 @frozen
@@ -33,16 +34,16 @@
 
 @frozen
 class Loss:
-    """Files after a loss of power, and how far the write in flight had come."""
+    """Files after a power loss, and the progress of the write in flight."""
 
     files: Files
-    acknowledged: bool  # the write in flight was synced: it must be there
-    lost: bool  # nothing of it may be there
+    acknowledged: bool  # the write in flight was synced, so it must be present
+    lost: bool  # the write in flight must be absent
     name: str
 
 
 def read_files(folder: str) -> Files:
-    """The folder as the processes see it."""
+    """Reads the folder as processes see it."""
     files = {}
     for name in os.listdir(folder):
         with open(os.path.join(folder, name), "rb") as file:
@@ -51,7 +52,7 @@
 
 
 def write_files(folder: str, files: Files) -> None:
-    """Makes the folder hold just these files."""
+    """Replaces the content of the folder by these files."""
     for name in os.listdir(folder):
         os.unlink(os.path.join(folder, name))
     for name, data in files.items():
@@ -60,7 +61,7 @@
 
 
 def commit_losses(random: Random, before: Files, after: Files) -> Iterator[Loss]:
-    """Losses at any moment of a transaction, and of the checkpoint that may follow it."""
+    """Power losses at any time during a transaction, or the checkpoint that may follow it."""
     wal, new_wal = before.get(WAL_NAME, b""), after[WAL_NAME]
     head = _changed(wal, new_wal, [(0, WAL_HEAD_BYTES)])
     for name, data in _outcomes(random, wal, head):
@@ -74,7 +75,7 @@
 
 
 def close_losses(random: Random, before: Files, after: Files) -> Iterator[Loss]:
-    """Losses while the store is closed: the last checkpoint, then the removal of the WAL."""
+    """Power losses while the store is being closed: the last checkpoint, then the removal of the WAL."""
     yield from _checkpoint_losses(random, before, {**after, WAL_NAME: before[WAL_NAME]})
     yield Loss({**after, WAL_NAME: before[WAL_NAME]}, True, False, "WAL not yet removed")
     yield Loss(after, True, False, "WAL removed")
@@ -87,7 +88,7 @@
 
 
 def _frame_pieces(length: int) -> list[tuple[int, int]]:
-    """sqlite3 writes the head of a frame and its page one after the other."""
+    """The offsets and sizes of writes to the WAL: sqlite3 writes a frame's header and page separately."""
     pieces = []
     offset = WAL_HEAD_BYTES
     while offset < length:
@@ -107,7 +108,7 @@
 
 
 def _outcomes(random: Random, before: bytes, writes: list[FileWrite]) -> Iterator[tuple[str, bytes]]:
-    """Some of the contents that the unsynced writes may leave; all are missing in the first."""
+    """Some of the contents that unsynced writes may leave; in the first, all writes are missing."""
     if not writes:
         return
     yield "all missing", before
@@ -129,7 +130,7 @@
 
 
 def _torn(random: Random, write: FileWrite) -> FileWrite:
-    """Only the first or the last bytes of it arrive."""
+    """The write with only its first or its last bytes."""
     cut = random.randrange(len(write.data))
     if random.random() < 0.5:
         return FileWrite(write.offset, write.data[:cut])
@@ -137,7 +138,7 @@
 
 
 def _garbled(random: Random, write: FileWrite) -> FileWrite:
-    """The space of the write holds noise or zeros from some byte on."""
+    """The write with random bytes or zeros from some byte on."""
     cut = random.randrange(len(write.data))
     rest = len(write.data) - cut
     noise = bytes(rest) if random.random() < 0.5 else random.randbytes(rest)
--- a/tests/storage/simulated_disk.py
+++ b/tests/storage/simulated_disk.py
@@ -1,8 +1,8 @@
-"""A disk under sqlite3 and under the program's own file calls: every write, sync and name is recorded.
+"""A simulated disk for sqlite3 and for the program's own file calls; records all writes, syncs and names.
 
-What was synced stays. Of what was not, any part may be there after a loss of power: writes kept, dropped, in
-any order, torn at sectors; files made, renamed or removed, each kept or lost by itself. What a sync that
-failed was to save is there or not, and no later sync saves it: some systems drop it from their cache.
+Synced data survives a power loss. Any part of the rest may survive: writes are kept or dropped in any order
+and torn at sector boundaries; creations, renames and removals of files are each kept or lost. Data of a
+failed sync may survive or not, and no later sync saves it, since some systems drop it from their cache.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 from brackenladder.storage import atomic_file, quarantine, sqlite_file, wal_check
 
-SECTOR = 512  # bytes that a disk writes whole
+SECTOR = 512  # bytes that the disk writes atomically
 FOLDER = "/data"
 
 
 @frozen
 class Change:
-    """A write to a file, or a cut of it to a length."""
+    """A write to a file, or a truncation."""
 
     offset: int
-    data: bytes | None  # None: the file ends at the offset
+    data: bytes | None  # None: the file is truncated at the offset
 
-    def on(self, content: bytearray) -> None:
+    def apply_to(self, content: bytearray) -> None:
         if self.data is None:
             del content[self.offset :]
             return
@@ -45,7 +45,7 @@
 
 @define(eq=False)
 class Node:
-    """A file, whatever its name. `synced` is what no loss of power takes away."""
+    """A file, independent of its names. `synced`: the content that survives a power loss."""
 
     synced: bytearray = Factory(bytearray)
     content: bytearray = Factory(bytearray)
@@ -53,33 +53,33 @@
 
     def change(self, change: Change) -> None:
         self.changes.append(change)
-        change.on(self.content)
+        change.apply_to(self.content)
 
     def sync(self) -> None:
         for change in self.changes:
-            change.on(self.synced)
+            change.apply_to(self.synced)
         self.changes = []
 
     def sync_fails(self, random: Random) -> None:
-        """Any part of it is durable; the rest never will be, though it can still be read."""
+        """A failed sync: some changes become durable; the rest never will, although it can still be read."""
         for change in self.changes:
             if random.random() < 0.5:
-                _torn(change, random).on(self.synced)
+                _torn(change, random).apply_to(self.synced)
         self.changes = []
 
     def after_loss(self, random: Random) -> bytes:
-        """What a loss of power may leave."""
+        """A content that a power loss may leave."""
         content = bytearray(self.synced)
         kept = [one for one in self.changes if random.random() < 0.6]
         if random.random() < 0.5:
             random.shuffle(kept)
         for one in kept:
-            _torn(one, random).on(content)
+            _torn(one, random).apply_to(content)
         return bytes(content)
 
 
 def _torn(change: Change, random: Random) -> Change:
-    """Some sectors of it, up to one of them."""
+    """The change, or only its first sectors."""
     if change.data is None or random.random() < 0.5:
         return change
     sectors = range(0, len(change.data), SECTOR)
@@ -88,31 +88,31 @@
 
 @frozen
 class NameChange:
-    """A name that was made, moved or removed since the last sync of the folder."""
+    """A name that was created, renamed or removed since the last sync of the folder."""
 
     name: str
-    node: Node | None  # None: the name is gone
+    node: Node | None  # None: the name was removed
 
 
 class DiskFull(OSError):
-    """No room."""
+    """The simulated disk is full."""
 
     def __init__(self) -> None:
         super().__init__(errno.ENOSPC, "No space left on device")
 
 
 class SimulatedDisk:
-    """One folder. `on_event` is told after each write, cut, sync and change of a name."""
+    """A disk with one folder. `on_event` is called after each write, truncation, sync and name change."""
 
     def __init__(self, random: Random | None = None) -> None:
-        self._random = random or Random(0)  # what a sync that fails leaves
+        self._random = random or Random(0)  # decides what a failed sync saves
         self.names: dict[str, Node] = {}
         self.synced_names: dict[str, Node] = {}
         self.name_changes: list[NameChange] = []
         self.on_event: Callable[[str], None] = lambda _kind: None
-        self.failing_syncs = 0  # so many of the next ones fail
-        self.refused_below = ""  # the file of the latest refusal that sqlite3 met
-        self.room: int | None = None  # bytes until writes meet a full disk
+        self.failing_syncs = 0  # number of the next syncs that fail
+        self.failed_file = ""  # the file of the latest error that was returned to sqlite3
+        self.room: int | None = None  # bytes until the disk is full; None: unlimited
 
     # ---- files ----------------------------------------------------------------------------------------
 
@@ -155,10 +155,10 @@
         self.name_changes = []
         self.on_event("sync")
 
-    # ---- a loss of power ------------------------------------------------------------------------------
+    # ---- power loss -----------------------------------------------------------------------------------
 
     def after_loss(self, random: Random) -> dict[str, bytes]:
-        """The files, by name, that a loss of power now may leave."""
+        """Files, by name, that a power loss at this point may leave."""
         names: dict[str, Node] = dict(self.synced_names)
         for change in self.name_changes:
             if random.random() < 0.5:
@@ -174,7 +174,7 @@
         return {name: bytes(node.content) for name, node in self.names.items()}
 
     def load(self, files: dict[str, bytes]) -> None:
-        """Holds just these files, all of them synced."""
+        """Replaces the content of the disk by these files, all synced."""
         self.names = {name: Node(bytearray(data), bytearray(data)) for name, data in files.items()}
         self.synced_names = dict(self.names)
         self.name_changes = []
@@ -183,7 +183,7 @@
 
     @contextmanager
     def mounted(self) -> Iterator[None]:
-        """The storage package's files are on this disk."""
+        """Redirects the file operations of the storage package to this disk."""
         vfs = _Vfs(self)
         files = _FileCalls(self)
         try:
@@ -200,7 +200,7 @@
 
 
 class _FileCalls:
-    """What the storage package uses of `os`, on the disk."""
+    """The functions of `os` that the storage package uses, on the simulated disk."""
 
     O_RDONLY, O_CLOEXEC = os.O_RDONLY, os.O_CLOEXEC
 
@@ -267,7 +267,7 @@
 
 
 class _Writer(io.BytesIO):
-    """A file that is written from its beginning."""
+    """A file that is open for writing, from its start."""
 
     def __init__(self, disk: SimulatedDisk, node: Node) -> None:
         super().__init__()
@@ -279,13 +279,13 @@
         return len(data)
 
 
-# ---- below sqlite3
+# ---- the file system for sqlite3
 
 _vfs_numbers = iter(range(1 << 30))
 
 
 class _Vfs(apsw.VFS):
-    """The file system of one disk, as sqlite3 wants it."""
+    """The file system interface of sqlite3 for a simulated disk."""
 
     def __init__(self, disk: SimulatedDisk) -> None:
         self.disk = disk
@@ -325,7 +325,7 @@
 
 
 class _File:
-    """An open file."""
+    """A file that sqlite3 has open."""
 
     def __init__(self, disk: SimulatedDisk, name: str, flags: int) -> None:
         self._disk = disk
@@ -343,21 +343,21 @@
         try:
             self._disk.write(self._node, offset, data)
         except DiskFull:
-            self._disk.refused_below = self._name
+            self._disk.failed_file = self._name
             raise apsw.FullError("no room") from None
 
     def xTruncate(self, size: int) -> None:
         self._disk.truncate(self._node, size)
 
     def xSync(self, _flags: int) -> None:
-        """A journal that was just made has its name synced with it, as sqlite3 does on unix."""
+        """Syncs the file, and the name of a new journal with it, as sqlite3 does on Unix."""
         try:
             self._disk.sync(self._node)
             if self._syncs_folder:
                 self._disk.sync_names()
                 self._syncs_folder = False
         except OSError:
-            self._disk.refused_below = self._name
+            self._disk.failed_file = self._name
             error = apsw.IOError("sync")
             error.extendedresult = apsw.SQLITE_IOERR_FSYNC
             raise error from None
@@ -381,7 +381,7 @@
         return SECTOR
 
     def xDeviceCharacteristics(self) -> int:
-        """As on unix: a write leaves the bytes beside it alone."""
+        """As on Unix: a torn write does not change bytes outside its range."""
         return int(apsw.SQLITE_IOCAP_POWERSAFE_OVERWRITE)
 
     def xClose(self) -> None:
@@ -389,7 +389,7 @@
 
 
 class Connection:
-    """A connection of apsw in the form of the standard library's."""
+    """An apsw connection with the interface of the standard library's sqlite3."""
 
     def __init__(self, path: str, vfs: _Vfs) -> None:
         self._disk = vfs.disk
@@ -401,14 +401,14 @@
         return bool(self._connection.in_transaction)
 
     def execute(self, statement: str, values: Any = ()) -> Any:
-        self._disk.refused_below = ""
+        self._disk.failed_file = ""
         try:
             with _errors():
                 return _Rows(list(self._connection.execute(statement, values)))
         except sqlite3.Error:
-            # A commit writes to the WAL alone. The file itself is written by the checkpoint behind it, whose
-            # failure sqlite3 keeps to itself; apsw raises it all the same.
-            if statement == "COMMIT" and self._disk.refused_below == sqlite_file.FILE_NAME:
+            # A commit writes to the WAL only. The database file is written by the checkpoint after it, whose
+            # failure sqlite3 does not report; apsw raises it nevertheless.
+            if statement == "COMMIT" and self._disk.failed_file == sqlite_file.FILE_NAME:
                 return _Rows()
             raise
 
@@ -434,13 +434,13 @@
 
 @contextmanager
 def _errors() -> Iterator[None]:
-    """apsw's errors as the standard library's."""
+    """Converts errors of apsw to those of the standard library."""
     try:
         yield
     except apsw.Error as error:
         code = getattr(error, "extendedresult", None) or getattr(error, "result", apsw.SQLITE_ERROR)
         kind = sqlite3.OperationalError if code & 0xFF != apsw.SQLITE_CORRUPT else sqlite3.DatabaseError
-        told = kind(str(error))
-        told.sqlite_errorcode = code
-        told.sqlite_errorname = type(error).__name__
-        raise told from None
+        converted = kind(str(error))
+        converted.sqlite_errorcode = code
+        converted.sqlite_errorname = type(error).__name__
+        raise converted from None
--- a/tests/storage/test_atomic_file.py
+++ b/tests/storage/test_atomic_file.py
@@ -1,4 +1,4 @@
-"""A file that is replaced as a whole."""
+"""A file that is replaced atomically."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from returns.result import Success
 
 from brackenladder.storage import atomic_file
-from brackenladder.storage.atomic_file import LARGEST_BYTES, read_checked, write_atomically
+from brackenladder.storage.atomic_file import MAX_BYTES, read_checked, write_atomically
 from brackenladder.storage.log_store import StoreCorrupt, StoreFailed
 
 
-class WholeFileTest(unittest.TestCase):
+class AtomicFileTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -27,11 +27,11 @@
         with open(self.path, "rb") as file:
             return file.read()
 
-    def put(self, content: bytes) -> None:
+    def write_raw(self, content: bytes) -> None:
         with open(self.path, "wb") as file:
             file.write(content)
 
-    def test_what_was_written_last_is_read(self) -> None:
+    def test_the_last_content_is_read(self) -> None:
         self.assertEqual(read_checked(self.path), Success(b""))
         for data in (b"one", b"", b"two" * 1000):
             self.assertEqual(write_atomically(self.path, data), Success(None))
@@ -41,14 +41,14 @@
         write_atomically(self.path, b"0123456789")
         whole = self.content()
         for length in range(len(whole)):
-            self.put(whole[:length])
+            self.write_raw(whole[:length])
             self.assert_corrupt()
         for index in range(len(whole)):
-            self.put(whole[:index] + bytes([whole[index] ^ 1]) + whole[index + 1 :])
+            self.write_raw(whole[:index] + bytes([whole[index] ^ 1]) + whole[index + 1 :])
             self.assert_corrupt()
 
-    def test_a_file_that_is_too_large_is_not_believed(self) -> None:
-        write_atomically(self.path, bytes(LARGEST_BYTES))
+    def test_a_file_that_is_too_large_is_rejected(self) -> None:
+        write_atomically(self.path, bytes(MAX_BYTES))
         self.assert_corrupt()
 
     def test_a_write_that_fails_at_any_step_leaves_the_old_content(self) -> None:
--- a/tests/storage/test_log_store.py
+++ b/tests/storage/test_log_store.py
@@ -1,4 +1,4 @@
-"""Both log stores against the one contract, and against each other."""
+"""Both log stores against the common tests, and compared with each other."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
         store.close()
         return open_store(self.folder, lambda: "another").unwrap()
 
-    def test_only_the_first_opening_creates(self) -> None:
+    def test_only_the_first_open_creates_the_store(self) -> None:
         self.assertTrue(self.store.created)
         self.reopen()
         self.assertFalse(self.store.created)
 
-    def test_a_batch_is_taken_whole_or_not_at_all(self) -> None:
+    def test_a_batch_is_applied_atomically(self) -> None:
         random, model = Random(1), MemoryLogStore(REPLICA_ID)
         writes = []
         for token in range(10):
@@ -56,8 +56,8 @@
         self.assert_holds(loaded(model))
 
 
-class StoresAgreeTest(TestCase):
-    def test_both_hold_the_same_after_any_writes(self) -> None:
+class StoreComparisonTest(TestCase):
+    def test_both_have_the_same_state_after_any_writes(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed), tempfile.TemporaryDirectory() as folder:
                 self.compare(Random(seed), folder)
--- a/tests/storage/test_log_store_codec.py
+++ b/tests/storage/test_log_store_codec.py
@@ -1,4 +1,4 @@
-"""Members and snapshots as bytes."""
+"""Encoding of members and snapshots."""
 
 from __future__ import annotations
 
--- a/tests/storage/test_log_store_files.py
+++ b/tests/storage/test_log_store_files.py
@@ -1,4 +1,4 @@
-"""The file of the sqlite3 store: settings, bounds, damage, and disks in trouble."""
+"""The database file of the sqlite3 store: settings, size limits, damage, and disk errors."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from brackenladder.storage.sqlite_log import SqliteLogStore, open_store
 
 
-class FileCase(TestCase):
+class StoreFileTestCase(TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -44,7 +44,7 @@
         return store
 
     def assert_refused(self, kind: type[StoreError], text: str) -> None:
-        """With a failure of this type that names the file; and nothing in the folder changes."""
+        """Opening fails with an error of this type that names the file, and changes nothing in the folder."""
         before = read_files(self.folder)
         error = open_store(self.folder, lambda: REPLICA_ID).failure()
         self.assertIs(type(error), kind)
@@ -53,14 +53,14 @@
         self.assertEqual(read_files(self.folder), before)
 
     def execute(self, *statements: str) -> None:
-        """Changes the closed store's file, or makes another program's."""
+        """Changes the file of a closed store, or creates a database of another program."""
         with closing(sqlite3.connect(self.path, isolation_level=None)) as connection:
             for statement in statements:
                 connection.execute(statement)
 
 
-class SettingsTest(FileCase):
-    def test_what_durability_and_memory_rest_on(self) -> None:
+class SettingsTest(StoreFileTestCase):
+    def test_settings_for_durability_and_memory(self) -> None:
         store = self.open()
         connection = store._connection
         assert connection is not None
@@ -85,25 +85,25 @@
         self.open().apply(Write(1, entries=entries(1, 3))).unwrap()
         self.assertEqual(sorted(read_files(self.folder)), [FILE_NAME, WAL_NAME])
 
-    def test_a_second_process_is_refused(self) -> None:
+    def test_a_second_process_cannot_open_the_store(self) -> None:
         self.open()
         self.assert_refused(StoreInUse, "locked")
 
 
-class ForeignFileTest(FileCase):
+class ForeignFileTest(StoreFileTestCase):
     def write(self, content: bytes, suffix: str = "") -> None:
         with open(self.path + suffix, "wb") as file:
             file.write(content)
 
-    def test_an_empty_file_is_no_store(self) -> None:
+    def test_an_empty_file_is_replaced_by_a_new_store(self) -> None:
         self.write(b"")
         self.assertTrue(self.open().created)
 
-    def test_an_empty_database_is_no_store(self) -> None:
+    def test_an_empty_database_is_replaced_by_a_new_store(self) -> None:
         self.execute("PRAGMA journal_mode = WAL", "CREATE TABLE t (a)", "DROP TABLE t")
         self.assertTrue(self.open().created)
 
-    def test_a_file_that_is_no_database(self) -> None:
+    def test_a_file_that_is_not_a_database(self) -> None:
         for content in (b"x", b"text\n" * 4000, bytes(PAGE_BYTES), b"SQLite format 3\x00"):
             with self.subTest(content=content[:9]):
                 self.write(content)
@@ -132,12 +132,12 @@
                 self.assert_refused(StoreCorrupt, FILE_NAME + suffix)
                 os.unlink(self.path + suffix)
 
-    def test_a_folder_that_is_missing(self) -> None:
+    def test_a_missing_folder(self) -> None:
         error = open_store(os.path.join(self.folder, "none"), lambda: REPLICA_ID).failure()
         self.assertIs(type(error), StoreFailed)
 
 
-class DamagedStoreTest(FileCase):
+class DamagedStoreTest(StoreFileTestCase):
     def setUp(self) -> None:
         super().setUp()
         store = self.open()
@@ -165,11 +165,11 @@
         self.assertIs(type(error), StoreCorrupt)
         self.assertIn(text, error.detail)
 
-    def test_a_later_format(self) -> None:
+    def test_a_newer_format(self) -> None:
         self.execute(f"PRAGMA user_version = {FORMAT + 1}")
         self.assert_refused(StoreTooNew, f"format {FORMAT + 1}")
 
-    def test_a_format_that_never_was(self) -> None:
+    def test_an_invalid_format(self) -> None:
         self.execute("PRAGMA user_version = 0")
         self.assert_refused(StoreCorrupt, "format 0")
 
@@ -181,7 +181,7 @@
         self.execute("DROP TABLE entry")
         self.assert_refused(StoreCorrupt, "entry")
 
-    def test_a_gap(self) -> None:
+    def test_a_gap_in_the_log(self) -> None:
         self.execute("DELETE FROM entry WHERE position = 100")
         self.assert_load_refused("entry 101 after entry 99")
 
@@ -190,10 +190,10 @@
             "UPDATE entry SET data = x'00' WHERE position = 50": "entry 50",
             "UPDATE entry SET term = 9 WHERE position = 51": "entry 51",
             "UPDATE entry SET kind = 9 WHERE position = 52": "unknown kind 9",
-            "UPDATE entry SET data = 'text' WHERE position = 53": "another type",
+            "UPDATE entry SET data = 'text' WHERE position = 53": "wrong type",
             "UPDATE snapshot SET data = x'00'": "snapshot at 20",
             "UPDATE snapshot SET members = x'00'": "snapshot at 20",
-            "UPDATE snapshot SET position = 'text'": "index is no number",
+            "UPDATE snapshot SET position = 'text'": "index is not a number",
             "UPDATE hard_state SET voted_for = CAST(x'ff' AS TEXT)": "UTF-8",
             "UPDATE hard_state SET term = 2": "hard state",
         }
@@ -204,7 +204,7 @@
                 self.assert_load_refused(text)
             self.restore(original)
 
-    def test_pages_of_noise_never_pass_for_a_log(self) -> None:
+    def test_overwritten_pages_are_never_accepted(self) -> None:
         state = self.load_once().unwrap()
         original = self.read()
         for at in range(0, len(original), PAGE_BYTES):
@@ -212,12 +212,12 @@
                 self.restore(original[:at] + b"\xa5" * PAGE_BYTES + original[at + PAGE_BYTES :])
                 self.assertEqual(self.load_once().value_or(state), state)
 
-    def test_a_file_that_was_cut(self) -> None:
+    def test_a_truncated_file(self) -> None:
         os.truncate(self.path, 3 * PAGE_BYTES)
         self.assertIs(type(self.load_once().failure()), StoreCorrupt)
 
 
-class BoundsTest(FileCase):
+class SizeLimitsTest(StoreFileTestCase):
     def test_the_file_does_not_grow_with_the_number_of_entries(self) -> None:
         store = self.open()
         for index in range(1, 601):
@@ -227,7 +227,7 @@
         self.assertLess(sizes[FILE_NAME], 1 << 20)
         self.assertLess(sizes[WAL_NAME], 3 << 20)
 
-    def test_a_large_snapshot_gives_its_pages_back(self) -> None:
+    def test_the_pages_of_a_large_snapshot_are_released(self) -> None:
         store = self.open()
         store.apply(Write(1, snapshot=snapshot(1, data=bytes(8 << 20)))).unwrap()
         for index in range(2, 12):
@@ -235,8 +235,8 @@
         store.close()
         self.assertLess(os.stat(self.path).st_size, 2 << 20)
 
-    def test_a_full_store_takes_what_frees_it(self) -> None:
-        with patch.object(sqlite_file, "LARGEST_FILE_BYTES", 60 * PAGE_BYTES):
+    def test_a_full_store_accepts_writes_that_free_space(self) -> None:
+        with patch.object(sqlite_file, "MAX_DATABASE_BYTES", 60 * PAGE_BYTES):
             store = self.open()
         index = 1
         while is_successful(result := store.apply(Write(index, entries=(entry(index, data=bytes(9000)),)))):
@@ -249,11 +249,11 @@
         self.assertEqual(loaded(store).entries[0].index, index)
 
 
-class DiskTroubleTest(FileCase):
-    """A descriptor of the store is led to a device that refuses, for the time of a write."""
+class DiskErrorTest(StoreFileTestCase):
+    """One of the store's file descriptors is redirected to a device that fails, during a write."""
 
     @contextmanager
-    def led_to(self, name: str, target: str, flags: int) -> Iterator[None]:
+    def redirected(self, name: str, target: str, flags: int) -> Iterator[None]:
         path = os.path.join(self.folder, name)
         (number,) = [int(fd) for fd in os.listdir("/proc/self/fd") if self.opened_as(fd) == path]
         kept = os.dup(number)
@@ -280,7 +280,7 @@
 
     def assert_fails_then_succeeds(self, kind: type[StoreError], text: str, target: str, flags: int) -> None:
         write = Write(2, HardState(2), entries=entries(4, 5))
-        with self.led_to(WAL_NAME, target, flags):
+        with self.redirected(WAL_NAME, target, flags):
             error = self.store.apply(write).failure()
         self.assertIs(type(error), kind)
         self.assertIn(text, error.detail)
@@ -291,20 +291,20 @@
         self.store.close()
         self.assertEqual(loaded(self.open()), expected)
 
-    def test_a_disk_that_refuses_writes(self) -> None:
+    def test_a_disk_that_fails_writes(self) -> None:
         wal = os.path.join(self.folder, WAL_NAME)
         self.assert_fails_then_succeeds(StoreFailed, "IOERR_WRITE", wal, os.O_RDONLY)
 
-    def test_a_disk_that_is_full(self) -> None:
+    def test_a_full_disk(self) -> None:
         self.assert_fails_then_succeeds(StoreFull, "SQLITE_FULL", "/dev/full", os.O_RDWR)
 
     def test_a_commit_fails_if_the_wal_cannot_be_synced(self) -> None:
-        """A character device takes writes and refuses `fsync`: so a commit does sync the WAL."""
+        """The character device accepts writes but not `fsync`: a failure shows that commits sync the WAL."""
         self.assert_fails_then_succeeds(StoreFailed, "IOERR_FSYNC", "/dev/zero", os.O_RDWR)
 
-    def test_a_checkpoint_that_fails_loses_nothing(self) -> None:
+    def test_a_failed_checkpoint_loses_nothing(self) -> None:
         index = 4
-        with self.led_to(FILE_NAME, "/dev/zero", os.O_RDWR):
+        with self.redirected(FILE_NAME, "/dev/zero", os.O_RDWR):
             for index in range(4, 40):
                 self.store.apply(Write(index, entries=(entry(index, data=bytes(40_000)),))).unwrap()
         state = loaded(self.store)
--- a/tests/storage/test_log_store_power_loss.py
+++ b/tests/storage/test_log_store_power_loss.py
@@ -1,4 +1,4 @@
-"""A store after a loss of power holds every write that was acknowledged, and others whole or not at all."""
+"""After a power loss a store has all acknowledged writes, and any other write completely or not at all."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 SEEDS = range(2)
 WRITES = 30
 CHECKPOINT_PAGES = 12  # small, so that there are many checkpoints
-LARGE = entry(1, data=bytes(3 * sqlite_file.PAGE_BYTES))  # the file grows: its first page changes
+LARGE = entry(1, data=bytes(3 * sqlite_file.PAGE_BYTES))  # makes the file grow, which changes its first page
 UNFINISHED = sqlite_file.FILE_NAME + ".new"
 
 
 def state_after(state: DurableState, write: Write) -> DurableState:
-    """What a store that holds `state` holds after the write."""
+    """The state of a store with `state` after the write."""
     model = MemoryLogStore(REPLICA_ID)
     model.apply(Write(0, state.hard_state, state.snapshot, clear=True, entries=state.entries)).unwrap()
     model.apply(write).unwrap()
     return loaded(model)
 
 
-class PowerLossCase(TestCase):
+class PowerLossTestCase(TestCase):
     def setUp(self) -> None:
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
@@ -51,16 +51,16 @@
         return store
 
     def check(
-        self, loss: Loss, before: DurableState, after: DurableState, goes_on: bool = True
+        self, loss: Loss, before: DurableState, after: DurableState, continues: bool = True
     ) -> DurableState:
-        """Restarts from the files that are left; tells what the store then holds."""
+        """Opens a store from the remaining files, checks its state, and returns that state."""
         write_files(self.lost_folder, loss.files)
         store = self.open(self.lost_folder)
         self.assertFalse(store.created, loss.name)
         state = loaded(store)
         allowed = [after] if loss.acknowledged else [before] if loss.lost else [before, after]
         self.assertIn(state, allowed, loss.name)
-        if goes_on:
+        if continues:
             self.check_next_write(store, state, loss)
         store.close()
         return state
@@ -74,14 +74,14 @@
         store.close()
 
 
-class CommitPowerLossTest(PowerLossCase):
+class CommitPowerLossTest(PowerLossTestCase):
     def test_losses_during_any_transaction(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.walk(Random(seed))
+                self.run_writes(Random(seed))
 
-    def walk(self, random: Random) -> None:
-        """Writes one after another; losses at each, and now and then the store goes on from one of them."""
+    def run_writes(self, random: Random) -> None:
+        """Applies writes, checks power losses at each, and sometimes continues from one of the losses."""
         write_files(self.folder, {})
         store = self.open(self.folder)
         state = DurableState()
@@ -91,14 +91,14 @@
             files = read_files(self.folder)
             self.assertTrue(is_successful(store.apply(write)))
             losses = list(commit_losses(random, files, read_files(self.folder)))
-            held = [self.check(loss, state, after, random.random() < 0.2) for loss in losses]
+            states = [self.check(loss, state, after, random.random() < 0.2) for loss in losses]
             state = after
             if random.random() < 0.3:
                 chosen = random.randrange(len(losses))
                 store.close()
                 write_files(self.folder, losses[chosen].files)
                 store = self.open(self.folder)
-                state = held[chosen]
+                state = states[chosen]
         store.close()
 
     def test_losses_while_the_store_is_closed(self) -> None:
@@ -114,7 +114,7 @@
             for loss in close_losses(random, files, read_files(self.folder)):
                 self.check(loss, state, state)
 
-    def test_a_wal_that_is_cut_anywhere_in_its_last_transaction(self) -> None:
+    def test_a_wal_truncated_anywhere_in_its_last_transaction(self) -> None:
         store = self.open(self.folder)
         store.apply(Write(1, HardState(1), entries=entries(1, 3))).unwrap()
         before, files = loaded(store), read_files(self.folder)
@@ -127,7 +127,7 @@
                 cut = Loss({**files, WAL_NAME: wal[:length] + tail}, whole, not whole, f"cut at {length}")
                 self.check(cut, before, after)
 
-    def test_a_first_page_that_is_torn_while_the_wal_is_whole(self) -> None:
+    def test_a_torn_first_page_with_an_intact_wal(self) -> None:
         files, whole = self.first_page_in_wal()
         state = DurableState(entries=(LARGE,))
         page = whole[sqlite_file.FILE_NAME][: sqlite_file.PAGE_BYTES]
@@ -138,15 +138,15 @@
                 self.check(loss, state, state)
 
     def first_page_in_wal(self) -> tuple[Files, Files]:
-        """A store before and after a checkpoint of its first page."""
+        """The files of a store before and after a checkpoint of its first page."""
         store = self.open(self.folder)
         store.apply(Write(1, entries=(LARGE,))).unwrap()
         files = read_files(self.folder)
         store.close()
         return files, read_files(self.folder)
 
-    def test_a_wal_of_an_earlier_life_that_comes_back(self) -> None:
-        """Its removal was not synced: it holds what the file holds already."""
+    def test_a_removed_wal_that_reappears(self) -> None:
+        """The removal of the WAL was not synced; its pages are already in the database."""
         store = self.open(self.folder)
         store.apply(Write(1, HardState(1), entries=entries(1, 3))).unwrap()
         state, wal = loaded(store), read_files(self.folder)[WAL_NAME]
@@ -155,9 +155,9 @@
         self.check(Loss(files, True, False, "old WAL"), state, state)
 
 
-class CreationPowerLossTest(PowerLossCase):
+class CreationPowerLossTest(PowerLossTestCase):
     def interrupted(self, step: int) -> Files | None:
-        """The files if the process ends before this sync or rename of the creation; None: there are fewer."""
+        """The files if creation is interrupted before sync or rename number `step`; None if it has fewer."""
         write_files(self.folder, {})
         steps = iter(range(step))
 
@@ -179,13 +179,13 @@
             return None
         return read_files(self.folder)
 
-    def test_a_creation_that_ends_at_any_step(self) -> None:
+    def test_a_creation_interrupted_at_any_step(self) -> None:
         step = 0
         while (files := self.interrupted(step)) is not None:
             with self.subTest(step=step):
-                self.check_start(files)
+                self.check_restart(files)
             step += 1
-        self.assertEqual(step, 4)  # the file, the folder, the rename, the folder
+        self.assertEqual(step, 4)  # sync of the file, sync of the folder, rename, sync of the folder
 
     def test_an_unfinished_file_of_any_content(self) -> None:
         files = self.interrupted(0)
@@ -193,10 +193,10 @@
         whole = files[UNFINISHED]
         for content in (b"", whole[:100], whole[:5000], bytes(len(whole)), b"garbage" * 999):
             for journal in ({}, {UNFINISHED + "-wal": whole[:900]}, {UNFINISHED + "-journal": b"x"}):
-                self.check_start({UNFINISHED: content, **journal})
+                self.check_restart({UNFINISHED: content, **journal})
 
-    def check_start(self, files: Files) -> None:
-        """Either the store was whole, or a new one is made; a store is never mixed of two."""
+    def check_restart(self, files: Files) -> None:
+        """Opening either finds the complete store or creates a new one, and never mixes the two."""
         write_files(self.lost_folder, files)
         renamed = sqlite_file.FILE_NAME in files
         store = self.open(self.lost_folder)
--- a/tests/storage/test_quarantine.py
+++ b/tests/storage/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Damaged stores that give way to new ones, also when the power fails meanwhile."""
+"""Quarantine of damaged stores, also during a power loss."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from brackenladder.storage import quarantine as module
 from brackenladder.storage.log_store import StoreCorrupt
 from brackenladder.storage.quarantine import (
-    MOST_KEPT,
-    MOST_KEPT_BYTES,
+    MAX_QUARANTINED,
+    MAX_QUARANTINED_BYTES,
     has_quarantined_store,
     quarantine_store,
 )
@@ -24,10 +24,10 @@
 
 
 class PowerLost(Exception):
-    """The process ends here."""
+    """Raised where the simulated power loss happens."""
 
 
-class SetAsideTest(TestCase):
+class QuarantineTest(TestCase):
     def setUp(self) -> None:
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         self.path = os.path.join(self.folder, FILE_NAME)
@@ -40,7 +40,7 @@
         with open(os.path.join(self.folder, name), "rb") as file:
             return file.read()
 
-    def test_a_store_and_its_journal_get_a_new_name(self) -> None:
+    def test_a_store_and_its_journal_are_renamed(self) -> None:
         self.write(FILE_NAME, b"pages")
         self.write(FILE_NAME + WAL_SUFFIX, b"frames")
         self.assertFalse(has_quarantined_store(self.folder))
@@ -50,7 +50,7 @@
         self.assertEqual((self.read(name), self.read(name + WAL_SUFFIX)), (b"pages", b"frames"))
         self.assertTrue(has_quarantined_store(self.folder))
 
-    def test_a_journal_alone_goes_too(self) -> None:
+    def test_a_journal_alone_is_renamed_too(self) -> None:
         self.write(FILE_NAME + WAL_SUFFIX, b"frames")
         quarantine_store(self.folder)
         self.assertTrue(has_quarantined_store(self.folder))
@@ -58,20 +58,20 @@
         self.addCleanup(store.close)
         self.assertEqual(store.identity.replica_id, "new")
 
-    def test_the_newest_are_kept_under_numbers_of_their_own(self) -> None:
+    def test_the_newest_are_kept_under_different_numbers(self) -> None:
         for number in range(1, 12):
             self.write(FILE_NAME, b"%d" % number)
             self.write(FILE_NAME + WAL_SUFFIX, b"frames")
             quarantine_store(self.folder)
         kept = {f"{FILE_NAME}.corrupt-{number}" for number in (10, 11)}
-        self.assertEqual(len(kept), MOST_KEPT)
+        self.assertEqual(len(kept), MAX_QUARANTINED)
         self.assertEqual(set(os.listdir(self.folder)), kept | {name + WAL_SUFFIX for name in kept})
         self.assertEqual(self.read(f"{FILE_NAME}.corrupt-11"), b"11")
 
-    def test_a_large_one_is_cut(self) -> None:
-        self.write(FILE_NAME, bytes(MOST_KEPT_BYTES + 1))
+    def test_a_large_store_is_truncated(self) -> None:
+        self.write(FILE_NAME, bytes(MAX_QUARANTINED_BYTES + 1))
         name = quarantine_store(self.folder)
-        self.assertEqual(os.path.getsize(os.path.join(self.folder, name)), MOST_KEPT_BYTES)
+        self.assertEqual(os.path.getsize(os.path.join(self.folder, name)), MAX_QUARANTINED_BYTES)
 
     def test_other_files_do_not_count(self) -> None:
         for name in (FILE_NAME, "notes.corrupt-1", f"{FILE_NAME}.corrupt-x", f"{FILE_NAME}.new"):
@@ -79,7 +79,7 @@
         self.assertFalse(has_quarantined_store(self.folder))
 
     def test_no_loss_of_power_leaves_the_database_without_its_journal(self) -> None:
-        """Else it might pass for an older state, in which the replica has not voted yet."""
+        """Otherwise the database might be taken for an older state, in which the replica has not voted."""
         for syncs in range(4):
             with self.subTest(syncs=syncs):
                 self._lose_power_after(syncs)
@@ -92,7 +92,7 @@
                 self.assertTrue(has_quarantined_store(self.folder))
 
     def _lose_power_after(self, syncs: int) -> None:
-        """Sets a store aside; of the names only those last that were synced before the power went."""
+        """Quarantines a store; only names that were synced before the power loss survive."""
         for name in os.listdir(self.folder):
             os.unlink(os.path.join(self.folder, name))
         store = open_store(self.folder, lambda: REPLICA_ID).unwrap()
@@ -100,14 +100,14 @@
         store.close()
         os.truncate(self.path, 5000)
         self.write(FILE_NAME + WAL_SUFFIX, b"frames")
-        left = syncs
+        remaining = syncs
         durable = self._contents()
 
         def sync(_folder: str) -> None:
-            nonlocal left, durable
-            if left == 0:
+            nonlocal remaining, durable
+            if remaining == 0:
                 raise PowerLost
-            left -= 1
+            remaining -= 1
             durable = self._contents()
 
         with patch.object(module, "sync_to_disk", sync), suppress(PowerLost):
--- a/tests/storage/test_simulated_disk.py
+++ b/tests/storage/test_simulated_disk.py
@@ -1,4 +1,4 @@
-"""The real store on a simulated disk: power lost at any moment, syncs that fail, no room, damage."""
+"""The sqlite3 store on a simulated disk: power loss at any time, failed syncs, a full disk, and damage."""
 
 from __future__ import annotations
 
@@ -24,51 +24,51 @@
 SEEDS = range(6)
 WRITES = 25
 CHECKPOINT_PAGES = 12  # small, so that there are many checkpoints
-LOSSES = 3  # of each moment
-UNTOLD_COMMITS = 2  # that damage may take away and nothing tells it: the last, and one that was hit itself
-MOMENTS_BETWEEN_SYNCS = 0.15  # share of them that is looked at
+LOSSES = 3  # simulated at each checked moment
+UNDETECTED_COMMITS = 2  # maximum that damage may remove undetected: the last commit, and a damaged one
+CHECKED_SHARE = 0.15  # share of the moments between syncs that is checked
 
 
 @frozen
 class Loss:
-    """What a loss of power left, the states that are allowed then, and whether there must be a store."""
+    """The files after a power loss, the states that are allowed then, and whether the store must exist."""
 
     files: dict[str, bytes]
     allowed: tuple[DurableState, ...]
-    made: bool
+    created: bool
 
 
-class Walk:
-    """Writes to one store, and at every moment what it must hold after a loss of power."""
+class WriteSequence:
+    """A series of writes to one store, with the states that a power loss may leave at each moment."""
 
-    def __init__(self, case: DiskCase, random: Random) -> None:
+    def __init__(self, case: DiskTestCase, random: Random) -> None:
         self.case = case
         self.random = random
         self.disk = SimulatedDisk(random)
-        self.state = DurableState()  # with all that was acknowledged
-        self.uncertain: list[DurableState] = []  # also allowed: with the write in flight, or one that failed
-        self.made = False  # the store exists for certain
+        self.state = DurableState()  # after all acknowledged writes
+        self.uncertain: list[DurableState] = []  # also allowed: after the write in flight, or a failed one
+        self.created = False  # the store has been created and must exist
         self.losses: list[Loss] = []
         self.disk.on_event = self._event
 
     def _event(self, kind: str) -> None:
-        if kind == "sync" or self.random.random() < MOMENTS_BETWEEN_SYNCS:
+        if kind == "sync" or self.random.random() < CHECKED_SHARE:
             self.lose_power()
 
     def lose_power(self) -> None:
-        """Notes what may be left now, to be looked at once the disk is not mounted any more."""
+        """Records files that a power loss may leave now; they are checked after the disk is unmounted."""
         for _ in range(LOSSES):
             files = self.disk.after_loss(self.random)
-            self.losses.append(Loss(files, (self.state, *self.uncertain), self.made))
+            self.losses.append(Loss(files, (self.state, *self.uncertain), self.created))
 
     def check(self) -> None:
-        """Restarts, by the standard library's sqlite3, from all that may have been left."""
+        """Opens the store from the files of each recorded power loss, with the real sqlite3 module."""
         for loss in self.losses:
             self.case.check(loss)
 
     def open(self) -> SqliteLogStore:
         store = open_store(FOLDER, lambda: REPLICA_ID).unwrap()
-        self.made = True
+        self.created = True
         return store
 
     def write(self, store: SqliteLogStore, token: int) -> None:
@@ -80,7 +80,7 @@
             self.uncertain = []
 
 
-class DiskCase(TestCase):
+class DiskTestCase(TestCase):
     def setUp(self) -> None:
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
@@ -89,7 +89,7 @@
         small.start()
         self.addCleanup(small.stop)
 
-    def put(self, files: dict[str, bytes]) -> None:
+    def write_files(self, files: dict[str, bytes]) -> None:
         for name in os.listdir(self.folder):
             os.unlink(os.path.join(self.folder, name))
         for name, data in files.items():
@@ -97,51 +97,51 @@
                 file.write(data)
 
     def check(self, loss: Loss) -> None:
-        """A restart from these files finds one of the allowed states; a store that was made stays."""
-        self.put(loss.files)
+        """Opening these files gives one of the allowed states, and the same store if it had been created."""
+        self.write_files(loss.files)
         store = open_store(self.folder, lambda: "another").unwrap()
         try:
             self.assertIn(loaded(store), loss.allowed)
-            if loss.made:
+            if loss.created:
                 self.assertEqual(store.identity.replica_id, REPLICA_ID)
         finally:
             store.close()
 
 
-class PowerLossTest(DiskCase):
-    def test_power_is_lost_at_any_moment(self) -> None:
+class PowerLossTest(DiskTestCase):
+    def test_power_loss_at_any_time(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                walk = Walk(self, Random(seed))
-                with walk.disk.mounted():
-                    store = walk.open()
+                sequence = WriteSequence(self, Random(seed))
+                with sequence.disk.mounted():
+                    store = sequence.open()
                     for token in range(1, WRITES):
-                        walk.write(store, token)
+                        sequence.write(store, token)
                     store.close()
-                    walk.lose_power()
-                walk.check()
-                self.assertGreater(len(walk.losses), 5 * WRITES)
+                    sequence.lose_power()
+                sequence.check()
+                self.assertGreater(len(sequence.losses), 5 * WRITES)
 
-    def test_a_store_that_goes_on_from_what_was_left(self) -> None:
+    def test_a_store_that_continues_after_power_losses(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                walk = Walk(self, Random(100 + seed))
-                with walk.disk.mounted():
-                    store = walk.open()
+                sequence = WriteSequence(self, Random(100 + seed))
+                with sequence.disk.mounted():
+                    store = sequence.open()
                     for token in range(1, WRITES):
-                        walk.write(store, token)
-                        if walk.random.random() < 0.2:
-                            left = walk.disk.after_loss(walk.random)
-                            walk.disk.on_event = lambda _kind: None
+                        sequence.write(store, token)
+                        if sequence.random.random() < 0.2:
+                            left = sequence.disk.after_loss(sequence.random)
+                            sequence.disk.on_event = lambda _kind: None
                             store.close()
-                            walk.disk.load(left)
-                            walk.disk.on_event = walk._event
-                            store = walk.open()
-                            self.assertEqual(loaded(store), walk.state)
+                            sequence.disk.load(left)
+                            sequence.disk.on_event = sequence._event
+                            store = sequence.open()
+                            self.assertEqual(loaded(store), sequence.state)
                     store.close()
-                walk.check()
+                sequence.check()
 
-    def test_a_disk_that_comes_back_empty_makes_another_replica(self) -> None:
+    def test_an_empty_disk_gives_a_new_replica(self) -> None:
         disk = SimulatedDisk()
         with disk.mounted():
             open_store(FOLDER, lambda: REPLICA_ID).unwrap().close()
@@ -151,45 +151,45 @@
             store.close()
 
 
-class RefusedTest(DiskCase):
-    def test_a_sync_that_fails_acknowledges_nothing_and_loses_nothing(self) -> None:
+class DiskErrorTest(DiskTestCase):
+    def test_a_failed_sync_acknowledges_nothing_and_loses_nothing(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                walk = Walk(self, Random(200 + seed))
+                sequence = WriteSequence(self, Random(200 + seed))
                 failed = 0
-                with walk.disk.mounted():
-                    store = walk.open()
+                with sequence.disk.mounted():
+                    store = sequence.open()
                     for token in range(1, WRITES):
-                        if walk.random.random() < 0.3:
-                            walk.disk.failing_syncs = walk.random.randint(1, 2)
-                        before = len(walk.uncertain)
-                        walk.write(store, token)
-                        failed += len(walk.uncertain) > before
-                    walk.disk.failing_syncs = 0
-                    walk.lose_power()
+                        if sequence.random.random() < 0.3:
+                            sequence.disk.failing_syncs = sequence.random.randint(1, 2)
+                        before = len(sequence.uncertain)
+                        sequence.write(store, token)
+                        failed += len(sequence.uncertain) > before
+                    sequence.disk.failing_syncs = 0
+                    sequence.lose_power()
                     store.close()
-                walk.check()
+                sequence.check()
                 self.assertGreater(failed, 0)
 
     def test_a_full_disk_changes_nothing(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                walk = Walk(self, Random(300 + seed))
-                with walk.disk.mounted():
-                    store = walk.open()
+                sequence = WriteSequence(self, Random(300 + seed))
+                with sequence.disk.mounted():
+                    store = sequence.open()
                     for token in range(1, WRITES):
-                        walk.disk.room = walk.random.choice((None, None, 0, 5_000))
-                        walk.write(store, token)
-                        self.assertEqual(loaded(store), walk.state)
-                    walk.disk.room = None
+                        sequence.disk.room = sequence.random.choice((None, None, 0, 5_000))
+                        sequence.write(store, token)
+                        self.assertEqual(loaded(store), sequence.state)
+                    sequence.disk.room = None
                     store.close()
-                walk.check()
+                sequence.check()
 
 
-class DamageTest(DiskCase):
-    """Bytes that were synced and come back otherwise."""
+class DamageTest(DiskTestCase):
+    """Synced bytes that are different when read later."""
 
-    def test_damage_anywhere_is_found_or_does_not_matter(self) -> None:
+    def test_damage_anywhere_is_detected_or_harmless(self) -> None:
         found = 0
         for seed in range(40):
             with self.subTest(seed=seed):
@@ -197,43 +197,43 @@
         self.assertGreater(found, 5)
 
     def damaged(self, random: Random) -> bool:
-        """Whether the damage was found; else the store holds what it must."""
-        walk = Walk(self, random)
-        walk.disk.on_event = lambda _kind: None
-        with walk.disk.mounted():
-            store = walk.open()
-            states = [walk.state]
+        """Returns whether the damage was detected; if not, checks that the store has an allowed state."""
+        sequence = WriteSequence(self, random)
+        sequence.disk.on_event = lambda _kind: None
+        with sequence.disk.mounted():
+            store = sequence.open()
+            states = [sequence.state]
             for token in range(1, WRITES):
-                walk.write(store, token)
-                states.append(walk.state)
-        files = {name: bytearray(data) for name, data in walk.disk.contents().items()}
+                sequence.write(store, token)
+                states.append(sequence.state)
+        files = {name: bytearray(data) for name, data in sequence.disk.contents().items()}
         name = random.choice(sorted(files))
         begin = random.randrange(len(files[name]))
         size = random.choice((1, 16, 512, 5_000))
         for offset in range(begin, min(begin + size, len(files[name]))):
             files[name][offset] ^= random.randrange(1, 256)
-        self.put({name: bytes(data) for name, data in files.items()})
+        self.write_files({name: bytes(data) for name, data in files.items()})
         opened = open_store(self.folder, lambda: "another")
         if not is_successful(opened):
             return True
         store = opened.unwrap()
-        held = store.load()
+        loaded_state = store.load()
         store.close()
-        if not is_successful(held):
+        if not is_successful(loaded_state):
             return True
         self.assertFalse(store.created)
-        # the last transaction is like one in flight at a loss of power; so is one whose own commit was hit
-        self.assertIn(held.unwrap(), states[-1 - UNTOLD_COMMITS :])
+        # A damaged commit, or the last one, cannot be distinguished from one in flight at a power loss.
+        self.assertIn(loaded_state.unwrap(), states[-1 - UNDETECTED_COMMITS :])
         return False
 
 
-class WholeFileTest(DiskCase):
-    def test_a_small_file_is_the_newest_or_the_one_before(self) -> None:
+class AtomicFileTest(DiskTestCase):
+    def test_an_atomic_file_has_the_new_or_the_old_content(self) -> None:
         for seed in range(20):
             with self.subTest(seed=seed):
-                self.walk(Random(seed))
+                self.run_writes(Random(seed))
 
-    def walk(self, random: Random) -> None:
+    def run_writes(self, random: Random) -> None:
         disk = SimulatedDisk(random)
         path = os.path.join(FOLDER, "restart")
         allowed = [b""]
@@ -249,34 +249,34 @@
                 self.assertIn(read_checked(path).unwrap(), allowed)
         self.assertGreater(len(left), 10)
         for files, contents in left:
-            self.put(files)
+            self.write_files(files)
             self.assertIn(read_checked(os.path.join(self.folder, "restart")).unwrap(), contents)
 
 
-class SetAsideTest(DiskCase):
-    def test_power_is_lost_while_a_damaged_store_is_set_aside(self) -> None:
-        """Whatever is left, the old replica's store is whole, named as set aside, or counts as damaged."""
+class QuarantineTest(DiskTestCase):
+    def test_power_loss_while_a_damaged_store_is_quarantined(self) -> None:
+        """After the power loss the old store is intact, has its quarantine name, or counts as damaged."""
         for seed in range(20):
             random = Random(seed)
             disk = SimulatedDisk()
             left: list[dict[str, bytes]] = []
             with disk.mounted():
-                walk = Walk(self, random)
-                walk.disk = disk
-                store = walk.open()
+                sequence = WriteSequence(self, random)
+                sequence.disk = disk
+                store = sequence.open()
                 for token in range(1, 6):
-                    walk.write(store, token)
+                    sequence.write(store, token)
                 disk.on_event = lambda _kind: left.append(disk.after_loss(random))  # noqa: B023
                 quarantine_store(FOLDER)
             for files in left:
-                self.put(files)
+                self.write_files(files)
                 opened = open_store(self.folder, lambda: "another")
                 if is_successful(opened):
                     store = opened.unwrap()
                     if store.created:
                         self.assertTrue(has_quarantined_store(self.folder))
                     else:
-                        self.assertEqual(loaded(store), walk.state)
+                        self.assertEqual(loaded(store), sequence.state)
                     store.close()
                 else:
                     self.assertIsInstance(opened.failure(), StoreCorrupt)
