--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -113,7 +113,7 @@
         )
     again, lines = store(tmp_path)
     found = again.load()
-    assert found is not None and found.counter == 1 and len(lines) == 1 and "ignored" in lines[0]
+    assert found is not None and found.counter == 1 and len(lines) == 1 and "file ignored" in lines[0]
     if how != "a folder":  # which takes no file's place
         assert again.save(kept(3)) and store(tmp_path)[0].load() == kept(3)
 
