--- a/brackenladder/discovery/__init__.py
+++ b/brackenladder/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The source of a server list: the watch, and the form of the list."""
+"""The sources of server lists: watching and fetching them from discovery."""
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -1,4 +1,4 @@
-"""Where a pool's list comes from: discovery that is asked, an agent that is pushed to, or a fixed list."""
+"""The sources of a pool's server list: discovery, a local agent that receives pushes, or a fixed list."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from brackenladder.membership.current_list import CurrentList
 from brackenladder.membership.listing import Line, Listing
 
-PUSH_RETRY = 0.1  # seconds before an agent that did not answer is asked again
+PUSH_RETRY = 0.1  # seconds after which a failed call to an agent is repeated
 
 Address = tuple[str, int]
 
 
 class PolledDiscovery(Discovery):
-    """Discovery, which the module asks as it sees fit; it begins with the list that was known."""
+    """Discovery, called when the decision module asks for it. It starts with the list known beforehand."""
 
     def __init__(
         self,
@@ -24,27 +24,27 @@
         address: Address,
         known: Listing | None,
         nodes: int,
-        told: ListingCallback,
+        on_listing: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
-        super().__init__(loop, address, known, nodes, told, log)
+        super().__init__(loop, address, known, nodes, on_listing, log)
         self.known = known
 
     def start(self) -> None:
-        """Tells of the list that was known, if there was one."""
+        """Delivers the list known beforehand, if there is one."""
         if self.known is not None:
-            self.told(self.known)
+            self.on_listing(self.known)
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """A list that is newer than the one that was known. Before `start` only."""
+        """Replaces the list known beforehand by a newer one. Only before `start`."""
         self.known = listing
-        self.in_hand = CurrentList(listing, self.loop.time())
+        self.current_list = CurrentList(listing, self.loop.time())
 
 
 class AgentDiscovery(PolledDiscovery):
-    """An agent on the node's own machine, which answers at once with what was pushed to it.
+    """An agent on the node's own host, which answers at once with the list that was pushed to it.
 
-    It is watched by the node itself, for as long as the pool runs: the module does not ask there.
+    The node itself watches the agent for as long as the pool runs; the decision module does not ask for it.
     """
 
     def __init__(
@@ -53,48 +53,48 @@
         address: Address,
         known: Listing | None,
         nodes: int,
-        told: ListingCallback,
+        on_listing: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
-        super().__init__(loop, address, known, nodes, self.heard, log)
-        # What the agent has counts as told whether or not it is asked: there is no time for longer pauses.
-        self.most_pause = PUSH_RETRY
-        self.pass_on = told
+        super().__init__(loop, address, known, nodes, self.on_agent_listing, log)
+        # The platform counts a list as delivered once the agent has it, so pauses must be short.
+        self.max_pause = PUSH_RETRY
+        self.on_pushed = on_listing
 
     def start(self) -> None:
         super().start()
         self.watch(True)
 
-    def heard(self, listing: Listing | None) -> None:
-        """News go on; a call that failed is made again."""
+    def on_agent_listing(self, listing: Listing | None) -> None:
+        """Passes a list on; repeats a failed call."""
         if listing is None:
             self.loop.call_later(PUSH_RETRY, self.watch, True)
         else:
-            self.pass_on(listing)
+            self.on_pushed(listing)
 
 
 class FixedList:
-    """A list that stands in the operator file: there is nothing to ask for."""
+    """A fixed list from the operator file."""
 
-    def __init__(self, lines: Sequence[Line], told: ListingCallback) -> None:
+    def __init__(self, lines: Sequence[Line], on_listing: ListingCallback) -> None:
         self.version: int | None = 1
         self.listing = Listing(ListKind.FULL, self.version, tuple(lines))
-        self.told = told
+        self.on_listing = on_listing
 
     def start(self) -> None:
-        self.told(self.listing)
+        self.on_listing(self.listing)
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """The operator file's list holds."""
+        """Does nothing: the list of the operator file is used."""
 
     def watch(self, on: bool) -> None:
-        """There are no changes."""
+        """Does nothing: the list never changes."""
 
     def fetch(self) -> None:
-        """The list is known."""
+        """Does nothing: the list is known."""
 
     def change_address(self, address: Address) -> None:
-        """It has no address."""
+        """Does nothing: there is no address."""
 
     def close(self) -> None:
-        """Nothing is out."""
+        """Does nothing: there are no open calls."""
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -1,4 +1,4 @@
-"""Calls to discovery: the watch, renewed at once, and fetches of the whole list."""
+"""Calls to discovery: a long-polling watch, which is renewed at once, and fetches of the full list."""
 
 from __future__ import annotations
 
@@ -24,43 +24,46 @@
 )
 
 CONNECT_TIMEOUT = 1.0
-LARGEST_ANSWER = 4 << 20
+MAX_ANSWER_BYTES = 4 << 20
 
 ListingCallback = Callable[[Listing | None], None]
 
 
-class Call(asyncio.Protocol):
-    """A connection to discovery, one call at a time. `told` gets each answer, and None once at failure."""
+class DiscoveryCall(asyncio.Protocol):
+    """A connection to discovery, for one call at a time.
+
+    `on_answer` is called with the body of each answer, and once with None after a failure.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: tuple[str, int],
-        told: Callable[[Call, bytes | None], None],
+        on_answer: Callable[[DiscoveryCall, bytes | None], None],
     ) -> None:
         self.loop = loop
         self.address = address
-        self.told = told
+        self.on_answer = on_answer
         self.transport: asyncio.Transport | None = None
-        self.over = False
-        self.silent = False  # it failed since nothing came in its time
+        self.ended = False
+        self.timed_out = False  # the call failed because of a timeout
         self.timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
-    def ask(self, path: str, first: float) -> None:
-        """Makes a call, which must begin to be answered within `first` seconds.
+    def ask(self, path: str, first_byte_timeout: float) -> None:
+        """Sends a request; the answer must begin within `first_byte_timeout` seconds.
 
-        Then it has to go on: the platform counts a list as told 6 s after a watch fell silent, also one that
-        fell silent half-way through its body, and by then a new call has to have been answered.
+        Its body must then arrive in time too: the platform counts a list as delivered 6 s after a watch has
+        fallen silent, even in the middle of a body, and by then a new call has to be answered.
         """
         host = f"{self.address[0]}:{self.address[1]}"
         self.request = f"GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
-        self.first = first
+        self.first_byte_timeout = first_byte_timeout
         self.parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.complete = False
         if self.transport is None:
-            self.limit(CONNECT_TIMEOUT)
+            self.start_timeout(CONNECT_TIMEOUT)
             self.task = self.loop.create_task(self.connect())
         else:
             self.write()
@@ -73,64 +76,65 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:  # it came up as its time ran out
+        if self.ended:  # the connection was established just as its timeout expired
             self.hang_up()
         else:
             self.write()
 
     def write(self) -> None:
-        self.limit(self.first)
-        self.begun = False
+        self.start_timeout(self.first_byte_timeout)
+        self.answer_started = False
         assert self.transport is not None
         self.transport.write(self.request)
 
-    def limit(self, time: float) -> None:
-        """The step that begins now has so many seconds."""
+    def start_timeout(self, time: float) -> None:
+        """Starts the timeout of the step that begins now, in seconds."""
         if self.timer is not None:
             self.timer.cancel()
-        self.due = self.loop.time() + time
+        self.deadline = self.loop.time() + time
         self.timer = self.loop.call_later(time, self.expire)
 
     def expire(self) -> None:
-        """The time is over; a process that stood still meanwhile first reads what has come.
+        """Handles a timeout; after a pause of this process, the socket is read first.
 
-        Failure prevented: the answer waits in the socket, the call is given up unread, and requests go to a
-        server that it withdraws.
+        Failure prevented: the answer is waiting in the socket, the call is abandoned unread, and requests go
+        to a server that the answer withdraws.
         """
-        if self.loop.time() - self.due > STALL_THRESHOLD:
-            self.limit(RESUME_GRACE)
+        if self.loop.time() - self.deadline > STALL_THRESHOLD:
+            self.start_timeout(RESUME_GRACE)
             return
-        self.silent = True
+        self.timed_out = True
         self.fail()
 
     def data_received(self, data: bytes) -> None:
         now = self.loop.time()
-        if not self.begun:
-            self.begun = True
-            self.latest = now + BODY_TIMEOUT
-        self.limit(max(0.0, min(READ_TIMEOUT, self.latest - now)))
+        if not self.answer_started:
+            self.answer_started = True
+            self.body_deadline = now + BODY_TIMEOUT
+        self.start_timeout(max(0.0, min(READ_TIMEOUT, self.body_deadline - now)))
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.fail()
             return
-        if len(self.body) > LARGEST_ANSWER:
+        if len(self.body) > MAX_ANSWER_BYTES:
             self.fail()
-        elif self.complete and not self.over:
+        elif self.complete and not self.ended:
             if self.parser.get_status_code() != 200:
                 self.fail()
                 return
-            if not self.keep:
+            if not self.keep_alive:
                 self.hang_up()
-            self.told(self, self.body)
+            self.on_answer(self, self.body)
 
     def on_body(self, body: bytes) -> None:
-        if len(self.body) <= LARGEST_ANSWER:
+        if len(self.body) <= MAX_ANSWER_BYTES:
             self.body += body
 
     def on_message_complete(self) -> None:
         self.complete = True
-        self.keep = self.parser.should_keep_alive()  # known here only: the parser then starts afresh
+        # Only available here: the parser is reset afterwards.
+        self.keep_alive = self.parser.should_keep_alive()
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.transport is not None:
@@ -138,19 +142,19 @@
             self.fail()
 
     def hang_up(self) -> None:
-        """Closes the connection; a further call opens a new one."""
+        """Closes the connection; the next call opens a new one."""
         transport, self.transport = self.transport, None
         if transport is not None:
             transport.abort()
 
     def fail(self) -> None:
-        if not self.over:
+        if not self.ended:
             self.end()
-            self.told(self, None)
+            self.on_answer(self, None)
 
     def end(self) -> None:
-        """No more calls, and nothing more is told."""
-        self.over = True
+        """Ends the call; `on_answer` is not called any more."""
+        self.ended = True
         if self.timer is not None:
             self.timer.cancel()
         if self.task is not None:
@@ -159,9 +163,10 @@
 
 
 class Discovery:
-    """The list in hand begins with `known`; news goes to `told` before the watch is renewed.
+    """Keeps the list of one discovery address up to date.
 
-    With none, nothing has been heard from this address: the watch begins with the whole list.
+    `known` is the list to start from; without it, the watch begins with the full list. `on_listing` is called
+    with each change before the watch is renewed, and with None when calls keep failing.
     """
 
     def __init__(
@@ -170,96 +175,96 @@
         address: tuple[str, int],
         known: Listing | None,
         nodes: int,
-        told: ListingCallback,
+        on_listing: ListingCallback,
         log: Callable[[str], None],
     ) -> None:
         self.loop = loop
         self.address = address
-        self.in_hand = CurrentList(known, loop.time())
+        self.current_list = CurrentList(known, loop.time())
         self.wait = watch_wait_ms(nodes)
-        self.most_pause = MAX_PAUSE
-        self.told = told
+        self.max_pause = MAX_PAUSE
+        self.on_listing = on_listing
         self.log = log
         self.random = Random()
-        self.silence = WatchRetry()
-        self.reopening: asyncio.TimerHandle | None = None
-        self.watching: Call | None = None
-        self.fetching: Call | None = None
+        self.watch_retry = WatchRetry()
+        self.retry_timer: asyncio.TimerHandle | None = None
+        self.watch_call: DiscoveryCall | None = None
+        self.fetch_call: DiscoveryCall | None = None
 
     @property
     def version(self) -> int | None:
-        """Of the list in hand."""
-        return self.in_hand.version
+        """The version of the current list."""
+        return self.current_list.version
 
     def watch(self, on: bool) -> None:
-        """Begins or ends the watch. One that is on already stays."""
-        if on and self.watching is None:
-            self.forget_reopening()
-            self.watching = Call(self.loop, self.address, self.on_watch_answer)
-            self.renew(self.watching)
+        """Starts or stops the watch. A running watch is left as it is."""
+        if on and self.watch_call is None:
+            self.cancel_retry()
+            self.watch_call = DiscoveryCall(self.loop, self.address, self.on_watch_answer)
+            self.send_watch(self.watch_call)
         elif not on:
-            self.forget_reopening()
-            if self.watching is not None:
-                self.watching.end()
-                self.watching = None
+            self.cancel_retry()
+            if self.watch_call is not None:
+                self.watch_call.end()
+                self.watch_call = None
 
-    def forget_reopening(self) -> None:
-        if self.reopening is not None:
-            self.reopening.cancel()
-            self.reopening = None
+    def cancel_retry(self) -> None:
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Asks at another address from now on; whatever the old one may still say is not heard.
+        """Switches to another address; answers from the old one are ignored.
 
-        Failure prevented: versions are numbered otherwise there, and a watch that goes on from the old
-        number misses changes, or the new list is taken for an old one.
+        Failure prevented: the new address numbers its versions differently, so a watch that continues from
+        the old version misses changes, or the new list is taken for an old one.
         """
         self.close()
         self.address = address
-        self.silence = WatchRetry()  # what the old one left unanswered says nothing of the new one
-        self.in_hand = self.in_hand.for_new_discovery(self.loop.time())
+        self.watch_retry = WatchRetry()  # failures of the old address say nothing about the new one
+        self.current_list = self.current_list.for_new_discovery(self.loop.time())
         self.watch(True)
 
-    def renew(self, call: Call) -> None:
+    def send_watch(self, call: DiscoveryCall) -> None:
         if self.version is None:
             call.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
             return
         wait = jittered_wait_ms(self.wait, self.random.random())
-        first = wait / 1000 + ANSWER_TIMEOUT
-        call.ask(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", first)
+        first_byte_timeout = wait / 1000 + ANSWER_TIMEOUT
+        call.ask(f"/v1/endpoints?since={self.version}&timeout_ms={wait}", first_byte_timeout)
 
-    def on_watch_answer(self, call: Call, body: bytes | None) -> None:
-        listing = self.read(body)
+    def on_watch_answer(self, call: DiscoveryCall, body: bytes | None) -> None:
+        listing = self.parse_answer(body)
         if listing is None:
-            # Ended before the failure is told, since the module may answer it with a new watch.
+            # Ended before the failure is reported, since the module may respond with a new watch.
             call.end()
-            self.watching = None
-            pause = self.silence.failed(call.silent, self.random.random())
+            self.watch_call = None
+            pause = self.watch_retry.failed(call.timed_out, self.random.random())
             if pause is None:
-                self.told(None)
+                self.on_listing(None)
             elif pause > 0:
-                self.reopening = self.loop.call_later(min(pause, self.most_pause), self.watch, True)
+                self.retry_timer = self.loop.call_later(min(pause, self.max_pause), self.watch, True)
             else:
                 self.watch(True)
             return
-        self.silence.answered()
-        self.told(listing)
-        if self.watching is call:
-            self.renew(call)
+        self.watch_retry.answered()
+        self.on_listing(listing)
+        if self.watch_call is call:
+            self.send_watch(call)
 
     def fetch(self) -> None:
-        """Asks for the whole list, unless such a call is out already."""
-        if self.fetching is None:
-            self.fetching = Call(self.loop, self.address, self.on_fetch_answer)
-            self.fetching.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
+        """Requests the full list, unless such a call is already open."""
+        if self.fetch_call is None:
+            self.fetch_call = DiscoveryCall(self.loop, self.address, self.on_fetch_answer)
+            self.fetch_call.ask("/v1/endpoints", FIRST_BYTE_TIMEOUT)
 
-    def on_fetch_answer(self, call: Call, body: bytes | None) -> None:
+    def on_fetch_answer(self, call: DiscoveryCall, body: bytes | None) -> None:
         call.end()
-        self.fetching = None
-        self.told(self.read(body))
+        self.fetch_call = None
+        self.on_listing(self.parse_answer(body))
 
-    def read(self, body: bytes | None) -> Listing | None:
-        """An answer's list, or None for a failed call and for one that cannot be used."""
+    def parse_answer(self, body: bytes | None) -> Listing | None:
+        """Returns the changes in an answer; None if the call failed or the answer is not usable."""
         if body is None:
             return None
         try:
@@ -267,15 +272,15 @@
         except (ValueError, RecursionError) as e:
             self.log(f"discovery: answer dropped: {e}")
             return None
-        news = self.in_hand.accept(listing, self.loop.time())
+        news = self.current_list.accept(listing, self.loop.time())
         if news is None:
-            self.log("discovery: answer dropped: changes of a list that is not known")
+            self.log("discovery: answer dropped: changes to an unknown list")
         return news
 
     def close(self) -> None:
         """Ends all calls."""
-        self.forget_reopening()
-        for call in (self.watching, self.fetching):
+        self.cancel_retry()
+        for call in (self.watch_call, self.fetch_call):
             if call is not None:
                 call.end()
-        self.watching = self.fetching = None
+        self.watch_call = self.fetch_call = None
--- a/brackenladder/peers/__init__.py
+++ b/brackenladder/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The way to the other nodes of a tier."""
+"""Messages to the other nodes of a tier."""
--- a/brackenladder/peers/datagrams.py
+++ b/brackenladder/peers/datagrams.py
@@ -12,22 +12,22 @@
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends to the tier's nodes by number and hands on what comes from them."""
+    """Sends datagrams to the nodes of the tier by number, and passes received ones to `on_message`."""
 
     def __init__(
         self,
         peers: Sequence[Address],
         to_all: Address | None,
-        heard: Callable[[int, bytes], None],
+        on_message: Callable[[int, bytes], None],
         log: Callable[[str], None],
     ) -> None:
         self.set_addresses(peers, to_all)
-        self.heard = heard
+        self.on_message = on_message
         self.log = log
         self.transport: asyncio.DatagramTransport | None = None
 
     def set_addresses(self, peers: Sequence[Address], to_all: Address | None) -> None:
-        """Sets the addresses of the tier's nodes, by number."""
+        """Sets the addresses of the nodes, by number, and the one that reaches all of them."""
         self.peers = peers
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.to_all = to_all
@@ -36,7 +36,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Sends a message to one peer, or to all (-1). A longer one than the network takes is not sent."""
+        """Sends a message to one peer, or to all (-1). A message over `MAX_MESSAGE_BYTES` is not sent."""
         address = self.to_all if peer < 0 else self.peers[peer] if peer < len(self.peers) else None
         if self.transport is None or address is None or len(data) > MAX_MESSAGE_BYTES:
             self.log(f"message of {len(data)} bytes to peer {peer} not sent")
@@ -44,7 +44,7 @@
         self.transport.sendto(data, address)
 
     def send(self, peer: int, data: bytes) -> None:
-        """A member's datagram; lost if there is no such peer, as any may be."""
+        """Sends a membership datagram; drops it if there is no such peer, as any datagram may be lost."""
         if self.transport is not None and peer < len(self.peers) and not self.transport.is_closing():
             self.transport.sendto(data, self.peers[peer])
 
@@ -53,7 +53,7 @@
         if number is None or len(data) > MAX_MESSAGE_BYTES:
             self.log("stray or oversized datagram dropped")
             return
-        self.heard(number, data)
+        self.on_message(number, data)
 
     def error_received(self, exc: Exception) -> None:
         self.log(f"peers: {exc}")
--- a/tests/endings/test_watch_ends.py
+++ b/tests/endings/test_watch_ends.py
@@ -1,4 +1,4 @@
-"""Watch ends: an answer that stops half-way or never ends, and a discovery that lags behind the last one."""
+"""The end of a watch: answers that stop half-way or never end, and a new discovery with an older list."""
 
 from __future__ import annotations
 
@@ -24,18 +24,21 @@
 )
 from brackenladder.membership.withdrawn import MAX_WITHDRAWN, RETENTION
 
-GRACE = 0.25  # seconds after a change counts as told in which requests may still go out
-FELL_SILENT, AFTER_WAIT, AFTER_SIGHUP = 6.0, 2.0, 4.0  # seconds: when the platform counts it as told
+GRACE = 0.25  # seconds after a change counts as delivered in which requests may still be sent
+# Seconds until the platform counts a change as delivered: after a watch fell silent, after the end of its
+# long-poll wait, and after a SIGHUP.
+AFTER_SILENCE, AFTER_WAIT, AFTER_SIGHUP = 6.0, 2.0, 4.0
 NEW_CALL = CONNECT_TIMEOUT + FIRST_BYTE_TIMEOUT
 
 
 @pytest.mark.parametrize(
     ("what", "worst", "told"),
     [
-        ("a whole list that does not begin", FIRST_BYTE_TIMEOUT + NEW_CALL, FELL_SILENT),
-        ("a list that stops half-way", READ_TIMEOUT + NEW_CALL, FELL_SILENT),
-        ("a list that comes byte by byte", BODY_TIMEOUT + NEW_CALL, FELL_SILENT),
-        # Connections come up at once here, or the module is asked: see docs/endings.md.
+        ("a whole list that does not begin", FIRST_BYTE_TIMEOUT + NEW_CALL, AFTER_SILENCE),
+        ("a list that stops half-way", READ_TIMEOUT + NEW_CALL, AFTER_SILENCE),
+        ("a list that comes byte by byte", BODY_TIMEOUT + NEW_CALL, AFTER_SILENCE),
+        # No connection timeout here: a connection is established at once, or the module decides what to do;
+        # see docs/endings.md.
         ("a watch that ends its wait in silence", ANSWER_TIMEOUT + FIRST_BYTE_TIMEOUT, AFTER_WAIT),
         ("the first list after a move does not begin", FIRST_BYTE_TIMEOUT + NEW_CALL, AFTER_SIGHUP),
         ("it does not begin twice", 2 * FIRST_BYTE_TIMEOUT + MAX_PAUSE + FIRST_BYTE_TIMEOUT, AFTER_SIGHUP),
@@ -43,14 +46,14 @@
         ("the agent's watch is made anew", PUSH_RETRY, GRACE),
     ],
 )
-def test_a_call_that_dies_leaves_time_for_another(what, worst, told):
-    """Seconds from the moment at which discovery fell silent, or the wait was over, in the worst case."""
+def test_a_failed_call_leaves_time_for_another(what, worst, told):
+    """Worst-case seconds from the time at which discovery fell silent, or the wait ended, to a new answer."""
     assert worst <= told - 0.05, what
 
 
 @pytest.mark.parametrize("drip", [False, True])
-def test_a_list_that_does_not_come_whole_is_asked_for_again(drip, monkeypatch):
-    """Failure prevented: it is given up 6 s after its first byte, the moment from which it counts as told."""
+def test_an_incomplete_list_is_requested_again(drip, monkeypatch):
+    """Failure prevented: the call is abandoned 6 s after its first byte, when its list already counts."""
     bounds = (
         {"READ_TIMEOUT": 600.0, "BODY_TIMEOUT": 0.3} if drip else {"READ_TIMEOUT": 0.2, "BODY_TIMEOUT": 600.0}
     )
@@ -67,7 +70,7 @@
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body)
         if drip:
             discovery.answers.put_nowait(b"HTTP/1.1 200 OK\r\nContent-Length: 4000000\r\n\r\n")
-            await until(lambda: bench.node.http.source.watching.begun)
+            await until(lambda: bench.node.http.source.watch_call.answer_started)
             while len(discovery.requests) == 1:
                 if not discovery.writers[0].is_closing():
                     discovery.writers[0].write(b" ")
@@ -85,7 +88,7 @@
 
 
 class Timers:
-    """A loop of which only the timers are wanted."""
+    """An event loop that only records timers."""
 
     def __init__(self):
         self.delays = []
@@ -101,32 +104,32 @@
         pass
 
 
-def test_an_agent_that_was_silent_is_asked_again_before_what_it_has_counts(monkeypatch):
-    """What an agent has counts as told at once, whether or not it is asked."""
+def test_a_silent_agent_is_called_again_before_its_list_counts(monkeypatch):
+    """The platform counts a list as delivered as soon as the agent has it."""
     loop = Timers()
     agent = AgentDiscovery(loop, ("127.0.0.1", 1), None, 100, lambda listing: None, lambda line: None)
-    monkeypatch.setattr(agent, "renew", lambda call: None)
+    monkeypatch.setattr(agent, "send_watch", lambda call: None)
     for _ in range(50):
         agent.watch(True)
-        agent.watching.silent = True
-        agent.on_watch_answer(agent.watching, None)
+        agent.watch_call.timed_out = True
+        agent.on_watch_answer(agent.watch_call, None)
     assert loop.delays and max(loop.delays) <= PUSH_RETRY
 
 
-def test_what_the_old_discovery_left_unanswered_is_not_held_against_the_new_one(monkeypatch):
-    """Failure prevented: the new one's first silence is told to the module, which pauses before it asks."""
+def test_timeouts_of_the_old_discovery_do_not_count_for_the_new_one(monkeypatch):
+    """Failure prevented: the first timeout of the new discovery is reported, and the module pauses."""
     told = []
-    asked = PolledDiscovery(Timers(), ("127.0.0.1", 1), None, 100, told.append, lambda line: None)
-    monkeypatch.setattr(asked, "renew", lambda call: None)
+    discovery = PolledDiscovery(Timers(), ("127.0.0.1", 1), None, 100, told.append, lambda line: None)
+    monkeypatch.setattr(discovery, "send_watch", lambda call: None)
 
     def fails_silently():
-        asked.watch(True)
-        asked.watching.silent = True
-        asked.on_watch_answer(asked.watching, None)
+        discovery.watch(True)
+        discovery.watch_call.timed_out = True
+        discovery.on_watch_answer(discovery.watch_call, None)
 
     for _ in range(MAX_RETRIES):
         fails_silently()
-    asked.change_address(("127.0.0.1", 2))
+    discovery.change_address(("127.0.0.1", 2))
     for _ in range(MAX_RETRIES):
         fails_silently()
         assert not told
@@ -161,39 +164,39 @@
             False,
         ),
         ([full(9, line("a", DRAINS)), full(10)], full(2, line("a")), 1, False),
-        # Lost from sight: it may be there again, and the new discovery is the one that sees it.
+        # Gone or missing from the old list without draining: the new discovery may see the server again.
         ([full(9, line("a")), changes(10, line("a", GONE))], full(2, line("a")), 1, True),
         ([full(9, line("a")), full(10)], full(2, line("a")), 1, True),
-        # A later start is another process; so is one that the old discovery itself took back.
+        # A later start time means a new process; the old discovery itself may also report it ready again.
         ([full(9, line("a", DRAINS))], full(2, line("a", started=2)), 1, True),
         ([full(9, line("a", DRAINS)), full(10, line("a"))], full(2, line("a")), 1, True),
         ([full(9, line("a", DRAINS))], full(2, line("a")), RETENTION + 1, True),
     ],
 )
 @pytest.mark.parametrize("moves", [1, 2])
-def test_a_new_discovery_does_not_bring_back_what_the_old_one_told_to_drain(old, new, after, ready, moves):
-    hand = CurrentList(None, 0.0)
+def test_a_new_discovery_does_not_make_draining_servers_ready(old, new, after, ready, moves):
+    current = CurrentList(None, 0.0)
     for listing in old:
-        hand.accept(listing, 0.0)
+        current.accept(listing, 0.0)
     for _ in range(moves):
-        hand = hand.for_new_discovery(0.5)
-    assert hand.version is None
-    for news in (new, changes(new.version + 1, *new.lines)):  # what it says again is no newer for that
-        admitted = hand.accept(news, after)
+        current = current.for_new_discovery(0.5)
+    assert current.version is None
+    for news in (new, changes(new.version + 1, *new.lines)):  # repeating the same entry makes it no newer
+        admitted = current.accept(news, after)
         assert admitted is not None
         assert [each.state == READY for each in admitted.lines] == ([True] if ready else [])
 
 
-def test_what_is_remembered_of_drains_is_bounded():
-    hand = CurrentList(None, 0.0)
+def test_the_memory_of_draining_servers_is_bounded():
+    current = CurrentList(None, 0.0)
     for n in range(3 * MAX_WITHDRAWN):
-        hand.accept(full(n, line(f"s{n}", DRAINS)), 0.0)
-    assert len(hand.withdrawn.drained) <= MAX_WITHDRAWN
-    hand.accept(full(3 * MAX_WITHDRAWN), RETENTION + 1)
-    assert not hand.withdrawn.drained
+        current.accept(full(n, line(f"s{n}", DRAINS)), 0.0)
+    assert len(current.withdrawn.drained) <= MAX_WITHDRAWN
+    current.accept(full(3 * MAX_WITHDRAWN), RETENTION + 1)
+    assert not current.withdrawn.drained
 
 
-def test_a_node_that_moves_to_a_discovery_that_lags_sends_nothing_to_a_server_that_drains():
+def test_after_a_change_to_an_older_discovery_nothing_is_sent_to_draining_servers():
     async def scene():
         bench = await Bench(leaving := Server(), staying := Server()).start()
         await until(lambda: len(bench.discovery.requests) == 1)
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -54,7 +54,7 @@
         def request(*args):
             start(*args)  # a connection is being opened; then the news comes
             body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
-            bench.pool.source.on_watch_answer(bench.pool.source.watching, json.dumps(body).encode())
+            bench.pool.source.on_watch_answer(bench.pool.source.watch_call, json.dumps(body).encode())
 
         bench.pool.host.balancer.request = request
         assert (await bench.once(call("invite")))[0] == 200
