--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -85,7 +85,7 @@
 def test_a_full_disk_is_logged_and_counted(tmp_path: Path) -> None:
     for at in (1, 2, 3):
         full, lines = store(tmp_path, Failing(at, error=OSError))
-        assert not full.save(kept(1)) and full.failures == 1 and "not kept" in lines[0]
+        assert not full.save(kept(1)) and full.failures == 1 and "not saved" in lines[0]
 
 
 @pytest.mark.parametrize("how", ["cut", "flipped", "other node", "later format", "empty", "a folder"])
@@ -97,7 +97,7 @@
     data = newest.read_bytes()
     if how == "other node":
         other, _ = store(tmp_path, owner=StateOwner("n2", 0, ("view",)))
-        other.next = 1
+        other.next_index = 1
         other.save(kept(9))
     elif how == "a folder":
         os.unlink(newest)
@@ -113,7 +113,7 @@
         )
     again, lines = store(tmp_path)
     found = again.load()
-    assert found is not None and found.counter == 1 and len(lines) == 1 and "passed over" in lines[0]
+    assert found is not None and found.counter == 1 and len(lines) == 1 and "file ignored" in lines[0]
     if how != "a folder":  # a folder cannot be replaced by a file
         assert again.save(kept(3)) and store(tmp_path)[0].load() == kept(3)
 
