--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -97,7 +97,7 @@
         return max(0, job.traits.prompt_tokens - cached)
 
     def reread_price(self, now: int, server: Server, job: Job) -> float:
-        """The price of a prefill that other servers have just done, besides its time."""
+        """The price, besides the time, of repeating a prefill that other servers have done recently."""
         if not self.recent_holders(now, job):
             return 0.0
         return self.parameters.read_again * max(0, job.shared_tokens - self._cached_tokens(server, job))
--- a/brackenladder/placement/decision_counters.py
+++ b/brackenladder/placement/decision_counters.py
@@ -22,7 +22,7 @@
     READING = "reading"  # prefill of tokens that the server had not cached
     EXPECTED_QUEUE = "expected_queue"  # queueing that was expected when the server was chosen
     UNEXPECTED = "unexpected"  # queueing or a slow server that was not expected
-    ROUND_TRIP = "way"  # the network
+    ROUND_TRIP = "way"  # the network round trip
     UNANSWERED = "unanswered"  # no first event came
 
 
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -32,7 +32,7 @@
 MAX_ATTEMPTS = 8  # attempts of a call, including those that were never sent
 MAX_RETRY_AFTER = US_PER_S
 ZONE_PRICE = 0.01  # as high as the policy needs to select members in each zone
-INDEXES = 1 << 16  # bound of a gateway's index, a hash of its name
+INDEXES = 1 << 16  # a gateway's index is a hash of its name, modulo this
 BEATS_AFTER_RETURN = 2.5  # heartbeats after an evacuation's end until servers have reported being cold
 
 
--- a/tests/placement/test_prefix_notices.py
+++ b/tests/placement/test_prefix_notices.py
@@ -17,7 +17,7 @@
     16964180338866893283,
     12351979152842262400,
     8855940942300770271,
-]  # of the prompt "head", "s", "own" for the model "m"
+]  # keys of the prompt "head", "s", "own" for the model "m"
 
 
 def notice(stage: Stage, subject: str, server: str, age: int = 0, uncached_tokens: int = 0) -> PrefixNotice:
--- a/tests/policy/test_policy_modules.py
+++ b/tests/policy/test_policy_modules.py
@@ -162,7 +162,7 @@
 def test_the_retry_budget_is_a_tenth_of_first_attempts():
     retries = Retries()
     spent = sum(retries.spend(Outcome.ERROR) for _ in range(10))
-    assert spent == LEAST_TOKENS and retries.spend(Outcome.CONNECT_FAILED)  # free
+    assert spent == LEAST_TOKENS and retries.spend(Outcome.CONNECT_FAILED)  # takes no token
     for _ in range(1000):
         retries.earn(4.0)
     assert retries.retry_tokens == LEAST_TOKENS  # the most that is saved up
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -72,7 +72,7 @@
         self.node = Balancer(self.s, seed, self.rec)
         self.now = 0
         self.listed: dict[int, State] = {}
-        self.unsent_after: dict[int, int] = {}  # by server: when it was listed as not ready
+        self.unsent_after: dict[int, int] = {}  # when a server was listed as not ready
         self.entries: dict[int, ServerEntry] = {}
         self.open: dict[int, dict] = {}
         self.closed: set[int] = set()
