--- a/brackenladder/core/ending.py
+++ b/brackenladder/core/ending.py
@@ -8,7 +8,7 @@
 
 TAKING = 0.5  # seconds after SIGTERM in which new connections are still accepted
 HANDOVER = 2.0  # most seconds after SIGTERM in which open connections still accept calls
-LONGEST = 3_000_000  # microseconds: a shutdown waits for the longest deadline of all classes, but at most this long
+LONGEST = 3_000_000  # microseconds: a shutdown waits for the longest deadline of a class, but no longer
 KILL_AFTER = 700_000  # microseconds that a shutdown may take besides the longest deadline
 KILL_MARGIN = 300_000  # microseconds before SIGKILL by which all calls must be concluded
 
