--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -122,11 +122,11 @@
             assert (await client.answer()).startswith(b"HTTP/1.1 200")
             client.send(call("invite"))
             client.leave(how)
-            stall.wary_until = time.monotonic() + 60
+            stall.grace_until = time.monotonic() + 60
             front.handle_request = slowly
             await until(lambda: not front.clients.connections)
             front.handle_request = taken
-            stall.wary_until = 0.0
+            stall.grace_until = 0.0
             await settled(bench)
             assert len(server.requests) == n + 1
 
--- a/tests/endings/test_rpc_ends.py
+++ b/tests/endings/test_rpc_ends.py
@@ -165,7 +165,7 @@
         assert (await client.ask("invite", 1))[0] is None  # a connection to `s0` is up
         (guest,) = bench.front.clients
         await until(lambda: len(bench.discovery.writers) == 1 and len(bench.discovery.requests) == 2)
-        bench.pool.upstream.stall.wary_until = time.monotonic() + 60
+        bench.pool.upstream.stall.grace_until = time.monotonic() + 60
         news = json.dumps(
             {"version": 42, "full": False, "servers": [leaving.entry("s0", "draining")]}
         ).encode()
--- a/tests/endings/test_server_ends.py
+++ b/tests/endings/test_server_ends.py
@@ -62,7 +62,7 @@
             time.sleep(0.005)  # the wait is over before the loop looks at the sockets again
 
         front.handle_request = slowly
-        bench.pool.upstream.pool.stall.wary_until = time.monotonic() + 60
+        bench.pool.upstream.pool.stall.grace_until = time.monotonic() + 60
         status, _, _ = await client.ask(call("invite"))
         assert (status, server.connections, len(server.requests)) == (200, 2, 2)
 
