--- a/brackenladder/catalog/homes.py
+++ b/brackenladder/catalog/homes.py
@@ -45,13 +45,13 @@
 
 
 class ConfigurationHomes:
-    """The restrictions by host of one configuration, which is read at the first call of `of`."""
+    """The restrictions by host of one configuration, which is read at the first call of `for_host`."""
 
     def __init__(self, read: ReadConfiguration = no_configuration) -> None:
         self._read = read
         self._hosts: Mapping[str, HostHomes] | None = None
 
-    def of(self, host: str) -> HostHomes:
+    def for_host(self, host: str) -> HostHomes:
         """The restrictions of a host, as named in a request."""
         if self._hosts is None:
             self._hosts = _by_host(self._read())
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -33,12 +33,12 @@
 from brackenladder.transport.link import Link, Transport
 
 MICROSECONDS_PER_MILLISECOND = 1000
-ELECTION_HEAD_START = 350_000  # microseconds that a starting node's first election timeout is shorter
-STOP_SECONDS = 1.5  # longest orderly shutdown; bounds the sum of the waits below
+ELECTION_HEAD_START = 350_000  # microseconds by which the first election timeout after a start is shortened
+STOP_SECONDS = 1.5  # longest orderly shutdown; at least the sum of the waits below
 HANDOVER_SECONDS = 0.6  # longest wait for another leader before shutdown
-HTTP_GRACE_SECONDS = 0.3  # for open calls
-LINK_GRACE = 300_000  # microseconds for messages queued for other nodes; a setting of the transport
-STORE_GRACE_SECONDS = 0.2  # for the last write to the store; a disk may hang
+HTTP_GRACE_SECONDS = 0.3  # longest wait for open calls
+LINK_GRACE = 300_000  # microseconds; longest wait for messages queued for other nodes, set in the transport
+STORE_GRACE_SECONDS = 0.2  # longest wait for the last write to the store; a disk may hang
 
 log = logbook.Logger("control")
 
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -47,7 +47,7 @@
         `current` is False if this node's configuration may be outdated. Home regions may then have changed,
         so no client is directed to another region.
         """
-        homes = self._homes.of(client.host)
+        homes = self._homes.for_host(client.host)
         permitted = homes.permits if current else _permit_none
         offer = resolve(self._gateways.ready(now), client, permitted, offset=self._answers.total())
         forbidden = homes.forbidden(client.region, offer.regions)
--- a/brackenladder/control_plane/directory_api.py
+++ b/brackenladder/control_plane/directory_api.py
@@ -17,25 +17,26 @@
 # If a client's region has no gateway, its directory is probably down too, and each lookup first waits in vain
 # for a second. A longer time to live makes such lookups rarer.
 FAR_TIME_TO_LIVE = 4.0  # seconds, at most; for answers with gateways of other regions
-MAX_HOLD_FACTOR = 3  # clients may use an answer for up to this multiple of its time to live
+MAX_HOLD_FACTOR = 3  # clients that can get a new answer do so within this multiple of its time to live
 MILLISECONDS_PER_SECOND = 1000
 
 Resolve = Callable[[ClientLocation], ResolvedGateways]
 
 
 class DirectoryApi:
-    """Handles calls of `Listen.Directory`."""
+    """Handles the requests at the address `Listen.Directory`."""
 
     def __init__(self, resolve: Resolve, bounds: Bounds) -> None:
         """`bounds` limits the time to live, and the time until a new configuration takes effect."""
         self._resolve = resolve
         self._near_ttl = min(NEAR_TIME_TO_LIVE, bounds.ttl_max_s)
-        # Home regions may change, so clients directed to another region must ask again before that deadline.
+        # Home regions may change. Clients that were directed to another region must ask again in time to
+        # observe a new configuration within its deadline.
         config_seconds = bounds.config_ms / MILLISECONDS_PER_SECOND
         self._far_ttl = min(FAR_TIME_TO_LIVE, config_seconds / MAX_HOLD_FACTOR, bounds.ttl_max_s)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """`GET /-/resolve?Name=&Region=&Zone=`."""
+        """Handles a request. The only call is `GET /-/resolve?Name=&Region=&Zone=`."""
         if request.method != "GET" or request.rel_url.raw_path != RESOLVE_PATH:
             return not_found(request.rel_url.raw_path)
         query = request.rel_url.query
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -16,7 +16,7 @@
 from brackenladder.control_plane.soft_state import SoftState
 
 JOIN_INTERVAL = 300_000  # microseconds between join requests
-DIAL_INTERVAL = 5_000_000  # microseconds between updates of the dialled addresses without an event
+DIAL_INTERVAL = 5_000_000  # microseconds between periodic updates of the dialled addresses
 LEADER_SILENCE = 2_000_000  # microseconds without contact to a leader after which a member asks to join again
 NEIGHBOUR_LIFETIME = 20_000_000  # microseconds for which an address that only peers reported is kept
 
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -54,7 +54,7 @@
 
     request: int
     offset: int
-    total: int  # bytes of the whole order
+    total: int  # size of the whole order in bytes
     data: bytes
 
 
@@ -72,7 +72,7 @@
 
     request: int
     revision: int  # of the sender's catalog
-    document: bool = True  # include a newer document in the reply; nodes of this version set False
+    document: bool = True  # whether the reply must include a newer document; this version sends False
 
 
 @frozen
--- a/brackenladder/control_plane/peers.py
+++ b/brackenladder/control_plane/peers.py
@@ -44,7 +44,7 @@
         self._listener = listener
         self._hello = hello
         self._dialers: dict[str, Dialer] = {}
-        self._peers: dict[Link, Hello] = {}  # both directions
+        self._peers: dict[Link, Hello] = {}  # by link, dialled or accepted
         self._dialled: dict[str, Link] = {}  # by replica id
         self._accepted: dict[str, Link] = {}
 
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -31,7 +31,7 @@
 
 STATE_TAG = 1
 WRITE_INTERVAL = 300_000  # microseconds between two writes
-PREFIX_INTERVAL = 2_000_000  # the same if only prefixes may have changed
+PREFIX_INTERVAL = 2_000_000  # microseconds between two writes if only prefixes may have changed
 
 log = logbook.Logger("restart")
 
--- a/tests/catalog/catalog_samples.py
+++ b/tests/catalog/catalog_samples.py
@@ -10,7 +10,7 @@
 
 Document = dict[str, Any]
 
-WHOLE: Document = {
+FULL_CONFIGURATION: Document = {
     "Version": 7,
     "Routes": [
         {
@@ -81,9 +81,9 @@
 }
 
 
-def whole(version: int = 7, **changes: Any) -> Document:
+def full_configuration(version: int = 7, **changes: Any) -> Document:
     """A complete configuration, as a copy that the caller may modify."""
-    return copy.deepcopy(WHOLE) | {"Version": version} | changes
+    return copy.deepcopy(FULL_CONFIGURATION) | {"Version": version} | changes
 
 
 def route(name: str, **changes: Any) -> Document:
--- a/tests/catalog/test_catalog.py
+++ b/tests/catalog/test_catalog.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import msgpack
-from catalog_samples import Document, replace, route, text, update, whole
+from catalog_samples import Document, full_configuration, replace, route, text, update
 
 from brackenladder.catalog.accepted_orders import MAX_REMEMBERED_ORDERS
 from brackenladder.catalog.catalog import Catalog, SnapshotError
@@ -74,67 +74,69 @@
         self.assertEqual(self.catalog.revision, 0)
 
     def test_first_configuration_needs_base_0(self) -> None:
-        self.assert_conflict(replace(1, whole()), 0)
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assertEqual(self.catalog.configuration, parse_configuration(text(whole())).unwrap())
+        self.assert_conflict(replace(1, full_configuration()), 0)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assertEqual(self.catalog.configuration, parse_configuration(text(full_configuration())).unwrap())
         self.assertEqual(self.catalog.revision, 2)
 
     def test_document_is_returned_as_sent(self) -> None:
-        document = whole(Remark={"b": 1.50, "a": [None, "\u00e9"]})
+        document = full_configuration(Remark={"b": 1.50, "a": [None, "\u00e9"]})
         document["Routes"][0]["Colour"] = "red"
         order = replace(0, document)
         self.assert_accepted(order, 7)
         self.assertEqual(self.catalog.document, order.body)
 
     def test_versions_may_skip_numbers(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_accepted(replace(7, whole(version=900)), 900)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_accepted(replace(7, full_configuration(version=900)), 900)
         self.assertEqual(self.read_back()["Version"], 900)
 
     def test_version_must_increase(self) -> None:
-        self.assert_invalid(replace(0, whole(version=0)), FaultKind.STALE_VERSION)
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_invalid(replace(0, full_configuration(version=0)), FaultKind.STALE_VERSION)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         for version in (1, 6, 7):
-            document = whole(version=version, Remark="other")
+            document = full_configuration(version=version, Remark="other")
             self.assert_invalid(replace(7, document), FaultKind.STALE_VERSION)
 
     def test_wrong_base_is_a_conflict(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_accepted(replace(7, whole(version=9)), 9)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_accepted(replace(7, full_configuration(version=9)), 9)
         for base in (0, 6, 7, 8, 10, -5, 10**30):
-            self.assert_conflict(replace(base, whole(version=11)), 9)
+            self.assert_conflict(replace(base, full_configuration(version=11)), 9)
 
     def test_invalid_configurations_change_nothing(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_invalid(ReplaceConfiguration(7, text(whole(version=9))[:-1]), FaultKind.MALFORMED)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_invalid(
+            ReplaceConfiguration(7, text(full_configuration(version=9))[:-1]), FaultKind.MALFORMED
+        )
         self.assert_invalid(ReplaceConfiguration(7, b""), FaultKind.MALFORMED)
-        self.assert_invalid(replace(7, [whole(version=9)]), FaultKind.MALFORMED)
-        self.assert_invalid(replace(7, whole(version=9, Services=[])), FaultKind.UNKNOWN_SERVICE)
-        no_timeout = whole(version=9, Routes=[route("r", TimeoutMs=0)])
+        self.assert_invalid(replace(7, [full_configuration(version=9)]), FaultKind.MALFORMED)
+        self.assert_invalid(replace(7, full_configuration(version=9, Services=[])), FaultKind.UNKNOWN_SERVICE)
+        no_timeout = full_configuration(version=9, Routes=[route("r", TimeoutMs=0)])
         self.assert_invalid(replace(7, no_timeout), FaultKind.OUT_OF_RANGE)
 
     def test_corrected_configuration_may_reuse_the_version(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_invalid(replace(7, whole(version=9, Services=[])), FaultKind.UNKNOWN_SERVICE)
-        self.assert_accepted(replace(7, whole(version=9)), 9)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_invalid(replace(7, full_configuration(version=9, Services=[])), FaultKind.UNKNOWN_SERVICE)
+        self.assert_accepted(replace(7, full_configuration(version=9)), 9)
 
     def test_duplicate_key_is_invalid(self) -> None:
-        body = text(whole())[:-1] + b', "Version": 8}'
+        body = text(full_configuration())[:-1] + b', "Version": 8}'
         self.assert_invalid(ReplaceConfiguration(0, body), FaultKind.MALFORMED)
 
     def test_returned_values_do_not_change(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         configuration = self.catalog.configuration
         document = self.catalog.document
         self.assert_accepted(update(7, 9, remove={"Routes": ["r-chat"]}), 9)
-        self.assertEqual(configuration, parse_configuration(text(whole())).unwrap())
-        self.assertEqual(json.loads(document), whole())
+        self.assertEqual(configuration, parse_configuration(text(full_configuration())).unwrap())
+        self.assertEqual(json.loads(document), full_configuration())
 
 
 class Update(CatalogTest):
     def setUp(self) -> None:
         super().setUp()
-        self.assert_accepted(replace(0, whole(Remark="kept")), 7)
+        self.assert_accepted(replace(0, full_configuration(Remark="kept")), 7)
 
     def assert_reads_back(self, document: Document) -> None:
         self.assertEqual(json.dumps(self.read_back()), json.dumps(document))
@@ -144,10 +146,10 @@
         changed = route("r-chat", TimeoutMs=44, Colour="red")
         upsert = {"Routes": [route("new"), changed]}
         self.assert_accepted(update(7, 9, upsert, {"Routes": ["r-bulk"]}), 9)
-        self.assert_reads_back(whole(version=9, Remark="kept", Routes=[changed, route("new")]))
+        self.assert_reads_back(full_configuration(version=9, Remark="kept", Routes=[changed, route("new")]))
 
     def test_successive_updates(self) -> None:
-        expected = whole(version=7, Remark="kept")
+        expected = full_configuration(version=7, Remark="kept")
         for version in range(8, 40):
             new = route(f"r{version}")
             self.assert_accepted(update(version - 1, version, {"Routes": [new]}), version)
@@ -160,14 +162,14 @@
         self.assert_accepted(update(7, 9, upsert, {"Routes": ["r-chat"]}), 9)
 
     def test_routes_may_swap_prefixes(self) -> None:
-        first, second = whole()["Routes"]
+        first, second = full_configuration()["Routes"]
         first["PathPrefix"], second["PathPrefix"] = second["PathPrefix"], first["PathPrefix"]
         self.assert_accepted(update(7, 9, {"Routes": [first, second]}), 9)
 
     def test_limits_are_kept_unless_replaced(self) -> None:
         self.assert_accepted(update(7, 9, {"Routes": [route("new")]}), 9)
-        self.assertEqual(self.read_back()["Limits"], whole()["Limits"])
-        limits = whole()["Limits"] | {"IdleTimeoutMs": 500}
+        self.assertEqual(self.read_back()["Limits"], full_configuration()["Limits"])
+        limits = full_configuration()["Limits"] | {"IdleTimeoutMs": 500}
         self.assert_accepted(update(9, 10, {"Limits": limits}), 10)
         self.assertEqual(self.read_back()["Limits"], limits)
         assert self.catalog.configuration is not None
@@ -201,8 +203,8 @@
 
     def test_replace_after_update(self) -> None:
         self.assert_accepted(update(7, 9, {"Routes": [route("new")]}), 9)
-        self.assert_accepted(replace(9, whole(version=10)), 10)
-        self.assert_reads_back(whole(version=10))
+        self.assert_accepted(replace(9, full_configuration(version=10)), 10)
+        self.assert_reads_back(full_configuration(version=10))
 
 
 class FirstUpdate(CatalogTest):
@@ -214,23 +216,23 @@
 
 class ConcurrentOrders(CatalogTest):
     def test_only_one_order_per_base_is_accepted(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_accepted(replace(7, whole(version=9, Remark="first")), 9)
-        self.assert_conflict(replace(7, whole(version=9, Remark="second")), 9)
-        self.assert_conflict(replace(7, whole(version=12, Remark="third")), 9)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_accepted(replace(7, full_configuration(version=9, Remark="first")), 9)
+        self.assert_conflict(replace(7, full_configuration(version=9, Remark="second")), 9)
+        self.assert_conflict(replace(7, full_configuration(version=12, Remark="third")), 9)
         self.assert_conflict(update(7, 12, {"Routes": [route("x")]}), 9)
         self.assertEqual(self.read_back()["Remark"], "first")
 
     def test_conflicting_order_stays_refused(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        loser = replace(7, whole(version=9, Remark="second"))
-        self.assert_accepted(replace(7, whole(version=9, Remark="first")), 9)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        loser = replace(7, full_configuration(version=9, Remark="second"))
+        self.assert_accepted(replace(7, full_configuration(version=9, Remark="first")), 9)
         self.assert_conflict(loser, 9)
-        self.assert_accepted(replace(9, whole(version=11)), 11)
+        self.assert_accepted(replace(9, full_configuration(version=11)), 11)
         self.assert_conflict(loser, 11)
 
     def test_refused_update_may_be_sent_with_a_new_base(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         self.assert_accepted(update(7, 9, {"Routes": [route("a")]}), 9)
         self.assert_conflict(update(7, 10, {"Routes": [route("b")]}), 9)
         self.assert_accepted(update(9, 10, {"Routes": [route("b")]}), 10)
@@ -238,44 +240,51 @@
 
 class RepeatedOrders(CatalogTest):
     def test_repeated_immediately(self) -> None:
-        for order, version in ((replace(0, whole()), 7), (update(7, 9, {"Routes": [route("a")]}), 9)):
+        for order, version in (
+            (replace(0, full_configuration()), 7),
+            (update(7, 9, {"Routes": [route("a")]}), 9),
+        ):
             self.assert_accepted(order, version)
             self.assertEqual(self.assert_unchanged_by(order), Accepted(version))
 
     def test_repeated_after_other_changes(self) -> None:
-        orders = (replace(0, whole()), update(7, 9, {"Routes": [route("a")]}), replace(9, whole(version=20)))
+        orders = (
+            replace(0, full_configuration()),
+            update(7, 9, {"Routes": [route("a")]}),
+            replace(9, full_configuration(version=20)),
+        )
         for order, version in zip(orders, (7, 9, 20), strict=True):
             self.assert_accepted(order, version)
         for order, version in zip(orders, (7, 9, 20), strict=True):
             self.assertEqual(self.assert_unchanged_by(order), Accepted(version))
 
     def test_repeated_with_other_formatting(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        shuffled = dict(reversed(whole().items()))
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        shuffled = dict(reversed(full_configuration().items()))
         body = json.dumps(shuffled, indent=3).encode()
         self.assertEqual(self.assert_unchanged_by(ReplaceConfiguration(0, body)), Accepted(7))
 
     def test_different_content_is_no_repetition(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        other = whole()
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        other = full_configuration()
         other["Routes"].reverse()
         self.assert_conflict(replace(0, other), 7)
 
     def test_different_base_is_no_repetition(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_accepted(replace(7, whole(version=9)), 9)
-        self.assert_conflict(replace(0, whole(version=9)), 9)
-        self.assert_invalid(replace(9, whole(version=9)), FaultKind.STALE_VERSION)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_accepted(replace(7, full_configuration(version=9)), 9)
+        self.assert_conflict(replace(0, full_configuration(version=9)), 9)
+        self.assert_invalid(replace(9, full_configuration(version=9)), FaultKind.STALE_VERSION)
 
     def test_different_kind_is_no_repetition(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
-        self.assert_conflict(UpdateConfiguration(0, text(whole())), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
+        self.assert_conflict(UpdateConfiguration(0, text(full_configuration())), 7)
 
     def test_refused_order_is_not_remembered(self) -> None:
-        stale = replace(5, whole())
+        stale = replace(5, full_configuration())
         self.assert_conflict(stale, 0)
         self.assert_conflict(stale, 0)
-        self.assert_accepted(replace(0, whole(version=5)), 5)
+        self.assert_accepted(replace(0, full_configuration(version=5)), 5)
         self.assert_accepted(stale, 7)
 
     def test_oldest_orders_are_forgotten(self) -> None:
@@ -309,10 +318,10 @@
 
     def test_configuration_keeps_evacuations(self) -> None:
         self.assert_accepted(BeginEvacuation("a"), 0)
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         self.assertEqual(self.catalog.evacuated, {"a"})
         self.assert_accepted(FinishEvacuation("a"), 7)
-        self.assertEqual(self.read_back(), whole())
+        self.assertEqual(self.read_back(), full_configuration())
 
     def test_outdated_order_changes_nothing(self) -> None:
         self.assert_accepted(BeginEvacuation("a", seen_revision=0), 0)
@@ -332,7 +341,7 @@
 
     def test_evacuations_change_the_revision(self) -> None:
         for revision, order in enumerate(
-            (replace(0, whole()), BeginEvacuation("a"), FinishEvacuation("a")), 1
+            (replace(0, full_configuration()), BeginEvacuation("a"), FinishEvacuation("a")), 1
         ):
             self.apply(order)
             self.assertEqual(self.catalog.revision, revision)
@@ -340,7 +349,7 @@
 
 class Entries(CatalogTest):
     def test_undecodable_entry_changes_nothing(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         before = self.catalog.snapshot()
         for data in (b"", b"\xc1", msgpack.packb([99, "later"]), msgpack.packb([1, 7])):
             outcome = self.catalog.apply(9, data)
@@ -360,7 +369,7 @@
         self.assertEqual((copy.document, copy.configuration, copy.revision), (b"", None, 0))
 
     def test_snapshot_keeps_everything(self) -> None:
-        first = replace(0, whole())
+        first = replace(0, full_configuration())
         self.assert_accepted(first, 7)
         self.assert_accepted(BeginEvacuation("b"), 7)
         self.assert_accepted(BeginEvacuation("a"), 7)
@@ -386,14 +395,14 @@
 
     def test_restore_replaces_the_state(self) -> None:
         snapshot = Catalog().snapshot()
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         self.assert_accepted(BeginEvacuation("a"), 7)
         self.catalog.restore(snapshot)
         self.assertEqual(self.catalog.snapshot(), snapshot)
-        self.assert_conflict(replace(7, whole(version=9)), 0)
+        self.assert_conflict(replace(7, full_configuration(version=9)), 0)
 
     def test_invalid_snapshots_are_refused(self) -> None:
-        self.assert_accepted(replace(0, whole()), 7)
+        self.assert_accepted(replace(0, full_configuration()), 7)
         snapshot = self.catalog.snapshot()
         broken = (
             b"",
@@ -405,7 +414,7 @@
             msgpack.packb([2, 0, b"", [], b"", 7]),
             msgpack.packb([3, 0, b"", [], b"", []]),
             msgpack.packb([1, 0, b"{", [], b""]),
-            msgpack.packb([1, 0, text(whole(Services=[])), [], b""]),
+            msgpack.packb([1, 0, text(full_configuration(Services=[])), [], b""]),
             msgpack.packb({}),
         )
         for data in broken:
--- a/tests/catalog/test_catalog_properties.py
+++ b/tests/catalog/test_catalog_properties.py
@@ -6,7 +6,7 @@
 import unittest
 from typing import Any
 
-from catalog_samples import Document, replace, route, text, update, whole
+from catalog_samples import Document, full_configuration, replace, route, text, update
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -37,8 +37,8 @@
     {}, optional={"Routes": st.lists(NAMES, max_size=2), "Services": st.just(["new"])}
 )
 ORDERS: st.SearchStrategy[Order] = st.one_of(
-    st.builds(replace, VERSIONS, st.builds(whole, VERSIONS)),
-    st.builds(replace, VERSIONS, st.builds(whole, VERSIONS, Routes=ROUTES)),
+    st.builds(replace, VERSIONS, st.builds(full_configuration, VERSIONS)),
+    st.builds(replace, VERSIONS, st.builds(full_configuration, VERSIONS, Routes=ROUTES)),
     st.builds(update, VERSIONS, VERSIONS, PARTS, REMOVED),
     st.builds(ReplaceConfiguration, VERSIONS, st.binary(max_size=8)),
     st.builds(BeginEvacuation, st.sampled_from("abc")),
@@ -144,7 +144,7 @@
     def test_updates_equal_whole_configurations(self, changes: list[tuple[Document, Document]]) -> None:
         """An update has the same result as a whole configuration with the changed items."""
         catalog = Catalog()
-        current = whole(version=1)
+        current = full_configuration(version=1)
         apply_all(catalog, [replace(0, current)])
         for version, (upsert, remove) in enumerate(changes, 2):
             outcome = catalog.apply(
--- a/tests/catalog/test_catalog_update.py
+++ b/tests/catalog/test_catalog_update.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from catalog_samples import Document, route, whole
+from catalog_samples import Document, full_configuration, route
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -16,11 +16,11 @@
 
 
 def merged(update: Document, current: Document | None = None) -> Document:
-    return merge_update(whole() if current is None else current, update).unwrap()
+    return merge_update(full_configuration() if current is None else current, update).unwrap()
 
 
 def fault_locations(update: Document) -> dict[str, FaultKind]:
-    return {fault.location: fault.kind for fault in merge_update(whole(), update).failure()}
+    return {fault.location: fault.kind for fault in merge_update(full_configuration(), update).failure()}
 
 
 def names(document: Document, part: str = "Routes") -> list[str]:
@@ -31,20 +31,20 @@
     def test_item_is_replaced_in_place(self) -> None:
         change = route("r-chat", TimeoutMs=1)
         document = merged({"Version": 9, "Upsert": {"Routes": [change]}})
-        self.assertEqual(document["Routes"], [change, whole()["Routes"][1]])
+        self.assertEqual(document["Routes"], [change, full_configuration()["Routes"][1]])
 
     def test_new_items_are_appended_in_order(self) -> None:
         upsert = {"Routes": [route("z"), route("r-bulk"), route("a")]}
         self.assertEqual(names(merged({"Version": 9, "Upsert": upsert})), ["r-chat", "r-bulk", "z", "a"])
 
     def test_other_content_is_kept(self) -> None:
-        current = whole(Tenants=[{"Name": "t"}], Remark=None)
+        current = full_configuration(Tenants=[{"Name": "t"}], Remark=None)
         document = merged({"Version": 9, "Remove": {"Routes": ["r-bulk"]}}, current)
         self.assertEqual(document, current | {"Version": 9, "Routes": current["Routes"][:1]})
 
     def test_update_of_the_version_only(self) -> None:
         for extra in ({}, {"Upsert": None, "Remove": None}, {"Upsert": {}, "Remove": {}}):
-            self.assertEqual(merged({"Version": 9, **extra}), whole(version=9))
+            self.assertEqual(merged({"Version": 9, **extra}), full_configuration(version=9))
 
     def test_missing_version_stays_missing(self) -> None:
         self.assertNotIn("Version", merged({"Upsert": {}}))
@@ -60,15 +60,15 @@
 
     def test_unknown_names_may_be_removed(self) -> None:
         remove = {"Routes": ["r-old", "r-old"], "Quotas": ["q"], "Limits": ["x"]}
-        self.assertEqual(merged({"Version": 9, "Remove": remove}), whole(version=9))
+        self.assertEqual(merged({"Version": 9, "Remove": remove}), full_configuration(version=9))
 
     def test_item_that_is_removed_and_upserted_is_appended(self) -> None:
         change = route("r-chat")
         update = {"Version": 9, "Upsert": {"Routes": [change]}, "Remove": {"Routes": ["r-chat"]}}
-        self.assertEqual(merged(update)["Routes"], [whole()["Routes"][1], change])
+        self.assertEqual(merged(update)["Routes"], [full_configuration()["Routes"][1], change])
 
     def test_other_named_lists_are_updated_too(self) -> None:
-        current = whole(Tenants=[{"Name": "a", "Quota": 1}, {"Name": "b", "Quota": 2}])
+        current = full_configuration(Tenants=[{"Name": "a", "Quota": 1}, {"Name": "b", "Quota": 2}])
         upsert = {"Tenants": [{"Name": "b", "Quota": 3}], "Quotas": [{"Name": "q"}], "Marks": [1, 2]}
         document = merged({"Version": 9, "Upsert": upsert, "Remove": {"Tenants": ["a"]}}, current)
         self.assertEqual(document["Tenants"], [{"Name": "b", "Quota": 3}])
@@ -113,7 +113,7 @@
     @given(upsert=ROUTES, remove=st.lists(NAMES))
     def test_against_a_dictionary_model(self, upsert: list[Document], remove: list[str]) -> None:
         update: dict[str, Any] = {"Version": 9, "Upsert": {"Routes": upsert}, "Remove": {"Routes": remove}}
-        current = whole()
+        current = full_configuration()
         before = copy.deepcopy(current)
         document = merged(update, current)
         expected = {item["Name"]: item for item in before["Routes"] if item["Name"] not in remove}
--- a/tests/catalog/test_configuration.py
+++ b/tests/catalog/test_configuration.py
@@ -6,7 +6,7 @@
 from pathlib import PurePosixPath
 from typing import Any
 
-from catalog_samples import Document, route, text, whole
+from catalog_samples import Document, full_configuration, route, text
 from hypothesis import given
 from hypothesis import strategies as st
 from returns.result import Failure, Success
@@ -39,20 +39,20 @@
 
 
 def with_route(**changes: Any) -> Document:
-    document = whole()
+    document = full_configuration()
     document["Routes"][1] |= changes
     return document
 
 
 def without_route_field(field: str) -> Document:
-    document = whole()
+    document = full_configuration()
     del document["Routes"][1][field]
     return document
 
 
 class ValidConfigurations(unittest.TestCase):
     def test_every_field_is_read(self) -> None:
-        configuration = parsed(whole())
+        configuration = parsed(full_configuration())
         chat, bulk = configuration.routes
         self.assertEqual(configuration.version, 7)
         self.assertEqual(
@@ -101,7 +101,7 @@
         optional = (
             "Kind TargetLatencyMs Priority TrafficSplit MaxAttempts Sticky Resumable gap_aim_ms HomeRegions"
         )
-        document = whole(Routes=[route("r", **dict.fromkeys(optional.split()))], Limits=None)
+        document = full_configuration(Routes=[route("r", **dict.fromkeys(optional.split()))], Limits=None)
         for field in ("HealthPath", "MaxConnections", "ColdStartS", "ColdPerS", "Engine"):
             document["Services"][0][field] = None
         configuration = parsed(document)
@@ -112,10 +112,10 @@
         self.assertEqual(parsed({"Version": 1, "Routes": [], "Services": []}), Configuration(1, (), ()))
 
     def test_unknown_fields_are_ignored(self) -> None:
-        document = whole(Tenants=[{"Name": "t", "Quota": 3}], Remark={"a": [1, None]})
+        document = full_configuration(Tenants=[{"Name": "t", "Quota": 3}], Remark={"a": [1, None]})
         document["Routes"][0]["Colour"] = "red"
         document["Services"][0]["Engine"]["Colour"] = ["red"]
-        self.assertEqual(parsed(document), parsed(whole()))
+        self.assertEqual(parsed(document), parsed(full_configuration()))
 
     def test_durations_may_be_fractions(self) -> None:
         configuration = parsed(with_route(TimeoutMs=15000.0, TargetLatencyMs=0.4, gap_aim_ms=12.5))
@@ -124,7 +124,7 @@
         self.assertIs(type(bulk.timeout_ms), int)
 
     def test_integers_may_be_written_as_floats(self) -> None:
-        configuration = parsed(whole(version=9.0))  # type: ignore[arg-type]
+        configuration = parsed(full_configuration(version=9.0))  # type: ignore[arg-type]
         self.assertEqual((configuration.version, type(configuration.version)), (9, int))
 
     def test_unknown_route_kind_is_unsafe(self) -> None:
@@ -147,7 +147,7 @@
         self.assertEqual(parsed(with_route(Hostname="Ficu95.Example:8080")).routes[1].host, "ficu95.example")
 
     def test_limit_of_0_means_the_default(self) -> None:
-        self.assertEqual(parsed(whole(Limits={"IdleTimeoutMs": 0})).limits, Limits())
+        self.assertEqual(parsed(full_configuration(Limits={"IdleTimeoutMs": 0})).limits, Limits())
 
 
 class Faults(unittest.TestCase):
@@ -155,13 +155,13 @@
         self.assertEqual(fault_locations(document), {location: kind})
 
     def test_truncated_document(self) -> None:
-        body = text(whole())
+        body = text(full_configuration())
         for length in range(len(body)):
             (fault,) = parse_configuration(body[:length]).failure()
             self.assertEqual((fault.location, fault.kind), ("", FaultKind.MALFORMED))
 
     def test_other_json_values(self) -> None:
-        for value in ([], [whole()], "x", 7, None, True):
+        for value in ([], [full_configuration()], "x", 7, None, True):
             self.assert_fault(value, "", FaultKind.MALFORMED)
 
     def test_unknown_service(self) -> None:
@@ -170,8 +170,8 @@
         self.assert_fault(with_route(TrafficSplit=split), location, FaultKind.UNKNOWN_SERVICE)
         backend = with_route(TrafficSplit=None, Backend="gone")
         self.assert_fault(backend, "Routes[1].Backend", FaultKind.UNKNOWN_SERVICE)
-        services = whole()["Services"][:1]
-        self.assert_fault(whole(Services=services), location, FaultKind.UNKNOWN_SERVICE)
+        services = full_configuration()["Services"][:1]
+        self.assert_fault(full_configuration(Services=services), location, FaultKind.UNKNOWN_SERVICE)
 
     def test_same_host_and_prefix(self) -> None:
         for host in ("ficu95.example", "FICU95.example", "ficu95.example:80"):
@@ -213,7 +213,7 @@
 
     def test_duplicate_names(self) -> None:
         self.assert_fault(with_route(Name="r-chat"), "Routes[1].Name", FaultKind.DUPLICATE_NAME)
-        document = whole()
+        document = full_configuration()
         document["Services"].append(dict(document["Services"][0]))
         self.assert_fault(document, "Services[2].Name", FaultKind.DUPLICATE_NAME)
 
@@ -224,7 +224,7 @@
         for field in ("Name", "Hostname", "PathPrefix", "TimeoutMs"):
             self.assert_fault(without_route_field(field), f"Routes[1].{field}", FaultKind.MISSING)
         for field in ("Version", "Routes", "Services"):
-            document = whole()
+            document = full_configuration()
             del document[field]
             self.assertEqual(fault_locations(document).get(field), FaultKind.MISSING)
 
@@ -240,9 +240,9 @@
 
     def test_invalid_versions(self) -> None:
         for version in ("7", None, True, 7.5, [7]):
-            self.assert_fault(whole() | {"Version": version}, "Version", FaultKind.WRONG_TYPE)
+            self.assert_fault(full_configuration() | {"Version": version}, "Version", FaultKind.WRONG_TYPE)
         for version in (-1, 2**63):
-            self.assert_fault(whole() | {"Version": version}, "Version", FaultKind.OUT_OF_RANGE)
+            self.assert_fault(full_configuration() | {"Version": version}, "Version", FaultKind.OUT_OF_RANGE)
 
     def test_wrong_types(self) -> None:
         wrong = {
@@ -265,18 +265,24 @@
 
     def test_wrong_types_of_sections(self) -> None:
         for value in ({}, "x", 3, None, True):
-            self.assertEqual(fault_locations(whole(Routes=value)), {"Routes": FaultKind.WRONG_TYPE})
+            self.assertEqual(
+                fault_locations(full_configuration(Routes=value)), {"Routes": FaultKind.WRONG_TYPE}
+            )
         for value in ([], "x", 3, True):
-            self.assertEqual(fault_locations(whole(Limits=value)), {"Limits": FaultKind.WRONG_TYPE})
-        self.assertEqual(fault_locations(whole(Routes=["r"])), {"Routes[0]": FaultKind.WRONG_TYPE})
+            self.assertEqual(
+                fault_locations(full_configuration(Limits=value)), {"Limits": FaultKind.WRONG_TYPE}
+            )
+        self.assertEqual(
+            fault_locations(full_configuration(Routes=["r"])), {"Routes[0]": FaultKind.WRONG_TYPE}
+        )
 
     def test_wrong_types_of_a_service(self) -> None:
-        document = whole()
+        document = full_configuration()
         document["Services"][0]["Engine"]["Models"] = [{"Name": "m"}, {"Name": 3}]
         self.assert_fault(document, "Services[0].Engine.Models[1].Name", FaultKind.WRONG_TYPE)
 
     def test_all_faults_are_reported(self) -> None:
-        document = whole(version=-1)
+        document = full_configuration(version=-1)
         document["Routes"][0] |= {"TimeoutMs": 0, "Hostname": 3}
         document["Routes"][1] |= {"PathPrefix": "a", "TrafficSplit": [{"Backend": "model", "Weight": "x"}]}
         document["Routes"].append(route("third", PathPrefix="third/"))
@@ -294,7 +300,7 @@
         )
 
     def test_all_faults_between_items_are_reported(self) -> None:
-        document = whole()
+        document = full_configuration()
         document["Routes"].append(route("r-chat", PathPrefix="/lohu930/", Backend="gone"))
         self.assertEqual(
             fault_locations(document),
@@ -316,21 +322,21 @@
 class RepeatedParsing(unittest.TestCase):
     def test_shared_items_are_parsed_once(self) -> None:
         parser = ConfigurationParser()
-        document = whole()
+        document = full_configuration()
         first = parser.parse(document).unwrap()
         second = parser.parse(document | {"Routes": [*document["Routes"], route("new")]}).unwrap()
         self.assertIs(second.routes[0], first.routes[0])
         self.assertEqual(second.routes[2].name, "new")
 
     def test_repeated_item_is_a_fault(self) -> None:
-        document = whole()
+        document = full_configuration()
         document["Routes"].append(document["Routes"][0])
         kinds = {fault.kind for fault in parse_document(document).failure()}
         self.assertEqual(kinds, {FaultKind.DUPLICATE_NAME, FaultKind.SAME_PLACE})
 
     def test_removed_service_invalidates_reused_routes(self) -> None:
         parser = ConfigurationParser()
-        document = whole()
+        document = full_configuration()
         parser.parse(document).unwrap()
         kinds = {fault.kind for fault in parser.parse(document | {"Services": []}).failure()}
         self.assertEqual(kinds, {FaultKind.UNKNOWN_SERVICE})
@@ -338,7 +344,9 @@
     def test_parser_is_usable_after_a_fault(self) -> None:
         parser = ConfigurationParser()
         self.assertIsInstance(parser.parse(with_route(TimeoutMs=0)), Failure)
-        self.assertEqual(parser.parse(whole()).unwrap(), parse_document(whole()).unwrap())
+        self.assertEqual(
+            parser.parse(full_configuration()).unwrap(), parse_document(full_configuration()).unwrap()
+        )
 
 
 SCALARS = st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=4)
@@ -350,11 +358,11 @@
     ("Version",),
     ("Routes",),
     ("Routes", 0),
-    *(("Routes", 1, field) for field in whole()["Routes"][1]),
+    *(("Routes", 1, field) for field in full_configuration()["Routes"][1]),
     ("Routes", 1, "TrafficSplit", 0),
     ("Routes", 1, "TrafficSplit", 0, "Weight"),
     ("Services",),
-    *(("Services", 0, field) for field in whole()["Services"][0]),
+    *(("Services", 0, field) for field in full_configuration()["Services"][0]),
     ("Services", 0, "Engine", "Models", 0),
     ("Limits",),
     ("Limits", "IdleTimeoutMs"),
@@ -364,7 +372,7 @@
 class ArbitraryDocuments(unittest.TestCase):
     @given(path=st.sampled_from(PATHS), value=ANYTHING)
     def test_any_value_in_any_field_is_parsed_or_refused(self, path: tuple[Any, ...], value: Any) -> None:
-        document = whole()
+        document = full_configuration()
         holder: Any = document
         for step in path[:-1]:
             holder = holder[step]
@@ -378,13 +386,15 @@
 
     def assert_valid(self, configuration: Configuration) -> None:
         services = {service.name for service in configuration.services}
-        for one in configuration.routes:
-            self.assertGreater(one.timeout_ms, 0)
-            self.assertGreaterEqual(one.max_attempts, 1)
-            self.assertTrue(one.split)
-            self.assertLessEqual({target.service for target in one.split}, services)
-            self.assertTrue(all(target.weight > 0 for target in one.split))
-            self.assertTrue(PurePosixPath(one.prefix).is_absolute() and one.prefix.endswith("/"))
+        for parsed_route in configuration.routes:
+            self.assertGreater(parsed_route.timeout_ms, 0)
+            self.assertGreaterEqual(parsed_route.max_attempts, 1)
+            self.assertTrue(parsed_route.split)
+            self.assertLessEqual({target.service for target in parsed_route.split}, services)
+            self.assertTrue(all(target.weight > 0 for target in parsed_route.split))
+            self.assertTrue(
+                PurePosixPath(parsed_route.prefix).is_absolute() and parsed_route.prefix.endswith("/")
+            )
 
     @given(body=st.binary(max_size=60) | st.text(max_size=60).map(str.encode))
     def test_arbitrary_bytes_are_refused(self, body: bytes) -> None:
--- a/tests/catalog/test_homes.py
+++ b/tests/catalog/test_homes.py
@@ -14,7 +14,7 @@
 
 
 def homes_of(host: str, *routes: Route) -> HostHomes:
-    return ConfigurationHomes(lambda: Configuration(1, routes, ())).of(host)
+    return ConfigurationHomes(lambda: Configuration(1, routes, ())).for_host(host)
 
 
 class HomesTest(TestCase):
@@ -37,7 +37,7 @@
 
     def test_unknown_host_permits_no_region(self) -> None:
         self.assertFalse(homes_of("new", route("a")).permits("north"))
-        self.assertFalse(ConfigurationHomes().of("a").permits("north"))
+        self.assertFalse(ConfigurationHomes().for_host("a").permits("north"))
 
     def test_host_names_are_normalised(self) -> None:
         self.assertTrue(homes_of("A:80", route("a")).permits("north"))
--- a/tests/control_plane/test_contact_first.py
+++ b/tests/control_plane/test_contact_first.py
@@ -30,15 +30,15 @@
 IDLE = Scenario(habits=Habits(), operators=0, servers=0)
 
 
-def run_in_world(play: Callable[[World], Awaitable[None]]) -> None:
-    """Runs `play` in a simulated system of three control nodes and three gateways."""
+def run_in_world(scenario: Callable[[World], Awaitable[None]]) -> None:
+    """Runs `scenario` in a simulated system of three control nodes and three gateways."""
     loop = VirtualEventLoop()
 
     async def main() -> None:
         world = World(loop, 1, IDLE)
         world.boot()
         await asyncio.sleep(3)
-        await play(world)
+        await scenario(world)
 
     loop.run_until_complete(main())
     loop.close()
@@ -69,7 +69,7 @@
 
 class ContactFirstTest(TestCase):
     def test_isolated_node_acknowledges_nothing(self) -> None:
-        async def play(world: World) -> None:
+        async def scenario(world: World) -> None:
             machine = world.machines[0]
             node = machine.node
             assert node is not None
@@ -82,10 +82,10 @@
             self.assertEqual(reply.outcome, OrderOutcome.UNAVAILABLE)
             self.assertNotIsInstance(await node.orders.fetch(), Success)
 
-        run_in_world(play)
+        run_in_world(scenario)
 
     def test_resumed_process_is_not_in_contact(self) -> None:
-        async def play(world: World) -> None:
+        async def scenario(world: World) -> None:
             machine = world.machines[0]
             assert machine.process is not None and machine.node is not None
             ages: list[int] = []
@@ -99,10 +99,10 @@
             await asyncio.sleep(2)
             self.assertTrue(node.soft_state.in_touch)
 
-        run_in_world(play)
+        run_in_world(scenario)
 
     def test_lagging_node_does_not_publish_its_old_catalog(self) -> None:
-        async def play(world: World) -> None:
+        async def scenario(world: World) -> None:
             leader = world.leader()
             assert leader is not None and leader.node is not None
             lagging = next(machine for machine in world.machines if machine is not leader)
@@ -123,10 +123,10 @@
             await asyncio.sleep(1)
             self.assertTrue(lagging.node.soft_state.may_publish_catalog)
 
-        run_in_world(play)
+        run_in_world(scenario)
 
     def test_cancelled_evacuation_is_not_applied(self) -> None:
-        async def play(world: World) -> None:
+        async def scenario(world: World) -> None:
             leader = world.leader()
             assert leader is not None
             follower = next(machine for machine in world.machines if machine is not leader)
@@ -138,10 +138,10 @@
             await asyncio.sleep(2)
             self.assertEqual(leader.node.catalog.evacuated, frozenset())
 
-        run_in_world(play)
+        run_in_world(scenario)
 
     def test_outdated_evacuation_is_unavailable_and_may_be_repeated(self) -> None:
-        async def play(world: World) -> None:
+        async def scenario(world: World) -> None:
             leader = world.leader()
             assert leader is not None and leader.node is not None
             orders = leader.node.orders
@@ -154,7 +154,7 @@
             self.assertEqual(finished.outcome, OrderOutcome.ACCEPTED)
             self.assertEqual(leader.node.catalog.evacuated, frozenset())
 
-        run_in_world(play)
+        run_in_world(scenario)
 
 
 class MaxVotersTest(TestCase):
--- a/tests/control_plane/test_directory_homes.py
+++ b/tests/control_plane/test_directory_homes.py
@@ -21,7 +21,8 @@
 from brackenladder.transport.tcp import TcpTransport
 
 FREE_HOST = "free.example"  # its routes have no home regions
-NORTH, SOUTH, EAST = "10.0.0.1:8144", "10.0.0.2:8144", "10.0.0.3:8144"  # the regions' gateways
+# Front addresses of the gateways, by region.
+NORTH, SOUTH, EAST = "10.0.0.1:8144", "10.0.0.2:8144", "10.0.0.3:8144"
 
 
 class ReadyGateway:
--- a/tests/control_plane/test_directory_oracle.py
+++ b/tests/control_plane/test_directory_oracle.py
@@ -86,7 +86,7 @@
         registry.record_presence(0, record(1, "south", GatewayState.READY))
         directory = Directory(registry)
         configuration = Configuration(1, (route(0, "a.example", ("north",)),), ())
-        for revision in range(1, 4):  # each evacuation has its own revision
+        for revision in range(1, 4):  # an evacuation creates a new revision too
             directory.set_configuration(revision, partial(evolve, configuration, version=revision))
             offer = directory.resolve(0, ClientLocation("a.example", "east", "hall-east-0"), True)
             self.assertEqual(offer.regions, {"north"})
--- a/tests/control_plane/test_order_parts.py
+++ b/tests/control_plane/test_order_parts.py
@@ -66,10 +66,10 @@
         for request in range(MAX_PARTIAL_ORDERS):
             for offset in range(0, size, PART_BYTES):
                 self.receiver.receive(OrderPart(request, offset, MAX_ORDER_BYTES, bytes(PART_BYTES)))
-        held = {request: len(partial.data) for request, partial in self.receiver._partial.items()}
-        self.assertLessEqual(sum(held.values()), MAX_PARTIAL_BYTES)
-        self.assertIn(MAX_PARTIAL_ORDERS - 1, held)
-        self.assertNotIn(0, held)
+        partial_bytes = {request: len(partial.data) for request, partial in self.receiver._partial.items()}
+        self.assertLessEqual(sum(partial_bytes.values()), MAX_PARTIAL_BYTES)
+        self.assertIn(MAX_PARTIAL_ORDERS - 1, partial_bytes)
+        self.assertNotIn(0, partial_bytes)
 
     def test_dropped_order_cannot_be_completed(self) -> None:
         first, second, *_ = OrderSender(1, ORDER).next_parts()
--- a/tests/control_plane/test_restart_cache.py
+++ b/tests/control_plane/test_restart_cache.py
@@ -109,7 +109,7 @@
         subscriber = await self.restart(1)
         node = self.cluster.node(0)
         await self.cluster.until(lambda: node.recovery._remembered is not None)
-        await self.cluster.until(lambda: SERVER in subscriber.view.servers)  # would arrive after the catalog
+        await self.cluster.until(lambda: SERVER in subscriber.view.servers)  # arrives after any catalog
         self.assertIsNone(subscriber.view.configuration)
         await self.cluster.start(1)
         await self.cluster.until(lambda: subscriber.view.configuration is not None)
--- a/tests/control_plane/test_role_runner.py
+++ b/tests/control_plane/test_role_runner.py
@@ -139,8 +139,8 @@
 
     def test_signals_are_held_from_the_start_of_serve(self) -> None:
         self.run_with(["nope"], "")
-        held = signal.pthread_sigmask(signal.SIG_BLOCK, ())
-        self.assertLessEqual({signal.SIGHUP, signal.SIGTERM}, held)
+        blocked = signal.pthread_sigmask(signal.SIG_BLOCK, ())
+        self.assertLessEqual({signal.SIGHUP, signal.SIGTERM}, blocked)
 
     def run_with(self, arguments: list[str], settings: str) -> tuple[int, list[str]]:
         """Runs `serve`; returns the exit status and the lines on standard error."""
--- a/tests/control_plane/test_status.py
+++ b/tests/control_plane/test_status.py
@@ -42,7 +42,9 @@
             ServerRecord("c", "chat", "127.0.0.1:3", "z", 4, ServerState.DRAINING, 1, cold_for=5),
             ServerRecord("d", "cards", "127.0.0.1:4", "z", 4, ServerState.READY, 1),
         ]
-        counts = [(one.name, one.ready, one.draining, one.cold) for one in service_statuses(records)]
+        counts = [
+            (entry.name, entry.ready, entry.draining, entry.cold) for entry in service_statuses(records)
+        ]
         self.assertEqual(counts, [("cards", 1, 0, 0), ("chat", 2, 1, 1)])
 
     def test_an_age_that_was_never_measured_is_none(self) -> None:
@@ -69,14 +71,14 @@
         links = self.connect_gateway()
         async with asyncio.timeout(PATIENCE):
             node, status = await self.leader_status()
-            while [one.revision for one in status.gateways] != [status.revision]:
+            while [entry.revision for entry in status.gateways] != [status.revision]:
                 node, status = await self.leader_status()
         self.assertEqual(status.leader, status.node)
         self.assertEqual({voter.zone for voter in status.voters}, set(ZONES))
         self.assertEqual((len(status.voters), status.outgoing, status.learners), (3, (), ()))
         self.assertEqual((status.configuration_version, status.revision), (7, node.catalog.revision))
         self.assertEqual(status.evacuated_zones, ("hall-2",))
-        self.assertEqual([(one.name, one.ready) for one in status.services], [("api", 1)])
+        self.assertEqual([(entry.name, entry.ready) for entry in status.services], [("api", 1)])
         self.assertTrue(status.in_touch)
         gateway = status.gateways[0]
         self.assertEqual((gateway.node, gateway.state), ("gateway-1", "ready"))
