--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a client: read, routed, served by a pool, answered."""
+"""Serves one client request: reads it, finds its route, passes it to a pool and returns the response."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 
 US_PER_MS = 1000
 US_PER_S = 1e6
-MIN_SILENCE = 2_000_000  # microseconds; a client never gives a stream up sooner
+MIN_SILENCE = 2_000_000  # microseconds; clients wait at least this long for the next event
 SILENCE_LATENCY_TARGETS = 4
 SILENCE_EVENT_GAPS = 8
-DEFAULT_PATIENCE_MS = 1000  # of a client that does not say how long it waits
+DEFAULT_TIMEOUT_MS = 1000  # the timeout assumed for a client that announces none
 
 Response = TypeVar("Response", bound=web.StreamResponse)
 
@@ -56,7 +56,7 @@
 
 
 class Exchange:
-    """Owns one request from its head to the end of its answer."""
+    """Handles one request from its head to the end of its response."""
 
     def __init__(self, context: GatewayContext, request: web.BaseRequest) -> None:
         self.context = context
@@ -70,14 +70,14 @@
         self.body = b""
         self.prompt_tokens = 0
         self.client_deadline = 0  # by the gateway's clock, as are all times here
-        self.servers: set[str] = set()  # that may have run the request
-        self._lines: bytes | None = None
-        self._held: HeldCall
+        self.servers: set[str] = set()  # the servers that may have run the request
+        self._cached_lines: bytes | None = None
+        self._held_call: HeldCall
 
     async def handle(self) -> web.StreamResponse:
-        """Serve the request; what is returned was or will be sent by the caller."""
-        with self.context.held_calls.until(f"a request of {self.target}", self.began + MAX_HOLD) as held:
-            self._held = held
+        """Serve the request. The returned response has been sent already, or is sent by the caller."""
+        with self.context.held_calls.until(f"request for {self.target}", self.began + MAX_HOLD) as held:
+            self._held_call = held
             return await self._serve()
 
     async def _serve(self) -> web.StreamResponse:
@@ -95,25 +95,25 @@
         conclusion = await call.drive()
         if isinstance(conclusion, WholeAnswer):
             call.end_stream()
-            return self._whole(conclusion)
+            return self._whole_response(conclusion)
         if isinstance(conclusion, OpenAnswer):
-            self._held.limit = self.client_deadline + DEADLINE_MARGIN
+            self._held_call.limit = self.client_deadline + DEADLINE_MARGIN
             return await Relay(self, call, conclusion, self.successor_call).run()
-        return self._unserved(call, conclusion)
+        return self._unserved_response(call, conclusion)
 
     async def _wait_for_start(self) -> None:
         gate = self.context.start_gate
         if not gate.is_open:
-            told = read_deadline_ms(self.request.headers)
-            await gate.wait((told or DEFAULT_PATIENCE_MS) * US_PER_MS)
+            announced_ms = read_deadline_ms(self.request.headers)
+            await gate.wait((announced_ms or DEFAULT_TIMEOUT_MS) * US_PER_MS)
 
     # ---- reading --------------------------------------------------------------------------------------
 
     async def _read(self) -> Result[CallTraits, RequestFault]:
         """Check the head, find the route, read the body.
 
-        Failure prevented: a gateway that knows no configuration yet judges a request by usual limits, and
-        turns it away for good though the limits that are in force allow it.
+        Until a configuration is known, the request is answered 503. Checked against default limits, it could
+        be rejected for good although the configured limits allow it.
         """
         request = self.request
         headers = request.headers
@@ -139,10 +139,10 @@
         return Success(read_traits(headers, route, request_bytes=len(self.body)))
 
     def _set_deadlines(self) -> None:
-        told = read_deadline_ms(self.request.headers)
-        wait_ms = self.route.timeout_ms if told is None else told
+        announced_ms = read_deadline_ms(self.request.headers)
+        wait_ms = self.route.timeout_ms if announced_ms is None else announced_ms
         self.client_deadline = self.began + wait_ms * US_PER_MS
-        self._held.limit = min(self.client_deadline, self.began + self.route.timeout_ms * US_PER_MS)
+        self._held_call.limit = min(self.client_deadline, self.began + self.route.timeout_ms * US_PER_MS)
 
     async def _read_body(self, limits: Limits) -> RequestFault | None:
         content = self.request.content
@@ -155,14 +155,14 @@
             self.body = content.read_nowait(-1)
             return RequestFault.BODY_TOO_LARGE if len(self.body) > limits.max_body_bytes else None
         try:
-            async with asyncio.timeout((self._held.limit - self.context.now()) / US_PER_S):
+            async with asyncio.timeout((self._held_call.limit - self.context.now()) / US_PER_S):
                 return await self._read_slow_body(limits.max_body_bytes)
         except TimeoutError:
             return RequestFault.BODY_TOO_SLOW
         except web.RequestPayloadError:
             return RequestFault.MALFORMED
 
-    async def _read_slow_body(self, most: int) -> RequestFault | None:
+    async def _read_slow_body(self, max_bytes: int) -> RequestFault | None:
         parts: list[bytes] = []
         size = 0
         while True:
@@ -171,7 +171,7 @@
                 break
             parts.append(data)
             size += len(data)
-            if size > most:
+            if size > max_bytes:
                 return RequestFault.BODY_TOO_LARGE
         self.body = b"".join(parts)
         return None
@@ -194,26 +194,26 @@
         return GatewayCall(self, pool, traits, max(0, deadline - now), server_deadline)
 
     def successor_call(self, broken: GatewayCall, last_event_id: int, left: int) -> GatewayCall:
-        """The call that takes a stream up after the last event passed on, at a server that has not run it."""
+        """A call that resumes the stream after `last_event_id`, at a server that has not run the request."""
         traits = evolve(broken.traits, exclude=frozenset(self.servers))
         return GatewayCall(self, broken.pool, traits, left, self.client_deadline, last_event_id)
 
     def newest_route(self) -> Route | None:
-        """The route that the request would take by now; None: the same one, or none any more.
+        """The route that the request matches now; None if it is unchanged or was removed.
 
-        Failure prevented: a request is read slowly, turned away, or its stream breaks, a configuration that
-        allows its route fewer regions or servers is in force by then, and the next attempt does not heed it.
+        A configuration may come into force while a request is read or between its attempts. The next attempt
+        must respect the new route if it allows fewer regions or servers.
         """
         newest = self.context.pools.routes.find(self.request.headers.get(HOST, ""), self.target)
         return None if newest is self.route or newest == self.route else newest
 
     def _binding_routes(self) -> tuple[Route, ...]:
-        """What bound the request when it was read, and what binds it now."""
+        """The route matched when the request was read, and the current one if it differs; both apply."""
         newest = self.newest_route()
         return (self.route,) if newest is None else (self.route, newest)
 
     def may_resume(self) -> bool:
-        """Whether the routes that bind allow this stream to be taken up at one more server."""
+        """Whether all binding routes allow the stream to be resumed at one more server."""
         return all(route.resumable for route in self._binding_routes()) and self._has_attempts()
 
     def _has_attempts(self) -> bool:
@@ -221,29 +221,32 @@
 
     @property
     def max_silence(self) -> int:
-        """The silence in microseconds after which the client gives a stream up."""
+        """The microseconds without an event after which the client gives up a stream."""
         route = self.route
         aims = SILENCE_LATENCY_TARGETS * route.target_latency_ms * US_PER_MS
         gaps = SILENCE_EVENT_GAPS * route.gap_aim_ms * US_PER_MS
         return max(MIN_SILENCE, aims, gaps)
 
     def may_be_sent_to(self, server_id: str) -> bool:
-        """Whether the routes that bind allow one more server, unless this one may have run it already."""
+        """Whether the request may go to this server, given the attempts that the routes allow.
+
+        A server that may have run the request already does not count as a further attempt.
+        """
         if server_id in self.servers or not self.servers:
             return True
         return self._has_attempts() and all(is_idempotent(route) for route in self._binding_routes())
 
     def sent_to(self, server_id: str) -> None:
-        """The request was written to a server."""
+        """Note that the request was written to a server."""
         self.servers.add(server_id)
 
     def rejected_by(self, server_id: str) -> None:
-        """The server says that it has not run the request."""
+        """Note that a server rejected the request without running it."""
         self.servers.discard(server_id)
 
     def compose(self, server_id: str, left_ms: int, last_event_id: int | None) -> bytes:
-        """The request as a server gets it."""
-        lines = self._forwarded(last_event_id is not None)
+        """The request as it is sent to a server."""
+        lines = self._forwarded_lines(last_event_id is not None)
         target = self.target.encode("utf-8", "surrogateescape")
         urgency = urgency_of(self.route, self.prompt_tokens, resumed=last_event_id is not None)
         resumed = b"" if last_event_id is None else b"Last-Event-Id: %d\r\n" % last_event_id
@@ -264,13 +267,13 @@
             self.body,
         )
 
-    def _forwarded(self, resumed: bool) -> bytes:
+    def _forwarded_lines(self, resumed: bool) -> bytes:
         raw_headers = self.request.raw_headers
         if resumed:
             return forwarded_lines(raw_headers, (LAST_EVENT_ID.lower().encode(),))
-        if self._lines is None:
-            self._lines = forwarded_lines(raw_headers)
-        return self._lines
+        if self._cached_lines is None:
+            self._cached_lines = forwarded_lines(raw_headers)
+        return self._cached_lines
 
     # ---- towards the client ---------------------------------------------------------------------------
 
@@ -280,32 +283,32 @@
             response.force_close()
         return self.finished(response)
 
-    def _whole(self, answer: WholeAnswer) -> web.Response:
+    def _whole_response(self, answer: WholeAnswer) -> web.Response:
         response = web.Response(
             status=answer.status, reason=answer.reason, headers=answer.headers, body=answer.body
         )
         return self.finished(response)
 
-    def _unserved(self, call: GatewayCall, ending: Refused | Failed) -> web.Response:
+    def _unserved_response(self, call: GatewayCall, ending: Refused | Failed) -> web.Response:
         failure = call.failure
         if failure is not None and may_be_passed_on(failure.status):
-            return self._whole(failure)
+            return self._whole_response(failure)
         return self.finished(unserved_answer(ending, call.may_have_run, call.timed_out))
 
     def finished(self, response: Response) -> Response:
-        """The response; the connection ends with it if the gateway is being drained."""
+        """The response, with `Connection: close` if the gateway is draining."""
         if self.context.draining:
             response.force_close()
         return response
 
 
 def waited_seconds(request: web.BaseRequest) -> float:
-    """How long a request has waited behind others on its connection."""
+    """How long the request waited behind earlier ones on its connection."""
     return request.waited if isinstance(request, ClientRequest) else 0.0
 
 
 def origin_form(target: str) -> str:
-    """A request target without a scheme and an authority; empty if it is no path."""
+    """The path and query of a request target; empty if it has no path."""
     if target.startswith("/"):
         return target
     scheme, separator, rest = target.partition("://")
--- a/tests/control_plane/test_control_servers.py
+++ b/tests/control_plane/test_control_servers.py
@@ -55,9 +55,9 @@
 
 
 def relayed_notices(gateway: SubscribedGateway) -> set[PrefixNotice]:
-    """The notices that were relayed from other gateways. Notices of a snapshot have `unread` 0."""
+    """The notices that were relayed from other gateways. Notices of a snapshot have `uncached_tokens` 0."""
     notices = [notice for message in gateway.notices for notice in message.notices]
-    return {evolve(notice, age=0) for notice in notices if notice.unread}
+    return {evolve(notice, age=0) for notice in notices if notice.uncached_tokens}
 
 
 class ServersTest(IsolatedAsyncioTestCase):
@@ -115,7 +115,7 @@
         for gateway in (self.gateway, other):
             await self.first_message(gateway)
             self.assertEqual(set(gateway.notices), {PrefixNotices(())})  # the relay has no prefixes yet
-        notice = PrefixNotice(server=7, keys=(1, 2), tokens=(2_000, 3_000), unread=5_000)
+        notice = PrefixNotice(server=7, keys=(1, 2), tokens=(2_000, 3_000), uncached_tokens=5_000)
 
         def relayed() -> bool:
             self.gateway.links.tell(PrefixNotices((notice,)))
@@ -127,9 +127,9 @@
         self.addAsyncCleanup(late.transport.close)
         await self.first_message(late)
         self.assertEqual(
-            [evolve(each, age=0) for each in late.notices[0].notices], [evolve(notice, unread=0)]
+            [evolve(each, age=0) for each in late.notices[0].notices], [evolve(notice, uncached_tokens=0)]
         )
-        # a snapshot may contain the notice, but with `unread` 0
+        # a snapshot may contain the notice, but with `uncached_tokens` 0
         self.assertEqual(relayed_notices(self.gateway), set())
 
     async def first_message(self, gateway: SubscribedGateway) -> None:
