--- a/brackenladder/catalog/catalog.py
+++ b/brackenladder/catalog/catalog.py
@@ -60,7 +60,7 @@
     content: Document | None = None  # the decoded `document`; never modified in place
     document: bytes = b""
     evacuated: frozenset[str] = frozenset()
-    zone_revisions: tuple[tuple[str, int], ...] = ()  # last change of each zone; sorted by zone
+    zone_revisions: tuple[tuple[str, int], ...] = ()  # log index of each zone's last change; sorted
 
     @property
     def version(self) -> int:
