--- a/brackenladder/control_plane/restart_recovery.py
+++ b/brackenladder/control_plane/restart_recovery.py
@@ -30,8 +30,8 @@
         newest_order: Callable[[], int],
         local_servers: Callable[[], tuple[ServerRecord, ...]],
     ) -> None:
-        """`newest_order` returns the index of the newest order in this node's log; `local_servers` returns the
-        live servers of its region.
+        """`newest_order` returns the index of the newest order in this node's log, `local_servers` the live
+        servers of its region.
         """
         self._clock = clock
         self._host = host
