--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -181,7 +181,7 @@
         if transport is not None:
             transport.write(CONTINUE)
 
-    # ---- towards servers ------------------------------------------------------------------------------
+    # ---- requests to servers --------------------------------------------------------------------------
 
     def _first_call(self, pool: ServicePool, traits: CallTraits) -> GatewayCall:
         now = self.context.now()
@@ -275,7 +275,7 @@
             self._cached_lines = forwarded_lines(raw_headers)
         return self._cached_lines
 
-    # ---- towards the client ---------------------------------------------------------------------------
+    # ---- responses to the client ----------------------------------------------------------------------
 
     def _reject(self, fault: RequestFault) -> web.Response:
         response = own_answer(FAULT_STATUS[fault])
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -165,7 +165,7 @@
         self._listeners.append(listener)
 
     async def _drained(self, until: float, until_idle: bool) -> bool:
-        """Wait until that time or until no connection is left; whether none is left."""
+        """Wait until that time or until no connection is left, and return whether none is left."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             if until_idle:
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -29,7 +29,7 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_BUFFERED_BODY = 1024 * 1024  # bytes; a larger body is relayed as it arrives
-LEAST_CONNECTIONS = 4  # to a server, however small this gateway's share is
+LEAST_CONNECTIONS = 4  # allowed to each server, however small this gateway's share is
 CONNECTION_SHARE = 0.8  # the fraction of `MaxConnections` that all gateways together use
 MICROSECONDS_PER_SECOND = 1e6
 END_OF_LINE = b"\r\n"
@@ -180,7 +180,7 @@
         if not self.ended:
             self._finish(AttemptEnd(Outcome.NOT_SENT))
 
-    # ---- the exchange ---------------------------------------------------------------------------------
+    # ---- running the attempt --------------------------------------------------------------------------
 
     async def _make(self) -> AttemptEnd:
         try:
@@ -275,7 +275,7 @@
         whole = WholeAnswer(self.record.id, message.code, message.reason, answer_headers(headers), body)
         return AttemptEnd(outcome, whole)
 
-    # ---- the end --------------------------------------------------------------------------------------
+    # ---- reporting the end ----------------------------------------------------------------------------
 
     def _finish(self, end: AttemptEnd) -> None:
         """Report the end. The connection stays open only if the call uses the response that arrives on it."""
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -31,7 +31,7 @@
 # The bytes received for a body may be this many times its length, because of chunk framing.
 MAX_FRAMING_FACTOR = 8
 MAX_PIPELINED = 8  # complete requests that may wait on one connection behind an open one
-# Connections, out of the limit, that are accepted only to be refused once the rest of the limit is used.
+# So many connections of the limit are only used to refuse clients with a 503 when the others are taken.
 REFUSING_CONNECTIONS = 16
 FLUSH_TIMEOUT = 30.0  # seconds in which a client may read the rest of a large last response
 SWEEP_INTERVAL = 0.25  # seconds between two checks for slow clients
@@ -335,7 +335,7 @@
         else:
             handler.handle_request(self, request)
 
-    # ---- answering ------------------------------------------------------------------------------------
+    # ---- responding -----------------------------------------------------------------------------------
 
     def answer(self, status: int, body: bytes = b"", headers: bytes = b"") -> None:
         """Sends the response to the open request. `headers` are complete lines."""
@@ -447,7 +447,7 @@
             self.relay.set_client_paused(False)
         self.start_next()
 
-    # ---- ends -----------------------------------------------------------------------------------------
+    # ---- closing --------------------------------------------------------------------------------------
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.connection_closed = True
--- a/brackenladder/http/upstream.py
+++ b/brackenladder/http/upstream.py
@@ -44,7 +44,7 @@
         self.read_inline_report = (lambda answer: self.report(answer.report)) if inline_reports else None
         self.now = now
 
-    # ---- the list -------------------------------------------------------------------------------------
+    # ---- the server list ------------------------------------------------------------------------------
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
         """Applies a server list or its changes, in which each server occurs once."""
--- a/tests/gateway/test_gateway_answers.py
+++ b/tests/gateway/test_gateway_answers.py
@@ -230,7 +230,7 @@
                 self.assertNotIn("x-brackenladder-response-signature", got.headers)
 
     async def test_a_response_without_a_length_ends_with_its_connection(self) -> None:
-        """It 'may have no length and end with its connection; one that is reset isn't complete'."""
+        """One 'may have no length and end with its connection; one that is reset isn't complete'."""
         for body in (b"", b"0123456789", b"x" * 100_000, b"y" * (MAX_BUFFERED_BODY + 10)):
             for chunks in (1, 3):
                 with self.subTest(size=len(body), chunks=chunks):
--- a/tests/gateway/test_gateway_drain.py
+++ b/tests/gateway/test_gateway_drain.py
@@ -6,7 +6,7 @@
 
 from brackenladder.gateway.server import LATEST_EXCUSED_SECONDS, give_up_seconds, intake_seconds
 
-ARRIVAL_SECONDS = 0.2  # from the end of the intake to the arrival of what was still accepted
+ARRIVAL_SECONDS = 0.2  # from the end of the intake to the arrival of the last accepted request
 # Of the grace period, at its end, in which a server that is still working may be aborted.
 EXCUSED_PART = 1 / 6
 
