--- a/brackenladder/delivery/service_servers.py
+++ b/brackenladder/delivery/service_servers.py
@@ -18,8 +18,8 @@
 @define(eq=False)
 class _ServiceIndex:
     records: dict[str, ServerRecord] = field(factory=dict)
-    changes: deque[str] = field(factory=deque)  # ids, the newest at the right
-    version: int = 0  # counts the changes
+    changes: deque[str] = field(factory=deque)  # ids of changed servers, newest last
+    version: int = 0  # number of changes so far
 
     def note(self, server_id: str) -> None:
         self.version += 1
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -37,9 +37,8 @@
         self.gateways = 1  # the highest number of live gateways in the last 20 s
         self.gateways_known = False  # a control node that knew of all gateways has reported the number
         self._servers: dict[str, ServerRecord] = {}
-        self.servers: Mapping[str, ServerRecord] = MappingProxyType(
-            self._servers
-        )  # READY and DRAINING, by id
+        # READY and DRAINING servers by id.
+        self.servers: Mapping[str, ServerRecord] = MappingProxyType(self._servers)
         self.by_service = ServiceServers()  # the same servers, for readers that process changes only
         self._registry = ServerRegistry()
         self._listeners: list[Callable[[ViewChange], None]] = []
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -272,10 +272,10 @@
         except (ValueError, RecursionError) as e:
             self.log(f"discovery: answer dropped: {e}")
             return None
-        news = self.current_list.accept(listing, self.loop.time())
-        if news is None:
+        changes = self.current_list.accept(listing, self.loop.time())
+        if changes is None:
             self.log("discovery: answer dropped: changes to an unknown list")
-        return news
+        return changes
 
     def close(self) -> None:
         """Ends all calls."""
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -23,7 +23,7 @@
 
     id: str
     heard_at: int  # when this node, or a peer by its own account, last received a heartbeat of the server
-    last_record: ServerRecord | None = None  # without `cold_for` and `remaining`; None: only its end is known
+    last_record: ServerRecord | None = None  # without its times, see below; None: only its end is known
     changed_seq: int = NO_SEQ  # the lowest seq known to have reported the same content
     heartbeat_seq: int = NO_SEQ
     cold_until: int = NEVER
--- a/brackenladder/registry/exchange.py
+++ b/brackenladder/registry/exchange.py
@@ -17,7 +17,7 @@
 from brackenladder.registry.registry import ServerRegistry
 
 HEARTBEAT_BATCH_INTERVAL = 300_000  # microseconds between two batches of heartbeats
-GATEWAYS_INTERVAL = 1_000_000  # microseconds between two batches of gateways' presence
+GATEWAYS_INTERVAL = 1_000_000  # microseconds between two batches of gateway presence
 SETTLE_TIME = 2_000_000  # microseconds after the start within which every server has sent a heartbeat
 MAX_RECORDS = 500  # in one message
 
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -8,11 +8,11 @@
 from attrs import define, frozen
 
 OFFER_TIMEOUT = 2_500_000  # microseconds without a message after which clients are not sent to a gateway
-# The same for a gateway that is linked to this node: an idle link sends pings, so timeout shows sooner.
+# The same for a gateway that is linked to this node: an idle link sends pings, so silence shows sooner.
 LINKED_OFFER_TIMEOUT = 1_100_000
 RELAY_DELAY = 1_000_000  # microseconds by which presence from peers may be newer just because it was relayed
 LIVENESS_WINDOW = 20_000_000  # microseconds after its last message for which a gateway counts as alive
-# Microseconds of timeout after which another process of the same node replaces the known one, even with a
+# Microseconds of silence after which another process of the same node replaces the known one, even with a
 # lower incarnation: the wall clock may have been set back between the two starts.
 SUCCESSION_TIMEOUT = 1_500_000
 SETTLE_TIME = 1_500_000  # microseconds within which every gateway connects to a new control node
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -182,13 +182,13 @@
 
     def take_local_updates(self) -> LocalUpdates:
         """Return what this node received from servers itself since the last call."""
-        news = LocalUpdates(
+        updates = LocalUpdates(
             changed=tuple(self._local_changes),
             heartbeats=tuple(one for one in self._local_heard if one not in self._local_changes),
         )
         self._local_changes.clear()
         self._local_heard.clear()
-        return news
+        return updates
 
     def _entry(self, server_id: str, heard_at: int) -> ServerEntry:
         entry = self._entries.get(server_id)
--- a/brackenladder/storage/sqlite_file.py
+++ b/brackenladder/storage/sqlite_file.py
@@ -100,7 +100,8 @@
 def connect(path: str) -> sqlite3.Connection:
     """Opens the file for exclusive use by this process, without reading or changing it yet."""
     connection = sqlite3.connect(path, timeout=0.0, isolation_level=None, check_same_thread=False)
-    connection.execute("PRAGMA locking_mode = EXCLUSIVE")  # before the first access: no shared-memory index
+    # Set before the first access, so that sqlite3 uses no shared-memory index.
+    connection.execute("PRAGMA locking_mode = EXCLUSIVE")
     return connection
 
 
--- a/brackenladder/storage/state_store.py
+++ b/brackenladder/storage/state_store.py
@@ -106,8 +106,8 @@
         for number, name in enumerate(FILE_NAMES):
             path = os.path.join(self.folder, name)
             try:
-                kept = self.decode(self.files.read(path))
-                found.append((kept.counter, number, kept))
+                saved = self.decode(self.files.read(path))
+                found.append((saved.counter, number, saved))
             except FileNotFoundError:
                 continue
             except (OSError, ValueError) as e:
@@ -135,9 +135,9 @@
         except (msgspec.DecodeError, RecursionError) as e:
             raise ValueError(f"not a state file: {e}") from None
 
-    def save(self, kept: SavedState) -> bool:
+    def save(self, saved: SavedState) -> bool:
         """Replaces the older file; returns whether the state is durable."""
-        raw = msgspec.json.encode(kept)
+        raw = msgspec.json.encode(saved)
         envelope = Envelope(
             FORMAT, self.owner, blake2b(raw, digest_size=CHECKSUM_BYTES).hexdigest(), msgspec.Raw(raw)
         )
--- a/tests/delivery/test_delivery_messages.py
+++ b/tests/delivery/test_delivery_messages.py
@@ -5,7 +5,7 @@
 import unittest
 
 from delivery.delivery_samples import subscribe
-from registry.registry_samples import deregistered, draining, gateway, server, silent
+from registry.registry_samples import deregistered, draining, expired, gateway, server
 
 from brackenladder.delivery.messages import (
     MESSAGE_TYPES,
@@ -25,7 +25,7 @@
 from brackenladder.registry.records import HeardServer
 from brackenladder.transport.codec import Codec
 
-RECORDS = (server(cold_for=5, remaining=0), draining(seq=1 << 60), deregistered(), silent())
+RECORDS = (server(cold_for=5, remaining=0), draining(seq=1 << 60), deregistered(), expired())
 HEARTBEATS = (HeardServer("i-1", 3, 400_000, 1),)
 MESSAGES = (
     subscribe(have_revision=3),
--- a/tests/delivery/test_subscriber.py
+++ b/tests/delivery/test_subscriber.py
@@ -6,7 +6,7 @@
 import zlib
 
 from delivery.delivery_samples import AT, FRESH, UNREADABLE, parse
-from registry.registry_samples import SECOND, deregistered, draining, server, silent
+from registry.registry_samples import SECOND, deregistered, draining, expired, server
 
 from brackenladder.delivery.gateway_count import HOLD_TIME
 from brackenladder.delivery.messages import (
@@ -132,7 +132,7 @@
 
     def test_a_silent_server_comes_back_with_a_newer_seq(self) -> None:
         self.receive(servers(server(seq=4)))
-        self.receive(servers(silent(seq=4)))
+        self.receive(servers(expired(seq=4)))
         self.assertEqual(dict(self.view.servers), {})
         self.receive(servers(server(seq=5)), "b")
         self.assertEqual(set(self.view.servers), {"i-1"})
--- a/tests/registry/registry_samples.py
+++ b/tests/registry/registry_samples.py
@@ -43,7 +43,7 @@
     return server(server_id, seq, ServerState.GONE)
 
 
-def silent(server_id: str = "i-1", seq: int = 1) -> ServerRecord:
+def expired(server_id: str = "i-1", seq: int = 1) -> ServerRecord:
     return server(server_id, seq, ServerState.GONE, expired=True)
 
 
--- a/tests/registry/test_gateway_registry.py
+++ b/tests/registry/test_gateway_registry.py
@@ -128,11 +128,11 @@
         return [one.incarnation for one in self.registry.ready(now)]
 
     def test_its_own_presence_holds_once_its_predecessor_was_silent(self) -> None:
-        silent_at = AT + SUCCESSION_TIMEOUT
-        self.assertFalse(self.registry.record_presence(silent_at - 1, gateway(seq=1, incarnation=2)))
-        self.assertEqual(self.offered(silent_at - 1), [])
-        self.assertTrue(self.registry.record_presence(silent_at, gateway(seq=2, incarnation=2)))
-        self.assertEqual(self.offered(silent_at), [2])
+        timeout_at = AT + SUCCESSION_TIMEOUT
+        self.assertFalse(self.registry.record_presence(timeout_at - 1, gateway(seq=1, incarnation=2)))
+        self.assertEqual(self.offered(timeout_at - 1), [])
+        self.assertTrue(self.registry.record_presence(timeout_at, gateway(seq=2, incarnation=2)))
+        self.assertEqual(self.offered(timeout_at), [2])
 
     def test_presence_from_peers_holds_once_its_predecessor_was_silent(self) -> None:
         heard_at = AT + SUCCESSION_TIMEOUT
@@ -160,11 +160,11 @@
         self.assertEqual(self.offered(now), [2])
 
     def test_pings_on_its_link_do_not_keep_its_predecessor_alive(self) -> None:
-        silent_at = AT + SUCCESSION_TIMEOUT
-        self.registry.record_presence(silent_at - SECOND // 2, gateway(seq=1, incarnation=2))
-        self.registry.record_link_activity(gateway().node, silent_at - 1)
-        self.assertTrue(self.registry.record_presence(silent_at, gateway(seq=2, incarnation=2)))
-        self.assertEqual(self.offered(silent_at), [2])
+        timeout_at = AT + SUCCESSION_TIMEOUT
+        self.registry.record_presence(timeout_at - SECOND // 2, gateway(seq=1, incarnation=2))
+        self.registry.record_link_activity(gateway().node, timeout_at - 1)
+        self.assertTrue(self.registry.record_presence(timeout_at, gateway(seq=2, incarnation=2)))
+        self.assertEqual(self.offered(timeout_at), [2])
 
     def test_an_older_message_of_the_same_process_is_always_ignored(self) -> None:
         self.assertFalse(self.registry.record_presence(AT + 5 * SECOND, gateway(seq=39, incarnation=9)))
--- a/tests/registry/test_server_merging.py
+++ b/tests/registry/test_server_merging.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given
 from hypothesis import strategies as st
-from registry.registry_samples import SILENCE, deregistered, draining, server, silent
+from registry.registry_samples import SILENCE, deregistered, draining, expired, server
 
 from brackenladder.registry.records import HeardServer, ServerRecord, ServerState
 from brackenladder.registry.registry import ServerRegistry
@@ -27,7 +27,7 @@
 
 SEQS = st.integers(min_value=0, max_value=10)
 LIVE_RECORDS = st.builds(record_at, st.sampled_from(IDS), SEQS)
-EXPIRED_RECORDS = st.builds(silent, st.sampled_from(IDS), SEQS)
+EXPIRED_RECORDS = st.builds(expired, st.sampled_from(IDS), SEQS)
 DEREGISTERED_RECORDS = st.builds(deregistered, st.sampled_from(IDS), SEQS)
 HEARTBEATS = st.builds(heartbeat_at, st.sampled_from(IDS), SEQS)
 RECORDS = st.lists(st.one_of(LIVE_RECORDS, EXPIRED_RECORDS, DEREGISTERED_RECORDS), max_size=12)
@@ -75,9 +75,9 @@
         self, here: list[ServerRecord], there: list[ServerRecord]
     ) -> None:
         one, other = merged(here), merged(there)
-        told = one.records(NOW)
+        records = one.records(NOW)
         one.merge(NOW, other.records(NOW))
-        other.merge(NOW, told)
+        other.merge(NOW, records)
         self.assertEqual(visible_state(one), visible_state(other))
 
     @given(RECORDS)
--- a/tests/registry/test_server_registry.py
+++ b/tests/registry/test_server_registry.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from registry.registry_samples import MS, SECOND, SILENCE, deregistered, draining, server, silent
+from registry.registry_samples import MS, SECOND, SILENCE, deregistered, draining, expired, server
 
 from brackenladder.registry.records import HeardServer, ServerState
 from brackenladder.registry.registry import SETTLE_TIME, TOMBSTONE_LIFETIME, ServerRegistry
@@ -98,7 +98,7 @@
 
     def test_a_silent_server_times_out(self) -> None:
         self.assertEqual(self.registry.expire(AT + SILENCE), ())
-        self.assertEqual(self.registry.expire(AT + SILENCE + 1), (silent(seq=5),))
+        self.assertEqual(self.registry.expire(AT + SILENCE + 1), (expired(seq=5),))
         self.assertEqual(self.registry.expire(AT + SILENCE + 2), ())
 
     def test_a_later_heartbeat_revives_a_silent_server(self) -> None:
@@ -110,7 +110,7 @@
 
     def test_a_timeout_covers_heartbeats_received_by_other_nodes(self) -> None:
         self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=8, age=0, changed_seq=7)])
-        self.assertEqual(self.registry.expire(AT + 5 * SECOND), (silent(seq=8),))
+        self.assertEqual(self.registry.expire(AT + 5 * SECOND), (expired(seq=8),))
         self.registry.merge(AT + 5 * SECOND, [server(seq=8)])
         self.assertEqual(state_of(self.registry), ServerState.GONE)
 
@@ -227,12 +227,12 @@
 
     def test_a_tombstone_of_a_node_with_fewer_heartbeats_is_refuted(self) -> None:
         self.registry.merge_heartbeats(AT, [HeardServer("i-1", seq=9, age=0, changed_seq=4)])
-        self.assertEqual(self.registry.merge(AT, [silent(seq=7)]), (server(seq=9),))
-        self.assertEqual(self.registry.newer_records(AT, [silent(seq=7)]), (server(seq=9),))
+        self.assertEqual(self.registry.merge(AT, [expired(seq=7)]), (server(seq=9),))
+        self.assertEqual(self.registry.newer_records(AT, [expired(seq=7)]), (server(seq=9),))
 
     def test_a_tombstone_of_a_node_with_the_same_heartbeats_holds(self) -> None:
-        self.assertEqual(self.registry.merge(AT, [silent(seq=5)]), (silent(seq=5),))
-        self.assertEqual(self.registry.newer_records(AT, [silent(seq=5)]), ())
+        self.assertEqual(self.registry.merge(AT, [expired(seq=5)]), (expired(seq=5),))
+        self.assertEqual(self.registry.newer_records(AT, [expired(seq=5)]), ())
 
     def test_records_older_elsewhere_are_returned(self) -> None:
         self.registry.heartbeat(AT, draining(seq=6))
--- a/tests/storage/power_loss.py
+++ b/tests/storage/power_loss.py
@@ -123,10 +123,14 @@
 
 
 def _mixed(random: Random, writes: list[FileWrite]) -> list[FileWrite]:
-    fates = [random.choice(["present", "missing", "torn", "garbled"]) for _ in writes]
+    outcomes = [random.choice(["present", "missing", "torn", "garbled"]) for _ in writes]
     change = {"present": lambda write: write, "torn": lambda write: _torn(random, write)}
     change["garbled"] = lambda write: _garbled(random, write)
-    return [change[fate](write) for fate, write in zip(fates, writes, strict=True) if fate != "missing"]
+    return [
+        change[outcome](write)
+        for outcome, write in zip(outcomes, writes, strict=True)
+        if outcome != "missing"
+    ]
 
 
 def _torn(random: Random, write: FileWrite) -> FileWrite:
--- a/tests/storage/test_simulated_disk.py
+++ b/tests/storage/test_simulated_disk.py
@@ -131,10 +131,10 @@
                     for token in range(1, WRITES):
                         sequence.write(store, token)
                         if sequence.random.random() < 0.2:
-                            left = sequence.disk.after_loss(sequence.random)
+                            remaining = sequence.disk.after_loss(sequence.random)
                             sequence.disk.on_event = lambda _kind: None
                             store.close()
-                            sequence.disk.load(left)
+                            sequence.disk.load(remaining)
                             sequence.disk.on_event = sequence._event
                             store = sequence.open()
                             self.assertEqual(loaded(store), sequence.state)
@@ -237,8 +237,8 @@
         disk = SimulatedDisk(random)
         path = os.path.join(FOLDER, "restart")
         allowed = [b""]
-        left: list[tuple[dict[str, bytes], list[bytes]]] = []
-        disk.on_event = lambda _kind: left.append((disk.after_loss(random), list(allowed)))
+        remaining: list[tuple[dict[str, bytes], list[bytes]]] = []
+        disk.on_event = lambda _kind: remaining.append((disk.after_loss(random), list(allowed)))
         with disk.mounted():
             for number in range(6):
                 data = b"%d " % number * random.randrange(1, 3_000)
@@ -247,8 +247,8 @@
                 if is_successful(write_atomically(path, data)):
                     allowed[:] = [data]
                 self.assertIn(read_checked(path).unwrap(), allowed)
-        self.assertGreater(len(left), 10)
-        for files, contents in left:
+        self.assertGreater(len(remaining), 10)
+        for files, contents in remaining:
             self.write_files(files)
             self.assertIn(read_checked(os.path.join(self.folder, "restart")).unwrap(), contents)
 
@@ -259,16 +259,16 @@
         for seed in range(20):
             random = Random(seed)
             disk = SimulatedDisk()
-            left: list[dict[str, bytes]] = []
+            remaining: list[dict[str, bytes]] = []
             with disk.mounted():
                 sequence = WriteSequence(self, random)
                 sequence.disk = disk
                 store = sequence.open()
                 for token in range(1, 6):
                     sequence.write(store, token)
-                disk.on_event = lambda _kind: left.append(disk.after_loss(random))  # noqa: B023
+                disk.on_event = lambda _kind: remaining.append(disk.after_loss(random))  # noqa: B023
                 quarantine_store(FOLDER)
-            for files in left:
+            for files in remaining:
                 self.write_files(files)
                 opened = open_store(self.folder, lambda: "another")
                 if is_successful(opened):
