--- a/tests/fleet/test_hunt.py
+++ b/tests/fleet/test_hunt.py
@@ -49,7 +49,7 @@
 
 
 def floods(self, now, r):
-    cold = [srv for srv in self.able if srv.cold_until > now]
+    cold = [srv for srv in self.eligible if srv.cold_until > now]
     return cold[0] if cold and r.ran_on is None else DRAW(self, now, r)
 
 
--- a/tests/fleet/test_model.py
+++ b/tests/fleet/test_model.py
@@ -60,7 +60,7 @@
 
 def floods(self, now, r):
     """A cold server looks idle, and gets everything."""
-    cold = [srv for srv in self.able if srv.cold_until > now]
+    cold = [srv for srv in self.eligible if srv.cold_until > now]
     return cold[0] if cold and r.ran_on is None else DRAW(self, now, r)
 
 
@@ -90,9 +90,9 @@
 def test_a_node_that_sends_to_drained_servers_is_convicted(monkeypatch):
     from brackenladder.core.roster import Roster
 
-    sound = Roster.told
+    sound = Roster.apply_listing
     monkeypatch.setattr(
-        Roster, "told", lambda self, listing: sound(self, listing) if listing.kind else None
+        Roster, "apply_listing", lambda self, listing: sound(self, listing) if listing.kind else None
     )  # changes pass unheard; the list at the start does not
     assert judged("rolling-deploy")[1].verdicts["drain"] == "broke"
 
--- a/tests/fleet/test_rivals.py
+++ b/tests/fleet/test_rivals.py
@@ -166,9 +166,9 @@
     made = variant("module", "", {"SUBSET_MOST": 2, "WINDOW": 1})  # one room's, and one that another imports
     assert made.wanted_size.__globals__["SUBSET_MOST"] == 2 and balance.SUBSET_MOST == 24
     assert (
-        made.settle.__globals__["WINDOW"]
+        made.record_end.__globals__["WINDOW"]
         == 1
-        == made.settle.__globals__["GradientController"].roll.__globals__["WINDOW"]
+        == made.record_end.__globals__["GradientController"].close_window.__globals__["WINDOW"]
     )
     (tmp_path / "brackenladder").mkdir()
     (tmp_path / "brackenladder" / "balance.py").write_text("raise RuntimeError('no')")
