--- a/benchmarks/capacity/nodes.py
+++ b/benchmarks/capacity/nodes.py
@@ -32,7 +32,9 @@
 
 GATEWAY_TICK_SECONDS = 0.2  # as in `node/gateway_role.py`
 SERVERS_TICK_SECONDS = 0.01
-PATIENT = LinkTiming(silence=12_000_000, connect_timeout=5_000_000)  # many nodes share a processor here
+PATIENT = LinkTiming(
+    silence_timeout=12_000_000, connect_timeout=5_000_000
+)  # many nodes share a processor here
 
 
 class StoreRefused(Exception):
--- a/benchmarks/http_path.py
+++ b/benchmarks/http_path.py
@@ -60,10 +60,9 @@
 def drive(requests: int, profile: str) -> float:
     """Seconds of CPU that so many requests take."""
     try:
-        from brackenladder.node.config import read
+        from brackenladder.node.config import parse_table
         from brackenladder.node.node import Node
     except ModuleNotFoundError:  # before net/ was dissolved
-        from brackenladder.net.config import read  # type: ignore[import-not-found, no-redef]
         from brackenladder.net.node import Node  # type: ignore[import-not-found, no-redef]
     import httptools
     import uvloop
@@ -81,7 +80,7 @@
     async def scene() -> None:
         nonlocal spent
         loop = asyncio.get_running_loop()
-        node = Node(read(table), loop)
+        node = Node(parse_table(table), loop)
         pool, balancer, client_connections, begin = parts(node)
 
         async def connected(factory: Any, *address: Any) -> Any:
--- a/benchmarks/plan_apply.py
+++ b/benchmarks/plan_apply.py
@@ -15,8 +15,8 @@
 
 sys.path[0:1] = [str(Path(__file__).parents[1])]
 
-from brackenladder.control.plan import planned  # noqa: E402
-from brackenladder.control.state import parse  # noqa: E402
+from brackenladder.control.plan import make_plan  # noqa: E402
+from brackenladder.control.state import parse_state  # noqa: E402
 from brackenladder.core.clock import Clock  # noqa: E402
 from brackenladder.core.host import Host  # noqa: E402
 from brackenladder.interface import ClassSettings, Effect, ListKind, Settings, State  # noqa: E402
@@ -34,7 +34,7 @@
     """An upstream, a front and a first pool, as far as an apply touches them."""
 
     route: Any = None
-    spread: Any = None
+    distribute: Any = None
 
     def __getattr__(self, name: str) -> Any:
         return lambda *args: None
@@ -59,7 +59,7 @@
         for i in range(servers)
     ]
     first.host.start()
-    pools.spread(Listing(ListKind.FULL, 1, tuple(lines)))
+    pools.distribute(Listing(ListKind.FULL, 1, tuple(lines)))
     return pools
 
 
@@ -75,7 +75,7 @@
 
 def held(pools: Pools, data: bytes) -> float:
     """Milliseconds of one apply."""
-    plan = planned(pools.live(), parse(data))
+    plan = make_plan(pools.live(), parse_state(data))
     if plan.findings:
         raise SystemExit(plan.findings[0].text)
     begun = perf_counter()
--- a/brackenladder/adapter.py
+++ b/brackenladder/adapter.py
@@ -13,7 +13,7 @@
 
 from brackenladder.interface import ListKind, Outcome, ServerEntry, Settings, State
 from brackenladder.policy.balancer import Balancer
-from brackenladder.settings import settings_of
+from brackenladder.settings import parse_settings
 
 HEADER = Struct("<IIQ")
 LENGTH = Struct("<I")
@@ -69,7 +69,7 @@
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
         raise WireError(f"settings are not JSON: {e}") from None
-    return settings_of(env)
+    return parse_settings(env)
 
 
 class WireActions:
--- a/brackenladder/cli/control.py
+++ b/brackenladder/cli/control.py
@@ -14,8 +14,16 @@
 from rich.text import Text
 
 from brackenladder.control.diff import differences
-from brackenladder.control.plan import LARGEST_PLAN, Live, Plan, Refused, planned, read, written
-from brackenladder.control.state import LARGEST_FILE, StateError, parse, warnings
+from brackenladder.control.plan import (
+    MAX_PLAN_BYTES,
+    LiveState,
+    Plan,
+    PlanRefused,
+    encode_plan,
+    make_plan,
+    parse_plan,
+)
+from brackenladder.control.state import MAX_FILE_BYTES, StateError, parse_state, warnings
 
 VERSION = 1
 PATIENCE = 20.0  # seconds for a node to answer
@@ -58,9 +66,9 @@
     return answer
 
 
-def live_of(node: str) -> Live:
+def live_of(node: str) -> LiveState:
     try:
-        return msgspec.convert(ask(node, "live")["live"], Live)
+        return msgspec.convert(ask(node, "live")["live"], LiveState)
     except msgspec.ValidationError as e:
         raise NodeError(f"{node}: not this build's answer: {e}") from None
 
@@ -121,7 +129,7 @@
     """
     try:
         with open(file, "rb") as opened:
-            desired = parse(opened.read(LARGEST_FILE + 1))
+            desired = parse_state(opened.read(MAX_FILE_BYTES + 1))
         lives = {node: live_of(node) for node in nodes}
         first, *others = lives
         for node in others:
@@ -129,7 +137,7 @@
             if apart:
                 keys = ", ".join(".".join(change.key) for change in apart[:5])
                 raise NodeError(f"{node} differs from {first}: {keys}: one plan cannot fit both")
-        plans = {node: planned(live, desired, allow_empty) for node, live in lives.items()}
+        plans = {node: make_plan(live, desired, allow_empty) for node, live in lives.items()}
     except (StateError, NodeError) as e:
         return wrong("plan", f"{file}: {e}" if isinstance(e, StateError) else str(e))
     except OSError as e:
@@ -137,7 +145,7 @@
     # One for all: of the verdicts the worst stands in it.
     found = next((made for made in plans.values() if made.findings), plans[first])
     if as_json:
-        click.echo(written(found).decode().rstrip())
+        click.echo(encode_plan(found).decode().rstrip())
     else:
         console = Console(highlight=False)
         for text in warnings(desired):
@@ -150,7 +158,7 @@
             console.print(f"refused: {finding.text}", markup=False, soft_wrap=True)
     if out and not found.findings:
         try:
-            Path(out).write_bytes(written(found))
+            Path(out).write_bytes(encode_plan(found))
         except OSError as e:
             return wrong("plan", f"{out}: {e.strerror}")
     if found.findings:
@@ -169,11 +177,11 @@
     """
     try:
         with open(file, "rb") as opened:
-            data = opened.read(LARGEST_PLAN + 1)
-        made: Plan = read(data)
+            data = opened.read(MAX_PLAN_BYTES + 1)
+        made: Plan = parse_plan(data)
     except OSError as e:
         return wrong("apply", f"{file}: {e.strerror}")
-    except Refused as e:
+    except PlanRefused as e:
         return wrong("apply", f"{file}: {e}")
     console = Console(highlight=False)
     console.print(lines_of(made.changes), end="", soft_wrap=True)
--- a/brackenladder/control/diff.py
+++ b/brackenladder/control/diff.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from brackenladder.control.state import Desired, StateError, checked
+from brackenladder.control.state import DesiredState, StateError, validate
 
 Path = tuple[str, ...]
 
@@ -24,41 +24,41 @@
     def line(self) -> str:
         name = ".".join(self.key)
         if self.what == "create":
-            return f"+ {name} = {shown(self.new)}"
+            return f"+ {name} = {format_value(self.new)}"
         if self.what == "remove":
-            return f"- {name} = {shown(self.old)}"
-        return f"~ {name}: {shown(self.old)} -> {shown(self.new)}"
+            return f"- {name} = {format_value(self.old)}"
+        return f"~ {name}: {format_value(self.old)} -> {format_value(self.new)}"
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     return msgspec.json.encode(value).decode()
 
 
-def flat(state: Desired) -> dict[Path, Any]:
+def flatten(state: DesiredState) -> dict[Path, Any]:
     """Every key of a state by its path; lists are values, but for the list of routes."""
     tables = msgspec.json.decode(msgspec.json.encode(state))  # as a plan's file has them
     tables["routes"] = {str(i): route for i, route in enumerate(tables["routes"])}
-    return dict(leaves(tables, ()))
+    return dict(iterate_leaves(tables, ()))
 
 
-def leaves(table: Mapping[str, Any], path: Path) -> Iterator[tuple[Path, Any]]:
+def iterate_leaves(table: Mapping[str, Any], path: Path) -> Iterator[tuple[Path, Any]]:
     for key, value in table.items():
         if isinstance(value, Mapping):
-            yield from leaves(value, (*path, key))
+            yield from iterate_leaves(value, (*path, key))
         else:
             yield (*path, key), value
 
 
-def order(path: Path) -> tuple[tuple[int, str], ...]:
+def sort_key(path: Path) -> tuple[tuple[int, str], ...]:
     """Names by their letters, the numbers of routes by their size."""
     return tuple((int(part), "") if re.fullmatch(r"[0-9]{1,9}", part) else (-1, part) for part in path)
 
 
-def differences(old: Desired, new: Desired) -> list[Difference]:
+def differences(old: DesiredState, new: DesiredState) -> list[Difference]:
     """All of them; none if the two are the same."""
-    before, after = flat(old), flat(new)
+    before, after = flatten(old), flatten(new)
     found = []
-    for path in sorted({*before, *after}, key=order):
+    for path in sorted({*before, *after}, key=sort_key):
         if path not in before:
             found.append(Difference("create", path, new=after[path]))
         elif path not in after:
@@ -68,9 +68,9 @@
     return found
 
 
-def applied(old: Desired, changes: Sequence[Difference]) -> Desired:
+def apply_differences(old: DesiredState, changes: Sequence[Difference]) -> DesiredState:
     """The old state with the differences. A StateError if they do not fit it."""
-    keys = flat(old)
+    keys = flatten(old)
     for change in changes:
         if (change.what == "create") != (change.key not in keys) or (
             change.what != "create" and keys[change.key] != change.old
@@ -88,4 +88,4 @@
         table[path[-1]] = value
     routes = tables["routes"]
     tables["routes"] = [routes[key] for key in sorted(routes, key=int)]
-    return checked(tables)
+    return validate(tables)
--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from brackenladder.control.state import Desired
+from brackenladder.control.state import DesiredState
 from brackenladder.interface import State
 from brackenladder.membership.listing import Line
 from brackenladder.routing.pools import PoolSpec, capacity, contains, weight
@@ -25,14 +25,14 @@
     text: str
 
 
-def serving(spec: PoolSpec, lines: Sequence[Line]) -> list[Line]:
+def serving_servers(spec: PoolSpec, lines: Sequence[Line]) -> list[Line]:
     """Servers of a pool that may get something new."""
     return [x for x in lines if x.state == State.READY and contains(spec, x) and weight(spec, x) > 0]
 
 
-def judged(
-    old: Desired,
-    new: Desired,
+def check_change(
+    old: DesiredState,
+    new: DesiredState,
     lines: Sequence[Line],
     open_calls: Mapping[str, int],
     classes: Sequence[str],
@@ -48,7 +48,7 @@
     reached = {klass: reachable_pools(new.routes, klass, tenants) for klass in classes}
     changed = [name for name, spec in new.pools.items() if old.pools.get(name) not in (None, spec)]
     looked_at = {*used_pools(new.routes), *changed, *(name for pools in reached.values() for name in pools)}
-    able = {name: serving(new.pools[name], lines) for name in looked_at}
+    able = {name: serving_servers(new.pools[name], lines) for name in looked_at}
     for name in sorted(used_pools(new.routes)):
         if not able[name] and name not in allow_empty:
             found.append(Finding("empty", name, f"pool {name}: no ready server is left"))
@@ -77,6 +77,6 @@
     return sorted(found)
 
 
-def resting_on(new: Desired, lines: Sequence[Line]) -> dict[str, int]:
+def count_serving(new: DesiredState, lines: Sequence[Line]) -> dict[str, int]:
     """What of the list a verdict rests on: how many servers of each pool may get something new."""
-    return {name: len(serving(spec, lines)) for name, spec in sorted(new.pools.items())}
+    return {name: len(serving_servers(spec, lines)) for name, spec in sorted(new.pools.items())}
--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-from brackenladder.control.diff import Difference, applied, differences
-from brackenladder.control.guard import Finding, judged, resting_on
-from brackenladder.control.state import Desired, StateError, canonical, digest, known
+from brackenladder.control.diff import Difference, apply_differences, differences
+from brackenladder.control.guard import Finding, check_change, count_serving
+from brackenladder.control.state import DesiredState, StateError, canonical, check_references, digest
 from brackenladder.membership.listing import Line
 
 VERSION = 1
-LARGEST_PLAN = 4 << 20  # bytes
+MAX_PLAN_BYTES = 4 << 20  # bytes
 HISTORY = 50  # applied changes that are remembered
 NAMED = 5  # keys that a refusal names
 
@@ -31,7 +31,7 @@
     seal: str = ""
 
 
-class Applied(msgspec.Struct, frozen=True):
+class AppliedChange(msgspec.Struct, frozen=True):
     """A change that a node has made. `at`: seconds of Unix time; `by`: the user's number."""
 
     at: float
@@ -41,28 +41,28 @@
     keys: tuple[str, ...]
 
 
-class Live(msgspec.Struct, frozen=True):
+class LiveState(msgspec.Struct, frozen=True):
     """What a node is now, as far as plans go."""
 
-    state: Desired
+    state: DesiredState
     lines: tuple[Line, ...]
     open_calls: dict[str, int]
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
-    history: tuple[Applied, ...] = ()
+    history: tuple[AppliedChange, ...] = ()
 
 
-class Refused(Exception):
+class PlanRefused(Exception):
     """The plan is not applied, and nothing has changed; the text says why."""
 
 
-def sealed(plan: Plan) -> str:
+def compute_seal(plan: Plan) -> str:
     return digest(msgspec.json.encode(msgspec.structs.replace(plan, seal=""), order="deterministic"))
 
 
-def planned(live: Live, desired: Desired, allow_empty: Collection[str] = ()) -> Plan:
+def make_plan(live: LiveState, desired: DesiredState, allow_empty: Collection[str] = ()) -> Plan:
     """The plan from a running node to a desired state. A StateError if the node cannot have it."""
-    known(desired, live.classes, live.tenants)
+    check_references(desired, live.classes, live.tenants)
     for name in allow_empty:
         if name not in desired.pools:
             raise StateError(f"--allow-empty {name}: no pool of this name")
@@ -71,58 +71,60 @@
         result=digest(canonical(desired)),
         changes=tuple(differences(live.state, desired)),
         allow_empty=tuple(sorted(allow_empty)),
-        findings=tuple(verdict(live, desired, allow_empty)),
-        rests_on=resting_on(desired, live.lines),
+        findings=tuple(evaluate(live, desired, allow_empty)),
+        rests_on=count_serving(desired, live.lines),
     )
-    return msgspec.structs.replace(plan, seal=sealed(plan))
+    return msgspec.structs.replace(plan, seal=compute_seal(plan))
 
 
-def verdict(live: Live, desired: Desired, allow_empty: Collection[str]) -> list[Finding]:
-    return judged(live.state, desired, live.lines, live.open_calls, live.classes, live.tenants, allow_empty)
+def evaluate(live: LiveState, desired: DesiredState, allow_empty: Collection[str]) -> list[Finding]:
+    return check_change(
+        live.state, desired, live.lines, live.open_calls, live.classes, live.tenants, allow_empty
+    )
 
 
-def read(data: bytes) -> Plan:
+def parse_plan(data: bytes) -> Plan:
     """A plan from its file. A Refused if it is none, or not as it was written."""
-    if len(data) > LARGEST_PLAN:
-        raise Refused(f"not a plan: over {LARGEST_PLAN} bytes")
+    if len(data) > MAX_PLAN_BYTES:
+        raise PlanRefused(f"not a plan: over {MAX_PLAN_BYTES} bytes")
     try:
         plan = msgspec.json.decode(data, type=Plan)
     except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as e:
-        raise Refused(f"not a plan: {e}") from None
+        raise PlanRefused(f"not a plan: {e}") from None
     if plan.version != VERSION:
-        raise Refused(f"a plan of version {plan.version}; this build reads {VERSION}")
-    if plan.seal != sealed(plan):
-        raise Refused("the plan was changed after it was made: make it anew")
+        raise PlanRefused(f"a plan of version {plan.version}; this build reads {VERSION}")
+    if plan.seal != compute_seal(plan):
+        raise PlanRefused("the plan was changed after it was made: make it anew")
     return plan
 
 
-def written(plan: Plan) -> bytes:
+def encode_plan(plan: Plan) -> bytes:
     return msgspec.json.format(msgspec.json.encode(plan, order="deterministic"), indent=1) + b"\n"
 
 
-def admitted(live: Live, plan: Plan) -> Desired:
+def check_plan(live: LiveState, plan: Plan) -> DesiredState:
     """The state that the plan leads to, if it may be applied now. A Refused says why not."""
     now = digest(canonical(live.state))
     if now == plan.result:
-        raise Refused("already applied: the node is in the state that this plan leads to")
+        raise PlanRefused("already applied: the node is in the state that this plan leads to")
     if now != plan.base:
-        raise Refused(stale(live.history, plan, now))
+        raise PlanRefused(explain_stale_plan(live.history, plan, now))
     try:
-        desired = applied(live.state, plan.changes)
-        known(desired, live.classes, live.tenants)
+        desired = apply_differences(live.state, plan.changes)
+        check_references(desired, live.classes, live.tenants)
     except StateError as e:
-        raise Refused(str(e)) from None
+        raise PlanRefused(str(e)) from None
     if digest(canonical(desired)) != plan.result:
-        raise Refused("the plan's differences do not lead to its result: make it anew")
-    found = verdict(live, desired, plan.allow_empty)
+        raise PlanRefused("the plan's differences do not lead to its result: make it anew")
+    found = evaluate(live, desired, plan.allow_empty)
     if found:
-        raise Refused("; ".join(finding.text for finding in found))
+        raise PlanRefused("; ".join(finding.text for finding in found))
     if plan.findings:
-        raise Refused("the plan was refused when it was made, for what holds no more: make it anew")
+        raise PlanRefused("the plan was refused when it was made, for what holds no more: make it anew")
     return desired
 
 
-def stale(history: Sequence[Applied], plan: Plan, now: str) -> str:
+def explain_stale_plan(history: Sequence[AppliedChange], plan: Plan, now: str) -> str:
     """Why a plan from another state is refused: the changes that came in between."""
     since = [i for i, change in enumerate(history) if change.base == plan.base]
     text = f"the node is in state {now}, the plan was made from {plan.base}"
@@ -133,13 +135,13 @@
     return f"{text}; changed since: {', '.join(keys[:NAMED])}{more}: make it anew"
 
 
-def remembered(history: Sequence[Applied], change: Applied) -> tuple[Applied, ...]:
+def append_history(history: Sequence[AppliedChange], change: AppliedChange) -> tuple[AppliedChange, ...]:
     return (*history, change)[-HISTORY:]
 
 
-def summary(live: Live) -> Mapping[str, Any]:
+def summary(live: LiveState) -> Mapping[str, Any]:
     """A node's state for `show`."""
-    able = resting_on(live.state, live.lines)
+    able = count_serving(live.state, live.lines)
     return {
         "digest": digest(canonical(live.state)),
         "state": live.state,
--- a/brackenladder/control/state.py
+++ b/brackenladder/control/state.py
@@ -14,25 +14,25 @@
 from brackenladder.routing.pools import DEFAULT, Name, PoolSpec, Weight
 from brackenladder.routing.routes import SUM_SLACK, RouteSpec, used_pools
 
-LARGEST_FILE = 1 << 20  # bytes
-MOST_POOLS, MOST_ROUTES = 200, 1_000
+MAX_FILE_BYTES = 1 << 20  # bytes
+MAX_POOLS, MAX_ROUTES = 200, 1_000
 
 
 class StateError(Exception):
     """It cannot be used; the text is one line that names the key."""
 
 
-class Desired(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class DesiredState(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """All that can be planned. The default pool is there even where it is not named."""
 
-    pools: Annotated[dict[Name, PoolSpec], Meta(max_length=MOST_POOLS)] = {}
-    routes: Annotated[tuple[RouteSpec, ...], Meta(max_length=MOST_ROUTES)] = ()
+    pools: Annotated[dict[Name, PoolSpec], Meta(max_length=MAX_POOLS)] = {}
+    routes: Annotated[tuple[RouteSpec, ...], Meta(max_length=MAX_ROUTES)] = ()
 
 
-NOTHING = Desired(pools={DEFAULT: PoolSpec()})  # a node with no pools configured
+DEFAULT_STATE = DesiredState(pools={DEFAULT: PoolSpec()})  # a node with no pools configured
 
 
-def canonical(state: Desired) -> bytes:
+def canonical(state: DesiredState) -> bytes:
     """The same bytes for the same state, whatever order its tables were written in."""
     return msgspec.json.encode(state, order="deterministic")
 
@@ -41,24 +41,24 @@
     return blake2b(data, digest_size=12).hexdigest()
 
 
-def parse(data: bytes) -> Desired:
+def parse_state(data: bytes) -> DesiredState:
     """A desired state from TOML. A StateError if it is none, or points at what it does not have."""
-    if len(data) > LARGEST_FILE:
-        raise StateError(f"over {LARGEST_FILE} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise StateError(f"over {MAX_FILE_BYTES} bytes")
     try:
         table = tomllib.loads(data.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as e:
         raise StateError(f"not TOML: {e}") from None
-    return checked(table)
+    return validate(table)
 
 
-def checked(table: Any) -> Desired:
+def validate(table: Any) -> DesiredState:
     """A desired state from plain tables."""
     try:
-        state = msgspec.convert(table, Desired)
+        state = msgspec.convert(table, DesiredState)
     except msgspec.ValidationError as e:
-        raise StateError(pool_at(table) or told(str(e))) from None
-    state = Desired(pools={DEFAULT: PoolSpec(), **state.pools}, routes=state.routes)
+        raise StateError(describe_pool_error(table) or describe_error(str(e))) from None
+    state = DesiredState(pools={DEFAULT: PoolSpec(), **state.pools}, routes=state.routes)
     for name, pool in state.pools.items():
         for key in pool.weights:
             if not re.fullmatch(r"(kind|server):.+", key):
@@ -75,7 +75,7 @@
     return state
 
 
-def pool_at(table: Any) -> str:
+def describe_pool_error(table: Any) -> str:
     """What is wrong with the first pool that cannot be read: converting the whole does not name it."""
     pools = table.get("pools") if isinstance(table, dict) else None
     for name, pool in pools.items() if isinstance(pools, dict) else ():
@@ -88,11 +88,11 @@
                 msgspec.convert(value, kind)
             except msgspec.ValidationError as e:
                 inner = f".{where}: " if isinstance(where, str) else ": " if where is str else "."
-                return f"pools.{name}{inner}{told(str(e))}"
+                return f"pools.{name}{inner}{describe_error(str(e))}"
     return ""
 
 
-def known(state: Desired, classes: Sequence[str], tenants: Sequence[str]) -> None:
+def check_references(state: DesiredState, classes: Sequence[str], tenants: Sequence[str]) -> None:
     """A StateError if a route names a class or tenant that the node does not have."""
     for i, route in enumerate(state.routes):
         for key, names, have in (("classes", route.classes, classes), ("tenants", route.tenants, tenants)):
@@ -101,12 +101,12 @@
                     raise StateError(f"routes[{i}].{key}: no {key[:-1].rstrip('e')} '{name}'")
 
 
-def warnings(state: Desired) -> list[str]:
+def warnings(state: DesiredState) -> list[str]:
     """What is no error, but hardly meant."""
     return [f"pools.{name}: no route uses it" for name in sorted(set(state.pools) - used_pools(state.routes))]
 
 
-def told(text: str) -> str:
+def describe_error(text: str) -> str:
     """msgspec's message with the key first."""
     what, _, where = text.partition(" - at `")
     key = re.sub(r"^\$\.?", "", where.rstrip("`"))
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -207,7 +207,7 @@
         self._membership.tick()
         self.soft_state.tick()
         self.recovery.tick()
-        self.orders.held_calls.look(self._clock())
+        self.orders.held_calls.check_limits(self._clock())
 
     async def _close_listeners(self, grace_seconds: float) -> None:
         await asyncio.gather(
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -129,7 +129,7 @@
         """Repeats an attempt until it succeeds or the time is up."""
         result: Result[Clear, Unavailable] = Failure(Unavailable.TIMEOUT)
         limit = self._clock() + int(seconds * MICROSECONDS_PER_SECOND)
-        with self.held_calls.until(f"a call with {seconds:.1f} s", limit):
+        with self.held_calls.track(f"a call with {seconds:.1f} s", limit):
             try:
                 async with asyncio.timeout(seconds):
                     while True:
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -110,7 +110,7 @@
         if not self._gateways.settled(now):
             return NO_GATEWAYS
         for name, node in self._gateway_nodes.items():
-            self._gateways.record_link_activity(node, now - self._subscribers[name].silence)
+            self._gateways.record_link_activity(node, now - self._subscribers[name].time_since_receive)
         current = self._may_publish_catalog(now) and not self._state_age.lacks_committed()
         return self._directory.resolve(now, client, current)
 
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -38,7 +38,7 @@
     Servers,
 )
 from brackenladder.rehearsal.scenario import Clients as ClientsTable
-from brackenladder.settings import settings_of
+from brackenladder.settings import parse_settings
 
 BEGIN = 1_000_000_000_000_000  # of the run, in the queue's time: Unix time, so that starts can be told
 MOST_MEMORY = 4 << 30  # bytes that a run may be expected to take
@@ -176,7 +176,7 @@
         node = Node(
             name,
             zone,
-            settings_of(table),
+            parse_settings(table),
             Random(f"node {self.seed} {index if not tier else name}"),
             around,
             self.sources[2 * tier : 2 * tier + 2],
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -76,7 +76,7 @@
 
     async def handle(self) -> web.StreamResponse:
         """Serve the request. The returned response has been sent already, or is sent by the caller."""
-        with self.context.held_calls.until(f"request for {self.target}", self.began + MAX_HOLD) as held:
+        with self.context.held_calls.track(f"request for {self.target}", self.began + MAX_HOLD) as held:
             self._held_call = held
             return await self._serve()
 
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -133,7 +133,7 @@
 
     def check_held_calls(self) -> None:
         """Count the calls that are held beyond their time limits; has to be called periodically."""
-        self._context.held_calls.look(self._clock())
+        self._context.held_calls.check_limits(self._clock())
 
     @property
     def ready(self) -> bool:
--- a/brackenladder/held_calls.py
+++ b/brackenladder/held_calls.py
@@ -40,7 +40,7 @@
         return len(self._calls)
 
     @contextmanager
-    def until(self, name: str, limit: int) -> Iterator[HeldCall]:
+    def track(self, name: str, limit: int) -> Iterator[HeldCall]:
         """The call lasts as long as the block."""
         call = HeldCall(name, limit)
         self._calls.add(call)
@@ -49,7 +49,7 @@
         finally:
             self._calls.discard(call)
 
-    def look(self, now: int) -> None:
+    def check_limits(self, now: int) -> None:
         """To be called again and again: counts each call that is held too long, once.
 
         A process that stood still can't have ended its calls, so that the time between two looks counts up
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -570,7 +570,7 @@
                 connection.transport.abort()
         self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
-    def attend(self, service: Service) -> None:
+    def set_service_state(self, service: Service) -> None:
         """Applies the step that an operator's pause has reached."""
         self.draining = service >= Service.PAUSED
         self.closing = service >= Service.CLOSING
--- a/brackenladder/http/front.py
+++ b/brackenladder/http/front.py
@@ -108,9 +108,9 @@
         """Listens on an inherited socket. Raises OSError if it is not a listening socket."""
         self.clients.adopt(number)
 
-    def attend(self, service: Service) -> None:
+    def set_service_state(self, service: Service) -> None:
         """Applies the step that an operator's pause has reached."""
-        self.clients.attend(service)
+        self.clients.set_service_state(service)
 
     async def drain(self) -> None:
         """Shuts down after answering the requests that were accepted."""
--- a/brackenladder/invariants.py
+++ b/brackenladder/invariants.py
@@ -59,7 +59,7 @@
         return sum(self.violations().values())
 
     @contextmanager
-    def apart(self) -> Iterator[None]:
+    def restoring_counts(self) -> Iterator[None]:
         """For a test that breaks one on purpose: what is counted inside is taken back at the end."""
         before = self.violations()
         try:
--- a/brackenladder/membership/listing.py
+++ b/brackenladder/membership/listing.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from brackenladder.interface import ListKind, State
-from brackenladder.settings import Fields
+from brackenladder.settings import FieldReader
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 
@@ -42,26 +42,26 @@
     """
     if not isinstance(table, dict):
         raise ValueError("list: not an object")
-    fields = Fields(table, "list.")
+    fields = FieldReader(table, "list.")
     if kind is None:
         kind = ListKind.FULL if fields.flag("full") else ListKind.CHANGES
     lines = tuple(read_line(line) for line in fields.tables("servers"))
-    return Listing(kind, fields.whole("version"), lines)
+    return Listing(kind, fields.integer("version"), lines)
 
 
-def read_line(line: Fields) -> Line:
+def read_line(line: FieldReader) -> Line:
     """Parses one server. An unknown state counts as draining, so that it gets no new requests."""
     host, _, port = line.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise line.bad("addr")
+        raise line.invalid("addr")
     return Line(
         id=line.text("id"),
         host=host.strip("[]"),
         port=int(port),
         zone=line.text("zone", ""),
         kind=line.text("kind", ""),
-        cell=line.whole("cell", 0),
+        cell=line.integer("cell", 0),
         state=STATES.get(line.text("state"), State.DRAINING),
         weight=line.number("weight", 1.0),
-        started=line.whole("started_ms", 0) * 1000,
+        started=line.integer("started_ms", 0) * 1000,
     )
--- a/brackenladder/node/held_signal.py
+++ b/brackenladder/node/blocked_signals.py
@@ -9,14 +9,14 @@
 
 import signal
 
-HELD = frozenset({signal.SIGHUP, signal.SIGTERM})
+BLOCKED_SIGNALS = frozenset({signal.SIGHUP, signal.SIGTERM})
 
 
-def hold() -> None:
+def block() -> None:
     """From now on these signals wait."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD)
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
 
 
-def release() -> None:
+def unblock() -> None:
     """What has waited comes now, and later ones at once."""
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD)
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -9,7 +9,7 @@
 
 from brackenladder.interface import ListKind, Settings
 from brackenladder.membership.listing import Listing, read_listing
-from brackenladder.settings import COLUMNS, Fields, settings_of
+from brackenladder.settings import COLUMNS, FieldReader, parse_settings
 
 Address = tuple[str, int]
 
@@ -54,7 +54,7 @@
     folder: str | None = None  # private to the node's processes
 
 
-def read_address(text: object, what: str) -> Address:
+def parse_address(text: object, what: str) -> Address:
     """`host:port` as a pair; a ConfigError that names `what` otherwise."""
     if isinstance(text, str):
         host, _, port = text.rpartition(":")
@@ -90,16 +90,16 @@
         table["discovery"] = f"{last.discovery[0]}:{last.discovery[1]}" if same else filed
     try:
         return replace(
-            read(table),
+            parse_table(table),
             filed_discovery=filed,
-            passed=descriptor(environ.get("LB_PASSED_SOCKET")),
+            passed=parse_descriptor(environ.get("LB_PASSED_SOCKET")),
             folder=environ.get("TMPDIR") or None,
         )
     except ValueError as e:
         raise ConfigError(str(e)) from None
 
 
-def descriptor(text: str | None) -> int | None:
+def parse_descriptor(text: str | None) -> int | None:
     """The number of a descriptor that was handed down, if one was."""
     if not text:
         return None
@@ -108,7 +108,7 @@
     return int(text)
 
 
-def read(table: dict[str, Any]) -> Config:
+def parse_table(table: dict[str, Any]) -> Config:
     """A Config from the decoded file. What is missing or impossible is a ValueError or a ConfigError."""
     name, seed = table.get("name"), table.get("seed", "0")
     if not isinstance(name, str):
@@ -117,40 +117,40 @@
         number = int(seed, 16)
     except (TypeError, ValueError):
         raise ConfigError("seed: not a hexadecimal number") from None
-    fields = Fields(table)
-    given = fields.sub("limits", optional=True)
-    sockets, memory = given.whole("sockets", 1024), given.whole("memory_mb", 128)
+    fields = FieldReader(table)
+    given = fields.nested("limits", optional=True)
+    sockets, memory = given.integer("sockets", 1024), given.integer("memory_mb", 128)
     door = table.get("operator")
     reserved = RESERVED_SOCKETS + (DOOR_SOCKETS if door else 0)
     if sockets < reserved + LEAST_CONNECTIONS:
         raise ConfigError(f"limits.sockets: at least {reserved + LEAST_CONNECTIONS} are needed")
     peer_listen, peers_all = table.get("peer_listen"), table.get("peers_all")
-    settings = fields.sub("settings")
-    limits = settings.sub("policy_limits")
-    report = settings.sub("report", optional=True)
+    settings = fields.nested("settings")
+    limits = settings.nested("policy_limits")
+    report = settings.nested("report", optional=True)
     columns = [str(c) for c in report.items("columns")]
     known = table.get("known")
     return Config(
         name=name,
-        listen=read_address(table.get("listen"), "listen"),
-        discovery=read_address(table.get("discovery"), "discovery"),
+        listen=parse_address(table.get("listen"), "listen"),
+        discovery=parse_address(table.get("discovery"), "discovery"),
         filed_discovery=table.get("discovery"),
         seed=number,
         connections=sockets - reserved,
         most_held=(memory << 20) // HELD_SHARE,
         most_bulk=int((memory << 20) * BULK_SHARE),
-        peer_listen=read_address(peer_listen, "peer_listen") if peer_listen else None,
-        peers=tuple(read_address(p, "peers") for p in fields.items("peers")),
-        peers_all=read_address(peers_all, "peers_all") if peers_all else None,
+        peer_listen=parse_address(peer_listen, "peer_listen") if peer_listen else None,
+        peers=tuple(parse_address(p, "peers") for p in fields.items("peers")),
+        peers_all=parse_address(peers_all, "peers_all") if peers_all else None,
         known=read_listing(known, ListKind.CACHED) if known else None,
-        door=read_address(door, "operator") if door else None,
-        settings=settings_of(settings.table),
+        door=parse_address(door, "operator") if door else None,
+        settings=parse_settings(settings.table),
         classes=tuple(c.text("name") for c in settings.tables("classes")),
         tenants=tuple(t.text("name") for t in settings.tables("tenants", optional=True)),
         zones=tuple(str(z) for z in settings.items("dcs")),
         kinds=tuple(str(k) for k in settings.items("kinds")),
-        connect_timeout=limits.whole("connect_timeout", 250_000) / 1e6,
-        idle_time=limits.whole("conn_idle", 15_000_000) / 1e6,
+        connect_timeout=limits.integer("connect_timeout", 250_000) / 1e6,
+        idle_time=limits.integer("conn_idle", 15_000_000) / 1e6,
         inline_reports=report.text("how", "off") == "inline",
         report_names=tuple((c, COLUMNS.get(c, c)) for c in columns),
     )
--- a/brackenladder/node/control_links.py
+++ b/brackenladder/node/control_links.py
@@ -46,7 +46,7 @@
         self._relay_choice = relay_choice
         self._on_notices = on_notices
         self._relay = ""  # the control node that relays prefix notices; empty: none is linked
-        self.informed = (
+        self.has_prefix_notices = (
             False  # other gateways' notices have come: what traffic leans on, or that it is unknown
         )
         self._seeds: tuple[str, ...] = ()
@@ -65,13 +65,13 @@
         """Whether prefix notices reach other gateways."""
         return self._relay in self._links
 
-    def announce(self) -> None:
+    def announce_presence(self) -> None:
         """Tells all control nodes the gateway's presence now."""
         message = self._presence.announce(self._clock(), self._subscriber.view.revision)
         for address, link in self._links.items():
             link.send(evolve(message, relay=True) if address == self._relay else message)
 
-    def tell(self, notices: PrefixNotices) -> None:
+    def send_prefix_notices(self, notices: PrefixNotices) -> None:
         """Has the other gateways told which prefixes servers have been sent."""
         link = self._links.get(self._relay)
         if link is not None:
@@ -83,13 +83,13 @@
         if self._links:
             self._linked_at = now
         if self._presence.due(now):
-            self.announce()
+            self.announce_presence()
         if self._subscriber.control_nodes != self._told or now - self._linked_at > UNREACHED:
             self._told = self._subscriber.control_nodes
             self._choose()
         self._choose_relay()
 
-    def up(self, address: str, link: Link) -> None:
+    def link_up(self, address: str, link: Link) -> None:
         """A link to a control node is up."""
         self._links[address] = link
         self._subscriber.connected(self._clock(), address)
@@ -98,7 +98,7 @@
     def received(self, address: str, link: Link, message: object) -> None:
         """A control node has told something."""
         if isinstance(message, PrefixNotices):
-            self.informed = True
+            self.has_prefix_notices = True
             self._on_notices(message)
             return
         known = self._subscriber.view.revision
@@ -119,7 +119,7 @@
             if address != source:
                 link.send(message)
 
-    def down(self, address: str, link: Link, reason: LinkClosed) -> None:
+    def link_down(self, address: str, link: Link, reason: LinkClosed) -> None:
         """A link has gone."""
         if self._links.get(address) is not link:
             return
@@ -134,7 +134,7 @@
         relay = self._relay_choice.nearest(self._links, zones) if zones else ""
         if relay != self._relay:
             self._relay = relay
-            self.announce()
+            self.announce_presence()
 
     def _choose(self) -> None:
         """Dials and closes in the sequence of addresses, which is the same in every process."""
@@ -165,10 +165,10 @@
         self._address = address
 
     def connected(self, link: Link) -> None:
-        self._links.up(self._address, link)
+        self._links.link_up(self._address, link)
 
     def received(self, link: Link, message: object) -> None:
         self._links.received(self._address, link, message)
 
     def closed(self, link: Link, reason: LinkClosed) -> None:
-        self._links.down(self._address, link, reason)
+        self._links.link_down(self._address, link, reason)
--- a/brackenladder/node/control_role.py
+++ b/brackenladder/node/control_role.py
@@ -68,21 +68,21 @@
 
     def _replica_start(self, opened: OpenedStore) -> ReplicaStart:
         replica_id = opened.store.identity.replica_id
-        founds = self._founds(opened.succeeds_damaged)
+        founds = self._founds(opened.replaces_damaged)
         founder = founds and replica_id == genesis_replica_id(self._platform.inner_address)
         return ReplicaStart(replica_id, opened.state, self._genesis() if founder else None)
 
-    def _new_replica_id(self, succeeds_damaged: bool) -> str:
-        if self._founds(succeeds_damaged):
+    def _new_replica_id(self, replaces_damaged: bool) -> str:
+        if self._founds(replaces_damaged):
             return genesis_replica_id(self._platform.inner_address)
         return secrets.token_hex(REPLICA_ID_BYTES)
 
-    def _founds(self, succeeds_damaged: bool) -> bool:
+    def _founds(self, replaces_damaged: bool) -> bool:
         """This node is one of the first voters of a system that starts for the very first time.
 
         A node whose store was set aside is not: the system may have started, and it would vote twice.
         """
-        first = self._platform.bootstrap and not succeeds_damaged
+        first = self._platform.bootstrap and not replaces_damaged
         return first and self._platform.listen.control in self._platform.seeds
 
     def _genesis(self) -> Members:
--- a/brackenladder/node/control.py
+++ b/brackenladder/node/control_socket.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from brackenladder.control.plan import LARGEST_PLAN, Refused, read, summary
+from brackenladder.control.plan import MAX_PLAN_BYTES, PlanRefused, parse_plan, summary
 from brackenladder.node.operator import ControlTable
 from brackenladder.node.pools import Pools
 
 VERSION = 1
-LARGEST_LINE = 2 * LARGEST_PLAN  # bytes: a plan in a string
+LARGEST_LINE = 2 * MAX_PLAN_BYTES  # bytes: a plan in a string
 PATIENCE = 10.0  # seconds for a line to come whole
 CLIENTS = 8  # connections at once
 
 
-class Asked(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ControlRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A line from an operator's command."""
 
     version: int
@@ -31,7 +31,7 @@
     plan: str = ""
 
 
-class Control:
+class ControlSocket:
     """`users`: who may speak here beside the user that the node runs as, and root."""
 
     def __init__(self, pools: Pools, table: ControlTable, log: Callable[[str], None]) -> None:
@@ -60,7 +60,7 @@
 
     def end(self) -> None:
         """The node ends: no change comes any more."""
-        self.pools.last_orders()
+        self.pools.begin_shutdown()
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -98,7 +98,7 @@
     def answer(self, line: bytes, user: int) -> bytes:
         """What is said to one line."""
         try:
-            asked = msgspec.json.decode(line, type=Asked)
+            asked = msgspec.json.decode(line, type=ControlRequest)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as e:
             return refusal(f"not a call: {e}")
         if asked.version != VERSION:
@@ -118,10 +118,10 @@
     def apply(self, text: str, user: int) -> bytes:
         seal = "-"
         try:
-            plan = read(text.encode())
+            plan = parse_plan(text.encode())
             seal = plan.seal
             self.pools.apply(plan, user)
-        except Refused as e:
+        except PlanRefused as e:
             self.note(user, seal, f"refused: {e}")
             return refusal(str(e))
         self.note(user, seal, f"applied: {plan.base} to {plan.result}, {len(plan.changes)} keys")
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -38,7 +38,7 @@
 
 
 @frozen
-class GatewaySurroundings:
+class GatewayEnvironment:
     """What a gateway has of its host: clocks, random numbers, links and sockets."""
 
     clock: Callable[[], int] = monotonic_microseconds
@@ -55,10 +55,10 @@
         self,
         platform: Platform,
         front: socket | None = None,
-        surroundings: GatewaySurroundings | None = None,
+        environment: GatewayEnvironment | None = None,
     ) -> None:
         """`front`: listens for clients already."""
-        self._surroundings = surroundings = surroundings or GatewaySurroundings()
+        self._environment = environment = environment or GatewayEnvironment()
         self._platform = platform
         self._subscriber = Subscriber()
         self._presence = Presence(
@@ -66,17 +66,17 @@
             platform.listen.front,
             platform.zone,
             platform.region,
-            surroundings.wall_clock(),
+            environment.wall_clock(),
         )
         self._announcer = PrefixAnnouncer(self._notices_pending)
         self._gateway = Gateway(
             platform,
             self._subscriber.view,
-            surroundings.clock,
-            surroundings.random(),
+            environment.clock,
+            environment.random(),
             self._announcer,
             front=front,
-            open_socket=surroundings.open_socket,
+            open_socket=environment.open_socket,
         )
         self._timer: asyncio.TimerHandle | None = None
         self._unreadable_told = 0  # the newest revision whose document could not be read, as logged
@@ -88,13 +88,13 @@
     async def start(self) -> None:
         """Begins to listen and to follow the control nodes; ready once the view is complete."""
         self._loop = asyncio.get_running_loop()
-        self._transport = self._surroundings.transport(self._platform.node_name)
+        self._transport = self._environment.transport(self._platform.node_name)
         self._links = ControlLinks(
             self._transport,
             self._subscriber,
             self._presence,
-            self._surroundings.clock,
-            self._surroundings.random(),
+            self._environment.clock,
+            self._environment.random(),
             RelayChoice(self._platform.node_name, self._platform.zone, self._platform.zones),
             self._gateway.receive_prefix_notices,
         )
@@ -116,7 +116,7 @@
             return  # it never came to listen
         self._gateway.ready = False
         self._presence.set_state(GatewayState.LEAVING)
-        self._links.announce()
+        self._links.announce_presence()
         await self._gateway.drain(self._platform.bounds.grace_s)
         self._timer.cancel()
         await self._gateway.close()
@@ -125,7 +125,7 @@
     def _tick(self) -> None:
         starting = self._presence.state is GatewayState.STARTING
         self._timer = self._loop.call_later(STARTING_TICK_SECONDS if starting else TICK_SECONDS, self._tick)
-        now = self._surroundings.clock()
+        now = self._environment.clock()
         self._subscriber.tick(now)
         self._tell_unreadable()
         self._links.tick()
@@ -146,7 +146,7 @@
         """Whether the neighbours' knowledge of prefixes is here, or has been waited for."""
         if self._complete_at is None:
             self._complete_at = now
-        return self._links.informed or now - self._complete_at >= INFORMED_PATIENCE
+        return self._links.has_prefix_notices or now - self._complete_at >= INFORMED_PATIENCE
 
     def _notices_pending(self) -> None:
         self._loop.call_later(NOTICE_SECONDS, self._tell_notices)
@@ -154,7 +154,7 @@
     def _tell_notices(self) -> None:
         notices = self._announcer.take()
         if notices is not None:
-            self._links.tell(notices)
+            self._links.send_prefix_notices(notices)
 
     def _become_ready(self) -> None:
         view = self._subscriber.view
--- a/brackenladder/node/http.py
+++ b/brackenladder/node/http.py
@@ -18,7 +18,12 @@
 
 
 def http_pool(
-    config: Config, loop: asyncio.AbstractEventLoop, messenger: Messenger, clock: Clock, log: Log, strays: Log
+    config: Config,
+    loop: asyncio.AbstractEventLoop,
+    messenger: Messenger,
+    clock: Clock,
+    log: Log,
+    stray_log: Log,
 ) -> Pool:
     """Half of the connections are the servers'."""
     settings = config.settings
@@ -37,7 +42,7 @@
         config.seed,
         loop,
         upstream,
-        lambda told: source(loop, config.discovery, config.known, settings.instances, told, strays.line),
+        lambda told: source(loop, config.discovery, config.known, settings.instances, told, stray_log.line),
         messenger,
         config.zones,
         config.kinds,
--- a/brackenladder/node/listener.py
+++ b/brackenladder/node/listener.py
@@ -17,7 +17,7 @@
     def adopt(self, number: int) -> None:
         """Listens on a socket that was handed down as a descriptor. An OSError if it is no such socket."""
 
-    def attend(self, service: Service) -> None:
+    def set_service_state(self, service: Service) -> None:
         """An operator's pause has come so far, or is over. Called again and again while it lasts."""
 
     async def drain(self) -> None:
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -7,14 +7,14 @@
 from typing import TYPE_CHECKING
 
 from brackenladder.core.clock import Clock
-from brackenladder.node.config import Config, read_address
+from brackenladder.node.config import Config, parse_address
 from brackenladder.node.http import http_front, http_pool
 from brackenladder.node.listener import Listener
 from brackenladder.node.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
 from brackenladder.peers.datagrams import PeerDatagrams
 
 if TYPE_CHECKING:
-    from brackenladder.node.control import Control
+    from brackenladder.node.control_socket import ControlSocket
     from brackenladder.node.handover import Handover
     from brackenladder.node.members import Members
     from brackenladder.node.operations import Operations
@@ -44,15 +44,15 @@
         self.loop = loop
         self.log = Log(config.name, LINES_A_SECOND)
         # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
-        self.strays = Log(config.name, STRAYS_A_SECOND)
+        self.stray_log = Log(config.name, STRAYS_A_SECOND)
         self.clock = Clock()
-        self.peers = PeerDatagrams(config.peers, config.peers_all, self.heard, self.strays.line)
+        self.peers = PeerDatagrams(config.peers, config.peers_all, self.heard, self.stray_log.line)
         rpc = operator.rpc if operator is not None else None
         if rpc is not None:
             from brackenladder.node.rpc import without
 
             config = without(config, rpc)
-        self.http = http_pool(config, loop, self.peers, self.clock, self.log, self.strays)
+        self.http = http_pool(config, loop, self.peers, self.clock, self.log, self.stray_log)
         self.front = http_front(config, loop, self.http, self.ready, self.log)
         self.pools = {"http": self.http}
         self.listeners = {"http": Listener(self.front, config.listen, config.passed)}
@@ -74,7 +74,7 @@
                 self.add_handover(config.folder)
         if rpc is not None:
             self.add_rpc(rpc)
-        self.control: Control | None = None
+        self.control: ControlSocket | None = None
         if operator is not None and operator.control is not None:
             self.add_control(operator.control)
         self.members: Members | None = None
@@ -117,11 +117,11 @@
             host.set_instances(number)
 
     def add_control(self, table: ControlTable) -> None:
-        from brackenladder.node.control import Control
+        from brackenladder.node.control_socket import ControlSocket
         from brackenladder.node.pools import Pools
 
         pools = Pools(self.config, self.loop, self.clock, self.http, self.front, self.log.line)
-        self.control = Control(pools, table, self.log.line)
+        self.control = ControlSocket(pools, table, self.log.line)
 
     def add_handover(self, folder: str) -> None:
         from brackenladder.node.handover import Handover
@@ -136,15 +136,15 @@
     def add_rpc(self, table: RpcTable) -> None:
         from brackenladder.node.rpc import rpc_front, rpc_pool
 
-        pool = rpc_pool(table, self.config, self.loop, self.clock, self.log, self.strays)
-        front = rpc_front(table, self.config, self.loop, pool, self.strays)
+        pool = rpc_pool(table, self.config, self.loop, self.clock, self.log, self.stray_log)
+        front = rpc_front(table, self.config, self.loop, pool, self.stray_log)
         self.pools["rpc"] = pool
-        self.listeners["rpc"] = Listener(front, read_address(table.listen, "rpc.listen"))
+        self.listeners["rpc"] = Listener(front, parse_address(table.listen, "rpc.listen"))
 
     def ready(self) -> bool:
         """Whether every pool has a server list."""
         asks = self.recovery is not None and not self.recovery.startup.serves
-        return not asks and all(pool.listed for pool in self.pools.values())
+        return not asks and all(pool.has_listing for pool in self.pools.values())
 
     def heard(self, peer: int, data: bytes) -> None:
         """A peer's message: it is HTTP's pool that speaks with others."""
@@ -229,7 +229,7 @@
             from brackenladder.node.operator import moved
 
             self.operator = moved(old, new.rpc.discovery)
-            address = read_address(new.rpc.discovery, "rpc.discovery")
+            address = parse_address(new.rpc.discovery, "rpc.discovery")
             self.pools["rpc"].source.change_address(address)
             self.log.line(f"reload: rpc.discovery {address[0]}:{address[1]}")
         return left
@@ -247,7 +247,7 @@
         if self.members is not None:
             self.members.end()
         for pool in self.pools.values():
-            pool.last_orders()
+            pool.begin_shutdown()
         await asyncio.gather(*(listener.front.drain() for listener in self.listeners.values()))
         for pool in self.pools.values():
             pool.source.close()
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -78,7 +78,7 @@
         self.loop.call_later(LOOK_AT_HOLDS, self.look_at_holds)
 
     def changed(self, servers: Sequence[str]) -> None:
-        if servers and self.pool.listed:
+        if servers and self.pool.has_listing:
             self.pool.roster.apply_listing(self.maintenance.news_of(servers, 0))
 
     def hold(self, call: OperatorCall) -> bytes:
@@ -136,6 +136,6 @@
             return
         self.service = self.pause.service(self.loop.time())
         for front in self.fronts():
-            front.attend(self.service)
+            front.set_service_state(self.service)
         if self.service != Service.SERVING:
             self.looking = self.loop.call_later(LOOK, self.look_at_pause)
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -21,7 +21,7 @@
 from brackenladder.interface import Settings
 from brackenladder.membership.listing import Listing
 
-Told = Callable[[Listing | None], None]
+OnListing = Callable[[Listing | None], None]
 
 
 class Source(Directory, Protocol):
@@ -64,7 +64,7 @@
         seed: int,
         loop: asyncio.AbstractEventLoop,
         upstream: PoolUpstream,
-        source: Callable[[Told], Source],
+        source: Callable[[OnListing], Source],
         messenger: Messenger,
         zones: Sequence[str],
         kinds: Sequence[str],
@@ -75,28 +75,30 @@
         self.upstream = upstream
         self.host = Host(settings, seed, loop, upstream, log, clock)
         self.roster = Roster(self.host, upstream, zones, kinds)
-        self.source = source(self.told)
+        self.source = source(self.on_listing)
         self.host.directory = self.source
         self.host.messenger = messenger
-        self.listed = False  # a server list has come
+        self.has_listing = False  # a server list has come
         self.admit: Callable[[Listing], Listing] | None = None  # what operators lay over the list
-        self.spread: Callable[[Listing], None] | None = None  # hands it to several pools in place of this one
+        self.distribute: Callable[[Listing], None] | None = (
+            None  # hands it to several pools in place of this one
+        )
 
     def start(self) -> None:
         """The module begins to run, and hears of the servers."""
         self.host.start()
         self.source.start()
 
-    def told(self, listing: Listing | None) -> None:
+    def on_listing(self, listing: Listing | None) -> None:
         """News of the list; None if a call to its source failed."""
-        self.listed = self.listed or listing is not None
+        self.has_listing = self.has_listing or listing is not None
         if self.admit is not None and listing is not None:
             listing = self.admit(listing)
-        if self.spread is not None and listing is not None:
-            self.spread(listing)
+        if self.distribute is not None and listing is not None:
+            self.distribute(listing)
         else:
             self.roster.apply_listing(listing)
 
-    def last_orders(self) -> None:
+    def begin_shutdown(self) -> None:
         """The node is to end: what it takes from now on must be concluded before it is killed."""
         self.host.conclude_by = last_moment(self.host.now(), self.settings.classes)
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from brackenladder.control.plan import Applied, Live, Plan, admitted, remembered
-from brackenladder.control.state import NOTHING, Desired
+from brackenladder.control.plan import AppliedChange, LiveState, Plan, append_history, check_plan
+from brackenladder.control.state import DEFAULT_STATE, DesiredState
 from brackenladder.core.clock import Clock
 from brackenladder.core.ending import last_moment
 from brackenladder.core.host import Host
@@ -29,7 +29,7 @@
 OBJECT = b"obj="  # in a target's query
 
 
-class Quiet:
+class NullDirectory:
     """For pools beside the first, which alone asks for the list; the upstream is told once for all."""
 
     def watch(self, on: bool) -> None:
@@ -42,11 +42,11 @@
         """The upstream has been told."""
 
 
-class Side(Roster):
+class RoutedPool(Roster):
     """A pool's host, and its part of the list."""
 
     def __init__(self, name: str, spec: PoolSpec, host: Host, config: Config, pools: Pools) -> None:
-        super().__init__(host, Quiet(), config.zones, config.kinds)
+        super().__init__(host, NullDirectory(), config.zones, config.kinds)
         self.name = name
         self.spec = spec
         self.pools = pools
@@ -54,9 +54,9 @@
     def entry(self, number: int, line: Line) -> ServerEntry:
         entry = super().entry(number, line)
         share = weight(self.spec, line)
-        return replace(entry, share=share or 1.0, pools=self.pools.counts.get(line.id, 1))
+        return replace(entry, share=share or 1.0, pools=self.pools.pools_per_server.get(line.id, 1))
 
-    def hear(self, listing: Listing) -> None:
+    def apply_pool_listing(self, listing: Listing) -> None:
         self.apply_listing(pool_listing(self.spec, listing))
 
 
@@ -83,51 +83,55 @@
         self.first = first
         self.front = front
         self.log = log
-        self.state = NOTHING
-        self.kept: LatestList | None = None
-        self.history: tuple[Applied, ...] = ()
-        self.counts: dict[str, int] = {}  # pools that have a server, where there are several pools
-        self.sides = {DEFAULT: Side(DEFAULT, PoolSpec(), first.host, config, self)}
+        self.state = DEFAULT_STATE
+        self.latest_list: LatestList | None = None
+        self.history: tuple[AppliedChange, ...] = ()
+        self.pools_per_server: dict[str, int] = {}  # pools that have a server, where there are several pools
+        self.routed_pools = {DEFAULT: RoutedPool(DEFAULT, PoolSpec(), first.host, config, self)}
         self.changed: Callable[[], None] = lambda: None  # hears of each plan that was applied
         self.closed = False  # nothing is taken: every request is refused at once
-        self.leaving: list[Side] = []  # pools that are gone, until their last call has ended
-        self.draw = random.random  # which requests of a split go where is no secret, and not for the module
+        self.draining: list[RoutedPool] = []  # pools that are gone, until their last call has ended
+        self.random_fraction = (
+            random.random
+        )  # which requests of a split go where is no secret, and not for the module
         self.router = Router((), config.classes, config.tenants)
-        first.spread = self.spread
+        first.distribute = self.distribute
 
     # ---- the list -------------------------------------------------------------------------------------
 
     def count(self, lines: Iterable[Line]) -> None:
         """Takes note of how many pools have each server."""
-        if len(self.sides) == 1:
-            self.counts.clear()
+        if len(self.routed_pools) == 1:
+            self.pools_per_server.clear()
             return
         for line in lines:
             if line.state == State.GONE:
-                self.counts.pop(line.id, None)
+                self.pools_per_server.pop(line.id, None)
             else:
-                self.counts[line.id] = max(1, sum(contains(side.spec, line) for side in self.sides.values()))
+                self.pools_per_server[line.id] = max(
+                    1, sum(contains(pool.spec, line) for pool in self.routed_pools.values())
+                )
 
-    def spread(self, listing: Listing) -> None:
+    def distribute(self, listing: Listing) -> None:
         """News of the list, to the upstream first and to every pool then."""
-        if self.kept is None:
-            self.kept = LatestList(listing)
+        if self.latest_list is None:
+            self.latest_list = LatestList(listing)
         else:
-            self.kept.apply(listing)
+            self.latest_list.apply(listing)
         if listing.kind != ListKind.CHANGES:
-            self.counts.clear()
+            self.pools_per_server.clear()
         self.count(listing.lines)
         latest = {number_of(line.id): line for line in listing.lines}
         self.first.upstream.update(listing.kind, latest)
-        self.leaving = [side for side in self.leaving if side.host.calls]
-        for side in (*self.sides.values(), *self.leaving):
-            side.hear(listing)
+        self.draining = [pool for pool in self.draining if pool.host.calls]
+        for pool in (*self.routed_pools.values(), *self.draining):
+            pool.apply_pool_listing(listing)
 
     # ---- requests -------------------------------------------------------------------------------------
 
     def hosts(self) -> list[Host]:
         """Every pool's."""
-        return [side.host for side in self.sides.values()]
+        return [pool.host for pool in self.routed_pools.values()]
 
     def route(self, klass: int, tenant: int, target: bytes, name: bytes) -> Host:
         """The host that takes a request."""
@@ -136,16 +140,16 @@
         key = ""
         if by:
             key = (name if by == "tenant" else query.rpartition(OBJECT)[2]).decode("latin-1")
-        return self.sides[self.router.route(klass, tenant, path, key, self.draw())].host
+        return self.routed_pools[self.router.route(klass, tenant, path, key, self.random_fraction())].host
 
     # ---- changes --------------------------------------------------------------------------------------
 
-    def live(self) -> Live:
-        lines = self.kept.merged().lines if self.kept is not None else ()
-        return Live(
+    def live(self) -> LiveState:
+        lines = self.latest_list.merged().lines if self.latest_list is not None else ()
+        return LiveState(
             self.state,
             lines,
-            {name: len(side.host.calls) for name, side in self.sides.items()},
+            {name: len(pool.host.calls) for name, pool in self.routed_pools.items()},
             tuple(self.config.classes),
             tuple(self.config.tenants),
             self.history,
@@ -153,21 +157,29 @@
 
     def apply(self, plan: Plan, user: int) -> None:
         """Makes the change in one step of the event loop. A Refused leaves everything as it was."""
-        desired = admitted(self.live(), plan)
-        made = {name: self.side(name, spec) for name, spec in desired.pools.items() if name not in self.sides}
+        desired = check_plan(self.live(), plan)
+        made = {
+            name: self.make_pool(name, spec)
+            for name, spec in desired.pools.items()
+            if name not in self.routed_pools
+        }
         router = Router(desired.routes, self.config.classes, self.config.tenants)
         # From here on nothing can fail.
         keys = tuple(".".join(change.key) for change in plan.changes)
         self.switch(desired, made, router)
-        self.history = remembered(self.history, Applied(time(), user, plan.base, plan.result, keys))
+        self.history = append_history(self.history, AppliedChange(time(), user, plan.base, plan.result, keys))
         self.changed()
 
-    def restore(self, desired: Desired) -> None:
+    def restore_state(self, desired: DesiredState) -> None:
         """Takes a whole state on, in one step of the event loop: a kept one, or others' newest."""
-        made = {name: self.side(name, spec) for name, spec in desired.pools.items() if name not in self.sides}
+        made = {
+            name: self.make_pool(name, spec)
+            for name, spec in desired.pools.items()
+            if name not in self.routed_pools
+        }
         self.switch(desired, made, Router(desired.routes, self.config.classes, self.config.tenants))
 
-    def shut(self, closed: bool) -> None:
+    def set_closed(self, closed: bool) -> None:
         """Takes nothing from now on, or takes requests again."""
         if closed != self.closed:
             self.closed = closed
@@ -175,43 +187,43 @@
 
     def limits(self) -> None:
         most = self.config.settings.max_open
-        for side in self.sides.values():
-            side.host.max_open = 0 if self.closed else min(most, side.spec.limit or most)
+        for pool in self.routed_pools.values():
+            pool.host.max_open = 0 if self.closed else min(most, pool.spec.limit or most)
 
-    def side(self, name: str, spec: PoolSpec) -> Side:
+    def make_pool(self, name: str, spec: PoolSpec) -> RoutedPool:
         """A pool that has not begun: its own module, the node's upstream."""
         settings = replace(self.config.settings, peers=False, list_on_request=False)
         seed = self.config.seed ^ int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
         host = Host(settings, seed, self.loop, self.first.upstream, self.log, self.clock)
-        host.directory = Quiet()
+        host.directory = NullDirectory()
         host.messenger = NoMessenger()
-        return Side(name, spec, host, self.config, self)
+        return RoutedPool(name, spec, host, self.config, self)
 
-    def switch(self, desired: Desired, made: Mapping[str, Side], router: Router) -> None:
-        before = {name: side.spec for name, side in self.sides.items()}
-        gone = [name for name in self.sides if name not in desired.pools]
-        self.leaving += [self.sides.pop(name) for name in gone]
-        self.sides |= made
+    def switch(self, desired: DesiredState, made: Mapping[str, RoutedPool], router: Router) -> None:
+        before = {name: pool.spec for name, pool in self.routed_pools.items()}
+        gone = [name for name in self.routed_pools if name not in desired.pools]
+        self.draining += [self.routed_pools.pop(name) for name in gone]
+        self.routed_pools |= made
         self.state = desired
-        for name, side in self.sides.items():
-            side.spec = desired.pools[name]
+        for name, pool in self.routed_pools.items():
+            pool.spec = desired.pools[name]
         self.limits()
-        for side in made.values():
-            side.host.start()
-        if self.kept is not None:
-            whole = self.kept.merged()
+        for pool in made.values():
+            pool.host.start()
+        if self.latest_list is not None:
+            whole = self.latest_list.merged()
             chosen = {name: selector(spec) for name, spec in before.items()}
             if chosen != {name: selector(spec) for name, spec in desired.pools.items()}:
-                self.counts.clear()
+                self.pools_per_server.clear()
                 self.count(whole.lines)
                 before = {}  # a server's other pools count too: all are told
-            for name, side in self.sides.items():
-                if before.get(name) != side.spec:
-                    side.hear(whole)
+            for name, pool in self.routed_pools.items():
+                if before.get(name) != pool.spec:
+                    pool.apply_pool_listing(whole)
         self.router = router
         self.front.route = self.route if desired.routes else None
 
-    def last_orders(self) -> None:
+    def begin_shutdown(self) -> None:
         """The node is to end: what pools beside the first take from now on must be concluded in time."""
-        for side in (*self.sides.values(), *self.leaving):
-            side.host.conclude_by = last_moment(side.host.now(), self.config.settings.classes)
+        for pool in (*self.routed_pools.values(), *self.draining):
+            pool.host.conclude_by = last_moment(pool.host.now(), self.config.settings.classes)
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -11,7 +11,14 @@
 import msgspec
 
 from brackenladder.cluster.wire import AskPiece, Holds, Message, Piece
-from brackenladder.control.state import Desired, StateError, canonical, checked, digest, known
+from brackenladder.control.state import (
+    DesiredState,
+    StateError,
+    canonical,
+    check_references,
+    digest,
+    validate,
+)
 from brackenladder.node.members import Members
 from brackenladder.node.pools import Pools
 from brackenladder.recovery.fetch import StateFetch, piece_of
@@ -91,7 +98,7 @@
                 self.log(
                     f"recovery: conflict: nodes {others} have another state under generation {newest.counter}"
                 )
-        self.pools.shut(not self.startup.serves)
+        self.pools.set_closed(not self.startup.serves)
         if phase in ("fetching", "behind") and not self.startup.settled and not self.refused:
             self.bring(newest, now)
 
@@ -114,13 +121,13 @@
     def take(self, data: bytes, counter: int, whence: str) -> str:
         """Switches to a state in one step of the loop; why not, if it cannot."""
         try:
-            desired: Desired = checked(msgspec.json.decode(data))
-            known(desired, self.pools.config.classes, self.pools.config.tenants)
+            desired: DesiredState = validate(msgspec.json.decode(data))
+            check_references(desired, self.pools.config.classes, self.pools.config.tenants)
         except (StateError, msgspec.DecodeError, RecursionError) as e:
             return str(e)
         if not 0 <= counter < COUNTERS:
             return f"generation {counter}"
-        self.pools.restore(desired)
+        self.pools.restore_state(desired)
         self.counter = counter
         self.log(f"recovery: took generation {counter} {self.mine.digest}, {whence}")
         return ""
--- a/brackenladder/node/replica_store.py
+++ b/brackenladder/node/replica_store.py
@@ -32,7 +32,7 @@
 
     store: SqliteLogStore
     state: DurableState
-    succeeds_damaged: bool  # a store was set aside in its folder, now or earlier
+    replaces_damaged: bool  # a store was set aside in its folder, now or earlier
 
 
 Opened = Result[OpenedStore, StoreError]
@@ -95,17 +95,17 @@
     def _open(self) -> Opened:
         try:
             _make_folder(self._folder)
-            succeeds_damaged = has_quarantined_store(self._folder)
+            replaces_damaged = has_quarantined_store(self._folder)
         except OSError as error:
             return Failure(StoreFailed(f"{self._folder}: {error.strerror}"))
-        opened = open_store(self._folder, lambda: self._new_replica_id(succeeds_damaged))
+        opened = open_store(self._folder, lambda: self._new_replica_id(replaces_damaged))
         if not isinstance(opened, Success):
             return Failure(opened.failure())
         store: SqliteLogStore = opened.unwrap()
         loaded = store.load()
         if not isinstance(loaded, Success):
             store.close()
-        return loaded.map(lambda state: OpenedStore(store, state, succeeds_damaged))
+        return loaded.map(lambda state: OpenedStore(store, state, replaces_damaged))
 
 
 def _make_folder(folder: str) -> None:
--- a/brackenladder/node/role_runner.py
+++ b/brackenladder/node/role_runner.py
@@ -16,7 +16,7 @@
 import logbook
 from returns.result import Failure, Success
 
-from brackenladder.node import held_signal
+from brackenladder.node import blocked_signals
 from brackenladder.platform_settings import Platform, load_platform
 
 START_PATIENCE_SECONDS = 1.0  # for the rest of a start, once the process has been told to end
@@ -76,7 +76,7 @@
         loop.add_signal_handler(signal.SIGTERM, self._ending.set)
         loop.add_signal_handler(signal.SIGINT, self._ending.set)
         loop.add_signal_handler(signal.SIGHUP, self._settings_changed.set)
-        held_signal.release()
+        blocked_signals.unblock()
         try:
             await self._start()
         except RoleError as error:
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -9,10 +9,10 @@
 from brackenladder.discovery.sources import FixedList, PolledDiscovery
 from brackenladder.interface import State
 from brackenladder.membership.listing import Line
-from brackenladder.node.config import RESERVED_SOCKETS, Config, ConfigError, read_address
+from brackenladder.node.config import RESERVED_SOCKETS, Config, ConfigError, parse_address
 from brackenladder.node.log import Log
 from brackenladder.node.operator import RpcTable
-from brackenladder.node.pool import NoMessenger, Pool, Source, Told
+from brackenladder.node.pool import NoMessenger, OnListing, Pool, Source
 from brackenladder.rpc.codec import Bounds
 from brackenladder.rpc.front import FrontLimits, RpcFront
 from brackenladder.rpc.methods import MethodError, Methods, compiled
@@ -27,7 +27,7 @@
 
 
 def rpc_pool(
-    table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, clock: Clock, log: Log, strays: Log
+    table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, clock: Clock, log: Log, stray_log: Log
 ) -> Pool:
     """Half of the table's sockets are the servers'. There are no probes and no messages between nodes."""
     settings = replace(
@@ -42,17 +42,17 @@
         max(config.idle_time - IDLE_MARGIN, config.idle_time / 2),
     )
 
-    def source(told: Told) -> Source:
+    def source(told: OnListing) -> Source:
         if table.discovery is None:
             return FixedList([fixed(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], told)
-        address = read_address(table.discovery, "rpc.discovery")
-        return PolledDiscovery(loop, address, None, settings.instances, told, strays.line)
+        address = parse_address(table.discovery, "rpc.discovery")
+        return PolledDiscovery(loop, address, None, settings.instances, told, stray_log.line)
 
     return Pool(
         settings,
         config.seed ^ 1,
         loop,
-        RpcUpstream(loop, limits, strays.line, clock.now),
+        RpcUpstream(loop, limits, stray_log.line, clock.now),
         source,
         NoMessenger(),
         config.zones,
@@ -63,7 +63,7 @@
 
 
 def rpc_front(
-    table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, strays: Log
+    table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, stray_log: Log
 ) -> RpcFront:
     """The other half are the clients'."""
     limits = FrontLimits(
@@ -72,19 +72,19 @@
         table.client_unread_kb << 10,
         table.sockets - table.sockets // 2,
     )
-    return RpcFront(loop, pool.host, methods_of(table, config), limits, strays.line)
+    return RpcFront(loop, pool.host, methods_of(table, config), limits, stray_log.line)
 
 
 def fixed(name: str, addr: str, zone: str, kind: str, cell: int) -> Line:
-    host, port = read_address(addr, f"operator file: rpc.servers: {name}")
+    host, port = parse_address(addr, f"operator file: rpc.servers: {name}")
     return Line(name, host, port, zone, kind, cell, State.READY, 1.0, 0)
 
 
 def check(table: RpcTable, config: Config) -> None:
     """A ConfigError if the node cannot take the table on, before anything listens."""
-    read_address(table.listen, "operator file: rpc.listen")
+    parse_address(table.listen, "operator file: rpc.listen")
     if table.discovery is not None:
-        read_address(table.discovery, "operator file: rpc.discovery")
+        parse_address(table.discovery, "operator file: rpc.discovery")
     for i, server in enumerate(table.servers):
         fixed(server.id, server.addr, server.zone, server.kind, server.cell)
         if server.id in {s.id for s in table.servers[:i]}:
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -261,7 +261,7 @@
         client.notified.add(call)
         self.host.take(call)
 
-    def attend(self, service: Service) -> None:
+    def set_service_state(self, service: Service) -> None:
         """An operator's pause."""
         self.service = service
         if service >= Service.REFUSING:
--- a/brackenladder/serve.py
+++ b/brackenladder/serve.py
@@ -12,7 +12,7 @@
 
 from returns.result import Failure, Success
 
-from brackenladder.node import held_signal
+from brackenladder.node import blocked_signals
 from brackenladder.node.early_listener import open_early
 from brackenladder.platform_settings import load_platform
 
@@ -27,7 +27,7 @@
 
 def main(arguments: list[str]) -> int:
     """Runs the role until it is told to end; the process's exit status."""
-    held_signal.hold()
+    blocked_signals.block()
     if arguments not in (["gateway"], ["control"]):
         print(USAGE, file=sys.stderr)
         return EXIT_USAGE
--- a/brackenladder/simulation/exchange/gateways.py
+++ b/brackenladder/simulation/exchange/gateways.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from brackenladder.control_plane.wire import gateway_codec
-from brackenladder.node.gateway_role import GatewayRole, GatewaySurroundings
+from brackenladder.node.gateway_role import GatewayEnvironment, GatewayRole
 from brackenladder.platform_settings import Listen, Platform, PortRange
 from brackenladder.simulation.exchange.history import Disturbances
 from brackenladder.simulation.exchange.site import (
@@ -104,14 +104,14 @@
             process.when_running(lambda: process.enter(role.reload, self._platform()))
 
     def _start(self) -> None:
-        surroundings = GatewaySurroundings(
+        environment = GatewayEnvironment(
             clock=lambda: self._loop.microseconds,
             wall_clock=lambda: self._loop.microseconds,
             random=lambda: Random(self._random.getrandbits(64)),
             transport=self._transport,
             open_socket=lambda _address: SimulatedSocket(),  # type: ignore[arg-type,return-value]
         )
-        self._role = self.role_type(self._platform(), surroundings=surroundings)
+        self._role = self.role_type(self._platform(), environment=environment)
         self._loop.create_task(self._role.start())
 
     def _stop(self, end: Callable[[], None]) -> None:
--- a/brackenladder/simulation/exchange/run.py
+++ b/brackenladder/simulation/exchange/run.py
@@ -56,7 +56,7 @@
     rule = detail = ""
     try:
         before = VIOLATIONS.total
-        with VIOLATIONS.apart():
+        with VIOLATIONS.restoring_counts():
             loop.run_until_complete(_play(world, Random(f"{NAME} {seed}"), skipped))
             if VIOLATIONS.total > before:
                 raise Violation("invariant", str(VIOLATIONS.violations()))
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -26,13 +26,13 @@
 class TimedLink(MemoryLink):
     """An end of a link that knows when it last heard the other one."""
 
-    heard_at = 0
+    last_received_at = 0
     clock: Callable[[], int]
 
     @property
-    def silence(self) -> int:
-        """See `Link.silence`."""
-        return self.clock() - self.heard_at
+    def time_since_receive(self) -> int:
+        """See `Link.time_since_receive`."""
+        return self.clock() - self.last_received_at
 
 
 class Place:
@@ -148,7 +148,7 @@
     def _sweep(self) -> None:
         self.loop.call_later(SWEEP_SECONDS, self._sweep)
         now = self.loop.microseconds
-        for link in self._standing():
+        for link in self._open_links():
             if isinstance(link, TimedLink):
                 self._watch(now, link)
         for dialer in list(self._dialers):
@@ -158,8 +158,8 @@
 
     def _watch(self, now: int, link: TimedLink) -> None:
         if self.places[link.owner].frozen or self._hears(link):
-            link.heard_at = now
-        elif now - link.heard_at >= self.timing.silence:
+            link.last_received_at = now
+        elif now - link.last_received_at >= self.timing.silence_timeout:
             process = self.places[link.owner].process
             if process is not None:
                 process.enter(link.abort, LinkClosed.SILENT)
@@ -167,7 +167,7 @@
     def _hears(self, link: TimedLink) -> bool:
         other = link.other
         cut = (other.owner, link.owner) in self._cuts
-        return not cut and other not in self._gone and not self.places[other.owner].frozen
+        return not cut and other not in self._powered_off_links and not self.places[other.owner].frozen
 
     def connect(self, dialer: MemoryDialer) -> MemoryLink | LinkClosed:
         """See `MemoryNetwork.connect`; a machine that stands still greets nobody."""
@@ -191,5 +191,5 @@
         network = self.network
         link = TimedLink(self.name, self._codec, self.limits, handler, network.queue, ended)
         link.clock = lambda: network.loop.microseconds
-        link.heard_at = network.loop.microseconds
+        link.last_received_at = network.loop.microseconds
         return link
--- a/brackenladder/simulation/run.py
+++ b/brackenladder/simulation/run.py
@@ -87,7 +87,7 @@
     rule = detail = ""
     try:
         before = VIOLATIONS.total
-        with VIOLATIONS.apart():
+        with VIOLATIONS.restoring_counts():
             loop.run_until_complete(_play(profile, world, Random(f"{profile.name} {seed}"), skipped))
             if loop.faults:
                 raise Violation("fault", repr(loop.faults[0]))
--- a/brackenladder/transport/codec.py
+++ b/brackenladder/transport/codec.py
@@ -10,8 +10,8 @@
 import msgpack
 
 from brackenladder.transport.errors import DecodeError, DecodeFault, EncodeError, UnsupportedType
-from brackenladder.transport.record import Record
-from brackenladder.transport.shapes import ShapeFactory
+from brackenladder.transport.record_codec import RecordCodec
+from brackenladder.transport.type_codec import TypeCodecFactory
 
 MAX_ARRAY_ITEMS = 1 << 16  # an array is allocated as announced, before its items have arrived
 MAX_MAP_ITEMS = 1 << 16
@@ -23,9 +23,9 @@
     """Encodes and decodes the registered classes. Not for use by several threads at once."""
 
     def __init__(self) -> None:
-        self._shapes = ShapeFactory()
-        self._tags: dict[type, tuple[int, Record]] = {}
-        self._records: dict[int, Record] = {}
+        self._type_codecs = TypeCodecFactory()
+        self._tags: dict[type, tuple[int, RecordCodec]] = {}
+        self._records: dict[int, RecordCodec] = {}
         self._packer = msgpack.Packer(buf_size=PACKER_BYTES)
 
     def register(self, tag: int, message_type: type) -> None:
@@ -36,7 +36,7 @@
             raise UnsupportedType(f"tag {tag} belongs to {self._records[tag].message_type.__qualname__}")
         if message_type in self._tags:
             raise UnsupportedType(f"{message_type.__qualname__} has a tag already")
-        record = self._shapes.record(message_type)
+        record = self._type_codecs.record(message_type)
         self._records[tag] = record
         self._tags[message_type] = (tag, record)
 
--- a/brackenladder/transport/dialer.py
+++ b/brackenladder/transport/dialer.py
@@ -134,5 +134,5 @@
         self._link_ended.set()
         if link.opened_at is None:
             self._on_refused(self.address, reason)
-        elif self._settings.loop.time() - link.opened_at >= self._settings.timing.lasted / MICROSECONDS:
+        elif self._settings.loop.time() - link.opened_at >= self._settings.timing.stable_after / MICROSECONDS:
             self._back_off.reset()
--- a/brackenladder/transport/errors.py
+++ b/brackenladder/transport/errors.py
@@ -17,7 +17,7 @@
     OVERSIZED = "a frame was announced that is larger than the limit"
     INCOMPATIBLE = "no protocol version in common"
     UNREACHABLE = "the connection could not be made"
-    CROWDED = "too many incoming connections"
+    TOO_MANY_CONNECTIONS = "too many incoming connections"
 
 
 @unique
--- a/brackenladder/transport/keepalive.py
+++ b/brackenladder/transport/keepalive.py
@@ -14,14 +14,14 @@
 class WatchedLink(Protocol):
     """What the timer needs of a link. Times are those of the event loop, in seconds."""
 
-    sent_at: float
-    heard_at: float
-    excused: bool  # it has been given one more round since it was last heard
+    last_sent_at: float
+    last_received_at: float
+    grace_given: bool  # it has been given one more round since it was last heard
 
     def ping(self, now: float) -> None:
         """Sends a ping, unless other bytes wait to be sent already."""
 
-    def silent(self) -> None:
+    def on_silence_timeout(self) -> None:
         """Ends the link because nothing was heard."""
 
 
@@ -35,7 +35,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, timing: LinkTiming) -> None:
         self._loop = loop
         self._ping_every = timing.ping_every / MICROSECONDS
-        self._silence = timing.silence / MICROSECONDS
+        self._silence = timing.silence_timeout / MICROSECONDS
         self._slack = self._ping_every / SLACK_DIVISOR
         self._links: set[WatchedLink] = set()
         self._timer: asyncio.TimerHandle | None = None
@@ -70,23 +70,23 @@
         """The timer is late: links that would end now get until the next ping is due."""
         earliest = now - self._silence + self._ping_every
         for link in self._links:
-            if link.heard_at < earliest and not link.excused:
-                link.excused = True
-                link.heard_at = earliest
+            if link.last_received_at < earliest and not link.grace_given:
+                link.grace_given = True
+                link.last_received_at = earliest
 
     def _close_silent(self, now: float) -> None:
         limit = now - self._silence
-        for link in [each for each in self._links if each.heard_at <= limit]:
-            link.silent()
+        for link in [each for each in self._links if each.last_received_at <= limit]:
+            link.on_silence_timeout()
 
     def _ping_quiet(self, now: float) -> None:
         limit = now - self._ping_every + self._slack
         for link in self._links:
-            if link.sent_at <= limit:
+            if link.last_sent_at <= limit:
                 link.ping(now)
 
     def _next_due(self) -> float:
         """When the next link has to be pinged or closed."""
-        ping = min(link.sent_at for link in self._links) + self._ping_every
-        silence = min(link.heard_at for link in self._links) + self._silence
+        ping = min(link.last_sent_at for link in self._links) + self._ping_every
+        silence = min(link.last_received_at for link in self._links) + self._silence
         return min(ping, silence)
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -29,14 +29,14 @@
     """Times in microseconds."""
 
     ping_every: int = 500_000  # a link that has sent nothing for so long sends a ping
-    silence: int = 1_600_000  # a link that has heard nothing for so long is closed
+    silence_timeout: int = 1_600_000  # a link that has heard nothing for so long is closed
     connect_timeout: int = 700_000  # a connection that hangs is given up
     retry_min: int = 50_000  # first pause between attempts to connect; doubles
     retry_max: int = 500_000  # longest pause between attempts
     refused_pause: int = 60_000  # longest pause after a refusal: the host lives, its process restarts
     refused_tries: int = 25  # in a row; from then on a refusal is like any other failure
-    lasted: int = 1_000_000  # a link that stood so long resets the pause
-    listen_patience: int = 10_000_000  # how long an address that is in use is tried
+    stable_after: int = 1_000_000  # a link that stood so long resets the pause
+    listen_timeout: int = 10_000_000  # how long an address that is in use is tried
     listen_retry: int = 100_000  # pause between these tries
     close_grace: int = 500_000  # what a closing transport leaves its links to send what is queued
 
@@ -80,7 +80,7 @@
         """The protocol version that both sides speak."""
 
     @property
-    def silence(self) -> int:
+    def time_since_receive(self) -> int:
         """Microseconds since anything was heard from the other end, pings included."""
 
     def send(self, message: object) -> bool:
--- a/brackenladder/transport/memory.py
+++ b/brackenladder/transport/memory.py
@@ -47,7 +47,7 @@
         self._listeners: dict[str, Listener] = {}
         self._dialers: list[MemoryDialer] = []
         self._links: list[MemoryLink] = []
-        self._gone: set[MemoryLink] = set()  # ends whose node lost power
+        self._powered_off_links: set[MemoryLink] = set()  # ends whose node lost power
         self._next_port = FIRST_FREE_PORT
         self._next_dialing_port = FIRST_DIALING_PORT
 
@@ -107,30 +107,30 @@
 
     def expire_silent(self) -> None:
         """Ends the links that hear nothing: those across a cut, and those to a node without power."""
-        for link in self._standing():
-            if link.other in self._gone or (link.peer, link.owner) in self._cuts:
+        for link in self._open_links():
+            if link.other in self._powered_off_links or (link.peer, link.owner) in self._cuts:
                 link.abort(LinkClosed.SILENT)
 
     def lose_links(self, one: str, other: str) -> None:
         """Resets the links between two nodes; what is under way on them is lost."""
-        for link in self._standing():
+        for link in self._open_links():
             if link.owner == one and link.peer == other:
                 link.abort(LinkClosed.LOST)
                 link.other.abort(LinkClosed.LOST)
 
     def power_off(self, name: str) -> None:
         """A node falls silent: it is told nothing more, and others learn of it at `expire_silent`."""
-        for link in self._standing():
+        for link in self._open_links():
             if link.owner == name:
-                link.vanish()
-                self._gone.add(link)
+                link.drop_silently()
+                self._powered_off_links.add(link)
         self._forget(name)
 
     def kill(self, name: str) -> None:
         """A process ends: it is told nothing more, and its links are reset."""
-        for link in self._standing():
+        for link in self._open_links():
             if link.owner == name:
-                link.vanish()
+                link.drop_silently()
                 self.queue(Ending(link.owner, link.peer, link.other, LinkClosed.LOST))
         self._forget(name)
 
@@ -165,7 +165,7 @@
 
     def links_of(self, name: str) -> tuple[MemoryLink, ...]:
         """The ends at a node that have not ended."""
-        return tuple(link for link in self._standing() if link.owner == name)
+        return tuple(link for link in self._open_links() if link.owner == name)
 
     def connect(self, dialer: MemoryDialer) -> MemoryLink | LinkClosed:
         """Makes a link for a dialer, or tells why there is none."""
@@ -174,30 +174,30 @@
             return LinkClosed.UNREACHABLE
         near, far = dialer.transport, listener.transport
         if far.incoming >= far.limits.incoming:
-            far.refused(near.name, LinkClosed.CROWDED)
+            far.refused(near.name, LinkClosed.TOO_MANY_CONNECTIONS)
             return LinkClosed.LOST
         version = near.versions.common(far.versions.lowest, far.versions.highest)
         if version is None:
             far.refused(near.name, LinkClosed.INCOMPATIBLE)
             return LinkClosed.INCOMPATIBLE
-        return self._join(dialer, listener, version)
+        return self._create_link(dialer, listener, version)
 
     # inner parts
 
-    def _join(self, dialer: MemoryDialer, listener: Listener, version: int) -> MemoryLink:
+    def _create_link(self, dialer: MemoryDialer, listener: Listener, version: int) -> MemoryLink:
         near = dialer.transport.make_link(dialer.handler, dialer.ended)
         far = listener.transport.make_link(listener.handler, listener.transport.incoming_ended)
         listener.transport.incoming += 1
         dialing = Address(listener.address.ip, self._next_dialing_port)
         self._next_dialing_port += 1
-        near.join(far, str(listener.address), version)
-        far.join(near, str(dialing), version)
+        near.attach(far, str(listener.address), version)
+        far.attach(near, str(dialing), version)
         self._links += (near, far)
         self.queue(Opening(near.owner, far.owner, far))
         self.queue(Opening(far.owner, near.owner, near))
         return near
 
-    def _standing(self) -> list[MemoryLink]:
+    def _open_links(self) -> list[MemoryLink]:
         self._links = [link for link in self._links if not link.ended]
         return list(self._links)
 
--- a/brackenladder/transport/memory_link.py
+++ b/brackenladder/transport/memory_link.py
@@ -33,7 +33,7 @@
 class EndState(Enum):
     """Where one end of a link stands."""
 
-    GREETING = auto()
+    HANDSHAKE = auto()
     OPEN = auto()
     CLOSING = auto()
     CLOSED = auto()
@@ -56,7 +56,7 @@
         self.peer = ""
         self.version = 0
         self.opened = False
-        self.reset = False  # what it has sent and nobody has received is lost
+        self.was_reset = False  # what it has sent and nobody has received is lost
         self.queued_bytes = 0
         self._codec = codec
         self._limits = limits
@@ -64,14 +64,14 @@
         self._queue = queue
         self._ended = ended
         self._other: MemoryLink | None = None
-        self._state = EndState.GREETING
+        self._state = EndState.HANDSHAKE
 
     @property
-    def silence(self) -> int:
+    def time_since_receive(self) -> int:
         """Always 0: what is sent arrives, or the link ends."""
         return 0
 
-    def join(self, other: MemoryLink, remote: str, version: int) -> None:
+    def attach(self, other: MemoryLink, remote: str, version: int) -> None:
         """Names the other end; both ends are told before anything happens on the link."""
         self._other = other
         self.remote = remote
@@ -106,28 +106,28 @@
 
     def close(self) -> None:
         """See `Link.close`."""
-        if self._state in (EndState.GREETING, EndState.OPEN):
+        if self._state in (EndState.HANDSHAKE, EndState.OPEN):
             self._state = EndState.CLOSING
             self._queue(Ending(self.owner, self.owner, self, LinkClosed.LOCAL))
             self._queue(Ending(self.owner, self.peer, self.other, LinkClosed.REMOTE))
 
     def abort(self, reason: LinkClosed) -> None:
         """Ends at once; what is under way from here is lost, and the other end learns of a reset."""
-        if self._state is EndState.CLOSED or self.reset:
+        if self._state is EndState.CLOSED or self.was_reset:
             return
         self._state = EndState.CLOSING
-        self.reset = True
+        self.was_reset = True
         self._queue(Ending(self.owner, self.owner, self, reason))
         self._queue(Ending(self.owner, self.peer, self.other, LinkClosed.LOST))
 
     def open(self) -> None:
         """The handshake is done at this end."""
-        if self._state is EndState.GREETING:
+        if self._state is EndState.HANDSHAKE:
             self._state = EndState.OPEN
             self.opened = True
             self._handler.connected(self)
 
-    def take(self, carried: object) -> None:
+    def receive(self, carried: object) -> None:
         """A message arrives at this end."""
         if self._state is not EndState.OPEN:
             return
@@ -150,10 +150,10 @@
         finally:
             self._ended(self, reason)
 
-    def vanish(self) -> None:
+    def drop_silently(self) -> None:
         """The node of this end is gone without a word; nobody is told."""
         self._state = EndState.CLOSED
-        self.reset = True
+        self.was_reset = True
 
     def _decoded(self, carried: object) -> object:
         if self._codec is None or not isinstance(carried, bytes):
@@ -183,8 +183,8 @@
     def happen(self) -> None:
         """Hands the message over, unless its sender has reset the link."""
         self.source.queued_bytes -= self.size
-        if not self.source.reset:
-            self.source.other.take(self.carried)
+        if not self.source.was_reset:
+            self.source.other.receive(self.carried)
 
 
 @frozen(eq=False)
--- a/brackenladder/transport/record.py
+++ b/brackenladder/transport/record_codec.py
@@ -13,7 +13,7 @@
 Convert = Callable[[Any], Any]
 
 
-class Record:
+class RecordCodec:
     """Encodes and decodes one class; `add` its fields in order, then `complete`.
 
     An array may be shorter than the class has fields (the rest take their defaults) or longer (the surplus
@@ -25,24 +25,24 @@
         self._fields: list[attrs.Attribute[Any]] = []
         self._encoders: list[Convert | None] = []
         self._decoders: list[Convert] = []
-        self._plain: list[type | None] = []
+        self._exact_types: list[type | None] = []
         self._make: Callable[..., object] = message_type
         self._read: Callable[[Any], tuple[Any, ...]] = _nothing
         self._to_encode: tuple[tuple[int, Convert], ...] = ()
         self._to_decode: tuple[tuple[int, Convert], ...] = ()
-        self._plain_values: Callable[[Any], tuple[Any, ...]] = _nothing
-        self._plain_types: tuple[type, ...] = ()
+        self._exact_values: Callable[[Any], tuple[Any, ...]] = _nothing
+        self._required_exact_types: tuple[type, ...] = ()
         self._required = 0
         self._count = 0
 
-    def add(
-        self, field: attrs.Attribute[Any], encode: Convert | None, decode: Convert, plain: type | None
+    def add_field(
+        self, field: attrs.Attribute[Any], encode: Convert | None, decode: Convert, exact_type: type | None
     ) -> None:
         """The next field. `plain`: the exact type to check when the value is taken as it is."""
         self._fields.append(field)
         self._encoders.append(encode)
         self._decoders.append(decode)
-        self._plain.append(plain)
+        self._exact_types.append(exact_type)
         if field.default is attrs.NOTHING:
             self._required = len(self._fields)
 
@@ -54,11 +54,13 @@
             self._make = _by_keyword(self.message_type, [each.alias or each.name for each in self._fields])
         encoders = enumerate(self._encoders)
         self._to_encode = tuple((index, encode) for index, encode in encoders if encode is not None)
-        decoders = enumerate(zip(self._decoders, self._plain, strict=True))
-        plain = [(index, each) for index, each in enumerate(self._plain) if each is not None]
-        self._plain_values = _picker([index for index, _ in plain])
-        self._plain_types = tuple(each for _, each in plain)
-        self._to_decode = tuple((index, decode) for index, (decode, plain) in decoders if plain is None)
+        decoders = enumerate(zip(self._decoders, self._exact_types, strict=True))
+        exact_type = [(index, each) for index, each in enumerate(self._exact_types) if each is not None]
+        self._exact_values = _picker([index for index, _ in exact_type])
+        self._required_exact_types = tuple(each for _, each in exact_type)
+        self._to_decode = tuple(
+            (index, decode) for index, (decode, exact_type) in decoders if exact_type is None
+        )
 
     def to_wire(self, message: Any) -> tuple[Any, ...] | list[Any]:
         """The fields in order, as msgpack takes them."""
@@ -81,13 +83,16 @@
         return self._instance(self._checked(values[: self._count]))
 
     def _checked(self, values: tuple[Any, ...]) -> list[Any]:
-        if len(values) < self._count or tuple(map(type, self._plain_values(values))) != self._plain_types:
+        if (
+            len(values) < self._count
+            or tuple(map(type, self._exact_values(values))) != self._required_exact_types
+        ):
             self._check_each(values)
         return self._converted(list(values))
 
     def _check_each(self, values: tuple[Any, ...]) -> None:
         """The slow way: for an array with fields missing, or to say which of them is wrong."""
-        for index, (value, expected) in enumerate(zip(values, self._plain, strict=False)):
+        for index, (value, expected) in enumerate(zip(values, self._exact_types, strict=False)):
             if expected is not None and type(value) is not expected:
                 raise self._wrong(index, value, expected)
 
--- a/brackenladder/transport/tcp.py
+++ b/brackenladder/transport/tcp.py
@@ -112,7 +112,7 @@
 
     async def _bind(self, address: Address) -> socket.socket:
         timing, loop = self._settings.timing, self._settings.loop
-        until = loop.time() + timing.listen_patience / MICROSECONDS
+        until = loop.time() + timing.listen_timeout / MICROSECONDS
         while not self._closed:
             try:
                 return _bound_socket(address)
--- a/brackenladder/transport/tcp_link.py
+++ b/brackenladder/transport/tcp_link.py
@@ -24,7 +24,7 @@
 class LinkState(Enum):
     """Where a connection stands."""
 
-    GREETING = auto()  # the other side has not named itself yet
+    HANDSHAKE = auto()  # the other side has not named itself yet
     OPEN = auto()
     CLOSING = auto()  # nothing more is handed over or taken; the connection is about to end
     CLOSED = auto()
@@ -52,13 +52,13 @@
         self.remote = ""
         self.peer = ""
         self.version = 0
-        self.sent_at = self.heard_at = settings.loop.time()
-        self.excused = False
+        self.last_sent_at = self.last_received_at = settings.loop.time()
+        self.grace_given = False
         self.opened_at: float | None = None  # loop time at which the handshake was done
         self._settings = settings
         self._handler = handler
         self._ended = ended
-        self._state = LinkState.GREETING
+        self._state = LinkState.HANDSHAKE
         self._reason: LinkClosed | None = None
         self._transport: asyncio.Transport | None = None
         self._reader = FrameReader(settings.limits.hello_bytes)
@@ -81,7 +81,7 @@
 
     def close(self) -> None:
         """See `Link.close`."""
-        if self._state in (LinkState.GREETING, LinkState.OPEN):
+        if self._state in (LinkState.HANDSHAKE, LinkState.OPEN):
             self._flush()
             self._end(LinkClosed.LOCAL, graceful=True)
 
@@ -100,11 +100,11 @@
 
     def ping(self, now: float) -> None:
         """See `WatchedLink.ping`."""
-        self.sent_at = now
+        self.last_sent_at = now
         if self._transport is not None and not self.queued_bytes and not self._transport.is_closing():
             self._transport.write(PING)
 
-    def silent(self) -> None:
+    def on_silence_timeout(self) -> None:
         """See `WatchedLink.silent`."""
         self.abort(LinkClosed.SILENT)
 
@@ -115,9 +115,9 @@
     # what asyncio calls
 
     @property
-    def silence(self) -> int:
-        """See `Link.silence`."""
-        return max(0, int((self._settings.loop.time() - self.heard_at) * MICROSECONDS_PER_SECOND))
+    def time_since_receive(self) -> int:
+        """See `Link.time_since_receive`."""
+        return max(0, int((self._settings.loop.time() - self.last_received_at) * MICROSECONDS_PER_SECOND))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection stands: name this node."""
@@ -136,8 +136,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Bytes have arrived: hand over the messages that are whole."""
-        self.heard_at = self._settings.loop.time()
-        self.excused = False
+        self.last_received_at = self._settings.loop.time()
+        self.grace_given = False
         self._reader.feed(data)
         try:
             self._take_frames()
@@ -163,16 +163,16 @@
     # inner parts
 
     def _take_frames(self) -> None:
-        while self._state in (LinkState.GREETING, LinkState.OPEN):
+        while self._state in (LinkState.HANDSHAKE, LinkState.OPEN):
             body = self._reader.next_body()
             if body is None:
                 return
-            if self._state is LinkState.GREETING:
-                self._greeted(body)
+            if self._state is LinkState.HANDSHAKE:
+                self._on_hello(body)
             elif body:
                 self._received(body)
 
-    def _greeted(self, body: bytes) -> None:
+    def _on_hello(self, body: bytes) -> None:
         hello = decode_hello(body)
         version = self._settings.versions.common(hello.lowest, hello.highest)
         if version is None:
@@ -208,7 +208,7 @@
         self._batch_bytes = 0
         if self._transport.is_closing():
             return
-        self.sent_at = self._settings.loop.time()
+        self.last_sent_at = self._settings.loop.time()
         self._transport.write(batch[0] if len(batch) == 1 else b"".join(batch))
 
     def _end(self, reason: LinkClosed, graceful: bool) -> None:
@@ -234,7 +234,7 @@
         """The connection stands: end it."""
         assert isinstance(transport, asyncio.Transport)
         transport.abort()
-        self._refused(remote_of(transport), LinkClosed.CROWDED)
+        self._refused(remote_of(transport), LinkClosed.TOO_MANY_CONNECTIONS)
 
 
 def remote_of(transport: asyncio.Transport) -> str:
@@ -250,6 +250,8 @@
     if option is None:
         return
     try:
-        connection.setsockopt(socket.IPPROTO_TCP, option, timing.silence // MICROSECONDS_PER_MILLISECOND)
+        connection.setsockopt(
+            socket.IPPROTO_TCP, option, timing.silence_timeout // MICROSECONDS_PER_MILLISECOND
+        )
     except OSError:
         return  # not offered here; the keepalive timer ends silent links
--- a/tests/control/test_planned.py
+++ b/tests/control/test_planned.py
@@ -7,27 +7,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from brackenladder.control.diff import applied, differences
-from brackenladder.control.guard import judged
+from brackenladder.control.diff import apply_differences, differences
+from brackenladder.control.guard import check_change
 from brackenladder.control.plan import (
     HISTORY,
-    Applied,
-    Live,
-    Refused,
-    admitted,
-    planned,
-    read,
-    remembered,
-    written,
+    AppliedChange,
+    LiveState,
+    PlanRefused,
+    append_history,
+    check_plan,
+    encode_plan,
+    make_plan,
+    parse_plan,
 )  # fmt: skip
 from brackenladder.control.state import (
-    LARGEST_FILE,
-    NOTHING,
-    Desired,
+    DEFAULT_STATE,
+    MAX_FILE_BYTES,
+    DesiredState,
     StateError,
     canonical,
     digest,
-    parse,
+    parse_state,
     warnings,
 )  # fmt: skip
 from brackenladder.interface import State
@@ -42,13 +42,15 @@
     return Line(name, "127.0.0.1", 1, zone, kind, 0, state, 1.0, 0)
 
 
-def live(state: Desired = NOTHING, lines: int | list[Line] = 10, calls: int = 0, history=()) -> Live:
+def live(
+    state: DesiredState = DEFAULT_STATE, lines: int | list[Line] = 10, calls: int = 0, history=()
+) -> LiveState:
     lines = [line(f"s{i}") for i in range(lines)] if isinstance(lines, int) else lines
-    return Live(state, tuple(lines), dict.fromkeys(state.pools, calls), CLASSES, TENANTS, tuple(history))
+    return LiveState(state, tuple(lines), dict.fromkeys(state.pools, calls), CLASSES, TENANTS, tuple(history))
 
 
-def toml(text: str) -> Desired:
-    return parse(text.encode())
+def toml(text: str) -> DesiredState:
+    return parse_state(text.encode())
 
 
 POOLS = st.builds(
@@ -63,7 +65,7 @@
 
 
 @st.composite
-def states(draw) -> Desired:
+def states(draw) -> DesiredState:
     pools = draw(st.dictionaries(st.sampled_from(["canary", "big", "10"]), POOLS, max_size=3))
     pools[DEFAULT] = draw(POOLS)
     names = sorted(pools)
@@ -79,39 +81,39 @@
         )
     )
     routes = [route for route in routes if abs(sum(route.to.values()) - 1) < 1e-9]
-    return Desired(pools=pools, routes=tuple(routes))
+    return DesiredState(pools=pools, routes=tuple(routes))
 
 
 @given(states(), states())
 def test_the_old_state_with_the_differences_is_the_new_one(old, new):
     changes = differences(old, new)
     kept = msgspec.json.decode(msgspec.json.encode(changes), type=list[type(changes[0])]) if changes else []
-    assert applied(old, kept) == new and (not changes) == (old == new)
+    assert apply_differences(old, kept) == new and (not changes) == (old == new)
     assert [c.key for c in differences(new, old)] == [c.key for c in changes]  # the same keys, in one order
     assert digest(canonical(old)) != digest(canonical(new)) or old == new
 
 
 @given(states(), states(), states())
 def test_a_stale_plan_changes_nothing(base, new, now):
-    made = planned(live(base, 0), new, sorted(new.pools))
+    made = make_plan(live(base, 0), new, sorted(new.pools))
     if now == base:
         return
-    with pytest.raises(Refused):
-        admitted(live(now, 0), read(written(made)))
+    with pytest.raises(PlanRefused):
+        check_plan(live(now, 0), parse_plan(encode_plan(made)))
 
 
 def test_a_plan_is_made_and_admitted_and_then_known_as_applied():
     desired = toml("[pools.canary]\npart = [0.0, 0.5]\n[[routes]]\nto = { canary = 0.1, default = 0.9 }\n")
     now = live()
-    made = read(written(planned(now, desired)))
-    assert not made.findings and admitted(now, made) == desired
-    with pytest.raises(Refused, match="already applied"):
-        admitted(live(desired), made)
+    made = parse_plan(encode_plan(make_plan(now, desired)))
+    assert not made.findings and check_plan(now, made) == desired
+    with pytest.raises(PlanRefused, match="already applied"):
+        check_plan(live(desired), made)
     other = toml("[pools.default]\nlimit = 5\n")
-    done = Applied(0.0, 7, made.base, digest(canonical(other)), ("pools.default.limit",))
-    with pytest.raises(Refused, match=r"changed since: pools\.default\.limit"):
-        admitted(live(other, history=[done]), made)
-    assert len(remembered([done] * HISTORY, done)) == HISTORY
+    done = AppliedChange(0.0, 7, made.base, digest(canonical(other)), ("pools.default.limit",))
+    with pytest.raises(PlanRefused, match=r"changed since: pools\.default\.limit"):
+        check_plan(live(other, history=[done]), made)
+    assert len(append_history([done] * HISTORY, done)) == HISTORY
 
 
 EDITS = [
@@ -125,11 +127,11 @@
 
 @pytest.mark.parametrize("edit", EDITS, ids=lambda edit: edit[1].decode())
 def test_a_plan_that_was_edited_is_refused(edit):
-    data = written(planned(live(), toml("[pools.canary]\nlimit = 2\n")))
-    assert read(data) and edit[0] in data
+    data = encode_plan(make_plan(live(), toml("[pools.canary]\nlimit = 2\n")))
+    assert parse_plan(data) and edit[0] in data
     for changed in (data.replace(*edit, 1), data[:-30], b""):
-        with pytest.raises(Refused):
-            read(changed)
+        with pytest.raises(PlanRefused):
+            parse_plan(changed)
 
 
 SIX = [line(f"s{i}") for i in range(6)]
@@ -156,23 +158,23 @@
 def test_what_a_change_would_do_to_service(name):
     text, lines, calls, rules = GUARDED[name]
     desired = toml(text)
-    found = judged(NOTHING, desired, lines, {DEFAULT: calls}, CLASSES, TENANTS)
+    found = check_change(DEFAULT_STATE, desired, lines, {DEFAULT: calls}, CLASSES, TENANTS)
     assert {finding.rule for finding in found} == rules
     empty = {f.of for f in found if f.rule == "empty"}
-    allowed = judged(NOTHING, desired, lines, {DEFAULT: calls}, CLASSES, TENANTS, empty)
+    allowed = check_change(DEFAULT_STATE, desired, lines, {DEFAULT: calls}, CLASSES, TENANTS, empty)
     assert not {f.rule for f in allowed} & {"empty", "class"}
 
 
 def test_churn_alone_spoils_no_plan_but_what_changes_the_verdict_does():
     desired = toml('[pools.default.weights]\n"server:s0" = 0\n')
-    made = planned(live(), desired)
-    assert admitted(live(lines=[line(f"t{i}") for i in range(30)]), made) == desired
-    with pytest.raises(Refused, match="no ready server"):
-        admitted(live(lines=[line("s0")]), made)
-    refused = planned(live(lines=[line("s0")]), desired)
+    made = make_plan(live(), desired)
+    assert check_plan(live(lines=[line(f"t{i}") for i in range(30)]), made) == desired
+    with pytest.raises(PlanRefused, match="no ready server"):
+        check_plan(live(lines=[line("s0")]), made)
+    refused = make_plan(live(lines=[line("s0")]), desired)
     assert refused.findings
-    with pytest.raises(Refused, match="make it anew"):
-        admitted(live(), refused)
+    with pytest.raises(PlanRefused, match="make it anew"):
+        check_plan(live(), refused)
 
 
 WRONG = {
@@ -192,14 +194,14 @@
     "[[routes]]\nto = { default = 1.0 }\nsticky = 'mood'\n": r"routes\[0\].sticky",
     "routes = 1": "routes: ",
     "\xff": "not TOML",
-    "#" * (LARGEST_FILE + 1): "over",
+    "#" * (MAX_FILE_BYTES + 1): "over",
 }
 
 
 @pytest.mark.parametrize("text", WRONG, ids=lambda text: text[:40])
 def test_a_file_that_cannot_be_used_is_one_line_that_names_the_key(text):
     with pytest.raises(StateError, match=WRONG[text]) as caught:
-        parse(text.encode("latin-1"))
+        parse_state(text.encode("latin-1"))
     assert "\n" not in str(caught.value)
 
 
@@ -207,7 +209,7 @@
     for key, name in (("classes", "nope"), ("tenants", "nobody")):
         desired = toml(f'[[routes]]\n{key} = ["{name}"]\nto = {{ default = 1.0 }}\n')
         with pytest.raises(StateError, match=rf"routes\[0\].{key}: no .* '{name}'"):
-            planned(live(), desired)
+            make_plan(live(), desired)
     with pytest.raises(StateError, match="--allow-empty x"):
-        planned(live(), NOTHING, ["x"])
+        make_plan(live(), DEFAULT_STATE, ["x"])
     assert warnings(toml("[pools.spare]\n")) == ["pools.spare: no route uses it"]
--- a/tests/control_plane/test_control_links.py
+++ b/tests/control_plane/test_control_links.py
@@ -50,7 +50,7 @@
         )
         self.by_address = {address: RecordingLink() for address in ("10.0.0.1:1", "10.0.0.2:1")}
         for address, link in self.by_address.items():
-            self.links.up(address, cast(Link, link))
+            self.links.link_up(address, cast(Link, link))
             link.sent.clear()
 
     def receive(self, address: str, message: object) -> None:
--- a/tests/control_plane/test_control_servers.py
+++ b/tests/control_plane/test_control_servers.py
@@ -118,7 +118,7 @@
         notice = PrefixNotice(server=7, keys=(1, 2), tokens=(2_000, 3_000), uncached_tokens=5_000)
 
         def relayed() -> bool:
-            self.gateway.links.tell(PrefixNotices((notice,)))
+            self.gateway.links.send_prefix_notices(PrefixNotices((notice,)))
             return notice in relayed_notices(other) and self.known_everywhere()
 
         await self.cluster.until(relayed)
--- a/tests/control_plane/test_directory.py
+++ b/tests/control_plane/test_directory.py
@@ -56,7 +56,7 @@
 
     def test_violation_is_counted(self) -> None:
         self.directory.set_configuration(1, lambda: configuration("south"))
-        with VIOLATIONS.apart():
+        with VIOLATIONS.restoring_counts():
             before = VIOLATIONS.violations().get(Invariant.DIRECTORY_KEEPS_HOMES, 0)
             # the first two calls, which choose the gateways, are wrong; those of the check are not
             real, answers = HostHomes.permits, iter((True, True))
--- a/tests/control_plane/test_role_runner.py
+++ b/tests/control_plane/test_role_runner.py
@@ -12,7 +12,7 @@
 from unittest.mock import patch
 
 from brackenladder import serve
-from brackenladder.node import held_signal
+from brackenladder.node import blocked_signals
 from brackenladder.node.role_runner import EXIT_FAILED, EXIT_OK, RoleError, RoleRunner
 from brackenladder.platform_settings import Platform
 
@@ -94,8 +94,8 @@
         self.assertTrue(role.start_completed and role.stopped)
 
     async def test_early_sigterm_is_held_until_the_role_has_started(self) -> None:
-        held_signal.hold()
-        self.addCleanup(held_signal.release)
+        blocked_signals.block()
+        self.addCleanup(blocked_signals.unblock)
         signal.raise_signal(signal.SIGTERM)
         role = RecordingRole()
         self.assertEqual(await RoleRunner(role, self.path).run(), EXIT_OK)
@@ -114,8 +114,8 @@
             await running
 
     async def test_early_sighup_is_held_until_the_role_has_started(self) -> None:
-        held_signal.hold()
-        self.addCleanup(held_signal.release)
+        blocked_signals.block()
+        self.addCleanup(blocked_signals.unblock)
         signal.raise_signal(signal.SIGHUP)  # to this thread: the test runner's others do not block it
         role = RecordingRole()
         running = asyncio.create_task(RoleRunner(role, self.path).run())
@@ -135,7 +135,7 @@
 
 class ServeTest(TestCase):
     def tearDown(self) -> None:
-        held_signal.release()
+        blocked_signals.unblock()
 
     def test_signals_are_held_from_the_start_of_serve(self) -> None:
         self.run_with(["nope"], "")
--- a/tests/control_plane/test_soft_state.py
+++ b/tests/control_plane/test_soft_state.py
@@ -33,7 +33,7 @@
 class GatewayLink:
     """The link of a gateway, which records the messages sent over it."""
 
-    silence = 0
+    time_since_receive = 0
 
     def __init__(self) -> None:
         self.sent: list[object] = []
--- a/tests/control_plane/test_status.py
+++ b/tests/control_plane/test_status.py
@@ -95,7 +95,7 @@
 
     async def test_violated_invariants_are_reported(self) -> None:
         self.assertEqual((await self.status(0)).violations, ())
-        with VIOLATIONS.apart():
+        with VIOLATIONS.restoring_counts():
             for _ in range(2):
                 VIOLATIONS.check(Invariant.CALL_ENDS_IN_TIME, False, "of this test")
             status = await self.status(0)
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -377,7 +377,7 @@
         else:
             from brackenladder.operations.pause import Service
 
-            client_connections.attend(Service.ENDING)
+            client_connections.set_service_state(Service.ENDING)
         assert len((await client.receive())[2]) == size
         client.writer.close()
         if by == "drain":
--- a/tests/endings/test_server_ends.py
+++ b/tests/endings/test_server_ends.py
@@ -13,7 +13,7 @@
 
 from brackenladder.interface import ListKind
 from brackenladder.membership.listing import Listing, read_line
-from brackenladder.settings import Fields
+from brackenladder.settings import FieldReader
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
@@ -88,8 +88,8 @@
         held = hold_connects(bench)
         client = Raw(bench.port, call("offer"))
         await until(lambda: held.up == 1)
-        line = read_line(Fields(second.entry("second")))  # for the retry
-        bench.pool.told(Listing(ListKind.CHANGES, 42, (line,)))
+        line = read_line(FieldReader(second.entry("second")))  # for the retry
+        bench.pool.on_listing(Listing(ListKind.CHANGES, 42, (line,)))
         held.go.set()
         held.go.clear()
         await until(lambda: held.up == 2)
--- a/tests/fuzz/targets.py
+++ b/tests/fuzz/targets.py
@@ -26,7 +26,7 @@
 from brackenladder.http.server_exchange import Exchange
 from brackenladder.http.server_pool import ServerPool
 from brackenladder.interface import ListKind, Outcome, ServerEntry
-from brackenladder.node.config import read
+from brackenladder.node.config import parse_table
 from brackenladder.rpc.call import Reply, RpcCall
 from brackenladder.rpc.codec import Bounds, Broken, Reader, Request, Response
 from brackenladder.rpc.codec import read as read_message
@@ -158,7 +158,7 @@
 
 @cache
 def config() -> Any:
-    return read({"name": "n", "listen": "h:1", "discovery": "h:2", "settings": settings()})
+    return parse_table({"name": "n", "listen": "h:1", "discovery": "h:2", "settings": settings()})
 
 
 def host_of(data: bytes, answer: object) -> tuple[Host, Loop, list[str]]:
--- a/tests/gateway/test_leaving_services.py
+++ b/tests/gateway/test_leaving_services.py
@@ -108,7 +108,7 @@
         """If the pool missed the change, the invariant would count a violation."""
         self.gateway._context.pools._pools[SERVICE].close()
         self.list_servers(ServerState.DRAINING, seq=2)
-        with VIOLATIONS.apart():
+        with VIOLATIONS.restoring_counts():
             before = VIOLATIONS.violations().get(Invariant.SERVER_TAKES_REQUESTS, 0)
             self.assertEqual((await self.ask(post("/plain/x"))).status, 200)
             self.assertEqual(VIOLATIONS.violations().get(Invariant.SERVER_TAKES_REQUESTS), before + 1)
--- a/tests/gateway/test_newest_route.py
+++ b/tests/gateway/test_newest_route.py
@@ -138,7 +138,7 @@
 
     async def test_a_server_outside_the_homes_violates_the_invariant(self) -> None:
         self.change(homes=(THERE,))
-        with VIOLATIONS.apart(), patch.object(CallTraits, "permits", lambda *_: True):
+        with VIOLATIONS.restoring_counts(), patch.object(CallTraits, "permits", lambda *_: True):
             before = VIOLATIONS.violations().get(Invariant.SERVER_KEEPS_HOMES, 0)
             self.assertEqual((await self.ask(post("/safe/x"))).status, 200)
             self.assertEqual(VIOLATIONS.violations().get(Invariant.SERVER_KEEPS_HOMES), before + 1)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from brackenladder.node.config import read
+from brackenladder.node.config import parse_table
 from brackenladder.node.node import Node
 
 PATIENCE = 20.0  # seconds; only a failure waits so long
@@ -255,7 +255,7 @@
             "known": known,
             "settings": settings(**self.changes),
         }
-        self.node = Node(read(table | self.config), asyncio.get_running_loop(), self.operator)
+        self.node = Node(parse_table(table | self.config), asyncio.get_running_loop(), self.operator)
         await self.node.start()
         self.pool = self.node.http
         sock = self.node.front.clients.listener.sock
--- a/tests/node/test_control.py
+++ b/tests/node/test_control.py
@@ -14,8 +14,8 @@
 
 from brackenladder.cli.control import ask
 from brackenladder.cli.main import main
-from brackenladder.control.plan import planned
-from brackenladder.control.state import parse as state_of
+from brackenladder.control.plan import make_plan
+from brackenladder.control.state import parse_state as state_of
 from brackenladder.node.operator import ControlTable, Operator, OperatorError, parse
 
 CANARY = """
@@ -77,7 +77,7 @@
             assert (await bench.once(data))[0] == 200
             went["s0"] = len(bench.servers[0].requests)
         assert 75 <= went["s0"] < 300  # a quarter by the route, and its part of the rest
-        assert len(bench.node.control.pools.sides) == 2
+        assert len(bench.node.control.pools.routed_pools) == 2
         assert await command("show", "--history") == 0
         assert "pool canary: 1 ready" in capsys.readouterr().out
         audit = (tmp_path / "audit").read_text().splitlines()
@@ -135,13 +135,15 @@
         for turn in range(40):
             before = sum(statuses.values())
             desired = state_of(texts[turn % len(texts)].encode())
-            pools.apply(planned(pools.live(), desired), 0)
+            pools.apply(make_plan(pools.live(), desired), 0)
             await until(lambda before=before: sum(statuses.values()) >= before + 12)
         done.set()
         await asyncio.gather(*clients)
         # A busy machine makes the limit refuse some; nothing fails, and each has had its one answer.
         assert set(statuses) <= {200, 503} and statuses[200] > statuses[503] and len(pools.history) == 40
-        await until(lambda: not any(side.host.calls for side in (*pools.sides.values(), *pools.leaving)))
+        await until(
+            lambda: not any(pool.host.calls for pool in (*pools.routed_pools.values(), *pools.draining))
+        )
 
     scene(tmp_path, [Server(), Server(), Server(), Server()], act)
 
@@ -160,11 +162,11 @@
                 await until(lambda: gate.waiting == 1)
             assert await command("apply", str(out), "--yes") == 0
         pools = bench.node.control.pools
-        assert list(pools.sides) == ["default"] and len(pools.leaving) == 1
+        assert list(pools.routed_pools) == ["default"] and len(pools.draining) == 1
         gate.open.set()
         assert (await held)[0] == 200
         bench.discovery.say(42, False)
-        await until(lambda: not pools.leaving)
+        await until(lambda: not pools.draining)
 
     class Gate:
         waiting = 0
--- a/tests/node/test_node_attempts.py
+++ b/tests/node/test_node_attempts.py
@@ -109,7 +109,7 @@
         bench = await Bench(whole := Server(), config={"known": None}).start()
         entry = whole.entry("half", addr=f"127.0.0.1:{listener.getsockname()[1]}")
         bench.discovery.say(42, True, entry)
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         outcomes = record_outcomes(bench)
         client = await bench.client()
         client.send(call("invite", body=b"x" * 65536))
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -48,7 +48,7 @@
     async def scene():
         bench = await Bench(going := Server(), staying := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, going.entry("s0"))
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         start = bench.pool.host.balancer.request
 
         def request(*args):
@@ -160,7 +160,7 @@
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
         bench.discovery.raw(b"", b"503 Busy")
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
--- a/tests/node/test_node_of_pools.py
+++ b/tests/node/test_node_of_pools.py
@@ -57,11 +57,11 @@
         bench = await Bench(server := Server(), table={"servers": ()}).start()  # nobody was told yet
         http = bench.node.listeners["http"].front.clients.listener.sock.getsockname()[1]
         ready = b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n"
-        bench.node.http.told(Listing(ListKind.FULL, 1, ()))
+        bench.node.http.on_listing(Listing(ListKind.FULL, 1, ()))
         client = await HttpClient(http).open()
         assert (await client.ask(ready))[0] == 503
         bench.discovery.say(41, True, server.entry("s0"))
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         assert (await client.ask(ready))[0] == 200
 
     play(scene)
@@ -75,14 +75,14 @@
         front = bench.node.listeners["rpc"].front
         client = await bench.client()
         assert await client.ask("view", 1) == [None, [1]]
-        front.attend(Service.REFUSING)
+        front.set_service_state(Service.REFUSING)
         error, _ = await client.ask("view", 2)
         assert error[0] == "refused" and error[2] == "this node pauses" and len(server.calls) == 1
         for client_connection in front.clients:
             client_connection.last_active -= 1  # as if it had been quiet for so long
-        front.attend(Service.REFUSING)
+        front.set_service_state(Service.REFUSING)
         await until(lambda: not front.clients)
-        front.attend(Service.SERVING)
+        front.set_service_state(Service.SERVING)
         assert await (await bench.client()).ask("view", 3) == [None, [3]]
 
     play(scene)
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -21,7 +21,7 @@
 )
 from node_samples import spawn
 
-from brackenladder.node.config import ConfigError, load, read
+from brackenladder.node.config import ConfigError, load, parse_table
 
 
 def test_bad_configuration_is_one_plain_line(tmp_path):
@@ -36,7 +36,7 @@
             load({"LB_CONFIG": str(file)})
         assert "\n" not in str(e.value)
     with pytest.raises(ValueError, match="max_attempts"):
-        read(node_table(0, settings(policy_limits={"max_attempts": None})))
+        parse_table(node_table(0, settings(policy_limits={"max_attempts": None})))
 
 
 def test_the_program_says_what_it_cannot_start_with(tmp_path):
--- a/tests/node/test_node_requests.py
+++ b/tests/node/test_node_requests.py
@@ -180,7 +180,7 @@
         bench = await Bench(server := Server(), config={"known": None}).start()
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scene)
--- a/tests/node/test_replica_store.py
+++ b/tests/node/test_replica_store.py
@@ -55,7 +55,7 @@
     async def test_an_empty_disk_gets_a_store(self) -> None:
         opened = await self.open()
         self.assertEqual(opened.store.identity.replica_id, "new-False")
-        self.assertFalse(opened.succeeds_damaged)
+        self.assertFalse(opened.replaces_damaged)
 
     async def test_a_store_is_opened_with_what_it_holds(self) -> None:
         self.make()
@@ -89,7 +89,7 @@
         (await self.open()).store.close()
         opened = await self.open()
         self.assertEqual(opened.store.identity.replica_id, "new-True")
-        self.assertTrue(opened.succeeds_damaged)
+        self.assertTrue(opened.replaces_damaged)
 
     async def test_a_damage_that_passes_is_not_believed(self) -> None:
         self.make()
--- a/tests/recovery/test_processes.py
+++ b/tests/recovery/test_processes.py
@@ -12,8 +12,8 @@
 from rehearsal.playing import small
 
 from brackenladder.cli.control import NodeError, ask, live_of
-from brackenladder.control.plan import planned, written
-from brackenladder.control.state import Desired
+from brackenladder.control.plan import encode_plan, make_plan
+from brackenladder.control.state import DesiredState
 from brackenladder.rehearsal.nodes import NodeProcess
 from brackenladder.rehearsal.runner import Run
 from brackenladder.routing.pools import DEFAULT, PoolSpec
@@ -39,10 +39,10 @@
 
 def apply(node: NodeProcess, weight: float, server: str) -> str:
     live = live_of(node.control)
-    desired = Desired(pools={DEFAULT: PoolSpec(weights={f"server:{server}": weight})})
-    plan = planned(live, msgspec.convert(msgspec.to_builtins(desired), Desired))
+    desired = DesiredState(pools={DEFAULT: PoolSpec(weights={f"server:{server}": weight})})
+    plan = make_plan(live, msgspec.convert(msgspec.to_builtins(desired), DesiredState))
     try:
-        return str(ask(node.control, "apply", written(plan).decode())["digest"])
+        return str(ask(node.control, "apply", encode_plan(plan).decode())["digest"])
     except NodeError as e:  # the node has taken the state from another one meanwhile
         assert "already applied" in str(e) or "the node is in state" in str(e)
         return plan.result
--- a/tests/rpc/standins.py
+++ b/tests/rpc/standins.py
@@ -9,7 +9,7 @@
 import msgpack
 from loopback import PATIENCE, Discovery, entry_of, settings, until
 
-from brackenladder.node.config import read
+from brackenladder.node.config import parse_table
 from brackenladder.node.node import Node
 from brackenladder.node.operator import MethodTable, Operator, RpcTable
 
@@ -151,7 +151,7 @@
         await self.discovery.start()
         for server in self.servers:
             await server.start()
-        config = read(
+        config = parse_table(
             {
                 "name": "n0",
                 "listen": "127.0.0.1:0",
--- a/tests/rpc/test_errors.py
+++ b/tests/rpc/test_errors.py
@@ -11,7 +11,7 @@
 from rpc.standins import Bench, Connection, Server
 
 from brackenladder.interface import Outcome
-from brackenladder.node.config import ConfigError, read
+from brackenladder.node.config import ConfigError, parse_table
 from brackenladder.node.operator import MethodTable, OperatorError, parse
 from brackenladder.node.rpc import check
 from brackenladder.rpc.call import outcome_of
@@ -144,7 +144,7 @@
     ],
 )
 def test_what_the_operator_file_cannot_mean_is_named_at_the_start(failures, addr, told):
-    config = read({"name": "n", "listen": "h:1", "discovery": "h:2", "settings": settings()})
+    config = parse_table({"name": "n", "listen": "h:1", "discovery": "h:2", "settings": settings()})
     with pytest.raises((ConfigError, OperatorError)) as caught:
         check(parse(FILE.format(failures=failures, addr=addr).encode()).rpc, config)
     assert told in str(caught.value) and "\n" not in str(caught.value)
--- a/tests/rules/stage.py
+++ b/tests/rules/stage.py
@@ -23,7 +23,7 @@
 from rpc.standins import METHODS
 from rpc.standins import Client as RpcClient
 
-from brackenladder.node.config import read
+from brackenladder.node.config import parse_table
 from brackenladder.node.node import Node
 from brackenladder.node.operator import Operator, RpcTable
 
@@ -195,7 +195,7 @@
         await self.discovery.start()
         for i, server in enumerate(self.servers):
             await server.start(self.transport, f"s{i}")
-        config = read(
+        config = parse_table(
             {
                 "name": "n0",
                 "listen": "127.0.0.1:0",
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -34,7 +34,7 @@
 
     def test_a_test_that_breaks_one_on_purpose(self) -> None:
         before = VIOLATIONS.total
-        with VIOLATIONS.apart():
+        with VIOLATIONS.restoring_counts():
             VIOLATIONS.check(HOMES, False, "on purpose")
             self.assertEqual(VIOLATIONS.total, before + 1)
         self.assertEqual(VIOLATIONS.total, before)
--- a/tests/transport/contract.py
+++ b/tests/transport/contract.py
@@ -60,8 +60,8 @@
         await self.pair()
         self.near_link.send(Empty())
         await self.until(self.far_side, lambda: bool(self.far_side.messages))
-        self.assertLess(self.far_link.silence, 10_000_000)  # even on a machine that is slow
-        self.assertGreaterEqual(self.far_link.silence, 0)
+        self.assertLess(self.far_link.time_since_receive, 10_000_000)  # even on a machine that is slow
+        self.assertGreaterEqual(self.far_link.time_since_receive, 0)
 
     async def test_a_handler_may_send_when_it_is_told_of_the_link_and_of_a_message(self):
         self.far_side = Recorder(on_connected=lambda link: link.send(Empty()))
@@ -213,7 +213,7 @@
         await self.until(first, lambda: bool(first.links))
         self.make("second").dial(far.listening[0], second)
         await self.until(far_side, lambda: bool(far_side.refusals))
-        self.assertEqual(set(far_side.refusals), {LinkClosed.CROWDED})
+        self.assertEqual(set(far_side.refusals), {LinkClosed.TOO_MANY_CONNECTIONS})
         self.assertEqual(second.calls, [])
         first_dialer.close()
         await self.until(second, lambda: bool(second.links))
--- a/tests/transport/test_transport_keepalive.py
+++ b/tests/transport/test_transport_keepalive.py
@@ -10,7 +10,7 @@
 from brackenladder.transport.keepalive import Keepalive
 from brackenladder.transport.link import LinkTiming
 
-TIMING = LinkTiming(ping_every=400_000, silence=1_600_000)
+TIMING = LinkTiming(ping_every=400_000, silence_timeout=1_600_000)
 
 
 @define
@@ -59,25 +59,25 @@
 @define(eq=False)
 class FakeLink:
     loop: FakeLoop
-    sent_at: float = field(init=False)
-    heard_at: float = field(init=False)
-    excused: bool = False
+    last_sent_at: float = field(init=False)
+    last_received_at: float = field(init=False)
+    grace_given: bool = False
     pings: list[float] = field(factory=list)
     ended: list[float] = field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        self.sent_at = self.heard_at = self.loop.now
+        self.last_sent_at = self.last_received_at = self.loop.now
 
     def ping(self, now: float) -> None:
-        self.sent_at = now
+        self.last_sent_at = now
         self.pings.append(now - 100.0)
 
-    def silent(self) -> None:
+    def on_silence_timeout(self) -> None:
         self.ended.append(self.loop.now - 100.0)
 
     def hear(self) -> None:
-        self.heard_at = self.loop.now
-        self.excused = False
+        self.last_received_at = self.loop.now
+        self.grace_given = False
 
 
 class KeepaliveTest(TestCase):
@@ -110,7 +110,7 @@
         link = self.link()
         for _ in range(100):
             self.loop.advance(0.2)
-            link.sent_at = self.loop.now
+            link.last_sent_at = self.loop.now
             link.hear()
         self.assertEqual(link.pings, [])
 
--- a/tests/transport/test_transport_tcp.py
+++ b/tests/transport/test_transport_tcp.py
@@ -18,8 +18,8 @@
 from brackenladder.transport.tcp import TcpTransport
 
 FRAME_LIMIT = 16 << 20
-STEADY = LinkTiming(retry_min=1_000, retry_max=4_000, listen_patience=1_000, listen_retry=1_000)
-SHORT_SILENCE = LinkTiming(ping_every=40_000, silence=250_000, retry_min=1_000, retry_max=4_000)
+STEADY = LinkTiming(retry_min=1_000, retry_max=4_000, listen_timeout=1_000, listen_retry=1_000)
+SHORT_SILENCE = LinkTiming(ping_every=40_000, silence_timeout=250_000, retry_min=1_000, retry_max=4_000)
 HELLO = frame(encode_hello(ProtocolVersions(), "raw"), FRAME_LIMIT)
 
 
--- a/tests/transport/test_transport_tcp_link.py
+++ b/tests/transport/test_transport_tcp_link.py
@@ -92,7 +92,7 @@
         self.connection.written.clear()
         self.connection.waiting = 1
         self.link.ping(5.0)
-        self.assertEqual((self.connection.written, self.link.sent_at), ([], 5.0))
+        self.assertEqual((self.connection.written, self.link.last_sent_at), ([], 5.0))
         self.connection.waiting = 0
         self.link.ping(6.0)
         self.assertEqual(self.connection.written, [PING])
@@ -104,7 +104,7 @@
 
     async def test_the_first_reason_is_the_one_that_is_told(self):
         self.greet()
-        self.link.silent()
+        self.link.on_silence_timeout()
         self.link.close()
         self.link.data_received(b"\0\0\0\1\xc1")
         self.assertEqual((self.connection.ended, self.side.reasons), ("aborted", []))
@@ -115,7 +115,7 @@
         self.greet()
         self.link.close()
         self.assertEqual(self.connection.ended, "closed")
-        self.link.silent()
+        self.link.on_silence_timeout()
         self.assertEqual(self.connection.ended, "aborted")
         self.link.connection_lost(None)
         self.assertEqual(self.side.reasons, [LinkClosed.LOCAL])
