--- a/brackenladder/node/blocked_signals.py
+++ b/brackenladder/node/blocked_signals.py
@@ -1,8 +1,7 @@
-"""Signals of the platform while a role process is loaded: they wait until the role can take them.
+"""Blocks SIGHUP and SIGTERM while a role process starts, until its signal handlers are installed.
 
-Failure prevented: the settings change, or a planned end comes, while a process starts, and the signal that
-says so ends the process at once, as it ends every program that has not yet said what it does with it. A
-gateway listens by then, and what waits in its queue would be reset.
+Their default action ends the process at once. If a reload or a planned shutdown came during the start, a
+gateway, which already listens by then, would reset the connections that wait in its accept queue.
 """
 
 from __future__ import annotations
@@ -13,10 +12,10 @@
 
 
 def block() -> None:
-    """From now on these signals wait."""
+    """Blocks the signals: they stay pending."""
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
 
 
 def unblock() -> None:
-    """What has waited comes now, and later ones at once."""
+    """Unblocks the signals. Pending ones are delivered now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -1,4 +1,4 @@
-"""What a node is told at its start: the environment and the configuration file, checked."""
+"""Reads and checks a node's configuration: environment variables and the configuration file."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 Address = tuple[str, int]
 
-DOOR_SOCKETS = 20  # the door's places, its listener, and files of its own
-RESERVED_SOCKETS = 32  # the event loop's own, the listener, UDP, discovery, the standard streams
-BULK_SHARE = 0.43  # of the memory may hold large bodies
-HELD_SHARE = 8  # an eighth of the memory may hold clients' requests
-LEAST_CONNECTIONS = 8
+OPERATOR_SOCKETS = 20  # descriptors for the operator listener, its connections and its files
+RESERVED_SOCKETS = 32  # descriptors for the event loop, the listener, UDP, discovery, the standard streams
+BULK_SHARE = 0.43  # share of the memory limit that large bodies may use
+HELD_SHARE = 8  # 1/8 of the memory limit may be used by client requests
+MIN_CONNECTIONS = 8
 
 
 class ConfigError(Exception):
-    """The node cannot start with what it was told; the text is one plain line."""
+    """The configuration can't be used. The text is one line."""
 
 
 @dataclass(frozen=True)
@@ -31,11 +31,11 @@
     name: str
     listen: Address
     discovery: Address
-    filed_discovery: object  # as it stands in the file, which the environment may override
+    filed_discovery: object  # the value in the file; the environment may override it
     seed: int
-    connections: int  # descriptors that clients and servers may use together
-    most_held: int  # bytes of clients' requests that may be in memory
-    most_bulk: int  # and of large bodies, counted apart
+    connections: int  # descriptors for connections of clients and servers together
+    most_held: int  # limit in bytes of client requests in memory
+    most_bulk: int  # limit in bytes of large bodies in memory, which don't count for `most_held`
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peers_all: Address | None
@@ -48,14 +48,14 @@
     connect_timeout: float  # seconds
     idle_time: float  # seconds after which a server closes an idle connection
     inline_reports: bool
-    report_names: tuple[tuple[str, str], ...]  # a load report's values: the settings' word, the plain one
-    door: Address | None = None  # where operators call
-    passed: int | None = None  # the descriptor of a listening socket that was handed down
-    folder: str | None = None  # private to the node's processes
+    report_names: tuple[tuple[str, str], ...]  # of load reports: the name in the settings, the internal one
+    door: Address | None = None  # the address of the operator listener
+    passed: int | None = None  # the descriptor of an inherited listening socket
+    folder: str | None = None  # private directory shared by the old and the new process of a restart
 
 
 def parse_address(text: object, what: str) -> Address:
-    """`host:port` as a pair; a ConfigError that names `what` otherwise."""
+    """Parses `host:port`. Raises a ConfigError that names `what` if the text has another form."""
     if isinstance(text, str):
         host, _, port = text.rpartition(":")
         host = host.strip("[]")
@@ -65,10 +65,11 @@
 
 
 def load(environ: Mapping[str, str], last: Config | None = None) -> Config:
-    """Reads `LB_CONFIG`; `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` override what stands there.
+    """Reads the file named by `LB_CONFIG`. `LB_NAME`, `LB_LISTEN` and `LB_DISCOVERY` override its values.
 
-    At a reload (`last` is the configuration in force) the environment is still that of the start: an
-    address of discovery that has changed in the file holds, and one that has not leaves what is in force.
+    At a reload, `last` is the current configuration. The environment still has the values from the start, so
+    it must not override a change of the discovery address in the file: a changed address in the file is used,
+    otherwise the current address stays.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -82,16 +83,16 @@
         raise ConfigError("LB_CONFIG: not JSON") from None
     if not isinstance(table, dict):
         raise ConfigError("LB_CONFIG: not an object")
-    filed = table.get("discovery")
+    address_in_file = table.get("discovery")
     for key in ("name", "listen", "discovery", "operator"):
         table[key] = environ.get(f"LB_{key.upper()}") or table.get(key)
-    if last is not None and filed:
-        same = filed == last.filed_discovery
-        table["discovery"] = f"{last.discovery[0]}:{last.discovery[1]}" if same else filed
+    if last is not None and address_in_file:
+        unchanged = address_in_file == last.filed_discovery
+        table["discovery"] = f"{last.discovery[0]}:{last.discovery[1]}" if unchanged else address_in_file
     try:
         return replace(
             parse_table(table),
-            filed_discovery=filed,
+            filed_discovery=address_in_file,
             passed=parse_descriptor(environ.get("LB_PASSED_SOCKET")),
             folder=environ.get("TMPDIR") or None,
         )
@@ -100,7 +101,7 @@
 
 
 def parse_descriptor(text: str | None) -> int | None:
-    """The number of a descriptor that was handed down, if one was."""
+    """Parses the number of an inherited descriptor. Returns None for an empty text."""
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < 7):
@@ -109,7 +110,7 @@
 
 
 def parse_table(table: dict[str, Any]) -> Config:
-    """A Config from the decoded file. What is missing or impossible is a ValueError or a ConfigError."""
+    """Builds a Config from the decoded file. Raises ValueError or ConfigError for missing or bad values."""
     name, seed = table.get("name"), table.get("seed", "0")
     if not isinstance(name, str):
         raise ConfigError("name: missing")
@@ -118,12 +119,13 @@
     except (TypeError, ValueError):
         raise ConfigError("seed: not a hexadecimal number") from None
     fields = FieldReader(table)
-    given = fields.nested("limits", optional=True)
-    sockets, memory = given.integer("sockets", 1024), given.integer("memory_mb", 128)
-    door = table.get("operator")
-    reserved = RESERVED_SOCKETS + (DOOR_SOCKETS if door else 0)
-    if sockets < reserved + LEAST_CONNECTIONS:
-        raise ConfigError(f"limits.sockets: at least {reserved + LEAST_CONNECTIONS} are needed")
+    process_limits = fields.nested("limits", optional=True)
+    sockets = process_limits.integer("sockets", 1024)
+    memory = process_limits.integer("memory_mb", 128)
+    operator_address = table.get("operator")
+    reserved = RESERVED_SOCKETS + (OPERATOR_SOCKETS if operator_address else 0)
+    if sockets < reserved + MIN_CONNECTIONS:
+        raise ConfigError(f"limits.sockets: at least {reserved + MIN_CONNECTIONS} are needed")
     peer_listen, peers_all = table.get("peer_listen"), table.get("peers_all")
     settings = fields.nested("settings")
     limits = settings.nested("policy_limits")
@@ -143,7 +145,7 @@
         peers=tuple(parse_address(p, "peers") for p in fields.items("peers")),
         peers_all=parse_address(peers_all, "peers_all") if peers_all else None,
         known=read_listing(known, ListKind.CACHED) if known else None,
-        door=parse_address(door, "operator") if door else None,
+        door=parse_address(operator_address, "operator") if operator_address else None,
         settings=parse_settings(settings.table),
         classes=tuple(c.text("name") for c in settings.tables("classes")),
         tenants=tuple(t.text("name") for t in settings.tables("tenants", optional=True)),
--- a/brackenladder/node/control_role.py
+++ b/brackenladder/node/control_role.py
@@ -1,4 +1,4 @@
-"""The control role of one process: opens the store and runs the control node on it."""
+"""The control role of a process: opens the store and runs the control node with it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.node: ControlNode | None = None
 
     async def start(self) -> None:
-        """Opens the store and starts the node; `RoleError` if the store can't be used."""
+        """Opens the store and starts the node. Raises RoleError if the store can't be used."""
         opened = await self._open_store()
         start = self._replica_start(opened)
         self.node = ControlNode(
@@ -51,12 +51,12 @@
             raise RoleError(f"can't listen: {error}") from error
 
     def reload(self, platform: Platform) -> None:
-        """Takes changed settings."""
+        """Applies changed settings."""
         if self.node is not None:
             self.node.reload(platform)
 
     async def stop(self) -> None:
-        """Ends in order."""
+        """Stops the node in an orderly way."""
         if self.node is not None:
             await self.node.stop()
 
@@ -68,19 +68,20 @@
 
     def _replica_start(self, opened: OpenedStore) -> ReplicaStart:
         replica_id = opened.store.identity.replica_id
-        founds = self._founds(opened.replaces_damaged)
-        founder = founds and replica_id == genesis_replica_id(self._platform.inner_address)
+        may_found = self._may_found(opened.replaces_damaged)
+        founder = may_found and replica_id == genesis_replica_id(self._platform.inner_address)
         return ReplicaStart(replica_id, opened.state, self._genesis() if founder else None)
 
     def _new_replica_id(self, replaces_damaged: bool) -> str:
-        if self._founds(replaces_damaged):
+        if self._may_found(replaces_damaged):
             return genesis_replica_id(self._platform.inner_address)
         return secrets.token_hex(REPLICA_ID_BYTES)
 
-    def _founds(self, replaces_damaged: bool) -> bool:
-        """This node is one of the first voters of a system that starts for the very first time.
+    def _may_found(self, replaces_damaged: bool) -> bool:
+        """Whether this node is one of the initial voters at the very first start of the system.
 
-        A node whose store was set aside is not: the system may have started, and it would vote twice.
+        A node whose damaged store was moved aside is not: the system may have been started before, and the
+        node could vote a second time.
         """
         first = self._platform.bootstrap and not replaces_damaged
         return first and self._platform.listen.control in self._platform.seeds
--- a/brackenladder/node/control_socket.py
+++ b/brackenladder/node/control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket: `show`, what a plan is made from, and `apply`. One line of JSON in, one out."""
+"""The control socket: a Unix socket for operators' commands. Each request and reply is one line of JSON."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from brackenladder.node.pools import Pools
 
 VERSION = 1
-LARGEST_LINE = 2 * MAX_PLAN_BYTES  # bytes: a plan in a string
-PATIENCE = 10.0  # seconds for a line to come whole
-CLIENTS = 8  # connections at once
+MAX_LINE_BYTES = 2 * MAX_PLAN_BYTES  # twice, as the plan is escaped in a JSON string
+TIMEOUT = 10.0  # seconds to receive a complete line or to send the reply
+MAX_CLIENTS = 8  # open connections
 
 
 class ControlRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A line from an operator's command."""
+    """A request from an operator's command."""
 
     version: int
     do: Literal["show", "live", "apply", "members"]
@@ -32,12 +32,12 @@
 
 
 class ControlSocket:
-    """`users`: who may speak here beside the user that the node runs as, and root."""
+    """Serves the control socket. Root, the node's own user and `table.users` may use it."""
 
     def __init__(self, pools: Pools, table: ControlTable, log: Callable[[str], None]) -> None:
         self.pools = pools
-        self.members: Callable[[], dict[str, Any]] | None = None  # what is known of other nodes
-        self.recovery: Callable[[], dict[str, Any]] | None = None  # generation and phase
+        self.members: Callable[[], dict[str, Any]] | None = None  # returns the status of the other nodes
+        self.recovery: Callable[[], dict[str, Any]] | None = None  # returns the generation and the phase
         self.path = table.socket
         self.users = {os.getuid(), 0, *table.users}
         self.audit = table.audit
@@ -46,20 +46,20 @@
         self.open = 0
 
     async def start(self) -> None:
-        """Binds the socket, for its owner alone. An OSError if the path cannot be had."""
+        """Binds the socket with access for its owner only. Raises OSError if the path can't be used."""
         if os.path.exists(self.path) and stat.S_ISSOCK(os.stat(self.path).st_mode):
             with socket.socket(socket.AF_UNIX) as probe:
                 if probe.connect_ex(self.path) == 0:
                     raise OSError(98, f"control socket {self.path}: another process listens there")
-            os.unlink(self.path)  # left behind by a process that was killed
+            os.unlink(self.path)  # left over from a process that was killed
         mask = os.umask(0o177)
         try:
-            self.server = await asyncio.start_unix_server(self.visit, self.path, limit=LARGEST_LINE)
+            self.server = await asyncio.start_unix_server(self.serve_client, self.path, limit=MAX_LINE_BYTES)
         finally:
             os.umask(mask)
 
     def end(self) -> None:
-        """The node ends: no change comes any more."""
+        """Closes the socket because the node shuts down. No more changes are accepted."""
         self.pools.begin_shutdown()
         if self.server is not None:
             self.server.close()
@@ -67,15 +67,15 @@
             if os.path.exists(self.path):
                 os.unlink(self.path)
 
-    async def visit(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_client(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.open += 1
         try:
             data = await self.reply(reader, writer)
             writer.write(data + b"\n")
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 await writer.drain()
         except (TimeoutError, ConnectionError):
-            pass  # a client that says nothing, or went away
+            pass  # the client sent nothing or disconnected
         finally:
             self.open -= 1
             writer.close()
@@ -86,34 +86,35 @@
         if user not in self.users:
             self.log(f"control: user {user} refused")
             return refusal(f"user {user} may not")
-        if self.open > CLIENTS:
+        if self.open > MAX_CLIENTS:
             return refusal("too many connections")
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 line = await reader.readline()
         except ValueError:
-            return refusal(f"over {LARGEST_LINE} bytes")
+            return refusal(f"over {MAX_LINE_BYTES} bytes")
         return self.answer(line, user)
 
     def answer(self, line: bytes, user: int) -> bytes:
-        """What is said to one line."""
+        """Returns the reply to one request line."""
         try:
-            asked = msgspec.json.decode(line, type=ControlRequest)
+            request = msgspec.json.decode(line, type=ControlRequest)
         except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as e:
             return refusal(f"not a call: {e}")
-        if asked.version != VERSION:
-            return refusal(f"version {asked.version}; this node speaks {VERSION}")
-        if asked.do == "apply":
-            return self.apply(asked.plan, user)
-        if asked.do == "show" and self.recovery is not None:
+        if request.version != VERSION:
+            return refusal(f"version {request.version}; this node speaks {VERSION}")
+        if request.do == "apply":
+            return self.apply(request.plan, user)
+        if request.do == "show" and self.recovery is not None:
             answer = {"ok": True, **summary(self.pools.live()), "recovery": self.recovery()}
             return msgspec.json.encode(answer)
-        if asked.do == "members":
+        if request.do == "members":
             if self.members is None:
                 return refusal("[members] is not in this node's operator file")
             return msgspec.json.encode({"ok": True, **self.members()})
         live = self.pools.live()
-        return msgspec.json.encode({"ok": True, **(summary(live) if asked.do == "show" else {"live": live})})
+        answer = {"ok": True, **(summary(live) if request.do == "show" else {"live": live})}
+        return msgspec.json.encode(answer)
 
     def apply(self, text: str, user: int) -> bytes:
         seal = "-"
@@ -122,13 +123,13 @@
             seal = plan.seal
             self.pools.apply(plan, user)
         except PlanRefused as e:
-            self.note(user, seal, f"refused: {e}")
+            self.record(user, seal, f"refused: {e}")
             return refusal(str(e))
-        self.note(user, seal, f"applied: {plan.base} to {plan.result}, {len(plan.changes)} keys")
+        self.record(user, seal, f"applied: {plan.base} to {plan.result}, {len(plan.changes)} keys")
         return msgspec.json.encode({"ok": True, "digest": plan.result})
 
-    def note(self, user: int, seal: str, text: str) -> None:
-        """A line in the log, and one in the audit file."""
+    def record(self, user: int, seal: str, text: str) -> None:
+        """Writes a line to the log and, if there is one, to the audit file."""
         self.log(f"control: user {user}, plan {seal}: {text}")
         if self.audit:
             try:
--- a/brackenladder/node/early_listener.py
+++ b/brackenladder/node/early_listener.py
@@ -1,18 +1,18 @@
-"""The gateway's socket for clients, opened before the rest of the program is loaded."""
+"""Opens the gateway's client socket before the rest of the program is imported."""
 
 from __future__ import annotations
 
 import socket
 
-BACKLOG = 1024  # connections that wait to be accepted
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 
 
 def open_early(address: str) -> socket.socket | None:
-    """Listen at "ip:port"; None if that is not possible now, and the gateway tries again once it is loaded.
+    """Listens at "ip:port". Returns None if that fails; the gateway then tries again once it is loaded.
 
-    Failure prevented: all processes were killed, and for the half second in which a gateway loads its modules
-    clients are refused the connection, come again at once, and have used up their tries. Connections that are
-    made meanwhile wait in the kernel's queue.
+    Importing the gateway takes about half a second. Without this socket, clients that connect in that time
+    (for example after all processes were killed) would be refused, retry at once and use up their attempts.
+    With it, their connections wait in the kernel's queue.
     """
     host, _, port = address.rpartition(":")
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -1,4 +1,4 @@
-"""The gateway role of one process: follows the control nodes and serves clients from what they tell."""
+"""The gateway role of a process: receives the configuration from the control nodes and serves clients."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 from brackenladder.transport.tcp import TcpTransport
 
 TICK_SECONDS = 0.2
-STARTING_TICK_SECONDS = 0.05  # until the view is complete: each moment is one without this gateway
-INFORMED_PATIENCE = 300_000  # microseconds that a gateway waits for what its neighbours know of prefixes
-NOTICE_SECONDS = 0.01  # notices of placements that follow one another so closely travel together
+STARTING_TICK_SECONDS = 0.05  # until the view is complete; shorter, so that the gateway is ready sooner
+PREFIX_NOTICES_TIMEOUT = 300_000  # microseconds that a starting gateway waits for other gateways' notices
+NOTICE_SECONDS = 0.01  # prefix notices within this time are sent in one message
 
 log = logbook.Logger("gateway")
 
@@ -39,12 +39,12 @@
 
 @frozen
 class GatewayEnvironment:
-    """What a gateway has of its host: clocks, random numbers, links and sockets."""
+    """The clocks, random numbers, links and sockets that a gateway uses. Simulations replace them."""
 
     clock: Callable[[], int] = monotonic_microseconds
-    wall_clock: Callable[[], int] = lambda: time.time_ns() // 1000  # microseconds; names this start
+    wall_clock: Callable[[], int] = lambda: time.time_ns() // 1000  # microseconds; identifies this start
     random: Callable[[], Random] = Random
-    transport: Callable[[str], Transport] = _tcp_transport  # by the node's name
+    transport: Callable[[str], Transport] = _tcp_transport  # called with the node's name
     open_socket: OpenSocket = server_socket
 
 
@@ -57,7 +57,7 @@
         front: socket | None = None,
         environment: GatewayEnvironment | None = None,
     ) -> None:
-        """`front`: listens for clients already."""
+        """`front` is a socket that already listens for clients."""
         self._environment = environment = environment or GatewayEnvironment()
         self._platform = platform
         self._subscriber = Subscriber()
@@ -79,14 +79,14 @@
             open_socket=environment.open_socket,
         )
         self._timer: asyncio.TimerHandle | None = None
-        self._unreadable_told = 0  # the newest revision whose document could not be read, as logged
-        self._complete_at: int | None = None  # when the view was first complete
+        self._unreadable_logged = 0  # the last revision that was logged as unreadable
+        self._complete_at: int | None = None  # when the view first became complete
         self._loop: asyncio.AbstractEventLoop
         self._transport: Transport
         self._links: ControlLinks
 
     async def start(self) -> None:
-        """Begins to listen and to follow the control nodes; ready once the view is complete."""
+        """Starts listening and connects to the control nodes. Ready once the view is complete."""
         self._loop = asyncio.get_running_loop()
         self._transport = self._environment.transport(self._platform.node_name)
         self._links = ControlLinks(
@@ -106,14 +106,14 @@
         self._tick()
 
     def reload(self, platform: Platform) -> None:
-        """Takes the seeds of changed settings."""
+        """Applies the seeds of changed settings."""
         self._platform = platform
         self._links.set_seeds(platform.seed_inner_addresses)
 
     async def stop(self) -> None:
-        """Leaves the directory at once, ends what is in flight, then goes."""
+        """Announces that it is leaving, finishes the open requests, then closes."""
         if self._timer is None:
-            return  # it never came to listen
+            return  # the start didn't get as far as listening
         self._gateway.ready = False
         self._presence.set_state(GatewayState.LEAVING)
         self._links.announce_presence()
@@ -127,31 +127,31 @@
         self._timer = self._loop.call_later(STARTING_TICK_SECONDS if starting else TICK_SECONDS, self._tick)
         now = self._environment.clock()
         self._subscriber.tick(now)
-        self._tell_unreadable()
+        self._log_unreadable()
         self._links.tick()
         self._gateway.check_held_calls()
-        if starting and self._subscriber.complete_or_timed_out(now) and self._informed(now):
+        if starting and self._subscriber.complete_or_timed_out(now) and self._prefixes_ready(now):
             self._become_ready()
 
-    def _tell_unreadable(self) -> None:
-        """Failure prevented: a configuration of a later program leaves the older one in force, unseen."""
+    def _log_unreadable(self) -> None:
+        """Logs that a configuration from a newer program version can't be read, so the old one stays."""
         revision = self._subscriber.unreadable_revision
-        if revision != self._unreadable_told:
-            self._unreadable_told = revision
+        if revision != self._unreadable_logged:
+            self._unreadable_logged = revision
             log.error(
                 "configuration of revision {} can't be read by this program; it is not in force", revision
             )
 
-    def _informed(self, now: int) -> bool:
-        """Whether the neighbours' knowledge of prefixes is here, or has been waited for."""
+    def _prefixes_ready(self, now: int) -> bool:
+        """Whether other gateways' prefix notices have arrived or the wait for them has timed out."""
         if self._complete_at is None:
             self._complete_at = now
-        return self._links.has_prefix_notices or now - self._complete_at >= INFORMED_PATIENCE
+        return self._links.has_prefix_notices or now - self._complete_at >= PREFIX_NOTICES_TIMEOUT
 
     def _notices_pending(self) -> None:
-        self._loop.call_later(NOTICE_SECONDS, self._tell_notices)
+        self._loop.call_later(NOTICE_SECONDS, self._send_notices)
 
-    def _tell_notices(self) -> None:
+    def _send_notices(self) -> None:
         notices = self._announcer.take()
         if notices is not None:
             self._links.send_prefix_notices(notices)
--- a/brackenladder/node/handover.py
+++ b/brackenladder/node/handover.py
@@ -1,4 +1,4 @@
-"""The list that a process leaves its successor, and takes over from its predecessor."""
+"""The server list that a process writes for its successor and reads from its predecessor at a restart."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from brackenladder.operations.maintenance import Maintenance
 from brackenladder.storage.handover import HandoverError, read_handover, write_handover
 
-EVERY = 1.0  # seconds between two writes
-MOST_SERVERS = 1000  # a longer list would hold up the loop: discovery tells the successor instead
+WRITE_INTERVAL = 1.0  # seconds
+MAX_SERVERS = 1000  # writing a longer list would block the event loop; the successor then asks discovery
 
 
 class Handover:
-    """`maintenance` knows the list as discovery gave it."""
+    """Writes and reads the list. `maintenance` has it as discovery sent it, without operators' changes."""
 
     def __init__(
         self,
@@ -34,8 +34,8 @@
         self.log = log
         self.timer: asyncio.TimerHandle | None = None
 
-    def look(self) -> Listing | None:
-        """Reads what a predecessor has left; its list, if there is a fresh one."""
+    def read_predecessor(self) -> Listing | None:
+        """Returns the list that a predecessor has written, if it is recent."""
         try:
             table = read_handover(self.folder, time_ns() // 1000)
             return read_listing(table, ListKind.CACHED) if table is not None else None
@@ -43,22 +43,22 @@
             self.log(f"not taken over: {e}")
             return None
 
-    def begin(self) -> None:
-        """Leaves its own from now on."""
-        self.timer = self.loop.call_later(EVERY, self.leave)
+    def start(self) -> None:
+        """Starts writing the list periodically."""
+        self.timer = self.loop.call_later(WRITE_INTERVAL, self.write)
 
-    def leave(self) -> None:
-        """Writes what a successor is to know."""
+    def write(self) -> None:
+        """Writes the list for a successor."""
         lines = list(self.maintenance.lines.values())
         version = self.pool.source.version
-        if version is not None and lines and len(lines) <= MOST_SERVERS:
+        if version is not None and lines and len(lines) <= MAX_SERVERS:
             try:
                 write_handover(self.folder, time_ns() // 1000, version, lines)
             except HandoverError as e:
                 self.log(str(e))
-        self.timer = self.loop.call_later(EVERY, self.leave)
+        self.timer = self.loop.call_later(WRITE_INTERVAL, self.write)
 
-    def end(self) -> None:
-        """The successor serves: what it leaves is the newer."""
+    def stop(self) -> None:
+        """Stops writing, as the successor now writes newer lists."""
         if self.timer is not None:
             self.timer.cancel()
--- a/brackenladder/node/http.py
+++ b/brackenladder/node/http.py
@@ -1,4 +1,4 @@
-"""HTTP's pool and listener, from the platform's configuration."""
+"""Creates the HTTP pool and front from the node's configuration."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     log: Log,
     stray_log: Log,
 ) -> Pool:
-    """Half of the connections are the servers'."""
+    """Creates the pool of HTTP servers. Half of the connections are for servers."""
     settings = config.settings
     upstream = HttpUpstream(
         loop,
@@ -42,7 +42,9 @@
         config.seed,
         loop,
         upstream,
-        lambda told: source(loop, config.discovery, config.known, settings.instances, told, stray_log.line),
+        lambda on_listing: source(
+            loop, config.discovery, config.known, settings.instances, on_listing, stray_log.line
+        ),
         messenger,
         config.zones,
         config.kinds,
@@ -54,9 +56,9 @@
 def http_front(
     config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, ready: Callable[[], bool], log: Log
 ) -> HttpFront:
-    """The other half are the clients'. `ready`: what `/ready` says until the node ends."""
+    """Creates the front. The other half of the connections is for clients. `ready` answers `/ready`."""
     front = HttpFront(pool.host, config.classes, config.tenants, ready, log.line)
-    most = config.connections - config.connections // 2
-    front.clients = ClientConnections(loop, most, config.most_held, config.most_bulk, front)
+    max_clients = config.connections - config.connections // 2
+    front.clients = ClientConnections(loop, max_clients, config.most_held, config.most_bulk, front)
     front.clients.handover = handover(config.settings.classes)
     return front
--- a/brackenladder/node/listener.py
+++ b/brackenladder/node/listener.py
@@ -1,4 +1,4 @@
-"""A listener: a front towards clients, at its address, that feeds pools."""
+"""A listener: a front that accepts clients at an address and passes their calls to pools."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class Front(Protocol):
-    """Takes clients' connections and turns what they bring into calls."""
+    """Accepts client connections and turns their requests into calls."""
 
     def start(self, address: tuple[str, int]) -> None:
-        """Binds and listens. An OSError if the address cannot be had."""
+        """Binds and listens. Raises OSError if the address can't be bound."""
 
     def adopt(self, number: int) -> None:
-        """Listens on a socket that was handed down as a descriptor. An OSError if it is no such socket."""
+        """Listens on an inherited socket, given as a descriptor. Raises OSError if it isn't a socket."""
 
     def set_service_state(self, service: Service) -> None:
-        """An operator's pause has come so far, or is over. Called again and again while it lasts."""
+        """Applies the state that an operator's pause has reached. Called repeatedly during a pause."""
 
     async def drain(self) -> None:
-        """Answers what was taken, and ends."""
+        """Shuts down after answering the accepted requests."""
 
 
 @dataclass(frozen=True)
 class Listener:
-    """What a node starts and drains."""
+    """A front and its address or inherited socket."""
 
     front: Front
     address: tuple[str, int]
-    passed: int | None = None  # the descriptor of a socket that listens already
+    passed: int | None = None  # the descriptor of an inherited socket that already listens
 
     def start(self) -> None:
         if self.passed is None:
--- a/brackenladder/node/log.py
+++ b/brackenladder/node/log.py
@@ -1,4 +1,4 @@
-"""The node's log: lines on standard error, so many a second at most."""
+"""The node's log: lines on standard error, with a limit per second."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 from contextlib import suppress
 from time import monotonic
 
-LINES_A_SECOND = 20
-STRAYS_A_SECOND = 5
+LINES_PER_SECOND = 20
+STRAY_LINES_PER_SECOND = 5
 
 
 class Log:
-    """Writes lines and counts what it leaves out.
+    """Writes lines up to a rate limit and counts the omitted ones.
 
-    Failure prevented: a flood of stray datagrams or broken requests that is logged line by line costs the
-    node its CPU, and blocks it where nobody reads the log.
+    Without the limit, a flood of stray datagrams or malformed requests would use up the CPU for logging, and
+    block the node if nobody reads the log.
     """
 
-    def __init__(self, name: str, most: int) -> None:
+    def __init__(self, name: str, limit: int) -> None:
         self.name = name
-        self.most = most  # lines a second
-        self.left = most
+        self.limit = limit  # lines per second
+        self.left = limit
         self.second = 0
         self.omitted = 0
 
     def line(self, text: str) -> None:
-        """One line, or one more that was left out."""
+        """Writes a line, or counts it as omitted if the limit is reached."""
         second = int(monotonic())
         if second != self.second:
-            self.second, self.left = second, self.most
+            self.second, self.left = second, self.limit
             if self.omitted:
                 self.write(f"{self.omitted} lines left out")
                 self.omitted = 0
@@ -39,6 +39,6 @@
         self.write(text)
 
     def write(self, text: str) -> None:
-        with suppress(OSError):  # nobody reads the log any more: no reason to stop serving
+        with suppress(OSError):  # if the log can't be written, the node goes on serving
             sys.stderr.write(f"{self.name}: {text}\n")
             sys.stderr.flush()
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -1,6 +1,6 @@
-"""The node among the others of its tier: the detector's timers and sockets.
+"""Membership of the tier's nodes: drives the failure detector with timers and sockets.
 
-Imported only with `[members]`.
+Imported only if the operator file has `[members]`.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from brackenladder.node.operator import MembersTable, OperatorError
 from brackenladder.peers.datagrams import PeerDatagrams
 
-MOST_KEYS = 2  # while one is changed for the other
+MAX_KEYS = 2  # two during a key rotation
 KEY_BYTES = (16, 64)
-LARGEST_KEYS = 4096  # bytes of the file
-LOOK = 10  # ticks between two counts of the living
+MAX_FILE_BYTES = 4096  # of the key file
+COUNT_INTERVAL = 10  # ticks between two counts of the live nodes
 
 
 def keys_of(path: str) -> list[bytes]:
-    """The keys of a file, a line each. An OperatorError if it cannot be used."""
+    """Reads a key file, one key per line. Raises OperatorError if it can't be used."""
     if not path:
         return []
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST_KEYS + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as e:
         raise OperatorError(f"members.key: {path}: {e.strerror}") from None
     keys = [line.strip() for line in data.splitlines() if line.strip()]
-    if len(data) > LARGEST_KEYS or not 0 < len(keys) <= MOST_KEYS:
+    if len(data) > MAX_FILE_BYTES or not 0 < len(keys) <= MAX_KEYS:
         raise OperatorError(f"members.key: {path}: one or two keys, a line each")
     if any(not KEY_BYTES[0] <= len(key) <= KEY_BYTES[1] for key in keys):
         raise OperatorError(f"members.key: {path}: a key has {KEY_BYTES[0]} to {KEY_BYTES[1]} bytes")
@@ -43,7 +43,11 @@
 
 
 class Members:
-    """`shared`: hears the number of nodes that share the tier, when it changes. `number`: this node's own."""
+    """The other nodes of the tier, as the failure detector sees them.
+
+    `on_live_count` is called with the number of live nodes of the tier when it changes. `number` is this
+    node's own.
+    """
 
     def __init__(
         self,
@@ -52,13 +56,13 @@
         peers: PeerDatagrams,
         number: int,
         fall_time: int,
-        shared: Callable[[int], None],
+        on_live_count: Callable[[int], None],
         log: Callable[[str], None],
     ) -> None:
         self.loop = loop
         self.table = table
         self.peers = peers
-        self.shared = shared
+        self.on_live_count = on_live_count
         self.log = log
         random = SystemRandom()
         self.detector = Detector(
@@ -68,10 +72,10 @@
             self.now(),
             random,
             peers.send,
-            self.changed,
+            self.on_transition,
             keys_of(table.key),
         )
-        self.living = LiveNodeCounter(len(self.detector.view), fall_time)
+        self.live_nodes = LiveNodeCounter(len(self.detector.view), fall_time)
         self.ticks = 0
         self.timer: asyncio.TimerHandle | None = None
 
@@ -79,83 +83,84 @@
         return int(self.loop.time() * 1e6)
 
     def start(self) -> None:
-        """Begins to speak."""
+        """Starts the detector's timer."""
         self.timer = self.loop.call_later(TICK / 1e6, self.tick)
 
     def tick(self) -> None:
         self.timer = self.loop.call_later(TICK / 1e6, self.tick)
         self.detector.tick(self.now())
         self.ticks += 1
-        if self.ticks % LOOK == 0:
-            self.look()
+        if self.ticks % COUNT_INTERVAL == 0:
+            self.count_live()
 
-    def look(self) -> None:
-        """Counts the living, and tells if it is another number."""
-        d, before = self.detector, self.living.number
+    def count_live(self) -> None:
+        """Counts the live nodes and reports a changed number."""
+        detector, before = self.detector, self.live_nodes.number
+        may_declare_dead = detector.health.may_declare_dead
         if (
-            self.living.count(self.now(), d.view, d.heard_at, d.health.may_declare_dead) != before
+            self.live_nodes.count(self.now(), detector.view, detector.heard_at, may_declare_dead) != before
             and self.table.share
         ):
-            self.shared(self.living.number)
+            self.on_live_count(self.live_nodes.number)
 
-    def heard(self, number: int, data: bytes) -> bool:
-        """Takes a datagram; False if it is not one of the members'."""
+    def handle_datagram(self, number: int, data: bytes) -> bool:
+        """Handles a datagram. Returns False if it isn't one of the membership protocol."""
         if data[:1] != bytes([MAGIC]):
             return False
         self.detector.datagram(number, data, self.now())
         return True
 
-    def there(self, number: int) -> bool:
-        """Whether a member is taken to be there."""
+    def is_present(self, number: int) -> bool:
+        """Whether a member is considered alive or suspect."""
         records = self.detector.view.records
         return number < len(records) and records[number].state <= State.SUSPECT
 
-    def renamed(self, peers: list[Address]) -> None:
-        """The configuration names other addresses, in the order of the members' numbers."""
+    def set_addresses(self, peers: list[Address]) -> None:
+        """Applies the addresses of a changed configuration, in the order of the members' numbers."""
         now, old = self.now(), list(self.peers.peers)
         self.detector.resize(max(len(peers), self.detector.own + 1), now)
         for number, address in enumerate(peers):
             if number < len(old) and old[number] != address:
                 self.detector.address_changed(number)
-        self.look()
+        self.count_live()
 
-    def rekey(self) -> None:
-        """Reads the keys again; those in force stay if they cannot be used."""
+    def reload_keys(self) -> None:
+        """Reads the key file again. The current keys stay if it can't be used."""
         try:
             self.detector.keys = keys_of(self.table.key)
         except OperatorError as e:
             self.log(f"members: {e}")
 
     def end(self) -> None:
-        """The node ends, and says so."""
+        """Tells the other nodes that this one leaves, and stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
         self.detector.leave(self.now())
 
-    def changed(self, said: Transition) -> None:
-        who = "this node" if said.number == self.detector.own else f"node {said.number}"
-        self.log(f"members: {who}: {said.before} to {said.after}: {said.reason}")
-        self.loop.call_soon(self.look)
+    def on_transition(self, transition: Transition) -> None:
+        who = "this node" if transition.number == self.detector.own else f"node {transition.number}"
+        self.log(f"members: {who}: {transition.before} to {transition.after}: {transition.reason}")
+        self.loop.call_soon(self.count_live)
 
-    def shown(self) -> dict[str, Any]:
-        """What `members` shows: see docs/members.md."""
-        now, d = self.now(), self.detector
+    def status(self) -> dict[str, Any]:
+        """Returns the output of the command `members`: see docs/members.md."""
+        now, detector = self.now(), self.detector
 
         def ago(at: int) -> int:
             return (now - at) // 1000
 
         return {
             "self": {
-                "number": d.own,
-                "epoch": d.me.epoch,
-                "incarnation": d.me.incarnation,
-                "state": "twin" if d.number_taken else d.health.connectivity,
-                "score": d.health.score,
-                "pauses": d.health.pauses,
-                "settled": d.health.answered_since_pause,
-                "living": self.living.number,
+                "number": detector.own,
+                "epoch": detector.me.epoch,
+                "incarnation": detector.me.incarnation,
+                "state": "twin" if detector.number_taken else detector.health.connectivity,
+                "score": detector.health.score,
+                "pauses": detector.health.pauses,
+                "settled": detector.health.answered_since_pause,
+                "living": self.live_nodes.number,
                 "shares": self.table.share,
-                "keys": len(d.keys),
+                "keys": len(detector.keys),
             },
             "members": [
                 {
@@ -167,13 +172,15 @@
                     "incarnation": record.incarnation,
                     "state": record.state.name.lower(),
                     "since_ms": ago(since),
-                    "heard_ms": ago(d.heard_at[number]) if number in d.heard_at else None,
+                    "heard_ms": ago(detector.heard_at[number]) if number in detector.heard_at else None,
                 }
-                for number, (record, since) in enumerate(zip(d.view.records, d.view.since, strict=True))
+                for number, (record, since) in enumerate(
+                    zip(detector.view.records, detector.view.since, strict=True)
+                )
             ],
-            "counters": dict(d.counters),
+            "counters": dict(detector.counters),
             "transitions": [
                 {"ago_ms": ago(t.at), "at_us": t.at, **{k: v for k, v in t._asdict().items() if k != "at"}}
-                for t in d.transitions
+                for t in detector.transitions
             ],
         }
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its pools, the listeners that feed them, and what reaches it from outside."""
+"""A node: its pools, its listeners, and the handling of reloads, peer messages and shutdown."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brackenladder.node.config import Config, parse_address
 from brackenladder.node.http import http_front, http_pool
 from brackenladder.node.listener import Listener
-from brackenladder.node.log import LINES_A_SECOND, STRAYS_A_SECOND, Log
+from brackenladder.node.log import LINES_PER_SECOND, STRAY_LINES_PER_SECOND, Log
 from brackenladder.peers.datagrams import PeerDatagrams
 
 if TYPE_CHECKING:
@@ -28,13 +28,13 @@
     )
     from brackenladder.node.recovery import Recovery
 
-LIST_TIME = 3.0  # seconds for the list to come before clients of a passed socket are taken
-LIST_LOOK = 0.01
-RELOADED = ("discovery", "filed_discovery", "peers", "peers_all")  # what a running node takes on
+LIST_TIMEOUT = 3.0  # seconds to wait for the server list before accepting clients on an inherited socket
+LIST_POLL_INTERVAL = 0.01
+RELOADED = ("discovery", "filed_discovery", "peers", "peers_all")  # fields that a reload changes
 
 
 class Node:
-    """Puts the parts together. What the operator file does not ask for is not imported."""
+    """Creates and connects the parts. Parts that the operator file doesn't configure are not imported."""
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, operator: Operator | None = None
@@ -42,21 +42,21 @@
         self.config = config
         self.operator = operator
         self.loop = loop
-        self.log = Log(config.name, LINES_A_SECOND)
-        # Apart, so that whoever sends garbage cannot use up the lines that tell of faults.
-        self.stray_log = Log(config.name, STRAYS_A_SECOND)
+        self.log = Log(config.name, LINES_PER_SECOND)
+        # A separate limit, so that malformed input can't use up the lines that report faults.
+        self.stray_log = Log(config.name, STRAY_LINES_PER_SECOND)
         self.clock = Clock()
-        self.peers = PeerDatagrams(config.peers, config.peers_all, self.heard, self.stray_log.line)
+        self.peers = PeerDatagrams(config.peers, config.peers_all, self.on_datagram, self.stray_log.line)
         rpc = operator.rpc if operator is not None else None
         if rpc is not None:
-            from brackenladder.node.rpc import without
+            from brackenladder.node.rpc import without_rpc_sockets
 
-            config = without(config, rpc)
+            config = without_rpc_sockets(config, rpc)
         self.http = http_pool(config, loop, self.peers, self.clock, self.log, self.stray_log)
         self.front = http_front(config, loop, self.http, self.ready, self.log)
         self.pools = {"http": self.http}
         self.listeners = {"http": Listener(self.front, config.listen, config.passed)}
-        self.taking = False  # the listeners listen
+        self.listening = False  # the listeners accept clients
         self.operations: Operations | None = None
         self.handover: Handover | None = None
         if config.door is not None:
@@ -66,7 +66,7 @@
                 loop,
                 self.http,
                 lambda: [listener.front for listener in self.listeners.values()],
-                lambda: self.taking and self.ready(),
+                lambda: self.listening and self.ready(),
                 config.folder,
                 self.log.line,
             )
@@ -94,11 +94,11 @@
             self.peers,
             settings.index,
             settings.fall_time,
-            self.shared,
+            self.set_live_count,
             self.log.line,
         )
         if self.control is not None:
-            self.control.members = self.members.shown
+            self.control.members = self.members.status
 
     def add_recovery(self, table: RecoveryTable, state: StateTable | None) -> None:
         from brackenladder.node.recovery import Recovery
@@ -107,12 +107,14 @@
         assert self.control is not None and self.members is not None
         owner = StateOwner(self.config.name, self.config.settings.tier, tuple(self.config.classes))
         store = StateStore(state.folder, owner, self.log.line) if state is not None else None
-        alone = table.alone == "serve"
-        self.recovery = Recovery(self.loop, self.control.pools, self.members, store, alone, self.log.line)
-        self.control.recovery = self.recovery.shown
+        serve_alone = table.alone == "serve"
+        self.recovery = Recovery(
+            self.loop, self.control.pools, self.members, store, serve_alone, self.log.line
+        )
+        self.control.recovery = self.recovery.status
 
-    def shared(self, number: int) -> None:
-        """So many nodes share the tier from now on."""
+    def set_live_count(self, number: int) -> None:
+        """Sets the number of live nodes of the tier."""
         for host in self.control.pools.hosts() if self.control is not None else [self.http.host]:
             host.set_instances(number)
 
@@ -129,7 +131,7 @@
         assert self.operations is not None
         maintenance = self.operations.maintenance
         self.handover = Handover(self.loop, self.http, maintenance, folder, self.log.line)
-        listing = self.handover.look()
+        listing = self.handover.read_predecessor()
         if listing is not None:
             self.http.source.set_initial_listing(listing)
 
@@ -142,21 +144,21 @@
         self.listeners["rpc"] = Listener(front, parse_address(table.listen, "rpc.listen"))
 
     def ready(self) -> bool:
-        """Whether every pool has a server list."""
-        asks = self.recovery is not None and not self.recovery.startup.serves
-        return not asks and all(pool.has_listing for pool in self.pools.values())
+        """Whether every pool has a server list and recovery, if there is one, allows service."""
+        recovering = self.recovery is not None and not self.recovery.startup.serves
+        return not recovering and all(pool.has_listing for pool in self.pools.values())
 
-    def heard(self, peer: int, data: bytes) -> None:
-        """A peer's message: it is HTTP's pool that speaks with others."""
-        if self.members is not None and self.members.heard(peer, data):
+    def on_datagram(self, peer: int, data: bytes) -> None:
+        """Handles a datagram of another node: of the membership protocol, or for the HTTP pool."""
+        if self.members is not None and self.members.handle_datagram(peer, data):
             return
         self.http.host.peer_message(peer, data)
 
     async def start(self) -> None:
-        """Begins to serve. An OSError if an address cannot be had."""
-        speaks = self.config.settings.peers or self.members is not None
-        if speaks and self.config.peer_listen is not None:
-            # The process that this one replaces, or that replaces it, has the same address.
+        """Starts to serve. Raises OSError if an address can't be bound."""
+        has_peers = self.config.settings.peers or self.members is not None
+        if has_peers and self.config.peer_listen is not None:
+            # At a restart with an inherited socket, the old and the new process use the same address.
             shared = True if self.config.passed is not None else None
             await self.loop.create_datagram_endpoint(
                 lambda: self.peers, local_addr=self.config.peer_listen, reuse_port=shared
@@ -174,72 +176,74 @@
         for pool in self.pools.values():
             pool.start()
         if self.handover is not None:
-            self.handover.begin()
+            self.handover.start()
         if self.config.passed is not None:
-            # Failure prevented: it takes what its predecessor could have served, and has no list yet.
-            deadline = self.loop.time() + LIST_TIME
+            # Without a server list yet, it would accept requests that its predecessor can still serve.
+            deadline = self.loop.time() + LIST_TIMEOUT
             while not self.ready() and self.loop.time() < deadline:
-                await asyncio.sleep(LIST_LOOK)
+                await asyncio.sleep(LIST_POLL_INTERVAL)
             self.listen()
 
     def listen(self) -> None:
-        """Takes clients from now on. An OSError if an address cannot be had."""
+        """Starts to accept clients. Raises OSError if an address can't be bound."""
         for listener in self.listeners.values():
             listener.start()
-        self.taking = True
+        self.listening = True
 
     def reload(self, config: Config, operator: Operator | None = None) -> None:
-        """Takes on a new configuration: connections, requests and all that was learned stay.
+        """Applies a new configuration. Connections, requests and the learned state stay.
 
-        What only a start can take on is named in the log. `known` and `seed` are of use at a start only.
+        Changes that need a restart are logged. `known` and `seed` are ignored, as only a start uses them.
         """
         old, self.config = self.config, replace(self.config, **{f: getattr(config, f) for f in RELOADED})
-        left = [
+        not_applied = [
             f.name
             for f in fields(config)
             if f.name not in (*RELOADED, "known", "seed") and getattr(config, f.name) != getattr(old, f.name)
         ]
         if operator is not None and self.operator is not None:
-            left += self.reload_operator(self.operator, operator)
+            not_applied += self.reload_operator(self.operator, operator)
         if operator is not None and self.operator is not None and operator.control != self.operator.control:
-            left.append("control")
+            not_applied.append("control")
         if operator is not None and self.operator is not None:
             tables = ("members", "state", "recovery")
-            left += [name for name in tables if getattr(operator, name) != getattr(self.operator, name)]
-        if left:
-            self.log.line(f"reload: needs a restart: {', '.join(left)}")
+            not_applied += [
+                name for name in tables if getattr(operator, name) != getattr(self.operator, name)
+            ]
+        if not_applied:
+            self.log.line(f"reload: needs a restart: {', '.join(not_applied)}")
         if config.discovery != old.discovery:
             self.http.source.change_address(config.discovery)
         if self.members is not None:
-            self.members.renamed(list(config.peers))
-            self.members.rekey()
+            self.members.set_addresses(list(config.peers))
+            self.members.reload_keys()
         self.peers.set_addresses(config.peers, config.peers_all)
         self.log.line(f"reload: discovery {config.discovery[0]}:{config.discovery[1]}")
 
     def reload_operator(self, old: Operator, new: Operator) -> list[str]:
-        """Moves RPC's discovery; the keys that need a restart."""
+        """Applies a changed address of RPC's discovery. Returns the changed keys that need a restart."""
         if old.rpc is None or new.rpc is None or old.rpc.discovery is None or new.rpc.discovery is None:
             return ["rpc"] if old.rpc != new.rpc else []
-        left = [
+        not_applied = [
             f"rpc.{name}"
             for name in new.rpc.__struct_fields__
             if name != "discovery" and getattr(old.rpc, name) != getattr(new.rpc, name)
         ]
         if new.rpc.discovery != old.rpc.discovery:
-            from brackenladder.node.operator import moved
+            from brackenladder.node.operator import with_rpc_discovery
 
-            self.operator = moved(old, new.rpc.discovery)
+            self.operator = with_rpc_discovery(old, new.rpc.discovery)
             address = parse_address(new.rpc.discovery, "rpc.discovery")
             self.pools["rpc"].source.change_address(address)
             self.log.line(f"reload: rpc.discovery {address[0]}:{address[1]}")
-        return left
+        return not_applied
 
     async def drain(self) -> None:
-        """Answers what has been taken, and ends."""
+        """Shuts down after answering the accepted requests."""
         if self.operations is not None:
             self.operations.end()
         if self.handover is not None:
-            self.handover.end()
+            self.handover.stop()
         if self.control is not None:
             self.control.end()
         if self.recovery is not None:
@@ -251,6 +255,6 @@
         await asyncio.gather(*(listener.front.drain() for listener in self.listeners.values()))
         for pool in self.pools.values():
             pool.source.close()
-        guarded = sum(pool.host.expired_count for pool in self.pools.values())
-        if guarded:
-            self.log.line(f"{guarded} requests were failed at their deadline by the guard")
+        expired = sum(pool.host.expired_count for pool in self.pools.values())
+        if expired:
+            self.log.line(f"{expired} requests were failed at their deadline by the guard")
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -1,4 +1,4 @@
-"""What a node does for its operators: the door's calls, servers held back, pauses."""
+"""Operators' calls to a node: taking servers out of service and back, pausing, status."""
 
 from __future__ import annotations
 
@@ -17,12 +17,16 @@
 from brackenladder.sockets.operator_listener import OperatorListener
 from brackenladder.storage.holds import HoldsError, HoldsFile
 
-LOOK = 0.02  # seconds between two looks at a pause
-LOOK_AT_HOLDS = 0.1  # and at what another process of this node has noted
+PAUSE_INTERVAL = 0.02  # seconds between two updates during a pause
+HOLDS_INTERVAL = 0.1  # seconds between two checks of the file that the node's processes share
 
 
 class Operations:
-    """`pool`: whose servers may be held back. `fronts`: who pauses. `folder`: shared with a successor."""
+    """Handles the calls.
+
+    `pool` has the servers that operators may suspend. `fronts` returns the fronts that a pause applies to.
+    `folder` is shared with the node's other process during a restart.
+    """
 
     def __init__(
         self,
@@ -44,63 +48,63 @@
         self.file = HoldsFile(folder) if folder else None
         self.operator_listener = OperatorListener(loop, self.handle)
         self.ended = False
-        self.looking: asyncio.TimerHandle | None = None
+        self.pause_timer: asyncio.TimerHandle | None = None
         pool.admit = self.admit
 
     def start(self, address: Address) -> None:
-        """Takes on what was held back before. An OSError if the address cannot be had."""
-        self.look_at_holds()
+        """Applies recorded suspensions and starts the listener. Raises OSError if it can't be bound."""
+        self.sync_holds()
         self.operator_listener.start(address)
 
     def end(self) -> None:
-        """The node ends: pauses are its own matter no more, servers stay held back."""
+        """Ends the handling of pauses, as the node shuts down. Servers stay suspended."""
         self.ended = True
 
     # ---- servers --------------------------------------------------------------------------------------
 
     def admit(self, listing: Listing) -> Listing:
-        """News of the list, as the pool is to take them."""
+        """Returns a listing from discovery with the operators' suspensions applied."""
         return self.maintenance.admit(listing)
 
-    def look_at_holds(self) -> None:
-        """Takes on what the node's other process was told.
+    def sync_holds(self) -> None:
+        """Applies suspensions that the node's other process has recorded.
 
-        Failure prevented: a server is held back by a call to the one, and the other sends to it.
+        Otherwise one process would go on sending to a server that an operator suspended in the other.
         """
         if self.file is None:
             return
         if self.file.changed():
             try:
                 with self.file.locked():
-                    self.changed(self.maintenance.take_over(self.file.read()))
+                    self.update_pool(self.maintenance.take_over(self.file.read()))
             except HoldsError as e:
                 self.log(str(e))
-        self.loop.call_later(LOOK_AT_HOLDS, self.look_at_holds)
+        self.loop.call_later(HOLDS_INTERVAL, self.sync_holds)
 
-    def changed(self, servers: Sequence[str]) -> None:
+    def update_pool(self, servers: Sequence[str]) -> None:
         if servers and self.pool.has_listing:
             self.pool.roster.apply_listing(self.maintenance.news_of(servers, 0))
 
     def hold(self, call: OperatorCall) -> bytes:
-        """Holds a server back or gives it back: noted for the other process before the yes."""
+        """Suspends or restores a server. The other process's file is written before the reply."""
         maintenance, now = self.maintenance, time_ns() // 1000
         try:
             with self.file.locked() if self.file is not None else nullcontext():
                 if self.file is not None and self.file.changed():
-                    self.changed(maintenance.take_over(self.file.read()))
+                    self.update_pool(maintenance.take_over(self.file.read()))
                 if not maintenance.knows(call.server):
                     return answer(False, "no such server")
                 before = maintenance.holds.get(call.server)
                 (maintenance.suspend if call.verb == "SUSPEND" else maintenance.restore)(call.server, now)
                 if maintenance.holds.get(call.server) != before:
-                    self.changed([call.server])
+                    self.update_pool([call.server])
                     self.log(f"{call.verb} {call.server}")
                     if self.file is not None:
                         self.file.write(maintenance.holds)
         except TooMany:
             return answer(False, "too many servers are held back")
         except HoldsError as e:
-            # It holds in this process; that it does not reach a successor is for the operator to know.
+            # It is applied in this process. The reply tells the operator that a successor won't know of it.
             self.log(str(e))
             return answer(False, str(e))
         return answer(True)
@@ -108,7 +112,7 @@
     # ---- calls ----------------------------------------------------------------------------------------
 
     def handle(self, call: OperatorCall) -> bytes:
-        """Answers a call, once what it asks for holds."""
+        """Applies a call and returns the reply."""
         if call.server:
             return self.hold(call)
         if call.verb == "STATUS":
@@ -120,22 +124,22 @@
             if self.pause.since is None:
                 self.log("PAUSE")
                 self.pause.begin(self.loop.time())
-                self.look_at_pause()
+                self.update_pause()
         elif self.pause.since is not None:
             self.log("RESUME")
             self.pause.end()
-            self.look_at_pause()
+            self.update_pause()
         return answer(True)
 
-    def look_at_pause(self) -> None:
-        """Tells the fronts how far the pause is."""
-        if self.looking is not None:
-            self.looking.cancel()
-            self.looking = None
+    def update_pause(self) -> None:
+        """Passes the state that the pause has reached to the fronts."""
+        if self.pause_timer is not None:
+            self.pause_timer.cancel()
+            self.pause_timer = None
         if self.ended:
             return
         self.service = self.pause.service(self.loop.time())
         for front in self.fronts():
             front.set_service_state(self.service)
         if self.service != Service.SERVING:
-            self.looking = self.loop.call_later(LOOK, self.look_at_pause)
+            self.pause_timer = self.loop.call_later(PAUSE_INTERVAL, self.update_pause)
--- a/brackenladder/node/operator.py
+++ b/brackenladder/node/operator.py
@@ -1,6 +1,6 @@
-"""The operator file: what the platform's own configuration does not say. Imported only where there is one.
+"""The operator file: settings beyond the platform's own configuration. Imported only if there is one.
 
-Each subsystem owns one table; one that is absent is off. A fault is one line `TABLE.KEY: what is wrong`.
+Each subsystem has one table and is off without it. Errors are one line, `TABLE.KEY: what is wrong`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-LARGEST_FILE = 1 << 20  # bytes
+MAX_FILE_BYTES = 1 << 20
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 Positive = Annotated[float, Meta(gt=0, le=3_600_000)]
@@ -20,11 +20,11 @@
 
 
 class OperatorError(Exception):
-    """The file cannot be used; the text is one line."""
+    """The file can't be used. The text is one line."""
 
 
 class FixedServer(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A server of a pool that has no discovery."""
+    """A server of a pool without discovery."""
 
     id: Annotated[str, Meta(min_length=1, max_length=128)]
     addr: Address
@@ -34,14 +34,14 @@
 
 
 class MethodTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A method: its class and where in the params the rest stands, as `0.key`."""
+    """A method: its class, and the paths of other values in the params, such as `0.key`."""
 
     klass: str = msgspec.field(name="class")
     tenant: str = ""
     budget: str = ""
     key: str = ""
     notify: bool = False
-    failures: Annotated[tuple[Any, ...], Meta(max_length=64)] = ()  # checked with the method's paths
+    failures: Annotated[tuple[Any, ...], Meta(max_length=64)] = ()  # validated along with the method's paths
 
 
 class RpcTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -63,7 +63,7 @@
 
 
 class ControlTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[control]`: the socket of `show`, `plan`, `apply`. `users`: their numbers, beside the node's own."""
+    """`[control]`: the socket for `show`, `plan` and `apply`. `users`: further user ids that may use it."""
 
     socket: Annotated[str, Meta(min_length=1, max_length=100)]
     users: tuple[Annotated[int, Meta(ge=0)], ...] = ()
@@ -71,23 +71,20 @@
 
 
 class MembersTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[members]`: the nodes of the tier among themselves.
-
-    `key`: a file with one or two keys, a line each.
-    """
+    """`[members]`: failure detection among the tier's nodes. `key`: a file with one or two keys."""
 
     key: str = ""
-    share: bool = True  # the number of living nodes takes the configured one's place
+    share: bool = True  # use the number of live nodes instead of the configured one
 
 
 class StateTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[state]`: a folder of this node's own, for what it comes back with."""
+    """`[state]`: a folder of this node alone, with the state that it restores after a restart."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=4096)]
 
 
 class RecoveryTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[recovery]`: asking the others at a start. `alone`: what a node does that hears nobody."""
+    """`[recovery]`: asking other nodes for newer state at a start. `alone`: what to do if none answers."""
 
     alone: Literal["serve", "refuse"] = "serve"
 
@@ -102,27 +99,27 @@
     recovery: RecoveryTable | None = None
 
 
-def moved(operator: Operator, discovery: str) -> Operator:
-    """The same, with RPC's discovery at another address."""
+def with_rpc_discovery(operator: Operator, discovery: str) -> Operator:
+    """Returns a copy with another address of RPC's discovery."""
     assert operator.rpc is not None
     rpc = msgspec.structs.replace(operator.rpc, discovery=discovery)
     return msgspec.structs.replace(operator, rpc=rpc)
 
 
 def load(path: str) -> Operator:
-    """Reads the file. An OperatorError if it cannot be used."""
+    """Reads the file. Raises OperatorError if it can't be used."""
     try:
         with open(path, "rb") as file:
-            data = file.read(LARGEST_FILE + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as e:
         raise OperatorError(f"{path}: {e.strerror}") from None
-    if len(data) > LARGEST_FILE:
-        raise OperatorError(f"{path}: over {LARGEST_FILE} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorError(f"{path}: over {MAX_FILE_BYTES} bytes")
     return parse(data)
 
 
 def parse(data: bytes) -> Operator:
-    """An Operator from TOML."""
+    """Parses and checks the file's TOML."""
     try:
         table = tomllib.loads(data.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as e:
@@ -130,7 +127,7 @@
     try:
         operator = msgspec.convert(table, Operator)
     except msgspec.ValidationError as e:
-        raise OperatorError(method_at(table) or told(str(e))) from None
+        raise OperatorError(describe_method_error(table) or describe_error(str(e))) from None
     if operator.rpc is not None and (operator.rpc.discovery is None) == (not operator.rpc.servers):
         raise OperatorError("rpc.servers: either this or rpc.discovery")
     if operator.recovery is not None and (operator.control is None or operator.members is None):
@@ -140,24 +137,24 @@
     return operator
 
 
-def method_at(table: dict[str, Any]) -> str:
-    """What is wrong with the first method that cannot be read: converting the whole does not name it."""
+def describe_method_error(table: dict[str, Any]) -> str:
+    """Describes the first invalid method by name, which msgspec's error for the whole table doesn't give."""
     rpc = table.get("rpc")
     methods = rpc.get("methods") if isinstance(rpc, dict) else None
     for name, entry in methods.items() if isinstance(methods, dict) else ():
         try:
             msgspec.convert(entry, MethodTable)
         except msgspec.ValidationError as e:
-            text = told(str(e))
+            text = describe_error(str(e))
             inner = text.startswith("klass") or ":" in text.partition(" ")[0]
             return f"rpc.methods.{name}.{text}" if inner else f"rpc.methods.{name}: {text}"
     return ""
 
 
-def told(text: str) -> str:
-    """msgspec's message with the key first."""
-    what, _, place = text.partition(" - at `")
-    key = re.sub(r"^\$\.?", "", place.rstrip("`"))
+def describe_error(text: str) -> str:
+    """Rewrites a validation message of msgspec so that the key comes first."""
+    what, _, location = text.partition(" - at `")
+    key = re.sub(r"^\$\.?", "", location.rstrip("`"))
     for pattern, words in (
         (r"Object contains unknown field `(.*)`", "not a known key"),
         (r"Object missing required field `(.*)`", "missing"),
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -1,10 +1,10 @@
-"""A pool: one Balancer in its host, one upstream, one source of the server list.
+"""A pool: a Host with its Balancer, an upstream, and a source of the server list.
 
     Listener: client's bytes --Call--> Host (asks the Balancer) --attempt--> upstream --> a server's bytes
                                          ^
-                        source --Listing--> Roster (numbers for names), which tells upstream and Host
+                        source --Listing--> Roster (numbers for names), which updates upstream and Host
 
-Several listeners may feed one pool. A call is concluded once by its Host: served, refused or failed.
+Several listeners may use one pool. The Host ends each call once: as served, refused or failed.
 """
 
 from __future__ import annotations
@@ -25,38 +25,38 @@
 
 
 class Source(Directory, Protocol):
-    """Where the list comes from."""
+    """A source of the server list."""
 
     @property
     def version(self) -> int | None:
-        """Of the list in hand."""
+        """The version of the current list."""
 
     def start(self) -> None:
-        """The pool runs: from now on it is told of lists."""
+        """Starts to pass lists to the pool."""
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """A list that is newer than the one it would begin with. Before `start` only."""
+        """Sets a newer list to start with. To be called only before `start`."""
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Asks at another address from now on."""
+        """Changes the address of discovery."""
 
     def close(self) -> None:
-        """Ends all that is out."""
+        """Cancels open requests to discovery."""
 
 
 class PoolUpstream(Upstream, ServerListConsumer, Protocol):
-    """An upstream that is told of its pool's servers."""
+    """An upstream that receives its pool's server list."""
 
 
 class NoMessenger:
-    """Of a pool whose settings allow no messages between nodes."""
+    """The messenger of a pool whose settings allow no messages between nodes."""
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Not allowed."""
+        """Does nothing."""
 
 
 class Pool:
-    """`source` makes the source of its list, which tells `told`."""
+    """One pool of servers. `source` creates the source of its list from a callback for listings."""
 
     def __init__(
         self,
@@ -78,19 +78,19 @@
         self.source = source(self.on_listing)
         self.host.directory = self.source
         self.host.messenger = messenger
-        self.has_listing = False  # a server list has come
-        self.admit: Callable[[Listing], Listing] | None = None  # what operators lay over the list
+        self.has_listing = False  # whether a server list has arrived
+        self.admit: Callable[[Listing], Listing] | None = None  # applies operators' suspensions to a list
         self.distribute: Callable[[Listing], None] | None = (
             None  # hands it to several pools in place of this one
         )
 
     def start(self) -> None:
-        """The module begins to run, and hears of the servers."""
+        """Starts the host and the source of the list."""
         self.host.start()
         self.source.start()
 
     def on_listing(self, listing: Listing | None) -> None:
-        """News of the list; None if a call to its source failed."""
+        """Handles a listing from the source, or None if a request to discovery failed."""
         self.has_listing = self.has_listing or listing is not None
         if self.admit is not None and listing is not None:
             listing = self.admit(listing)
@@ -100,5 +100,5 @@
             self.roster.apply_listing(listing)
 
     def begin_shutdown(self) -> None:
-        """The node is to end: what it takes from now on must be concluded before it is killed."""
+        """Limits new calls to the time that is left until the node is killed, as it shuts down."""
         self.host.conclude_by = last_moment(self.host.now(), self.settings.classes)
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -1,4 +1,4 @@
-"""HTTP's pools where an operator may have several: a host for each, one upstream, one list, one router."""
+"""The HTTP pools that operators can configure. Each has its own host; they share upstream, list and router."""
 
 from __future__ import annotations
 
@@ -26,24 +26,27 @@
 from brackenladder.routing.pools import DEFAULT, PoolSpec, contains, pool_listing, weight
 from brackenladder.routing.routes import Router
 
-OBJECT = b"obj="  # in a target's query
+OBJECT = b"obj="  # the query parameter with the key of sticky routes
 
 
 class NullDirectory:
-    """For pools beside the first, which alone asks for the list; the upstream is told once for all."""
+    """The directory and list consumer of pools other than the default one.
+
+    Only the default pool requests the server list, and `Pools.distribute` updates the upstream for all pools.
+    """
 
     def watch(self, on: bool) -> None:
-        """The first pool's source watches."""
+        """Does nothing: the default pool watches."""
 
     def fetch(self) -> None:
-        """The same."""
+        """Does nothing: the default pool fetches."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
-        """The upstream has been told."""
+        """Does nothing: `Pools.distribute` has updated the upstream."""
 
 
 class RoutedPool(Roster):
-    """A pool's host, and its part of the list."""
+    """One pool: its host, and the roster of the servers that match its specification."""
 
     def __init__(self, name: str, spec: PoolSpec, host: Host, config: Config, pools: Pools) -> None:
         super().__init__(host, NullDirectory(), config.zones, config.kinds)
@@ -61,12 +64,12 @@
 
 
 def selector(spec: PoolSpec) -> PoolSpec:
-    """What of a pool says which servers it has."""
+    """Returns the part of a pool's specification that selects its servers."""
     return msgspec.structs.replace(spec, weights={}, limit=0)
 
 
 class Pools:
-    """What runs, and the step that changes it."""
+    """The pools and routes in force, and the operations that change them."""
 
     def __init__(
         self,
@@ -86,21 +89,19 @@
         self.state = DEFAULT_STATE
         self.latest_list: LatestList | None = None
         self.history: tuple[AppliedChange, ...] = ()
-        self.pools_per_server: dict[str, int] = {}  # pools that have a server, where there are several pools
+        self.pools_per_server: dict[str, int] = {}  # by server id; empty if there is only one pool
         self.routed_pools = {DEFAULT: RoutedPool(DEFAULT, PoolSpec(), first.host, config, self)}
-        self.changed: Callable[[], None] = lambda: None  # hears of each plan that was applied
-        self.closed = False  # nothing is taken: every request is refused at once
-        self.draining: list[RoutedPool] = []  # pools that are gone, until their last call has ended
-        self.random_fraction = (
-            random.random
-        )  # which requests of a split go where is no secret, and not for the module
+        self.changed: Callable[[], None] = lambda: None  # called after each applied plan
+        self.closed = False  # every request is refused at once
+        self.draining: list[RoutedPool] = []  # removed pools, until their last call has ended
+        self.random_fraction = random.random  # splits traffic; needs no secure or seeded source
         self.router = Router((), config.classes, config.tenants)
         first.distribute = self.distribute
 
     # ---- the list -------------------------------------------------------------------------------------
 
-    def count(self, lines: Iterable[Line]) -> None:
-        """Takes note of how many pools have each server."""
+    def count_pools(self, lines: Iterable[Line]) -> None:
+        """Counts the pools that each of these servers belongs to."""
         if len(self.routed_pools) == 1:
             self.pools_per_server.clear()
             return
@@ -113,14 +114,14 @@
                 )
 
     def distribute(self, listing: Listing) -> None:
-        """News of the list, to the upstream first and to every pool then."""
+        """Passes a listing to the upstream first and then to every pool."""
         if self.latest_list is None:
             self.latest_list = LatestList(listing)
         else:
             self.latest_list.apply(listing)
         if listing.kind != ListKind.CHANGES:
             self.pools_per_server.clear()
-        self.count(listing.lines)
+        self.count_pools(listing.lines)
         latest = {number_of(line.id): line for line in listing.lines}
         self.first.upstream.update(listing.kind, latest)
         self.draining = [pool for pool in self.draining if pool.host.calls]
@@ -130,16 +131,16 @@
     # ---- requests -------------------------------------------------------------------------------------
 
     def hosts(self) -> list[Host]:
-        """Every pool's."""
+        """The hosts of all pools."""
         return [pool.host for pool in self.routed_pools.values()]
 
     def route(self, klass: int, tenant: int, target: bytes, name: bytes) -> Host:
-        """The host that takes a request."""
+        """Returns the host that handles a request. `name` is the tenant's name."""
         path, _, query = target.partition(b"?")
-        by = self.router.sticky(klass, tenant, path)
+        sticky_by = self.router.sticky(klass, tenant, path)
         key = ""
-        if by:
-            key = (name if by == "tenant" else query.rpartition(OBJECT)[2]).decode("latin-1")
+        if sticky_by:
+            key = (name if sticky_by == "tenant" else query.rpartition(OBJECT)[2]).decode("latin-1")
         return self.routed_pools[self.router.route(klass, tenant, path, key, self.random_fraction())].host
 
     # ---- changes --------------------------------------------------------------------------------------
@@ -156,42 +157,42 @@
         )
 
     def apply(self, plan: Plan, user: int) -> None:
-        """Makes the change in one step of the event loop. A Refused leaves everything as it was."""
+        """Applies a plan within one loop iteration. Raises PlanRefused if it may not, and changes nothing."""
         desired = check_plan(self.live(), plan)
-        made = {
+        new_pools = {
             name: self.make_pool(name, spec)
             for name, spec in desired.pools.items()
             if name not in self.routed_pools
         }
         router = Router(desired.routes, self.config.classes, self.config.tenants)
-        # From here on nothing can fail.
+        # Nothing below can fail, so a plan is never applied partly.
         keys = tuple(".".join(change.key) for change in plan.changes)
-        self.switch(desired, made, router)
+        self.switch(desired, new_pools, router)
         self.history = append_history(self.history, AppliedChange(time(), user, plan.base, plan.result, keys))
         self.changed()
 
     def restore_state(self, desired: DesiredState) -> None:
-        """Takes a whole state on, in one step of the event loop: a kept one, or others' newest."""
-        made = {
+        """Replaces the whole state within one loop iteration, with a saved one or another node's newest."""
+        new_pools = {
             name: self.make_pool(name, spec)
             for name, spec in desired.pools.items()
             if name not in self.routed_pools
         }
-        self.switch(desired, made, Router(desired.routes, self.config.classes, self.config.tenants))
+        self.switch(desired, new_pools, Router(desired.routes, self.config.classes, self.config.tenants))
 
     def set_closed(self, closed: bool) -> None:
-        """Takes nothing from now on, or takes requests again."""
+        """Refuses all requests, or accepts them again."""
         if closed != self.closed:
             self.closed = closed
-            self.limits()
+            self.apply_limits()
 
-    def limits(self) -> None:
-        most = self.config.settings.max_open
+    def apply_limits(self) -> None:
+        max_open = self.config.settings.max_open
         for pool in self.routed_pools.values():
-            pool.host.max_open = 0 if self.closed else min(most, pool.spec.limit or most)
+            pool.host.max_open = 0 if self.closed else min(max_open, pool.spec.limit or max_open)
 
     def make_pool(self, name: str, spec: PoolSpec) -> RoutedPool:
-        """A pool that has not begun: its own module, the node's upstream."""
+        """Creates a pool with its own Balancer and the node's shared upstream, without starting it."""
         settings = replace(self.config.settings, peers=False, list_on_request=False)
         seed = self.config.seed ^ int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
         host = Host(settings, seed, self.loop, self.first.upstream, self.log, self.clock)
@@ -199,24 +200,24 @@
         host.messenger = NoMessenger()
         return RoutedPool(name, spec, host, self.config, self)
 
-    def switch(self, desired: DesiredState, made: Mapping[str, RoutedPool], router: Router) -> None:
+    def switch(self, desired: DesiredState, new_pools: Mapping[str, RoutedPool], router: Router) -> None:
         before = {name: pool.spec for name, pool in self.routed_pools.items()}
         gone = [name for name in self.routed_pools if name not in desired.pools]
         self.draining += [self.routed_pools.pop(name) for name in gone]
-        self.routed_pools |= made
+        self.routed_pools |= new_pools
         self.state = desired
         for name, pool in self.routed_pools.items():
             pool.spec = desired.pools[name]
-        self.limits()
-        for pool in made.values():
+        self.apply_limits()
+        for pool in new_pools.values():
             pool.host.start()
         if self.latest_list is not None:
             whole = self.latest_list.merged()
-            chosen = {name: selector(spec) for name, spec in before.items()}
-            if chosen != {name: selector(spec) for name, spec in desired.pools.items()}:
+            selectors_before = {name: selector(spec) for name, spec in before.items()}
+            if selectors_before != {name: selector(spec) for name, spec in desired.pools.items()}:
                 self.pools_per_server.clear()
-                self.count(whole.lines)
-                before = {}  # a server's other pools count too: all are told
+                self.count_pools(whole.lines)
+                before = {}  # the number of a server's pools may have changed, so update all pools
             for name, pool in self.routed_pools.items():
                 if before.get(name) != pool.spec:
                     pool.apply_pool_listing(whole)
@@ -224,6 +225,6 @@
         self.front.route = self.route if desired.routes else None
 
     def begin_shutdown(self) -> None:
-        """The node is to end: what pools beside the first take from now on must be concluded in time."""
+        """Limits new calls of all pools to the time that is left until the node is killed."""
         for pool in (*self.routed_pools.values(), *self.draining):
             pool.host.conclude_by = last_moment(pool.host.now(), self.config.settings.classes)
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -1,4 +1,8 @@
-"""A node that comes back: its kept state, its peers' generations. Imported only with `[recovery]`."""
+"""Recovery at a node's start: its saved state, and newer state from other nodes.
+
+Each state has a generation: a counter of changes and a digest. Imported only if the operator file has
+`[recovery]`.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +30,18 @@
 from brackenladder.recovery.startup import Phase, StartupRecovery
 from brackenladder.storage.state_store import SavedState, StateStore
 
-EVERY = 0.05  # seconds between two looks
-GREET = 500_000  # microseconds between two rounds of asking who is there...
-GREETED = 24  # ...so many of them at most
-COUNTERS = 1 << 32  # generations are below it
+POLL_INTERVAL = 0.05  # seconds
+PING_INTERVAL = 500_000  # microseconds between two rounds of pinging nodes that haven't answered
+MAX_PINGS = 24  # pinged nodes per round
+COUNTER_LIMIT = 1 << 32  # counters of generations are below it
 
 
 class Recovery:
-    """`members` carries what is said; `pools` has the state; `store` is None without `[state]`."""
+    """Recovers the state of `pools` and keeps it saved.
+
+    `members` carries the messages to and from other nodes. `store` is None without `[state]`. `serve_alone`:
+    serve even if no other node answers.
+    """
 
     def __init__(
         self,
@@ -41,7 +49,7 @@
         pools: Pools,
         members: Members,
         store: StateStore | None,
-        alone: bool,
+        serve_alone: bool,
         log: Callable[[str], None],
     ) -> None:
         self.loop = loop
@@ -53,42 +61,42 @@
         self.random = SystemRandom()
         self.counter = 0
         self.fetch: StateFetch | None = None
-        self.refused = ""  # why the newest state is not taken
-        self.phases: list[tuple[Phase, int]] = []  # with the moment that each began
-        self.startup = StartupRecovery(members.now(), len(members.detector.view) - 1, alone)
+        self.refused = ""  # why the newest state was not accepted
+        self.phases: list[tuple[Phase, int]] = []  # each with the time at which it began
+        self.startup = StartupRecovery(members.now(), len(members.detector.view) - 1, serve_alone)
         self.timer: asyncio.TimerHandle | None = None
         self.writing: asyncio.Future[bool] | None = None
         self.unwritten: SavedState | None = None
-        self.greet_at = 0
-        pools.changed = self.applied
-        members.detector.extra_messages = self.said
-        members.detector.on_other_message = self.heard
+        self.next_ping_at = 0
+        pools.changed = self.on_plan_applied
+        members.detector.extra_messages = self.messages_to_send
+        members.detector.on_other_message = self.on_message
 
     # ---- the start ------------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """Takes what was kept, shuts the fronts, and begins to ask."""
-        kept = self.store.load() if self.store is not None else None
-        if kept is not None:
-            why = self.take(kept.state.encode(), kept.counter, "kept")
+        """Applies the saved state and starts to poll. Requests are refused until recovery allows service."""
+        saved = self.store.load() if self.store is not None else None
+        if saved is not None:
+            why = self.apply_state(saved.state.encode(), saved.counter, "kept")
             if why:
-                self.log(f"recovery: the kept state {kept.counter} is not taken: {why}")
-        self.look()
+                self.log(f"recovery: the kept state {saved.counter} is not taken: {why}")
+        self.poll()
 
-    def look(self) -> None:
-        self.timer = self.loop.call_later(EVERY, self.look)
+    def poll(self) -> None:
+        self.timer = self.loop.call_later(POLL_INTERVAL, self.poll)
         now = self.members.now()
-        for number in [n for n in self.known.heard if not self.members.there(n)]:
+        for number in [n for n in self.known.heard if not self.members.is_present(n)]:
             self.known.forget(number)
         newest = self.known.newest(self.mine)
         if newest.digest == self.mine.digest and newest.counter > self.counter:
-            self.counter = newest.counter  # the same state, by another count of changes
-            self.keep()
+            self.counter = newest.counter  # the same state with a higher counter
+            self.save()
         unheard = [n for n in self.members.detector.others if n not in self.known.heard]
         phase = self.startup.update(now, self.mine, self.known, self.refused, len(unheard))
-        if phase in ("asking", "alone", "refusing") and now >= self.greet_at:
-            self.greet_at = now + GREET
-            for number in self.random.sample(unheard, min(len(unheard), GREETED)):
+        if phase in ("asking", "alone", "refusing") and now >= self.next_ping_at:
+            self.next_ping_at = now + PING_INTERVAL
+            for number in self.random.sample(unheard, min(len(unheard), MAX_PINGS)):
                 self.members.detector.ping_member(number, now)
         if not self.phases or self.phases[-1][0] != phase:
             self.phases.append((phase, now))
@@ -100,15 +108,15 @@
                 )
         self.pools.set_closed(not self.startup.serves)
         if phase in ("fetching", "behind") and not self.startup.settled and not self.refused:
-            self.bring(newest, now)
+            self.fetch_state(newest, now)
 
-    def bring(self, newest: Generation, now: int) -> None:
-        """Asks for what is missing of the newest state."""
+    def fetch_state(self, newest: Generation, now: int) -> None:
+        """Requests the missing pieces of the newest state."""
         if self.fetch is None or self.fetch.wanted != newest:
             self.fetch = StateFetch(newest, self.random)
-        for want in self.fetch.due_requests(self.known.holders(newest), now):
-            ask = AskPiece(bytes.fromhex(newest.digest), want.offset)
-            self.members.detector.send_frame(want.holder, [ask], now)
+        for due in self.fetch.due_requests(self.known.holders(newest), now):
+            request = AskPiece(bytes.fromhex(newest.digest), due.offset)
+            self.members.detector.send_frame(due.holder, [request], now)
         if self.fetch.failed:
             self.refused = self.fetch.failed
 
@@ -118,86 +126,88 @@
     def mine(self) -> Generation:
         return Generation(self.counter, digest(canonical(self.pools.state)))
 
-    def take(self, data: bytes, counter: int, whence: str) -> str:
-        """Switches to a state in one step of the loop; why not, if it cannot."""
+    def apply_state(self, data: bytes, counter: int, source: str) -> str:
+        """Switches to a state within one loop iteration. Returns why it can't, or ""."""
         try:
             desired: DesiredState = validate(msgspec.json.decode(data))
             check_references(desired, self.pools.config.classes, self.pools.config.tenants)
         except (StateError, msgspec.DecodeError, RecursionError) as e:
             return str(e)
-        if not 0 <= counter < COUNTERS:
+        if not 0 <= counter < COUNTER_LIMIT:
             return f"generation {counter}"
         self.pools.restore_state(desired)
         self.counter = counter
-        self.log(f"recovery: took generation {counter} {self.mine.digest}, {whence}")
+        self.log(f"recovery: took generation {counter} {self.mine.digest}, {source}")
         return ""
 
-    def applied(self) -> None:
-        """An operator's plan was applied here."""
+    def on_plan_applied(self) -> None:
+        """Starts a new generation after an operator's plan was applied here."""
         self.counter = max(self.counter, self.known.newest(self.mine).counter) + 1
         self.refused = ""
-        self.keep()
+        self.save()
 
-    def keep(self) -> None:
-        """Writes the state, off the loop; the newest one if several come at once."""
+    def save(self) -> None:
+        """Writes the state in another thread. During a write, only the newest of further states is queued."""
         if self.store is None:
             return
         mine = self.mine
-        kept = SavedState(mine.counter, mine.digest, canonical(self.pools.state).decode(), time())
+        state = SavedState(mine.counter, mine.digest, canonical(self.pools.state).decode(), time())
         if self.writing is not None and not self.writing.done():
-            self.unwritten = kept
+            self.unwritten = state
             return
-        self.writing = self.loop.run_in_executor(None, self.store.save, kept)
-        self.writing.add_done_callback(self.written)
+        self.writing = self.loop.run_in_executor(None, self.store.save, state)
+        self.writing.add_done_callback(self.on_written)
 
-    def written(self, _: asyncio.Future[bool]) -> None:
-        kept, self.unwritten = self.unwritten, None
-        if kept is not None:
-            self.keep()
+    def on_written(self, _: asyncio.Future[bool]) -> None:
+        state, self.unwritten = self.unwritten, None
+        if state is not None:
+            self.save()
 
-    # ---- what members say -----------------------------------------------------------------------------
+    # ---- messages between nodes -----------------------------------------------------------------------
 
-    def said(self) -> Sequence[Message]:
+    def messages_to_send(self) -> Sequence[Message]:
         mine = self.mine
         return (Holds(mine.counter, bytes.fromhex(mine.digest)),)
 
-    def heard(self, number: int, message: Message, now: int) -> None:
+    def on_message(self, number: int, message: Message, now: int) -> None:
         match message:
-            case Holds(counter, about):
-                self.known.record(number, Generation(counter, about.hex()))
-            case AskPiece(about, offset):
+            case Holds(counter, state_digest):
+                self.known.record(number, Generation(counter, state_digest.hex()))
+            case AskPiece(state_digest, offset):
                 state = canonical(self.pools.state)
                 piece = piece_of(state, offset)
-                if about.hex() == self.mine.digest and piece is not None:
-                    answer = Piece(about, offset, len(state), piece)
+                if state_digest.hex() == self.mine.digest and piece is not None:
+                    answer = Piece(state_digest, offset, len(state), piece)
                     self.members.detector.send_frame(number, [answer], now, low_priority=True)
-            case Piece(about, offset, size, data):
+            case Piece(state_digest, offset, size, data):
                 fetch = self.fetch
-                whole = fetch.receive_piece(about.hex(), offset, size, data) if fetch is not None else None
-                if whole is not None and fetch is not None:
-                    self.arrived(whole, fetch.wanted)
+                complete = (
+                    fetch.receive_piece(state_digest.hex(), offset, size, data) if fetch is not None else None
+                )
+                if complete is not None and fetch is not None:
+                    self.on_fetched(complete, fetch.wanted)
 
-    def arrived(self, whole: bytes, wanted: Generation) -> None:
-        """The newest state is here: judged by this node, and taken in one step if it still is the newest."""
+    def on_fetched(self, data: bytes, wanted: Generation) -> None:
+        """Validates and applies a completely fetched state if it is still newer than this node's."""
         self.fetch = None
         if compare(self.mine, wanted) != Comparison.OLDER:
             return
-        self.refused = self.take(whole, wanted.counter, "from others")
+        self.refused = self.apply_state(data, wanted.counter, "from others")
         if not self.refused:
-            self.keep()
-        self.look_again()
+            self.save()
+        self.poll_now()
 
-    def look_again(self) -> None:
+    def poll_now(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
-        self.look()
+        self.poll()
 
     def end(self) -> None:
         if self.timer is not None:
             self.timer.cancel()
 
-    def shown(self) -> dict[str, Any]:
-        """For `show`: the generation, the phase, and who has another one."""
+    def status(self) -> dict[str, Any]:
+        """Returns the recovery part of the command `show`: phases, and this and other nodes' generations."""
         now, mine = self.members.now(), self.mine
         return {
             "generation": mine.counter,
--- a/brackenladder/node/replica_store.py
+++ b/brackenladder/node/replica_store.py
@@ -1,4 +1,4 @@
-"""Opens the store that a control node starts from: tries again where it helps, sets aside what is damaged."""
+"""Opens a control node's store: retries transient errors and moves damaged stores aside."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from brackenladder.storage.sqlite_log import SqliteLogStore, open_store
 
 OPEN_RETRY_SECONDS = 0.3
-PASSING_ERRORS = (StoreFailed, StoreFull, StoreInUse)
-CORRUPT_TRIES = 2  # a damage is read twice before it is believed
-MOST_SET_ASIDE = 2  # stores in one start; a disk that damages new ones too is of no use
+TRANSIENT_ERRORS = (StoreFailed, StoreFull, StoreInUse)
+CORRUPT_TRIES = 2  # a store counts as damaged only if it is found corrupt twice
+MAX_SET_ASIDE = 2  # stores per start; if new stores get damaged too, the disk is unusable
 
 log = logbook.Logger("store")
 
 
 @frozen
 class OpenedStore:
-    """A store and what it holds."""
+    """An open store and the state loaded from it."""
 
     store: SqliteLogStore
     state: DurableState
-    replaces_damaged: bool  # a store was set aside in its folder, now or earlier
+    replaces_damaged: bool  # whether a damaged store was moved aside in its folder, now or earlier
 
 
 Opened = Result[OpenedStore, StoreError]
-NewReplicaId = Callable[[bool], str]  # told whether a store was set aside in the folder
+NewReplicaId = Callable[[bool], str]  # called with whether a damaged store was moved aside in the folder
 
 
 async def open_replica_store(folder: str, new_replica_id: NewReplicaId) -> OpenedStore:
-    """Opens the store in `folder` or makes one; `RoleError` if it can't be used.
+    """Opens the store in `folder` or creates one. Raises RoleError if it can't be used.
 
-    A disk that refuses for the moment is tried again. The disk is waited for in a thread: while it hangs, the
-    process still hears its signals.
+    Transient disk errors are retried. The disk is accessed in a thread, so that the process still handles
+    signals while the disk hangs.
     """
     opener = _Opener(folder, new_replica_id)
     while True:
@@ -51,20 +51,20 @@
             opened = await in_daemon_thread(opener.open)
         except RoleError:
             raise
-        except Exception as fault:  # whatever it is, the store can't be used
+        except Exception as fault:  # after any other error the store can't be used
             raise RoleError(f"{type(fault).__name__}: {fault}") from fault
         if isinstance(opened, Success):
             store: OpenedStore = opened.unwrap()
             return store
         error = opened.failure()
-        if not isinstance(error, (*PASSING_ERRORS, StoreCorrupt)):
+        if not isinstance(error, (*TRANSIENT_ERRORS, StoreCorrupt)):
             raise RoleError(str(error))
         log.warning("{}", error)
         await asyncio.sleep(OPEN_RETRY_SECONDS)
 
 
 class _Opener:
-    """The tries of one start."""
+    """The attempts of one start to open the store."""
 
     def __init__(self, folder: str, new_replica_id: NewReplicaId) -> None:
         self._folder = folder
@@ -73,7 +73,7 @@
         self._set_aside = 0
 
     def open(self) -> Opened:
-        """One try. A store that was found damaged before, and is still, gives way to a new one."""
+        """Makes one attempt. A store that is found corrupt repeatedly is moved aside and replaced."""
         opened = self._open()
         error = opened.swap().value_or(None)
         if not isinstance(error, StoreCorrupt):
@@ -81,7 +81,7 @@
         self._corrupt_tries += 1
         if self._corrupt_tries < CORRUPT_TRIES:
             return opened
-        if self._set_aside >= MOST_SET_ASIDE:
+        if self._set_aside >= MAX_SET_ASIDE:
             raise RoleError(f"{error}; {self._set_aside} stores were set aside before it")
         try:
             name = quarantine_store(self._folder)
@@ -109,7 +109,7 @@
 
 
 def _make_folder(folder: str) -> None:
-    """Makes the folder so that it outlasts a loss of power."""
+    """Creates the folder and syncs its parent, so that it survives a power loss."""
     if os.path.isdir(folder):
         return
     os.makedirs(folder, exist_ok=True)
--- a/brackenladder/node/role_runner.py
+++ b/brackenladder/node/role_runner.py
@@ -1,4 +1,4 @@
-"""The main loop of a role process: signals, settings that change, an orderly end."""
+"""The main loop of a role process: signals, reloading of settings, orderly shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from brackenladder.node import blocked_signals
 from brackenladder.platform_settings import Platform, load_platform
 
-START_PATIENCE_SECONDS = 1.0  # for the rest of a start, once the process has been told to end
+START_GRACE_SECONDS = 1.0  # time for a start to complete after the process has been told to stop
 EXIT_OK = 0
 EXIT_FAILED = 1
 THREAD_STACK_BYTES = 256 * 1024
@@ -31,16 +31,16 @@
 
 
 class RoleProcess(Protocol):
-    """What the runner drives."""
+    """A role, as the runner controls it."""
 
     async def start(self) -> None:
-        """Opens all that the role needs; raises `RoleError` if it can't."""
+        """Opens everything that the role needs. Raises RoleError if it can't."""
 
     def reload(self, platform: Platform) -> None:
-        """Takes the settings of a file that has changed."""
+        """Applies the settings of a changed file."""
 
     async def stop(self) -> None:
-        """Ends in order, within the grace that the platform gives."""
+        """Shuts down in an orderly way, within the platform's grace period."""
 
 
 class RoleError(Exception):
@@ -48,12 +48,12 @@
 
 
 def monotonic_microseconds() -> int:
-    """The clock of all pure objects in a role process."""
+    """The clock that is passed to all objects of a role process that don't read one themselves."""
     return time.monotonic_ns() // 1000
 
 
 def run_role(role_type: Callable[[Platform], RoleProcess], platform: Platform, path: str) -> int:
-    """Runs a role until SIGTERM or SIGINT; the process's exit status."""
+    """Runs a role until SIGTERM or SIGINT. Returns the process's exit status."""
     threading.stack_size(THREAD_STACK_BYTES)
     level = os.environ.get(LOG_LEVEL_VARIABLE, "INFO")
     with logbook.StreamHandler(sys.stderr, level=level, format_string=LOG_FORMAT).applicationbound():
@@ -61,7 +61,7 @@
 
 
 class RoleRunner:
-    """Starts one role, hands it changed settings and stops it when the platform says so."""
+    """Starts a role, passes it changed settings and stops it on a signal."""
 
     def __init__(self, role: RoleProcess, path: str) -> None:
         self.role = role
@@ -71,7 +71,7 @@
         self._stamp = self._file_stamp()
 
     async def run(self) -> int:
-        """The whole life of the process."""
+        """Runs the role from its start to its stop. Returns the exit status."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._ending.set)
         loop.add_signal_handler(signal.SIGINT, self._ending.set)
@@ -92,12 +92,12 @@
         return EXIT_OK
 
     async def _start(self) -> None:
-        """Starts the role. One that has to end meanwhile gets a moment: an orderly end needs its start."""
+        """Starts the role. After a stop signal it gets some time to complete: only a started role can stop."""
         starting = asyncio.create_task(self.role.start())
         ending = asyncio.create_task(self._ending.wait())
         await asyncio.wait((starting, ending), return_when=asyncio.FIRST_COMPLETED)
         if not starting.done():
-            await asyncio.wait((starting,), timeout=START_PATIENCE_SECONDS)
+            await asyncio.wait((starting,), timeout=START_GRACE_SECONDS)
         if not starting.done():
             starting.cancel()
         ending.cancel()
@@ -105,7 +105,7 @@
             await starting
 
     async def _watch_settings(self) -> None:
-        """Reads the settings again after SIGHUP, or once the file looks different."""
+        """Reads the settings again after SIGHUP or when the file's time or size has changed."""
         while True:
             try:
                 async with asyncio.timeout(SETTINGS_CHECK_SECONDS):
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -1,4 +1,4 @@
-"""RPC's pool and listener, from the operator file."""
+"""Creates the RPC pool and front from the operator file."""
 
 from __future__ import annotations
 
@@ -15,26 +15,29 @@
 from brackenladder.node.pool import NoMessenger, OnListing, Pool, Source
 from brackenladder.rpc.codec import Bounds
 from brackenladder.rpc.front import FrontLimits, RpcFront
-from brackenladder.rpc.methods import MethodError, Methods, compiled
+from brackenladder.rpc.methods import MethodError, Methods, compile_method
 from brackenladder.rpc.upstream import RpcUpstream, UpstreamLimits
 
-IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
-LEAST_HTTP = 8  # descriptors that are left to HTTP's connections at the least
+IDLE_MARGIN = 0.3  # idle connections are closed this many seconds before the server would close them
+MIN_HTTP_CONNECTIONS = 8  # descriptors that must be left for HTTP
 
 
-def bounds_of(table: RpcTable) -> Bounds:
+def message_limits(table: RpcTable) -> Bounds:
     return Bounds(message=table.message_kb << 10, nesting=table.nesting)
 
 
 def rpc_pool(
     table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, clock: Clock, log: Log, stray_log: Log
 ) -> Pool:
-    """Half of the table's sockets are the servers'. There are no probes and no messages between nodes."""
+    """Creates the pool of RPC servers, without probes and without messages between nodes.
+
+    Half of the table's sockets are for servers.
+    """
     settings = replace(
         config.settings, probes=False, peers=False, list_on_request=table.discovery is not None
     )
     limits = UpstreamLimits(
-        bounds_of(table),
+        message_limits(table),
         table.pipeline,
         table.server_connections,
         table.sockets // 2,
@@ -42,11 +45,12 @@
         max(config.idle_time - IDLE_MARGIN, config.idle_time / 2),
     )
 
-    def source(told: OnListing) -> Source:
+    def source(on_listing: OnListing) -> Source:
         if table.discovery is None:
-            return FixedList([fixed(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], told)
+            lines = [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers]
+            return FixedList(lines, on_listing)
         address = parse_address(table.discovery, "rpc.discovery")
-        return PolledDiscovery(loop, address, None, settings.instances, told, stray_log.line)
+        return PolledDiscovery(loop, address, None, settings.instances, on_listing, stray_log.line)
 
     return Pool(
         settings,
@@ -65,39 +69,39 @@
 def rpc_front(
     table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, stray_log: Log
 ) -> RpcFront:
-    """The other half are the clients'."""
+    """Creates the RPC front. The other half of the sockets is for clients."""
     limits = FrontLimits(
-        bounds_of(table),
+        message_limits(table),
         table.client_calls,
         table.client_unread_kb << 10,
         table.sockets - table.sockets // 2,
     )
-    return RpcFront(loop, pool.host, methods_of(table, config), limits, stray_log.line)
+    return RpcFront(loop, pool.host, compile_methods(table, config), limits, stray_log.line)
 
 
-def fixed(name: str, addr: str, zone: str, kind: str, cell: int) -> Line:
+def fixed_line(name: str, addr: str, zone: str, kind: str, cell: int) -> Line:
     host, port = parse_address(addr, f"operator file: rpc.servers: {name}")
     return Line(name, host, port, zone, kind, cell, State.READY, 1.0, 0)
 
 
 def check(table: RpcTable, config: Config) -> None:
-    """A ConfigError if the node cannot take the table on, before anything listens."""
+    """Raises ConfigError if the node can't use the table. Called before anything listens."""
     parse_address(table.listen, "operator file: rpc.listen")
     if table.discovery is not None:
         parse_address(table.discovery, "operator file: rpc.discovery")
     for i, server in enumerate(table.servers):
-        fixed(server.id, server.addr, server.zone, server.kind, server.cell)
+        fixed_line(server.id, server.addr, server.zone, server.kind, server.cell)
         if server.id in {s.id for s in table.servers[:i]}:
             raise ConfigError(f"operator file: rpc.servers: {server.id}: stands twice")
-    methods_of(table, config)
-    without(config, table)
+    compile_methods(table, config)
+    without_rpc_sockets(config, table)
 
 
-def methods_of(table: RpcTable, config: Config) -> Methods:
-    """The methods, checked against the settings' classes. A ConfigError names the key."""
+def compile_methods(table: RpcTable, config: Config) -> Methods:
+    """Compiles the methods and checks them against the settings' classes. Raises ConfigError with the key."""
     try:
-        compiled_ = {
-            name: compiled(
+        methods = {
+            name: compile_method(
                 name,
                 m.klass,
                 m.tenant,
@@ -115,14 +119,14 @@
     if table.tenant and table.tenant not in config.tenants:
         raise ConfigError(f"operator file: rpc.tenant: no tenant '{table.tenant}'")
     return Methods(
-        compiled_, config.settings.classes, config.tenants, table.tenant, round(table.budget_ms * 1000)
+        methods, config.settings.classes, config.tenants, table.tenant, round(table.budget_ms * 1000)
     )
 
 
-def without(config: Config, table: RpcTable) -> Config:
-    """The configuration of the HTTP part, less the descriptors that RPC takes."""
+def without_rpc_sockets(config: Config, table: RpcTable) -> Config:
+    """Returns the configuration of the HTTP part: its connections less the sockets of RPC."""
     left = config.connections - table.sockets
-    if left < LEAST_HTTP:
+    if left < MIN_HTTP_CONNECTIONS:
         raise ConfigError(
             f"operator file: rpc.sockets: {table.sockets} leave too few of limits.sockets"
             f" ({config.connections + RESERVED_SOCKETS})"
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -1,4 +1,4 @@
-"""What the operator file says of RPC methods, compiled once: pure, asked for every call."""
+"""What the operator file says of RPC methods, compile_method once: pure, asked for every call."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
         return Read(number, min(micro, self.classes[method.klass].deadline))
 
 
-def compiled(
+def compile_method(
     name: str,
     klass: str,
     tenant: str,
--- a/brackenladder/transport/__init__.py
+++ b/brackenladder/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Links between nodes: typed messages in frames over TCP, and inside one process for tests."""
+"""Connections between nodes that carry typed messages: over TCP, or within one process for tests."""
--- a/brackenladder/transport/address.py
+++ b/brackenladder/transport/address.py
@@ -23,7 +23,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address that `text` gives; AddressError if it is none."""
+    """Parses "ip:port". Raises AddressError if the text isn't an address."""
     ip, separator, port = text.rpartition(":")
     if not separator or not (port.isascii() and port.isdigit()) or int(port) > HIGHEST_PORT:
         raise AddressError(f"{text!r} is not ip:port")
--- a/brackenladder/transport/codec.py
+++ b/brackenladder/transport/codec.py
@@ -1,6 +1,7 @@
-"""Messages as bytes: one msgpack array each, `[tag, field, field, ...]`.
+"""Encodes messages as msgpack arrays, `[tag, field, field, ...]`.
 
-Classes are planned once, at `register`, from their type hints. What arrives is checked against them.
+The encoders and decoders of a class are built once, at `register`, from its type hints. Received data is
+checked against these hints.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 from brackenladder.transport.record_codec import RecordCodec
 from brackenladder.transport.type_codec import TypeCodecFactory
 
-MAX_ARRAY_ITEMS = 1 << 16  # an array is allocated as announced, before its items have arrived
+MAX_ARRAY_ITEMS = 1 << 16  # msgpack allocates an array of the announced length before reading its items
 MAX_MAP_ITEMS = 1 << 16
-PACKER_BYTES = 16 << 10  # first size of the buffer that messages are packed into
-PACKER_BYTES_KEPT = 1 << 20  # a buffer that has grown beyond is not kept
+PACKER_BYTES = 16 << 10  # initial size of the buffer that messages are packed into
+PACKER_BYTES_KEPT = 1 << 20  # a packer whose message was larger is replaced, to free its buffer
 
 
 class Codec:
-    """Encodes and decodes the registered classes. Not for use by several threads at once."""
+    """Encodes and decodes the registered classes. Not thread-safe."""
 
     def __init__(self) -> None:
         self._type_codecs = TypeCodecFactory()
@@ -29,24 +30,28 @@
         self._packer = msgpack.Packer(buf_size=PACKER_BYTES)
 
     def register(self, tag: int, message_type: type) -> None:
-        """Gives an attrs class its tag. UnsupportedType if a field has no encoding or the tag is taken."""
+        """Assigns a tag to an attrs class.
+
+        Raises UnsupportedType if a field's type can't be encoded, or if the tag or the class is registered
+        already.
+        """
         if type(tag) is not int or tag < 0:
-            raise UnsupportedType(f"{tag!r} is no tag")
+            raise UnsupportedType(f"{tag!r} is not a valid tag")
         if tag in self._records:
             raise UnsupportedType(f"tag {tag} belongs to {self._records[tag].message_type.__qualname__}")
         if message_type in self._tags:
-            raise UnsupportedType(f"{message_type.__qualname__} has a tag already")
+            raise UnsupportedType(f"{message_type.__qualname__} already has a tag")
         record = self._type_codecs.record(message_type)
         self._records[tag] = record
         self._tags[message_type] = (tag, record)
 
     def register_all(self, first_tag: int, message_types: Iterable[type]) -> None:
-        """Gives the classes consecutive tags from `first_tag` on."""
+        """Assigns consecutive tags to the classes, starting with `first_tag`."""
         for tag, message_type in enumerate(message_types, start=first_tag):
             self.register(tag, message_type)
 
     def encode(self, message: object) -> bytes:
-        """The message's bytes; EncodeError if its class is unknown or a value has no encoding."""
+        """Encodes a message. Raises EncodeError if its class isn't registered or a value can't be encoded."""
         known = self._tags.get(type(message))
         if known is None:
             raise EncodeError(f"{type(message).__qualname__} is not registered")
@@ -60,7 +65,7 @@
         return data
 
     def decode(self, data: bytes) -> object:
-        """The message; DecodeError on anything else, whatever the bytes are."""
+        """Decodes a message. Raises DecodeError, and nothing else, for any bytes that aren't a message."""
         values = _unpack(data)
         if type(values) is not tuple or not values or type(values[0]) is not int:
             raise DecodeError(DecodeFault.NOT_A_MESSAGE)
--- a/brackenladder/transport/dialer.py
+++ b/brackenladder/transport/dialer.py
@@ -1,4 +1,4 @@
-"""Keeps a TCP link to one address: dials, waits while the link stands, dials again."""
+"""Keeps a TCP link to one address: connects, waits until the link ends, and reconnects."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class BackOff:
-    """Pauses between attempts: doubling up to a bound, each shortened by up to a half at random."""
+    """Computes the pause between connection attempts: exponential back-off with up to 50% jitter."""
 
     def __init__(self, timing: LinkTiming, random: Random) -> None:
         self._timing = timing
@@ -23,7 +23,11 @@
         self._refusals = 0
 
     def pause(self, refused: bool = False) -> int:
-        """Microseconds to wait before the next attempt. `refused`: the host answered that nobody listens."""
+        """Returns the microseconds to wait before the next attempt.
+
+        `refused` says that the last attempt ended with ECONNREFUSED: the host is up but no process listens on
+        the port. The process is probably restarting, so the first such pauses stay short.
+        """
         longest = self._next
         self._refusals = self._refusals + 1 if refused else 0
         if 0 < self._refusals <= self._timing.refused_tries:
@@ -33,13 +37,13 @@
         return round(longest * self._random.uniform(0.5, 1.0))
 
     def reset(self) -> None:
-        """The next pause is the shortest again."""
+        """Makes the next pause the shortest again."""
         self._next = self._timing.retry_min
         self._refusals = 0
 
 
 class TcpDialer:
-    """A `Dialer`; one task, one attempt at a time."""
+    """A `Dialer` that runs one task and makes one attempt at a time."""
 
     def __init__(
         self,
@@ -59,36 +63,36 @@
         self._link: TcpLink | None = None
         self._on_refused = on_refused
         self._closed = False
-        self._refused = False  # by the host, at the last attempt
+        self._refused = False  # whether the last attempt ended with ECONNREFUSED
         self._link_ended = asyncio.Event()
         self._task = settings.loop.create_task(self._keep())
 
     @property
     def link(self) -> TcpLink | None:
-        """The link that stands now."""
+        """The open link, or None."""
         link = self._link
         return link if link is not None and link.opened_at is not None else None
 
     @property
     def done(self) -> bool:
-        """It has been closed, and its link is gone."""
+        """Whether the dialer is closed and its link has ended."""
         return self._closed and self._link is None
 
     def close(self) -> None:
-        """Stops dialling and closes the link."""
+        """Stops connecting and closes the link."""
         self._closed = True
         self._task.cancel()
         if self._link is not None:
             self._link.close()
 
     def abort(self) -> None:
-        """Ends at once, dropping what the link has queued."""
+        """Closes at once and drops the messages queued on the link."""
         self.close()
         if self._link is not None:
             self._link.abort(LinkClosed.LOCAL)
 
     async def wait_closed(self) -> None:
-        """Returns when the task and the link have ended."""
+        """Waits until the task and the link have ended."""
         await asyncio.gather(self._task, return_exceptions=True)
         if self._link is not None:
             await self._link_ended.wait()
@@ -101,19 +105,19 @@
             await asyncio.sleep(self._back_off.pause(self._refused) / MICROSECONDS)
 
     async def _connect(self) -> bool:
-        """Makes a connection and starts its handshake; False if there is none in time."""
+        """Connects and starts the handshake. Returns False if connecting failed or timed out."""
         self._refused = False
         try:
             async with asyncio.timeout(self._settings.timing.connect_timeout / MICROSECONDS):
                 connection = await self._open_socket()
-        except OSError as error:  # TimeoutError among them
+        except OSError as error:  # includes TimeoutError
             self._refused = isinstance(error, ConnectionRefusedError)
             self.last_reason = LinkClosed.UNREACHABLE
             return False
         self._link_ended.clear()
         self._link = TcpLink(self._settings, self._handler, self._ended)
-        made = self._link
-        await self._settings.loop.create_connection(lambda: made, sock=connection)
+        link = self._link
+        await self._settings.loop.create_connection(lambda: link, sock=connection)
         return True
 
     async def _open_socket(self) -> socket.socket:
--- a/brackenladder/transport/errors.py
+++ b/brackenladder/transport/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong between two nodes: typed errors, and the reasons why a link ended."""
+"""Errors of the transport, and the reasons why a link ended."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @unique
 class LinkClosed(Enum):
-    """Why a link ended, or why an attempt to make one came to nothing."""
+    """Why a link ended or why an attempt to establish one failed."""
 
     LOCAL = "closed by this node"
     REMOTE = "closed by the other node"
@@ -22,7 +22,7 @@
 
 @unique
 class DecodeFault(Enum):
-    """What is wrong with bytes that should have been a message."""
+    """Why received bytes could not be decoded as a message."""
 
     NOT_MSGPACK = "not one msgpack value within the limits"
     NOT_A_MESSAGE = "not an array that begins with a tag"
@@ -33,11 +33,11 @@
 
 
 class TransportError(Exception):
-    """Base class of what the transport raises."""
+    """Base class of the transport's exceptions."""
 
 
 class DecodeError(TransportError):
-    """Bytes from another node that are no message."""
+    """Bytes received from another node can't be decoded."""
 
     def __init__(self, fault: DecodeFault, detail: str = "") -> None:
         super().__init__(f"{fault.value}: {detail}" if detail else fault.value)
@@ -46,24 +46,24 @@
 
 
 class EncodeError(TransportError):
-    """A message that cannot be sent: its class is not registered, or a value has no encoding."""
+    """A message can't be encoded: its class isn't registered, or the encoding doesn't support a value."""
 
 
 class MessageTooLarge(EncodeError):
-    """A message whose frame would be over the limit."""
+    """A message's frame would exceed the size limit."""
 
 
 class UnsupportedType(TransportError):
-    """A message class with a field that the codec has no encoding for, or a tag that is taken."""
+    """A message class can't be registered: a field's type isn't supported, or the tag is taken."""
 
 
 class FrameTooLarge(TransportError):
-    """The other side announces a frame over the limit."""
+    """A received length prefix announces a frame over the size limit."""
 
 
 class AddressError(TransportError):
-    """Text that is no "ip:port"."""
+    """A text isn't of the form "ip:port"."""
 
 
 class ListenError(TransportError):
-    """The address could not be bound."""
+    """A listening socket could not be bound to the address."""
--- a/brackenladder/transport/framing.py
+++ b/brackenladder/transport/framing.py
@@ -1,4 +1,4 @@
-"""Frames on a byte stream: four bytes of length (big-endian), then the body. An empty body is a ping."""
+"""Frames on a byte stream: a four-byte big-endian length, then the body. An empty body is a ping."""
 
 from __future__ import annotations
 
@@ -9,37 +9,40 @@
 
 
 def frame(body: bytes, limit: int) -> bytes:
-    """The body with its prefix; MessageTooLarge over the limit."""
+    """Prefixes a body with its length. Raises MessageTooLarge if the body is longer than `limit`."""
     if len(body) > limit:
         raise MessageTooLarge(f"{len(body)} bytes, the limit is {limit}")
     return len(body).to_bytes(PREFIX_BYTES, "big") + body
 
 
 class FrameReader:
-    """Cuts what arrives into bodies. `limit` may be changed between frames."""
+    """Splits a received byte stream into frame bodies. `limit` may be changed between frames."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self._buffer = bytearray()
-        self._wanted = PREFIX_BYTES  # bytes of the buffer without which there is nothing to do
+        self._needed = PREFIX_BYTES  # buffered bytes needed before the next parsing step
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes that have arrived."""
+        """Adds received bytes."""
         self._buffer += data
 
     def next_body(self) -> bytes | None:
-        """The next whole body (empty: a ping); None until it is there. FrameTooLarge over the limit."""
+        """Returns the next complete body (empty for a ping), or None if none has been received completely.
+
+        Raises FrameTooLarge as soon as a length prefix exceeds the limit.
+        """
         buffer = self._buffer
-        if len(buffer) < self._wanted:
+        if len(buffer) < self._needed:
             return None
         length = int.from_bytes(buffer[:PREFIX_BYTES], "big")
         if length > self.limit:
             raise FrameTooLarge(f"{length} bytes, the limit is {self.limit}")
         end = PREFIX_BYTES + length
         if len(buffer) < end:
-            self._wanted = end
+            self._needed = end
             return None
         body = bytes(buffer[PREFIX_BYTES:end])
         del buffer[:end]
-        self._wanted = PREFIX_BYTES
+        self._needed = PREFIX_BYTES
         return body
--- a/brackenladder/transport/handshake.py
+++ b/brackenladder/transport/handshake.py
@@ -1,4 +1,4 @@
-"""The first frame each way: who speaks, and which versions of the protocol it speaks."""
+"""The hello frame that each side sends first: its name and the protocol versions that it supports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class Hello:
-    """Its fields keep their places in all versions of the protocol."""
+    """The first message on a link. Its field order is the same in all protocol versions."""
 
     lowest: int
     highest: int
@@ -25,12 +25,12 @@
 
 
 def encode_hello(versions: ProtocolVersions, name: str) -> bytes:
-    """The body of this node's first frame."""
+    """Encodes the body of this node's hello frame."""
     return _CODEC.encode(Hello(versions.lowest, versions.highest, name))
 
 
 def decode_hello(body: bytes) -> Hello:
-    """The other side's hello; DecodeError if the frame is none."""
+    """Decodes the other side's hello. Raises DecodeError if the body isn't one."""
     hello = _CODEC.decode(body)
     if not isinstance(hello, Hello):
         raise DecodeError(DecodeFault.NOT_A_MESSAGE)
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -1,12 +1,16 @@
-"""What every transport offers: links, their handler, dialers, and the timing and limits they keep to.
-
-Rules that hold for all of them: a handler's methods are called in the event loop, one at a time. `connected`
-comes first, `closed` exactly once and last, with nothing after it; `closed` is never called from inside
-`Link.close`. After `Link.close` no more messages are handed over. Messages arrive in the order in which
-they were sent, once each; those still under way when a link ends are lost. A link that fails before or
-in its handshake is not shown to the handler: `Dialer.last_reason` and the transport's `on_refused` tell why.
-A message whose tag this node does not know comes from a newer node and is passed over; any other fault in a
-frame ends the link.
+"""The interface of all transports: links, their handlers, dialers, timing and limits.
+
+Every transport keeps these rules:
+
+- A handler's methods are called in the event loop, one at a time. `connected` is called first, and `closed`
+  exactly once and last. `closed` is never called from inside `Link.close`.
+- After `Link.close` no more messages are passed to the handler.
+- Messages arrive once each and in the order in which they were sent. When a link ends, those in transit are
+  lost.
+- A link that fails before or during its handshake is not reported to the handler. The reason is available as
+  `Dialer.last_reason` and is passed to the transport's `on_refused`.
+- A message with an unknown tag comes from a newer node and is ignored. Any other fault in a frame ends the
+  link.
 """
 
 from __future__ import annotations
@@ -21,45 +25,45 @@
 PROTOCOL_MIN = 1
 PROTOCOL_MAX = 1
 
-OnRefused = Callable[[str, LinkClosed], None]  # remote "ip:port" and the reason
+OnRefused = Callable[[str, LinkClosed], None]  # called with the remote "ip:port" and the reason
 
 
 @frozen
 class LinkTiming:
-    """Times in microseconds."""
+    """Timing of links. All times are in microseconds."""
 
-    ping_every: int = 500_000  # a link that has sent nothing for so long sends a ping
-    silence_timeout: int = 1_600_000  # a link that has heard nothing for so long is closed
-    connect_timeout: int = 700_000  # a connection that hangs is given up
-    retry_min: int = 50_000  # first pause between attempts to connect; doubles
+    ping_every: int = 500_000  # a link that has sent nothing for this long sends a ping
+    silence_timeout: int = 1_600_000  # a link that has received nothing for this long is closed
+    connect_timeout: int = 700_000  # limit for establishing a TCP connection
+    retry_min: int = 50_000  # first pause between connection attempts; doubles with each failure
     retry_max: int = 500_000  # longest pause between attempts
-    refused_pause: int = 60_000  # longest pause after a refusal: the host lives, its process restarts
-    refused_tries: int = 25  # in a row; from then on a refusal is like any other failure
-    stable_after: int = 1_000_000  # a link that stood so long resets the pause
-    listen_timeout: int = 10_000_000  # how long an address that is in use is tried
-    listen_retry: int = 100_000  # pause between these tries
-    close_grace: int = 500_000  # what a closing transport leaves its links to send what is queued
+    refused_pause: int = 60_000  # longest pause after ECONNREFUSED: the host is up, its process restarts
+    refused_tries: int = 25  # refusals in a row with the short pause; later ones back off like other failures
+    stable_after: int = 1_000_000  # a link that was open for this long resets the pause
+    listen_timeout: int = 10_000_000  # how long binding is retried while the address is in use
+    listen_retry: int = 100_000  # pause between these retries
+    close_grace: int = 500_000  # time for the links of a closing transport to send their queued messages
 
 
 @frozen
 class LinkLimits:
-    """Bounds on what links may hold."""
+    """Limits on the resources that links may use."""
 
-    queue_bytes: int = 8 << 20  # queued and not yet taken by the kernel, a link
+    queue_bytes: int = 8 << 20  # per link: queued bytes that the kernel hasn't taken yet
     frame_bytes: int = 16 << 20  # a frame's body
-    hello_bytes: int = 1 << 10  # the body of a link's first frame
-    incoming: int = 512  # connections that a transport accepts at a time
+    hello_bytes: int = 1 << 10  # the body of the hello frame
+    incoming: int = 512  # accepted connections of a transport that may be open at the same time
 
 
 @frozen
 class ProtocolVersions:
-    """The versions of the protocol that a node speaks, both included."""
+    """The inclusive range of protocol versions that a node supports."""
 
     lowest: int = PROTOCOL_MIN
     highest: int = PROTOCOL_MAX
 
     def common(self, lowest: int, highest: int) -> int | None:
-        """The highest version that the other side speaks too."""
+        """Returns the highest version that the other side supports too, or None."""
         version = min(self.highest, highest)
         return version if version >= max(self.lowest, lowest) else None
 
@@ -69,75 +73,78 @@
 
     @property
     def remote(self) -> str:
-        """Address of the other end, "ip:port"."""
+        """The address of the other end, "ip:port"."""
 
     @property
     def peer(self) -> str:
-        """The other node's name, as it gave it in the handshake."""
+        """The other node's name, from its hello."""
 
     @property
     def version(self) -> int:
-        """The protocol version that both sides speak."""
+        """The protocol version negotiated in the handshake."""
 
     @property
     def time_since_receive(self) -> int:
-        """Microseconds since anything was heard from the other end, pings included."""
+        """Microseconds since the last bytes were received, pings included."""
 
     def send(self, message: object) -> bool:
-        """Queues a message; never blocks. False when closed or when the queue would exceed its bound.
+        """Queues a message without blocking. Returns False if the link is closed or the queue is full.
 
-        A message larger than the bound is taken when nothing else is queued. EncodeError (MessageTooLarge,
-        if its frame is over the limit) when the message has no encoding.
+        A message larger than the queue limit is accepted if nothing else is queued. Raises EncodeError if the
+        message can't be encoded, MessageTooLarge if its frame would be over the limit.
         """
 
     def close(self) -> None:
-        """Ends the link once what is queued has been sent."""
+        """Closes the link after the queued messages have been sent."""
 
 
 class LinkHandler(Protocol):
-    """Who uses links: told of all that happens to them."""
+    """Receives the events of links."""
 
     def connected(self, link: Link) -> None:
-        """The link stands: both sides have named themselves."""
+        """Called when the handshake is complete."""
 
     def received(self, link: Link, message: object) -> None:
-        """A message has arrived."""
+        """Called for each received message."""
 
     def closed(self, link: Link, reason: LinkClosed) -> None:
-        """The link has ended."""
+        """Called when the link has ended."""
 
 
 class Dialer(Protocol):
-    """Keeps one link to an address, dialling again whenever it has ended."""
+    """Keeps one link to an address and reconnects whenever the link has ended."""
 
     @property
     def address(self) -> str:
-        """Where it dials."""
+        """The address that it connects to."""
 
     @property
     def link(self) -> Link | None:
-        """The link that stands now."""
+        """The open link, or None."""
 
     @property
     def last_reason(self) -> LinkClosed | None:
         """Why the last link ended or the last attempt failed."""
 
     def close(self) -> None:
-        """Stops dialling and closes the link."""
+        """Stops connecting and closes the link."""
 
 
 class Transport(Protocol):
-    """Makes links."""
+    """Accepts and establishes links."""
 
     async def listen(self, address: str, handler: LinkHandler) -> None:
-        """Accepts links at "ip:port" (port 0: any free one, see `listening`). ListenError if it cannot."""
+        """Accepts links at "ip:port". Port 0 means any free port, see `listening`.
+
+        Raises ListenError if the address can't be bound.
+        """
 
     @property
     def listening(self) -> tuple[str, ...]:
-        """The addresses bound, in the order of the calls of `listen`."""
+        """The bound addresses, in the order of the calls of `listen`."""
 
     def dial(self, address: str, handler: LinkHandler) -> Dialer:
-        """Keeps a link to `address` until the dialer is closed. AddressError if it is none."""
+        """Keeps a link to `address` until the dialer is closed. Raises AddressError if it isn't "ip:port"."""
 
     async def close(self) -> None:
-        """Ends listeners, dialers and links, and returns when all is closed."""
+        """Closes listeners, dialers and links, and returns when all of them have ended."""
--- a/brackenladder/transport/memory.py
+++ b/brackenladder/transport/memory.py
@@ -1,4 +1,4 @@
-"""Links inside one process for tests: nothing happens until the test lets it, always in the same order."""
+"""Links within one process, for tests. Events happen only when the test delivers them, in a fixed order."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 FIRST_FREE_PORT = 20_000  # for listeners on port 0
 FIRST_DIALING_PORT = 40_000  # for the dialling ends of links
-EVENT_LIMIT = 100_000  # events of one `run`
+EVENT_LIMIT = 100_000  # most events that one `run` delivers
 
 
 class RunawayNetwork(TransportError):
-    """The nodes keep sending: `run` does not come to an end."""
+    """The nodes send messages without end, so `run` would not return."""
 
 
 @frozen
 class Listener:
-    """A bound address."""
+    """A bound address and the handler of the links accepted there."""
 
     address: Address
     transport: MemoryTransport
@@ -32,71 +32,71 @@
 
 
 class MemoryNetwork:
-    """Carries what memory transports send. Nodes are named by their transport.
+    """Carries the events between memory transports. A node has the name of its transport.
 
-    `run` delivers all that can be delivered; `deliver` a single event. A cut holds back what is sent across
-    it; healed, it lets it through in order. Links across a cut end at `expire_silent` only. With a codec
-    messages travel as bytes, as they would over TCP.
+    `run` delivers everything that can be delivered, `deliver` a single event. A cut (a network partition)
+    delays everything sent across it until it is healed; the order stays. Links across a cut end only at
+    `expire_silent`. With a codec, messages are encoded to bytes, as over TCP.
     """
 
     def __init__(self, codec: Codec | None = None) -> None:
         self.codec = codec
         self._events: deque[Event] = deque()
-        self._held: list[Event] = []
+        self._delayed: list[Event] = []  # by cuts
         self._cuts: set[tuple[str, str]] = set()
         self._listeners: dict[str, Listener] = {}
         self._dialers: list[MemoryDialer] = []
         self._links: list[MemoryLink] = []
-        self._powered_off_links: set[MemoryLink] = set()  # ends whose node lost power
+        self._powered_off_links: set[MemoryLink] = set()  # link ends on nodes that lost power
         self._next_port = FIRST_FREE_PORT
         self._next_dialing_port = FIRST_DIALING_PORT
 
-    # driving
+    # event delivery
 
     @property
     def pending(self) -> int:
-        """Events that wait, those held back by cuts among them."""
-        return len(self._events) + len(self._held)
+        """The number of undelivered events, including those delayed by cuts."""
+        return len(self._events) + len(self._delayed)
 
     def deliver(self, count: int = 1) -> int:
-        """Delivers up to `count` events, oldest first; how many there were that no cut held back."""
+        """Delivers up to `count` events, oldest first. Returns how many it delivered; cuts delay others."""
         done = 0
         while done < count and self._events:
             event = self._events.popleft()
             if (event.sender, event.receiver) in self._cuts:
-                self._held.append(event)
+                self._delayed.append(event)
                 continue
             event.happen()
             done += 1
         return done
 
     def run(self, redial: bool = True) -> int:
-        """Lets idle dialers try once, then delivers until nothing is left; the number of events."""
+        """Lets each dialer without a link try once, then delivers all events. Returns their number."""
         if redial:
             self.redial()
         done = self.deliver(EVENT_LIMIT)
         if self._events:
-            raise RunawayNetwork(f"{done} events and no end")
+            raise RunawayNetwork(f"events are still pending after {done}")
         return done
 
     def redial(self) -> None:
-        """Each dialer without a link tries once more when events are delivered."""
+        """Queues one connection attempt for each dialer without a link."""
         for dialer in self._dialers:
             dialer.try_again()
 
     # faults
 
     def cut(self, one: str, other: str) -> None:
-        """Holds back all between two nodes, both ways."""
+        """Delays all traffic between two nodes, in both directions."""
         self.cut_one_way(one, other)
         self.cut_one_way(other, one)
 
     def cut_one_way(self, sender: str, receiver: str) -> None:
-        """Holds back all from one node to another."""
+        """Delays all traffic from one node to another."""
         self._cuts.add((sender, receiver))
 
     def heal(self, one: str, other: str) -> None:
-        """Ends the cuts between two nodes; what was held goes first."""
+        """Ends the cuts between two nodes. Delayed events are delivered first."""
         self._cuts -= {(one, other), (other, one)}
         self._release()
 
@@ -106,20 +106,20 @@
         self._release()
 
     def expire_silent(self) -> None:
-        """Ends the links that hear nothing: those across a cut, and those to a node without power."""
+        """Ends the links that receive nothing: those across a cut and those to a node without power."""
         for link in self._open_links():
             if link.other in self._powered_off_links or (link.peer, link.owner) in self._cuts:
                 link.abort(LinkClosed.SILENT)
 
     def lose_links(self, one: str, other: str) -> None:
-        """Resets the links between two nodes; what is under way on them is lost."""
+        """Resets the links between two nodes. Messages in transit are lost."""
         for link in self._open_links():
             if link.owner == one and link.peer == other:
                 link.abort(LinkClosed.LOST)
                 link.other.abort(LinkClosed.LOST)
 
     def power_off(self, name: str) -> None:
-        """A node falls silent: it is told nothing more, and others learn of it at `expire_silent`."""
+        """Simulates a power loss: the node gets no more events, and others notice only at `expire_silent`."""
         for link in self._open_links():
             if link.owner == name:
                 link.drop_silently()
@@ -127,21 +127,21 @@
         self._forget(name)
 
     def kill(self, name: str) -> None:
-        """A process ends: it is told nothing more, and its links are reset."""
+        """Simulates a killed process: the node gets no more events, and its links are reset."""
         for link in self._open_links():
             if link.owner == name:
                 link.drop_silently()
                 self.queue(Ending(link.owner, link.peer, link.other, LinkClosed.LOST))
         self._forget(name)
 
-    # for the transports
+    # called by the transports
 
     def queue(self, event: Event) -> None:
-        """Adds an event."""
+        """Queues an event for delivery."""
         self._events.append(event)
 
     def bind(self, address: Address, transport: MemoryTransport, handler: LinkHandler) -> Address:
-        """Binds an address; port 0 takes a free one."""
+        """Binds an address. Port 0 means any free port. Raises ListenError if the address is in use."""
         if address.port == 0:
             address = Address(address.ip, self._next_port)
             self._next_port += 1
@@ -155,20 +155,20 @@
         self._listeners.pop(str(address), None)
 
     def add_dialer(self, dialer: MemoryDialer) -> None:
-        """Keeps a dialer, to let it try again."""
+        """Registers a dialer, so that `redial` includes it."""
         self._dialers.append(dialer)
 
     def discard_dialer(self, dialer: MemoryDialer) -> None:
-        """The dialer is closed."""
+        """Removes a closed dialer."""
         if dialer in self._dialers:
             self._dialers.remove(dialer)
 
     def links_of(self, name: str) -> tuple[MemoryLink, ...]:
-        """The ends at a node that have not ended."""
+        """Returns the link ends at a node that are still open."""
         return tuple(link for link in self._open_links() if link.owner == name)
 
     def connect(self, dialer: MemoryDialer) -> MemoryLink | LinkClosed:
-        """Makes a link for a dialer, or tells why there is none."""
+        """Establishes a link for a dialer, or returns the reason why it can't."""
         listener = self._listeners.get(dialer.address)
         if listener is None or self._is_cut(dialer.transport.name, listener.transport.name):
             return LinkClosed.UNREACHABLE
@@ -182,7 +182,7 @@
             return LinkClosed.INCOMPATIBLE
         return self._create_link(dialer, listener, version)
 
-    # inner parts
+    # internals
 
     def _create_link(self, dialer: MemoryDialer, listener: Listener, version: int) -> MemoryLink:
         near = dialer.transport.make_link(dialer.handler, dialer.ended)
@@ -205,8 +205,8 @@
         return (one, other) in self._cuts or (other, one) in self._cuts
 
     def _release(self) -> None:
-        held, self._held = self._held, []
-        self._events.extendleft(reversed(held))
+        delayed, self._delayed = self._delayed, []
+        self._events.extendleft(reversed(delayed))
 
     def _forget(self, name: str) -> None:
         self._dialers = [each for each in self._dialers if each.transport.name != name]
@@ -217,17 +217,17 @@
 
 @frozen(eq=False)
 class Attempt(Event):
-    """A dialer tries to connect. It is an event of its own node, so it passes any cut."""
+    """A dialer's connection attempt. Its sender and receiver are the same node, so no cut delays it."""
 
     dialer: MemoryDialer
 
     def happen(self) -> None:
-        """Makes the attempt."""
+        """Runs the attempt."""
         self.dialer.attempt()
 
 
 class MemoryDialer:
-    """A `Dialer` that tries at once and then whenever the network lets it."""
+    """A `Dialer` that tries to connect at once, and again at each `MemoryNetwork.redial`."""
 
     def __init__(self, transport: MemoryTransport, address: str, handler: LinkHandler) -> None:
         self.transport = transport
@@ -236,46 +236,46 @@
         self.last_reason: LinkClosed | None = None
         self.attempts = 0
         self._link: MemoryLink | None = None
-        self._trying = False
+        self._attempt_queued = False
         self._closed = False
         transport.network.add_dialer(self)
         self.try_again()
 
     @property
     def link(self) -> MemoryLink | None:
-        """The link that stands now."""
+        """The open link, or None."""
         return self._link if self._link is not None and self._link.opened else None
 
     def close(self) -> None:
-        """Stops dialling and closes the link."""
+        """Stops connecting and closes the link."""
         self._closed = True
         self.transport.network.discard_dialer(self)
         if self._link is not None:
             self._link.close()
 
     def try_again(self) -> None:
-        """Queues an attempt, unless there is one or a link."""
-        if self._link is None and not self._trying and not self._closed:
-            self._trying = True
+        """Queues an attempt unless there is a link or a queued attempt."""
+        if self._link is None and not self._attempt_queued and not self._closed:
+            self._attempt_queued = True
             name = self.transport.name
             self.transport.network.queue(Attempt(name, name, self))
 
     def attempt(self) -> None:
         """Tries to connect now."""
-        self._trying = False
+        self._attempt_queued = False
         if self._closed:
             return
         self.attempts += 1
-        made = self.transport.network.connect(self)
-        if isinstance(made, MemoryLink):
-            self._link = made
+        result = self.transport.network.connect(self)
+        if isinstance(result, MemoryLink):
+            self._link = result
             return
-        self.last_reason = made
-        if made is not LinkClosed.UNREACHABLE:
-            self.transport.refused(self.address, made)
+        self.last_reason = result
+        if result is not LinkClosed.UNREACHABLE:
+            self.transport.refused(self.address, result)
 
     def ended(self, link: MemoryLink, reason: LinkClosed) -> None:
-        """The link is gone."""
+        """Handles the end of the link."""
         self._link = None
         self.last_reason = reason
         if not link.opened:
@@ -283,7 +283,7 @@
 
 
 class MemoryTransport:
-    """A `Transport` on a `MemoryNetwork`; `codec` stands in for the network's."""
+    """A `Transport` on a `MemoryNetwork`. `codec` overrides the network's codec."""
 
     def __init__(
         self,
@@ -307,11 +307,11 @@
 
     @property
     def listening(self) -> tuple[str, ...]:
-        """The addresses bound, in the order of the calls of `listen`."""
+        """The bound addresses, in the order of the calls of `listen`."""
         return tuple(str(each) for each in self._bound)
 
     async def listen(self, address: str, handler: LinkHandler) -> None:
-        """Accepts links at "ip:port"; ListenError at once if the address is in use."""
+        """Accepts links at "ip:port". Raises ListenError at once if the address is in use."""
         self._bound.append(self.network.bind(parse_address(address), self, handler))
 
     def dial(self, address: str, handler: LinkHandler) -> MemoryDialer:
@@ -321,7 +321,7 @@
         return dialer
 
     async def close(self) -> None:
-        """Ends listeners, dialers and links; the others learn of it when events are delivered."""
+        """Closes listeners, dialers and links. Other nodes notice when events are delivered."""
         for address in self._bound:
             self.network.unbind(address)
         for dialer in self._dialers:
@@ -331,16 +331,16 @@
             link.finish(LinkClosed.LOCAL)
 
     def make_link(self, handler: LinkHandler, ended: Callable[[MemoryLink, LinkClosed], None]) -> MemoryLink:
-        """One end of a new link."""
+        """Creates one end of a new link."""
         return MemoryLink(self.name, self._codec, self.limits, handler, self.network.queue, ended)
 
     def incoming_ended(self, link: MemoryLink, reason: LinkClosed) -> None:
-        """A link that was accepted is gone."""
+        """Handles the end of an accepted link."""
         self.incoming -= 1
         if not link.opened:
             self.refused(link.remote, reason)
 
     def refused(self, remote: str, reason: LinkClosed) -> None:
-        """A connection failed before its handshake was done."""
+        """Reports a connection that failed before its handshake was complete."""
         if self._on_refused is not None:
             self._on_refused(remote, reason)
--- a/brackenladder/transport/memory_link.py
+++ b/brackenladder/transport/memory_link.py
@@ -1,4 +1,4 @@
-"""One end of a link inside a process, and what travels between the ends."""
+"""One end of a link within one process, and the events between the two ends."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 @frozen(eq=False)
 class Event:
-    """Something that happens when the test lets it. The sender's own events (to itself) pass any cut."""
+    """An event that happens when the test delivers it. Cuts don't delay events from a node to itself."""
 
-    sender: str  # name of the node from which it comes
-    receiver: str  # name of the node at which it happens
+    sender: str  # name of the node that sent it
+    receiver: str  # name of the node where it takes effect
 
     @property
     def direction(self) -> tuple[str, str]:
-        """Sender and receiver: events of one direction happen in their order."""
+        """Sender and receiver. Events of one direction happen in the order in which they were queued."""
         return self.sender, self.receiver
 
     def happen(self) -> None:
-        """Delivers it."""
+        """Applies the event."""
         raise NotImplementedError
 
 
 class EndState(Enum):
-    """Where one end of a link stands."""
+    """The state of one end of a link."""
 
     HANDSHAKE = auto()
     OPEN = auto()
@@ -56,7 +56,7 @@
         self.peer = ""
         self.version = 0
         self.opened = False
-        self.was_reset = False  # what it has sent and nobody has received is lost
+        self.was_reset = False  # messages that it sent and that are still in transit are lost
         self.queued_bytes = 0
         self._codec = codec
         self._limits = limits
@@ -68,11 +68,11 @@
 
     @property
     def time_since_receive(self) -> int:
-        """Always 0: what is sent arrives, or the link ends."""
+        """Always 0: this transport doesn't measure silence."""
         return 0
 
     def attach(self, other: MemoryLink, remote: str, version: int) -> None:
-        """Names the other end; both ends are told before anything happens on the link."""
+        """Sets the other end. Called on both ends before the first event of the link."""
         self._other = other
         self.remote = remote
         self.peer = other.owner
@@ -86,7 +86,7 @@
 
     @property
     def ended(self) -> bool:
-        """Nothing happens at this end any more."""
+        """Whether this end is closed and takes no more events."""
         return self._state is EndState.CLOSED
 
     def send(self, message: object) -> bool:
@@ -94,14 +94,14 @@
         if self._state is not EndState.OPEN:
             return False
         size = 0
-        carried: object = message
+        payload: object = message
         if self._codec is not None:
-            carried = frame(self._codec.encode(message), self._limits.frame_bytes)
-            size = len(carried)
+            payload = frame(self._codec.encode(message), self._limits.frame_bytes)
+            size = len(payload)
         if self.queued_bytes and self.queued_bytes + size > self._limits.queue_bytes:
             return False
         self.queued_bytes += size
-        self._queue(Delivery(self.owner, self.peer, self, carried, size))
+        self._queue(Delivery(self.owner, self.peer, self, payload, size))
         return True
 
     def close(self) -> None:
@@ -112,7 +112,7 @@
             self._queue(Ending(self.owner, self.peer, self.other, LinkClosed.REMOTE))
 
     def abort(self, reason: LinkClosed) -> None:
-        """Ends at once; what is under way from here is lost, and the other end learns of a reset."""
+        """Resets the link: messages in transit from this end are lost, and the other end sees a reset."""
         if self._state is EndState.CLOSED or self.was_reset:
             return
         self._state = EndState.CLOSING
@@ -121,18 +121,18 @@
         self._queue(Ending(self.owner, self.peer, self.other, LinkClosed.LOST))
 
     def open(self) -> None:
-        """The handshake is done at this end."""
+        """Completes the handshake at this end."""
         if self._state is EndState.HANDSHAKE:
             self._state = EndState.OPEN
             self.opened = True
             self._handler.connected(self)
 
-    def receive(self, carried: object) -> None:
-        """A message arrives at this end."""
+    def receive(self, payload: object) -> None:
+        """Passes an arriving message to the handler."""
         if self._state is not EndState.OPEN:
             return
         try:
-            message = self._decoded(carried)
+            message = self._decode(payload)
         except DecodeError as fault:
             if fault.fault is not DecodeFault.UNKNOWN_TAG:
                 self.abort(LinkClosed.MALFORMED)
@@ -140,7 +140,7 @@
         self._handler.received(self, message)
 
     def finish(self, reason: LinkClosed) -> None:
-        """The link has ended here; the handler is told if it knew of the link."""
+        """Closes this end. The handler is called if the link was open."""
         if self._state is EndState.CLOSED:
             return
         self._state = EndState.CLOSED
@@ -151,19 +151,19 @@
             self._ended(self, reason)
 
     def drop_silently(self) -> None:
-        """The node of this end is gone without a word; nobody is told."""
+        """Closes this end without calling the handler, as when its node loses power."""
         self._state = EndState.CLOSED
         self.was_reset = True
 
-    def _decoded(self, carried: object) -> object:
-        if self._codec is None or not isinstance(carried, bytes):
-            return carried
-        return self._codec.decode(carried[PREFIX_BYTES:])
+    def _decode(self, payload: object) -> object:
+        if self._codec is None or not isinstance(payload, bytes):
+            return payload
+        return self._codec.decode(payload[PREFIX_BYTES:])
 
 
 @frozen(eq=False)
 class Opening(Event):
-    """The handshake ends at `link`."""
+    """The completion of the handshake at one end, `link`."""
 
     link: MemoryLink
 
@@ -174,26 +174,26 @@
 
 @frozen(eq=False)
 class Delivery(Event):
-    """A message from `source` reaches the other end."""
+    """The arrival of a message from `source` at the other end."""
 
     source: MemoryLink
-    carried: object
+    payload: object
     size: int
 
     def happen(self) -> None:
-        """Hands the message over, unless its sender has reset the link."""
+        """Delivers the message unless its sender has reset the link."""
         self.source.queued_bytes -= self.size
         if not self.source.was_reset:
-            self.source.other.receive(self.carried)
+            self.source.other.receive(self.payload)
 
 
 @frozen(eq=False)
 class Ending(Event):
-    """`link` ends."""
+    """The end of a link at one end, `link`."""
 
     link: MemoryLink
     reason: LinkClosed
 
     def happen(self) -> None:
-        """Ends the link at this end."""
+        """Closes the link at this end."""
         self.link.finish(self.reason)
--- a/brackenladder/transport/record_codec.py
+++ b/brackenladder/transport/record_codec.py
@@ -1,4 +1,4 @@
-"""The plan by which instances of one attrs class become arrays and arrays become instances."""
+"""Conversion between instances of one attrs class and msgpack arrays."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class RecordCodec:
-    """Encodes and decodes one class; `add` its fields in order, then `complete`.
+    """Encodes and decodes one class. Call `add_field` for its fields in order, then `complete`.
 
-    An array may be shorter than the class has fields (the rest take their defaults) or longer (the surplus
-    is ignored), so that two versions of a class understand each other.
+    For compatibility between versions of a class, an array may have fewer items than the class has fields
+    (the missing ones take their defaults) or more (the surplus is ignored).
     """
 
     def __init__(self, message_type: type) -> None:
@@ -38,7 +38,7 @@
     def add_field(
         self, field: attrs.Attribute[Any], encode: Convert | None, decode: Convert, exact_type: type | None
     ) -> None:
-        """The next field. `plain`: the exact type to check when the value is taken as it is."""
+        """Adds the next field. `exact_type` is set if a value only needs a type check and no decoding."""
         self._fields.append(field)
         self._encoders.append(encode)
         self._decoders.append(decode)
@@ -47,7 +47,7 @@
             self._required = len(self._fields)
 
     def complete(self) -> None:
-        """All fields are known: prepare what each message needs."""
+        """Prepares the conversion once all fields have been added."""
         self._count = len(self._fields)
         self._read = _reader([each.name for each in self._fields])
         if any(each.kw_only for each in self._fields):
@@ -63,7 +63,7 @@
         )
 
     def to_wire(self, message: Any) -> tuple[Any, ...] | list[Any]:
-        """The fields in order, as msgpack takes them."""
+        """Returns the field values in order, in types that msgpack can encode."""
         values = self._read(message)
         if not self._to_encode:
             return values
@@ -73,7 +73,7 @@
         return converted
 
     def from_wire(self, values: Any) -> object:
-        """An instance; DecodeError when the array does not fit the class."""
+        """Builds an instance. Raises DecodeError if the array doesn't match the class."""
         if type(values) is not tuple:
             found = type(values).__name__
             raise DecodeError(DecodeFault.WRONG_TYPE, f"{found} instead of {self.message_type.__qualname__}")
@@ -91,7 +91,7 @@
         return self._converted(list(values))
 
     def _check_each(self, values: tuple[Any, ...]) -> None:
-        """The slow way: for an array with fields missing, or to say which of them is wrong."""
+        """Checks the fields one by one: if some are missing, or to report which one has the wrong type."""
         for index, (value, expected) in enumerate(zip(values, self._exact_types, strict=False)):
             if expected is not None and type(value) is not expected:
                 raise self._wrong(index, value, expected)
@@ -104,16 +104,16 @@
         return values
 
     def _wrong(self, index: int, value: object, expected: type) -> DecodeError:
-        place = f"{self.message_type.__qualname__}.{self._fields[index].name}"
+        location = f"{self.message_type.__qualname__}.{self._fields[index].name}"
         found = f"{type(value).__name__} instead of {expected.__name__}"
-        return DecodeError(DecodeFault.WRONG_TYPE, f"{place}: {found}")
+        return DecodeError(DecodeFault.WRONG_TYPE, f"{location}: {found}")
 
     def _instance(self, values: list[Any]) -> object:
         try:
             return self._make(*values)
         except (ValueError, TypeError, LookupError, ArithmeticError) as fault:
-            place = self.message_type.__qualname__
-            raise DecodeError(DecodeFault.REFUSED_VALUE, f"{place}: {fault}") from fault
+            location = self.message_type.__qualname__
+            raise DecodeError(DecodeFault.REFUSED_VALUE, f"{location}: {fault}") from fault
 
 
 def _nothing(source: Any) -> tuple[Any, ...]:
@@ -121,7 +121,7 @@
 
 
 def _reader(names: list[str]) -> Callable[[Any], tuple[Any, ...]]:
-    """Reads the named attributes as a tuple (attrgetter of one name gives no tuple)."""
+    """Returns a function that reads the attributes as a tuple (attrgetter returns no tuple for one name)."""
     if not names:
         return _nothing
     if len(names) > 1:
@@ -131,7 +131,7 @@
 
 
 def _picker(indexes: list[int]) -> Callable[[Any], tuple[Any, ...]]:
-    """Picks the items of a sequence as a tuple (itemgetter of one index gives no tuple)."""
+    """Returns a function that picks items as a tuple (itemgetter returns no tuple for one index)."""
     if not indexes:
         return _nothing
     if len(indexes) > 1:
--- a/brackenladder/transport/tcp.py
+++ b/brackenladder/transport/tcp.py
@@ -1,4 +1,4 @@
-"""Links over TCP, on the running event loop."""
+"""The transport over TCP, on the running event loop."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from brackenladder.transport.link import LinkHandler, LinkLimits, LinkTiming, OnRefused, ProtocolVersions
 from brackenladder.transport.tcp_link import LinkSettings, RefusedConnection, TcpLink
 
-BACKLOG = 512  # connections that wait to be accepted
+BACKLOG = 512  # connections that the kernel queues until they are accepted
 
 
 class TcpTransport:
-    """A `Transport`. Made and used in one running event loop."""
+    """A `Transport`. It has to be created and used in one running event loop."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
 
     @property
     def listening(self) -> tuple[str, ...]:
-        """The addresses bound, in the order of the calls of `listen`."""
+        """The bound addresses, in the order of the calls of `listen`."""
         return tuple(str(each) for each in self._bound)
 
     async def listen(self, address: str, handler: LinkHandler) -> None:
-        """Accepts links at "ip:port"; an address in use is tried for `listen_patience`."""
+        """Accepts links at "ip:port". While the address is in use, retries for up to `listen_timeout`."""
         listener = await self._bind(parse_address(address))
         ip, port = listener.getsockname()
         server = await self._settings.loop.create_server(
@@ -67,7 +67,7 @@
         self._bound.append(Address(ip, port))
 
     def dial(self, address: str, handler: LinkHandler) -> TcpDialer:
-        """Keeps a link to `address` until the dialer is closed; a closed transport gives a closed dialer."""
+        """Keeps a link to `address` until the dialer is closed. A closed transport closes it at once."""
         self._dialers = [each for each in self._dialers if not each.done]
         target = parse_address(address)
         dialer = TcpDialer(self._settings, target, handler, self._random, self._refused)
@@ -77,7 +77,7 @@
         return dialer
 
     async def close(self) -> None:
-        """Ends listeners, dialers and links; what is queued has `close_grace` to be sent."""
+        """Closes listeners, dialers and links. Queued messages have `close_grace` to be sent."""
         self._closed = True
         for server in self._servers:
             server.close()
@@ -112,12 +112,12 @@
 
     async def _bind(self, address: Address) -> socket.socket:
         timing, loop = self._settings.timing, self._settings.loop
-        until = loop.time() + timing.listen_timeout / MICROSECONDS
+        deadline = loop.time() + timing.listen_timeout / MICROSECONDS
         while not self._closed:
             try:
                 return _bound_socket(address)
             except OSError as fault:
-                if fault.errno != errno.EADDRINUSE or loop.time() >= until:
+                if fault.errno != errno.EADDRINUSE or loop.time() >= deadline:
                     raise ListenError(f"{address}: {fault.strerror}") from fault
             await asyncio.sleep(timing.listen_retry / MICROSECONDS)
         raise ListenError(f"{address}: the transport is closed")
@@ -135,8 +135,8 @@
         for link in tuple(self._incoming):
             link.abort(LinkClosed.LOCAL)
             if not link.connected:
-                # Failure prevented: a connection was taken in the turn in which the listener closed, asyncio
-                # drops it without a word to its protocol, and the end of this transport never comes.
+                # If a connection is accepted in the loop iteration in which the listener closes, asyncio
+                # drops it without calling its protocol. Waiting for its end would never return.
                 self._incoming.discard(link)
 
 
--- a/brackenladder/transport/tcp_link.py
+++ b/brackenladder/transport/tcp_link.py
@@ -1,4 +1,4 @@
-"""One TCP connection: handshake, frames, batched writes."""
+"""A link over one TCP connection: handshake, framing and batched writes."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 class LinkState(Enum):
-    """Where a connection stands."""
+    """The state of a link."""
 
-    HANDSHAKE = auto()  # the other side has not named itself yet
+    HANDSHAKE = auto()  # the other side's hello hasn't arrived yet
     OPEN = auto()
-    CLOSING = auto()  # nothing more is handed over or taken; the connection is about to end
+    CLOSING = auto()  # no more messages are sent or delivered; the connection is being closed
     CLOSED = auto()
 
 
 @frozen
 class LinkSettings:
-    """What all links of a transport share."""
+    """Settings and services shared by all links of a transport."""
 
     loop: asyncio.AbstractEventLoop
     codec: Codec
@@ -44,7 +44,7 @@
 
 
 class TcpLink(asyncio.Protocol):
-    """A `Link`. `ended` is called once, when the connection is gone, whether it was ever open or not."""
+    """A `Link`. `ended` is called once when the connection has ended, even without a completed handshake."""
 
     def __init__(
         self, settings: LinkSettings, handler: LinkHandler, ended: Callable[[TcpLink, LinkClosed], None]
@@ -54,7 +54,7 @@
         self.version = 0
         self.last_sent_at = self.last_received_at = settings.loop.time()
         self.grace_given = False
-        self.opened_at: float | None = None  # loop time at which the handshake was done
+        self.opened_at: float | None = None  # loop time at which the handshake was completed
         self._settings = settings
         self._handler = handler
         self._ended = ended
@@ -65,7 +65,7 @@
         self._batch: list[bytes] = []
         self._batch_bytes = 0
 
-    # the interface of a link
+    # the interface `Link`
 
     def send(self, message: object) -> bool:
         """See `Link.send`."""
@@ -87,16 +87,16 @@
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes taken by `send` that the kernel has not taken yet."""
-        waiting = 0 if self._transport is None else self._transport.get_write_buffer_size()
-        return waiting + self._batch_bytes
+        """Bytes accepted by `send` that the kernel hasn't taken yet."""
+        buffered = 0 if self._transport is None else self._transport.get_write_buffer_size()
+        return buffered + self._batch_bytes
 
     @property
     def connected(self) -> bool:
-        """Whether there is, or was, a connection."""
+        """Whether a connection was ever made."""
         return self._transport is not None
 
-    # what the keepalive timer calls
+    # called by the keepalive timer
 
     def ping(self, now: float) -> None:
         """See `WatchedLink.ping`."""
@@ -109,18 +109,18 @@
         self.abort(LinkClosed.SILENT)
 
     def abort(self, reason: LinkClosed) -> None:
-        """Ends the link at once, dropping what is queued."""
+        """Closes the link at once and drops the queued messages."""
         self._end(reason, graceful=False)
 
-    # what asyncio calls
-
     @property
     def time_since_receive(self) -> int:
         """See `Link.time_since_receive`."""
         return max(0, int((self._settings.loop.time() - self.last_received_at) * MICROSECONDS_PER_SECOND))
 
+    # called by asyncio
+
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands: name this node."""
+        """Sends this node's hello."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self.remote = remote_of(transport)
@@ -135,19 +135,19 @@
         transport.write(frame(hello, self._settings.limits.hello_bytes))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have arrived: hand over the messages that are whole."""
+        """Passes the complete messages to the handler."""
         self.last_received_at = self._settings.loop.time()
         self.grace_given = False
         self._reader.feed(data)
         try:
-            self._take_frames()
+            self._process_frames()
         except FrameTooLarge:
             self.abort(LinkClosed.OVERSIZED)
         except DecodeError:
             self.abort(LinkClosed.MALFORMED)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone."""
+        """Reports the end of the connection."""
         was_open = self.opened_at is not None
         self._state = LinkState.CLOSED
         self._batch.clear()
@@ -160,9 +160,9 @@
         finally:
             self._ended(self, reason)
 
-    # inner parts
+    # internals
 
-    def _take_frames(self) -> None:
+    def _process_frames(self) -> None:
         while self._state in (LinkState.HANDSHAKE, LinkState.OPEN):
             body = self._reader.next_body()
             if body is None:
@@ -170,7 +170,7 @@
             if self._state is LinkState.HANDSHAKE:
                 self._on_hello(body)
             elif body:
-                self._received(body)
+                self._on_message(body)
 
     def _on_hello(self, body: bytes) -> None:
         hello = decode_hello(body)
@@ -185,7 +185,7 @@
         self.opened_at = self._settings.loop.time()
         self._handler.connected(self)
 
-    def _received(self, body: bytes) -> None:
+    def _on_message(self, body: bytes) -> None:
         try:
             message = self._settings.codec.decode(body)
         except DecodeError as fault:
@@ -201,7 +201,7 @@
         self._batch_bytes += len(data)
 
     def _flush(self) -> None:
-        """Writes what was sent in this iteration of the loop at once."""
+        """Writes all messages sent in this loop iteration with one call."""
         if not self._batch or self._transport is None:
             return
         batch, self._batch = self._batch, []
@@ -217,7 +217,7 @@
         self._state = LinkState.CLOSING
         self._reason = self._reason or reason
         if self._transport is None:
-            return  # `connection_made` ends it
+            return  # `connection_made` will abort it
         if graceful:
             self._transport.close()
         else:
@@ -225,26 +225,26 @@
 
 
 class RefusedConnection(asyncio.Protocol):
-    """An accepted connection beyond the limit: ended at once."""
+    """The protocol of an accepted connection over the limit. It aborts the connection at once."""
 
     def __init__(self, refused: OnRefused) -> None:
         self._refused = refused
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection stands: end it."""
+        """Aborts the connection."""
         assert isinstance(transport, asyncio.Transport)
         transport.abort()
         self._refused(remote_of(transport), LinkClosed.TOO_MANY_CONNECTIONS)
 
 
 def remote_of(transport: asyncio.Transport) -> str:
-    """The other end's "ip:port"; empty if the connection is gone already."""
+    """Returns the other end's "ip:port", or "" if the connection has already ended."""
     peername = transport.get_extra_info("peername")
     return str(Address(peername[0], peername[1])) if peername else ""
 
 
 def set_options(connection: socket.socket, timing: LinkTiming) -> None:
-    """Small writes leave at once; what is not acknowledged in time ends the connection."""
+    """Disables Nagle's algorithm, and makes the kernel end connections whose data isn't acknowledged."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     option = getattr(socket, "TCP_USER_TIMEOUT", None)
     if option is None:
@@ -254,4 +254,4 @@
             socket.IPPROTO_TCP, option, timing.silence_timeout // MICROSECONDS_PER_MILLISECOND
         )
     except OSError:
-        return  # not offered here; the keepalive timer ends silent links
+        return  # not supported on this system; the keepalive timer closes silent links
--- a/brackenladder/transport/type_codec.py
+++ b/brackenladder/transport/type_codec.py
@@ -1,4 +1,4 @@
-"""How typed values travel in msgpack: an encoder and a checking decoder for each type hint."""
+"""Encoders and type-checking decoders between values and msgpack, built from type hints."""
 
 from __future__ import annotations
 
@@ -14,46 +14,46 @@
 from brackenladder.transport.errors import DecodeError, DecodeFault, UnsupportedType
 from brackenladder.transport.record_codec import RecordCodec
 
-PLAIN_TYPES: frozenset[type] = frozenset({int, str, bytes, bool})
+PLAIN_TYPES: frozenset[type] = frozenset({int, str, bytes, bool})  # msgpack encodes them without conversion
 
 
 @frozen
 class TypeCodec:
-    """How values of one type hint travel."""
+    """Converts values of one type hint."""
 
     decode: Callable[[Any], Any]  # raises DecodeError
-    encode: Callable[[Any], Any] | None = None  # None: a value travels as it is
-    exact_type: type | None = None  # only the exact type is checked, the value is taken as it is
+    encode: Callable[[Any], Any] | None = None  # None: no conversion is needed
+    exact_type: type | None = None  # set if decoding is only a check for this exact type
 
 
 def wrong_type(expected: str, value: object) -> DecodeError:
-    """The error of a value of another type than declared."""
+    """Returns the error for a value whose type isn't the declared one."""
     return DecodeError(DecodeFault.WRONG_TYPE, f"{type(value).__name__} instead of {expected}")
 
 
 class TypeCodecFactory:
-    """Makes shapes from type hints. Records are made once for each class; a class may hold itself."""
+    """Builds codecs from type hints. A class gets one record codec; it may contain itself."""
 
     def __init__(self) -> None:
         self._records: dict[type, RecordCodec] = {}
 
     def record(self, message_type: type) -> RecordCodec:
-        """The plan of an attrs class."""
+        """Returns the codec of an attrs class."""
         known = self._records.get(message_type)
         if known is not None:
             return known
         if not attrs.has(message_type):
-            raise UnsupportedType(f"{message_type.__qualname__} is no attrs class")
-        made = self._records[message_type] = RecordCodec(message_type)
+            raise UnsupportedType(f"{message_type.__qualname__} is not an attrs class")
+        record = self._records[message_type] = RecordCodec(message_type)
         try:
-            self._fill(made, message_type)
+            self._add_fields(record, message_type)
         except BaseException:
-            self._records.clear()  # others made meanwhile may refer to the unfinished one
+            self._records.clear()  # other codecs built meanwhile may refer to the incomplete one
             raise
-        return made
+        return record
 
     def of(self, hint: Any) -> TypeCodec:
-        """The shape of a type hint; UnsupportedType if it has none."""
+        """Returns the codec of a type hint. Raises UnsupportedType if there is none."""
         if hint in PLAIN_TYPES:
             return TypeCodec(decode=_exact_decoder(hint), exact_type=hint)
         if hint is float:
@@ -68,7 +68,7 @@
             return _record_codec(self.record(hint))
         raise UnsupportedType(f"no encoding for {hint!r}")
 
-    def _fill(self, record: RecordCodec, message_type: type) -> None:
+    def _add_fields(self, record: RecordCodec, message_type: type) -> None:
         hints = _hints_of(message_type)
         fields = [each for each in attrs.fields(message_type) if each.init]
         for each in fields:
@@ -133,18 +133,18 @@
     by_value = {member.value: member for member in enum_type}
     value_types = frozenset(type(value) for value in by_value)
     if not value_types <= PLAIN_TYPES:
-        raise UnsupportedType(f"{enum_type.__qualname__}: its values are not plain")
+        raise UnsupportedType(f"{enum_type.__qualname__}: its values are not int, str, bytes or bool")
 
     def decode(value: Any) -> Enum:
         if type(value) not in value_types:
             raise wrong_type(enum_type.__qualname__, value)
         member = by_value.get(value)
         if member is None:
-            raise DecodeError(DecodeFault.WRONG_TYPE, f"{value!r} is no {enum_type.__qualname__}")
+            raise DecodeError(DecodeFault.WRONG_TYPE, f"{value!r} is not a {enum_type.__qualname__}")
         return member
 
-    travels_as_it_is = issubclass(enum_type, int | str)
-    return TypeCodec(decode=decode, encode=None if travels_as_it_is else attrgetter("value"))
+    msgpack_encodes_it = issubclass(enum_type, int | str)
+    return TypeCodec(decode=decode, encode=None if msgpack_encodes_it else attrgetter("value"))
 
 
 def _record_codec(record: RecordCodec) -> TypeCodec:
@@ -167,14 +167,14 @@
 
 
 def _checked_items(inner: TypeCodec) -> Callable[[Any], Any]:
-    """Decoder of an array of one shape; gives a tuple, or a list when items had to be converted."""
+    """Returns a decoder of an array of one item type. It returns a list if items had to be converted."""
     decode, exact_type = inner.decode, inner.exact_type
-    all_plain: frozenset[type] = frozenset() if exact_type is None else frozenset({exact_type})
+    accepted: frozenset[type] = frozenset() if exact_type is None else frozenset({exact_type})
 
     def decode_items(value: Any) -> Any:
         if type(value) is not tuple:
             raise wrong_type("array", value)
-        if exact_type is not None and all_plain.issuperset(map(type, value)):
+        if exact_type is not None and accepted.issuperset(map(type, value)):
             return value
         return [decode(each) for each in value]
 
--- a/tests/node/test_replica_store.py
+++ b/tests/node/test_replica_store.py
@@ -16,7 +16,7 @@
 
 from brackenladder.consensus.types import Entry, EntryKind, HardState, Write
 from brackenladder.node import replica_store
-from brackenladder.node.replica_store import MOST_SET_ASIDE, OpenedStore, open_replica_store
+from brackenladder.node.replica_store import MAX_SET_ASIDE, OpenedStore, open_replica_store
 from brackenladder.node.role_runner import RoleError
 from brackenladder.storage.log_store import FORMAT, StoreCorrupt, StoreError, StoreFailed
 from brackenladder.storage.sqlite_file import FILE_NAME
@@ -108,7 +108,7 @@
         corrupt = Failure(StoreCorrupt("noise"))
         with patch.object(SqliteLogStore, "load", lambda _: corrupt), self.assertRaises(RoleError) as caught:
             await self.open()
-        self.assertIn(f"{MOST_SET_ASIDE} stores were set aside", str(caught.exception))
+        self.assertIn(f"{MAX_SET_ASIDE} stores were set aside", str(caught.exception))
 
     async def test_a_store_that_cannot_be_renamed_is_tried_again(self) -> None:
         self.make()
--- a/tests/transport/contract.py
+++ b/tests/transport/contract.py
@@ -1,4 +1,4 @@
-"""What every transport does, as a mixin of unittest cases."""
+"""Tests that every transport has to pass, as a mixin for unittest cases."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class TransportContract:
-    """A subclass is also an `IsolatedAsyncioTestCase`, makes transports and brings conditions about."""
+    """A subclass is also an `IsolatedAsyncioTestCase`. It creates transports and waits for conditions."""
 
     def make(self, name: str, **options: object) -> Transport:
-        """A transport named so; options: codec, versions, limits, on_refused."""
+        """Creates a transport of the given name. Options: codec, versions, limits, on_refused."""
         raise NotImplementedError
 
     async def until(self, recorder: Recorder, condition: Callable[[], bool]) -> None:
-        """Lets the transports work until the condition holds."""
+        """Runs the transports until the condition holds."""
         raise NotImplementedError
 
     async def settle(self) -> None:
-        """Lets everything that is under way happen, as far as that can be known."""
+        """Runs the transports long enough for pending events to happen, as far as that can be determined."""
         raise NotImplementedError
 
     async def pair(self, limits: LinkLimits | None = None) -> None:
-        """A node that listens, a node that dials, and one link between them."""
+        """Creates a listening node, a dialling node and one link between them."""
         self.far_side, self.near_side = Recorder(), Recorder()
         self.far, self.near = self.make("far"), self.make("near", limits=limits)
         await self.far.listen(ANY_PORT, self.far_side)
@@ -37,7 +37,7 @@
         await self.until(self.far_side, lambda: bool(self.far_side.links))
         self.near_link, self.far_link = self.near_side.links[0], self.far_side.links[0]
 
-    async def test_the_handshake_names_both_sides(self):
+    async def test_the_handshake_exchanges_names(self):
         await self.pair()
         self.assertEqual((self.near_link.peer, self.far_link.peer), ("far", "near"))
         self.assertEqual((self.near_link.version, self.far_link.version), (1, 1))
@@ -56,14 +56,14 @@
         self.assertEqual(self.far_side.messages, notes)
         self.assertEqual(self.near_side.messages, notes)
 
-    async def test_a_link_that_has_just_brought_something_is_not_silent(self):
+    async def test_time_since_receive_is_short_after_a_message(self):
         await self.pair()
         self.near_link.send(Empty())
         await self.until(self.far_side, lambda: bool(self.far_side.messages))
-        self.assertLess(self.far_link.time_since_receive, 10_000_000)  # even on a machine that is slow
+        self.assertLess(self.far_link.time_since_receive, 10_000_000)  # large enough for a slow machine
         self.assertGreaterEqual(self.far_link.time_since_receive, 0)
 
-    async def test_a_handler_may_send_when_it_is_told_of_the_link_and_of_a_message(self):
+    async def test_a_handler_may_send_from_its_callbacks(self):
         self.far_side = Recorder(on_connected=lambda link: link.send(Empty()))
         self.near_side = Recorder(on_received=lambda link, message: link.send(Note(7)))
         far, near = self.make("far"), self.make("near")
@@ -73,7 +73,7 @@
         self.assertEqual(self.near_side.messages, [Empty()])
         self.assertEqual(self.far_side.messages, [Note(7)])
 
-    async def test_a_message_larger_than_the_queue_goes_when_nothing_else_waits(self):
+    async def test_a_message_larger_than_the_queue_is_accepted_if_the_queue_is_empty(self):
         await self.pair(LinkLimits(queue_bytes=1_000))
         large = Note(1, body=bytes(200_000))
         self.assertTrue(self.near_link.send(large))
@@ -82,13 +82,13 @@
 
     async def test_send_refuses_what_exceeds_the_queue(self):
         await self.pair(LinkLimits(queue_bytes=1_000))
-        taken = [self.near_link.send(Note(number, body=bytes(300))) for number in range(5)]
-        self.assertEqual(taken, [True, True, True, False, False])
+        accepted = [self.near_link.send(Note(number, body=bytes(300))) for number in range(5)]
+        self.assertEqual(accepted, [True, True, True, False, False])
         await self.until(self.far_side, lambda: len(self.far_side.messages) == 3)
         self.assertTrue(self.near_link.send(Note(9, body=bytes(300))))
         await self.until(self.far_side, lambda: len(self.far_side.messages) == 4)
 
-    async def test_what_has_no_encoding_is_an_error_and_the_link_stands(self):
+    async def test_a_message_that_cannot_be_encoded_raises_and_the_link_stays_open(self):
         await self.pair(LinkLimits(frame_bytes=1_000))
         with self.assertRaises(EncodeError):
             self.near_link.send("text")
@@ -97,10 +97,10 @@
         self.assertTrue(self.near_link.send(Note(2)))
         await self.until(self.far_side, lambda: self.far_side.messages == [Note(2)])
 
-    async def test_close_sends_what_is_queued_and_tells_both_sides(self):
+    async def test_close_is_reported_on_both_sides(self):
         await self.pair()
-        self.dialer.close()  # before the link: it would dial again
-        self.assertEqual(self.near_side.reasons, [])  # not from inside the call
+        self.dialer.close()  # closing only the link would make the dialer reconnect
+        self.assertEqual(self.near_side.reasons, [])  # `closed` isn't called from inside `close`
         self.assertFalse(self.near_link.send(Note(2)))
         await self.until(self.near_side, lambda: bool(self.near_side.reasons))
         await self.until(self.far_side, lambda: bool(self.far_side.reasons))
@@ -109,7 +109,7 @@
         self.assertFalse(self.far_link.send(Note(3)))
         self.assertIsNone(self.dialer.link)
 
-    async def test_what_was_sent_before_close_arrives(self):
+    async def test_messages_sent_before_close_arrive(self):
         await self.pair()
         for number in range(10):
             self.near_link.send(Note(number))
@@ -121,7 +121,7 @@
         await self.until(self.near_side, lambda: bool(self.near_side.reasons))
         self.assertEqual(self.near_side.reasons, [LinkClosed.LOCAL])
 
-    async def test_nothing_is_handed_over_after_close(self):
+    async def test_no_message_is_delivered_after_close(self):
         await self.pair()
         self.far_side.on_received = lambda link, message: link.close()
         for number in range(5):
@@ -130,7 +130,7 @@
         self.assertEqual(self.far_side.messages, [Note(0)])
         self.assertEqual(self.far_side.reasons, [LinkClosed.LOCAL])
 
-    async def test_a_dialer_makes_a_new_link_after_the_last_has_ended(self):
+    async def test_a_dialer_reconnects_after_the_link_has_ended(self):
         await self.pair()
         self.far_link.close()
         await self.until(self.near_side, lambda: len(self.near_side.links) == 2)
@@ -139,7 +139,7 @@
         self.assertTrue(self.near_side.links[1].send(Note(4)))
         await self.until(self.far_side, lambda: self.far_side.messages == [Note(4)])
 
-    async def test_a_dialer_tries_until_somebody_listens(self):
+    async def test_a_dialer_retries_until_the_address_is_listening(self):
         spare, side = self.make("spare"), Recorder()
         await spare.listen(ANY_PORT, Recorder())
         address = spare.listening[0]
@@ -150,7 +150,7 @@
         await self.until(side, lambda: bool(side.links))
         self.assertEqual(dialer.link, side.links[0])
 
-    async def test_a_closed_dialer_dials_no_more(self):
+    async def test_a_closed_dialer_does_not_reconnect(self):
         await self.pair()
         self.dialer.close()
         await self.until(self.near_side, lambda: bool(self.near_side.reasons))
@@ -158,7 +158,7 @@
         self.assertEqual(self.near_side.calls, ["connected", "closed"])
         self.dialer.close()
 
-    async def test_closing_the_transport_ends_all_its_links(self):
+    async def test_closing_the_transport_closes_all_its_links(self):
         await self.pair()
         await self.near.close()
         self.assertEqual(self.near_side.reasons, [LinkClosed.LOCAL])
@@ -175,7 +175,7 @@
         await self.until(self.near_side, lambda: len(self.near_side.links) == 2)
         self.assertEqual(self.near_side.links[1].peer, "again")
 
-    async def test_versions_side_by_side_speak_the_highest_that_both_know(self):
+    async def test_the_highest_common_version_is_chosen(self):
         far, near, side = self.make("far", versions=ProtocolVersions(2, 5)), None, Recorder()
         await far.listen(ANY_PORT, Recorder())
         near = self.make("near", versions=ProtocolVersions(1, 3))
@@ -183,7 +183,7 @@
         await self.until(side, lambda: bool(side.links))
         self.assertEqual(side.links[0].version, 3)
 
-    async def test_versions_with_nothing_in_common_get_no_link(self):
+    async def test_without_a_common_version_there_is_no_link(self):
         far_side, near_side = Recorder(), Recorder()
         far = self.make("far", versions=ProtocolVersions(4, 5), on_refused=far_side.refused)
         near = self.make("near", versions=ProtocolVersions(1, 3), on_refused=near_side.refused)
@@ -196,7 +196,7 @@
         self.assertEqual(dialer.last_reason, LinkClosed.INCOMPATIBLE)
         self.assertEqual(far_side.calls + near_side.calls, [])
 
-    async def test_a_message_that_only_newer_nodes_know_is_passed_over(self):
+    async def test_a_message_of_an_unknown_type_is_ignored(self):
         side = Recorder(on_connected=lambda link: link.send(Novelty(1)) and link.send(Note(2)))
         newer, older_side = self.make("newer", codec=newer_codec()), Recorder()
         await newer.listen(ANY_PORT, side)
@@ -218,13 +218,13 @@
         first_dialer.close()
         await self.until(second, lambda: bool(second.links))
 
-    async def test_an_address_that_is_none_is_an_error(self):
+    async def test_an_invalid_address_raises(self):
         transport = self.make("near")
         for text in ("", "1.2.3.4", "1.2.3.4:", "1.2.3:80", "host:80", "1.2.3.4:65536", "1.2.3.4:-1", ":80"):
             with self.subTest(text), self.assertRaises(AddressError):
                 transport.dial(text, Recorder())
 
-    async def test_an_address_that_stays_in_use_is_an_error(self):
+    async def test_an_address_that_stays_in_use_raises(self):
         one, other = self.make("one"), self.make("other")
         await one.listen(ANY_PORT, Recorder())
         with self.assertRaises(ListenError):
--- a/tests/transport/support.py
+++ b/tests/transport/support.py
@@ -1,4 +1,4 @@
-"""Messages, recording handlers and stand-ins that the tests of the transport share."""
+"""Messages and a recording handler shared by the transport tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from brackenladder.transport.errors import LinkClosed
 from brackenladder.transport.link import Link
 
-PATIENCE = 20.0  # seconds after which a condition is taken to never come true
+PATIENCE = 20.0  # seconds after which waiting for a condition fails
 
 
 class Colour(IntEnum):
@@ -41,7 +41,7 @@
 
 @frozen
 class Novelty:
-    """A message that only newer nodes know."""
+    """A message type that only newer nodes have."""
 
     number: int = 0
 
@@ -61,7 +61,7 @@
 
 @define
 class Recorder:
-    """A handler that keeps all it is told; `on_received` and `on_connected` may answer."""
+    """A handler that records all calls. `on_connected` and `on_received` may be set to send replies."""
 
     links: list[Link] = field(factory=list)
     messages: list[object] = field(factory=list)
@@ -96,7 +96,7 @@
         self.changed.set()
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Returns when the condition holds; it is looked at whenever something was recorded."""
+        """Waits until the condition holds. It is checked after each recorded call."""
         async with asyncio.timeout(PATIENCE):
             while not condition():
                 self.changed.clear()
@@ -104,13 +104,13 @@
 
 
 async def next_iteration() -> None:
-    """Returns after all that waits in the running loop has had its turn."""
+    """Waits until all callbacks that are ready in the running loop have run."""
     loop = asyncio.get_running_loop()
-    turn = loop.create_future()
-    loop.call_soon(turn.set_result, None)
-    await turn
+    done = loop.create_future()
+    loop.call_soon(done.set_result, None)
+    await done
 
 
 async def at_most(awaitable: object) -> object:
-    """Awaits with patience."""
+    """Awaits with the tests' time limit."""
     return await asyncio.wait_for(awaitable, PATIENCE)  # type: ignore[arg-type]
--- a/tests/transport/test_back_off.py
+++ b/tests/transport/test_back_off.py
@@ -1,4 +1,4 @@
-"""The pauses between two attempts to connect."""
+"""Tests of the pauses between connection attempts."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
         self.assertLessEqual(max(pauses), TIMING.retry_max)
         self.assertGreaterEqual(min(pauses[-5:]), TIMING.retry_max / 2)
 
-    def test_a_process_that_restarts_is_found_soon(self) -> None:
+    def test_pauses_stay_short_after_the_first_refusals(self) -> None:
         self.assertLessEqual(max(self.pauses(TIMING.refused_tries, refused=True)), TIMING.refused_pause)
 
-    def test_one_that_stays_away_is_dialled_as_seldom_as_any(self) -> None:
+    def test_after_many_refusals_the_pauses_grow_as_for_other_failures(self) -> None:
         self.pauses(TIMING.refused_tries + 10, refused=True)
         self.assertGreaterEqual(min(self.pauses(5, refused=True)), TIMING.retry_max / 2)
 
-    def test_after_a_silence_refusals_count_anew(self) -> None:
+    def test_another_failure_resets_the_count_of_refusals(self) -> None:
         self.pauses(TIMING.refused_tries, refused=True)
         self.pauses(1, refused=False)
         self.assertLessEqual(max(self.pauses(TIMING.refused_tries, refused=True)), TIMING.refused_pause)
 
-    def test_a_link_that_stood_makes_pauses_short_again(self) -> None:
+    def test_reset_makes_the_pauses_short_again(self) -> None:
         self.pauses(10, refused=False)
         self.back_off.reset()
         self.assertLessEqual(self.back_off.pause(), TIMING.retry_min)
