--- a/tests/transport/test_transport_codec.py
+++ b/tests/transport/test_transport_codec.py
@@ -1,4 +1,4 @@
-"""Messages as bytes and back; bytes that are no message."""
+"""Tests of encoding and decoding messages, including malformed input."""
 
 from __future__ import annotations
 
@@ -113,20 +113,20 @@
 
 
 def deep_tree(levels: int) -> bytes:
-    """The bytes of a tree of one child a level."""
+    """Encodes a tree with one child on each level."""
     return b"\x93\x02\xa1a\x91" + b"\x92\xa1a\x91" * levels + b"\x91\xa1a"
 
 
 class RoundTripTest(TestCase):
-    """What is encoded is decoded to an equal message."""
+    """An encoded message decodes to an equal one."""
 
     def setUp(self):
         self.codec = codec_of(*TYPES)
 
     def assert_returns(self, message: object) -> None:
-        again = self.codec.decode(self.codec.encode(message))
-        self.assertEqual(again, message)
-        self.assertIs(type(again), type(message))
+        decoded = self.codec.decode(self.codec.encode(message))
+        self.assertEqual(decoded, message)
+        self.assertIs(type(decoded), type(message))
 
     @settings(deadline=None)
     @given(EVERYTHING)
@@ -136,8 +136,8 @@
 
     def test_enums_come_back_as_members(self):
         codec = codec_of(Newer)
-        again = codec.decode(codec.encode(Newer(1, "a", (Colour.BLUE,))))
-        self.assertIs(again.third[0], Colour.BLUE)
+        decoded = codec.decode(codec.encode(Newer(1, "a", (Colour.BLUE,))))
+        self.assertIs(decoded.third[0], Colour.BLUE)
 
     def test_nested_types(self):
         self.assert_returns(Tree("a", (Tree("b", (Tree("c"), Tree("d"))), Tree("e"))))
@@ -149,8 +149,8 @@
         self.assert_returns(ByKeyword(number=2, hidden="y"))
 
     def test_whole_numbers_for_a_float(self):
-        again = self.codec.decode(self.codec.encode(Part("a", 2)))
-        self.assertIs(type(again.weight), float)
+        decoded = self.codec.decode(self.codec.encode(Part("a", 2)))
+        self.assertIs(type(decoded.weight), float)
 
     def test_a_message_is_an_array_with_its_tag(self):
         self.assertEqual(msgpack.unpackb(self.codec.encode(Part("a", 2.0))), [1, "a", 2.0])
@@ -161,7 +161,7 @@
 
 
 class VersionsTest(TestCase):
-    """Fields added at the end: both versions read each other."""
+    """After fields are added at the end of a class, old and new versions can decode each other's messages."""
 
     def setUp(self):
         self.older, self.newer = codec_of(Older), codec_of(Newer)
@@ -185,7 +185,7 @@
 
 
 class MalformedTest(TestCase):
-    """Each fault has its kind."""
+    """Malformed input is reported with the matching `DecodeFault`."""
 
     def setUp(self):
         self.codec = codec_of(*TYPES)
@@ -256,7 +256,7 @@
                     self.decode_or_fault([*values[:index], other, *values[index + 1 :]])
 
     def decode_or_fault(self, values: list[object]) -> None:
-        """Either a message whose encoding says the same, or a DecodeError."""
+        """Expects a DecodeError, or a message that encodes to the same values."""
         try:
             message = self.codec.decode(msgpack.packb(values))
         except DecodeError:
@@ -265,7 +265,7 @@
 
 
 class FuzzTest(TestCase):
-    """Whatever arrives, `decode` gives a message or raises DecodeError."""
+    """For any input, `decode` returns a message or raises DecodeError."""
 
     codec = codec_of(*TYPES)
 
@@ -297,7 +297,7 @@
 
 
 class RegisterTest(TestCase):
-    """What cannot be registered, what cannot be encoded."""
+    """Classes that can't be registered and messages that can't be encoded."""
 
     def test_taken_tags_and_classes(self):
         codec = codec_of(Note)
--- a/tests/transport/test_transport_framing.py
+++ b/tests/transport/test_transport_framing.py
@@ -1,4 +1,4 @@
-"""Frames cut out of a stream."""
+"""Tests of splitting a byte stream into frames."""
 
 from __future__ import annotations
 
--- a/tests/transport/test_transport_keepalive.py
+++ b/tests/transport/test_transport_keepalive.py
@@ -1,4 +1,4 @@
-"""The timer of pings and silences, on a loop whose time the test moves."""
+"""Tests of the keepalive timer, on an event loop with simulated time."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @define
 class FakeLoop:
-    """One timer at a time, fired as its time comes."""
+    """An event loop with simulated time and at most one timer."""
 
     now: float = 100.0
     timer: FakeTimer | None = None
@@ -41,7 +41,7 @@
         return self.timer
 
     def advance(self, seconds: float) -> None:
-        """Moves time, firing on time."""
+        """Advances the time and runs the timers that become due, each on time."""
         end = self.now + seconds
         while self.timer is not None and not self.timer.cancelled and self.timer.when <= end:
             timer = self.timer
@@ -52,7 +52,7 @@
         self.now = end
 
     def stand_still(self, seconds: float) -> None:
-        """The process does not run for so long."""
+        """Advances the time without running timers, as if the process were suspended."""
         self.now += seconds
 
 
@@ -75,7 +75,7 @@
     def on_silence_timeout(self) -> None:
         self.ended.append(self.loop.now - 100.0)
 
-    def hear(self) -> None:
+    def receive(self) -> None:
         self.last_received_at = self.loop.now
         self.grace_given = False
 
@@ -99,11 +99,11 @@
         self.assert_times(link.pings, [0.4, 0.8, 1.2, 1.6])
         self.assert_times(link.ended[:1], [1.6])
 
-    def test_a_link_that_is_heard_stays(self):
+    def test_a_link_that_receives_data_stays_open(self):
         link = self.link()
         for _ in range(100):
             self.loop.advance(1.5)
-            link.hear()
+            link.receive()
         self.assertEqual(link.ended, [])
 
     def test_a_link_that_sends_needs_no_pings(self):
@@ -111,7 +111,7 @@
         for _ in range(100):
             self.loop.advance(0.2)
             link.last_sent_at = self.loop.now
-            link.hear()
+            link.receive()
         self.assertEqual(link.pings, [])
 
     def test_no_link_is_quiet_for_longer_than_the_ping_time(self):
@@ -133,7 +133,7 @@
         for _ in range(100):
             self.loop.advance(0.1)
             for link in links:
-                link.hear()
+                link.receive()
         self.assertLessEqual(self.loop.armed, 10 / 0.1)
         self.assertEqual([link.ended for link in links], [[]] * 300)
 
@@ -148,17 +148,17 @@
         self.link()
         self.assertEqual(self.loop.armed, armed + 1)
 
-    def test_a_process_that_stood_still_reads_before_it_judges(self):
+    def test_after_a_suspension_links_get_time_to_read_before_they_are_closed(self):
         links = [self.link() for _ in range(3)]
         self.loop.advance(0.1)
         self.loop.stand_still(30.0)
         self.loop.advance(0.0)
         self.assertEqual([link.ended for link in links], [[], [], []])
-        links[0].hear()
+        links[0].receive()
         self.loop.advance(0.5)
         self.assertEqual([bool(link.ended) for link in links], [False, True, True])
 
-    def test_a_process_that_is_always_late_still_ends_silent_links(self):
+    def test_a_timer_that_is_always_late_still_closes_silent_links(self):
         link = self.link()
         for _ in range(20):
             self.loop.stand_still(0.9)
@@ -166,10 +166,10 @@
         self.assertTrue(link.ended)
         self.assertLess(link.ended[0], 4.0)
 
-    def test_a_link_heard_again_is_excused_again(self):
+    def test_a_link_that_received_data_gets_another_extension(self):
         link = self.link()
         for _ in range(5):
             self.loop.stand_still(5.0)
             self.loop.advance(0.0)
             self.assertEqual(link.ended, [])
-            link.hear()
+            link.receive()
--- a/tests/transport/test_transport_memory.py
+++ b/tests/transport/test_transport_memory.py
@@ -1,4 +1,4 @@
-"""The transport inside one process: the contract, and the faults that a test can order."""
+"""Tests of the transport within one process: the contract of transports, and simulated faults."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from brackenladder.transport.link import Transport
 from brackenladder.transport.memory import MemoryNetwork, MemoryTransport, RunawayNetwork
 
-ROUNDS = 10  # runs within which every condition of these tests comes true
+ROUNDS = 10  # calls of `run` after which waiting for a condition fails
 
 
 class MemoryCase(IsolatedAsyncioTestCase):
@@ -41,14 +41,14 @@
             if condition():
                 return
             self.network.run()
-        self.fail("the condition does not come true")
+        self.fail("the condition did not become true")
 
     async def settle(self):
         self.network.run()
 
 
 class DeliveryTest(MemoryCase):
-    async def test_nothing_happens_until_it_is_let(self):
+    async def test_events_happen_only_when_delivered(self):
         await self.link()
         self.a_link.send(Note(1))
         self.a_link.send(Note(2))
@@ -66,14 +66,14 @@
         self.network.run()
         self.assertIs(self.b_side.messages[0], message)
 
-    async def test_nodes_that_never_stop_are_reported(self):
+    async def test_endless_messages_are_reported(self):
         await self.link()
         self.a_side.on_received = self.b_side.on_received = lambda link, message: link.send(message)
         self.a_link.send(Note(1))
         with self.assertRaises(RunawayNetwork):
             self.network.run()
 
-    async def test_run_may_leave_dialers_alone(self):
+    async def test_run_without_redial(self):
         await self.link()
         self.b_link.close()
         self.network.run(redial=False)
@@ -84,7 +84,7 @@
 
 
 class CutTest(MemoryCase):
-    async def test_a_cut_holds_back_and_healing_lets_through_in_order(self):
+    async def test_a_cut_delays_messages_and_keeps_their_order(self):
         await self.link()
         self.network.cut("a", "b")
         for number in range(3):
@@ -99,7 +99,7 @@
         self.assertEqual(self.b_side.messages, [Note(number) for number in range(4)])
         self.assertEqual(self.a_side.messages, [Note(9)])
 
-    async def test_one_way(self):
+    async def test_a_cut_in_one_direction(self):
         await self.link()
         self.network.cut_one_way("a", "b")
         self.a_link.send(Note(1))
@@ -111,7 +111,7 @@
         self.assertEqual(self.b_side.reasons, [LinkClosed.SILENT])
         self.assertEqual(self.a_side.reasons, [LinkClosed.LOST])
 
-    async def test_silence_ends_both_ends_and_what_was_held_is_lost(self):
+    async def test_expired_links_end_on_both_sides_and_lose_delayed_messages(self):
         await self.link()
         self.network.cut("a", "b")
         self.a_link.send(Note(1))
@@ -126,7 +126,7 @@
         self.assertEqual(self.b_side.messages, [])
         self.assertEqual(self.a_side.calls, ["connected", "closed", "connected"])
 
-    async def test_a_close_does_not_pass_a_cut(self):
+    async def test_a_cut_delays_a_close(self):
         await self.link()
         self.network.cut("a", "b")
         self.a_link.close()
@@ -138,7 +138,7 @@
 
 
 class LossTest(MemoryCase):
-    async def test_lost_links_lose_what_is_under_way(self):
+    async def test_lost_links_lose_messages_in_transit(self):
         await self.link()
         self.a_link.send(Note(1))
         self.network.lose_links("a", "b")
@@ -170,7 +170,7 @@
         self.assertEqual((self.a_side.messages, self.a_side.reasons), ([], [LinkClosed.LOST]))
         self.assertEqual(self.b_side.calls, ["connected"])
 
-    async def test_a_killed_dialing_node_dials_no_more(self):
+    async def test_a_killed_node_does_not_reconnect(self):
         await self.link()
         self.network.kill("a")
         self.network.run()
--- a/tests/transport/test_transport_tcp.py
+++ b/tests/transport/test_transport_tcp.py
@@ -1,4 +1,4 @@
-"""The transport over TCP: the contract on loopback, and what only a real connection shows."""
+"""Tests of the transport over TCP: the contract of transports on loopback, and behaviour specific to TCP."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class TcpCase(IsolatedAsyncioTestCase):
-    """Makes transports and ends them with the test."""
+    """Creates transports and closes them after the test."""
 
     def setUp(self):
         self.transports: list[Transport] = []
@@ -43,7 +43,7 @@
         await recorder.until(condition)
 
     async def settle(self):
-        """A round trip through the loop and the kernel: another pair connects and talks."""
+        """Waits for another pair of nodes to connect and exchange a message."""
         one, other = self.make("settle-one"), self.make("settle-other")
         sides = Recorder(), Recorder(on_connected=lambda link: link.send(Note(0)))
         await one.listen(ANY_PORT, sides[0])
@@ -51,14 +51,14 @@
         await sides[0].until(lambda: bool(sides[0].messages))
 
     async def raw(self, address: str) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection of the test's own."""
+        """Opens a plain TCP connection to a transport."""
         ip, port = address.split(":")
         reader, writer = await at_most(asyncio.open_connection(ip, int(port)))
         self.addCleanup(writer.close)
         return reader, writer
 
     async def raw_server(self, greeting: bytes) -> tuple[str, list[asyncio.StreamReader]]:
-        """A listener of the test's own that greets, and keeps its connections open."""
+        """Starts a plain TCP server that sends `greeting` and keeps its connections open."""
         readers: list[asyncio.StreamReader] = []
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -77,7 +77,7 @@
 
 
 class ForeignBytesTest(TcpCase):
-    """What reaches a listener from something that is no node, or from a node gone wrong."""
+    """Bytes from a client that isn't a node, or from a faulty node."""
 
     async def refused_for(self, data: bytes, limits: LinkLimits | None = None) -> LinkClosed:
         side = Recorder()
@@ -148,7 +148,7 @@
 
 
 class SilenceTest(TcpCase):
-    """Pings, and the end of links that hear nothing."""
+    """Pings, and closing of links that receive nothing."""
 
     async def test_a_quiet_link_sends_pings(self):
         address, readers = await self.raw_server(HELLO)
@@ -166,7 +166,7 @@
         await side.until(lambda: len(side.links) == 2)
         self.assertEqual(side.reasons[0], LinkClosed.SILENT)
 
-    async def test_a_listener_that_never_names_itself_is_given_up(self):
+    async def test_a_listener_that_never_sends_a_hello_is_given_up(self):
         address, _ = await self.raw_server(b"")
         side = Recorder()
         dialer = self.make("near", SHORT_SILENCE, on_refused=side.refused).dial(address, side)
@@ -181,11 +181,11 @@
         near.dial(far.listening[0], side)
         await side.until(lambda: bool(side.links))
         address, _ = await self.raw_server(HELLO)
-        near.dial(address, dead)  # a clock: three times the silence
+        near.dial(address, dead)  # measures three silence timeouts
         await dead.until(lambda: len(dead.reasons) == 3)
         self.assertEqual(side.calls, ["connected"])
 
-    async def test_a_peer_that_does_not_read_fills_the_queue_and_no_more(self):
+    async def test_the_queue_stays_within_its_limit_if_the_peer_does_not_read(self):
         address, readers = await self.raw_server(HELLO)
         side = Recorder()
         near = self.make("near", limits=LinkLimits(queue_bytes=100_000))
@@ -195,15 +195,15 @@
         for _ in range(10_000):
             if not link.send(Note(1, body=bytes(10_000))):
                 break
-            await next_iteration()  # the batch goes to the kernel
+            await next_iteration()  # writes the batch to the kernel
         self.assertFalse(link.send(Note(1, body=bytes(10_000))))
         self.assertLessEqual(link.queued_bytes, 100_000)
         dialer.close()
-        self.assertEqual(side.reasons, [])  # it waits for the other side to read
+        self.assertEqual(side.reasons, [])  # the close waits until the queued messages have been sent
 
 
 class DialerTest(TcpCase):
-    """Attempts to connect."""
+    """Connection attempts."""
 
     async def test_a_connection_that_hangs_is_given_up(self):
         hanging, started = LinkTiming(connect_timeout=5_000, retry_min=1_000), []
@@ -219,13 +219,13 @@
         with patch.object(asyncio.get_running_loop(), "sock_connect", hang):
             dialer = self.make("near", hanging).dial("127.0.0.1:9", side)
             await at_most(reached.wait())
-            self.assertEqual([each.fileno() for each in started[:2]], [-1, -1])  # closed again
+            self.assertEqual([each.fileno() for each in started[:2]], [-1, -1])  # the sockets were closed
             self.assertEqual(dialer.last_reason, LinkClosed.UNREACHABLE)
             dialer.close()
             await at_most(dialer.wait_closed())
         self.assertEqual([each.fileno() for each in started], [-1] * len(started))
 
-    async def test_a_dialer_closed_at_once_leaves_nothing(self):
+    async def test_a_dialer_can_be_closed_at_any_time(self):
         far_side, side = Recorder(), Recorder()
         far, near = self.make("far"), self.make("near")
         await far.listen(ANY_PORT, far_side)
@@ -249,7 +249,7 @@
 
 
 class ListenTest(TcpCase):
-    """Addresses in use."""
+    """Listening on addresses that are in use."""
 
     async def test_an_address_in_use_is_tried_again(self):
         holder = socket.socket()
@@ -264,7 +264,7 @@
         await at_most(listening)
         self.assertEqual(transport.listening, (f"{ip}:{port}",))
 
-    async def test_a_closed_transport_tries_no_more(self):
+    async def test_a_closed_transport_stops_retrying(self):
         holder = self.make("holder")
         await holder.listen(ANY_PORT, Recorder())
         transport = self.make("far", LinkTiming(listen_retry=1_000))
@@ -281,10 +281,10 @@
 
 
 class ConnectionDroppedByListenerTest(TcpCase):
-    """A connection is taken as the listener closes: asyncio makes its protocol and drops it."""
+    """asyncio drops a connection that it accepts while the listener closes, without calling its protocol."""
 
-    async def test_the_end_does_not_wait_for_it(self):
+    async def test_close_does_not_wait_for_it(self):
         transport = self.make("one", LinkTiming(close_grace=1_000))
         await transport.listen(ANY_PORT, Recorder())
-        transport._accept(Recorder())  # the protocol alone: `connection_made` never comes
+        transport._accept(Recorder())  # creates only the protocol; `connection_made` is never called
         await at_most(transport.close())
--- a/tests/transport/test_transport_tcp_link.py
+++ b/tests/transport/test_transport_tcp_link.py
@@ -1,4 +1,4 @@
-"""One TCP link before a connection that the test plays."""
+"""Tests of a TCP link on a simulated connection."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 LIMIT = 16 << 20
 
 
-class PlayedConnection(asyncio.Transport):
-    """Keeps what is written; `waiting` bytes are not taken by the kernel."""
+class FakeConnection(asyncio.Transport):
+    """Records what is written. `buffered` simulates the number of bytes that the kernel hasn't taken."""
 
     def __init__(self) -> None:
         super().__init__({"peername": ("127.0.0.1", 7)})
         self.written: list[bytes] = []
-        self.waiting = 0
+        self.buffered = 0
         self.ended = ""
 
     def write(self, data: bytes) -> None:
         self.written.append(bytes(data))
 
     def get_write_buffer_size(self) -> int:
-        return self.waiting
+        return self.buffered
 
     def is_closing(self) -> bool:
         return bool(self.ended)
@@ -56,21 +56,21 @@
         )
         self.side, self.ends = Recorder(), []
         self.link = TcpLink(self.settings, self.side, lambda link, reason: self.ends.append(reason))
-        self.connection = PlayedConnection()
+        self.connection = FakeConnection()
         self.link.connection_made(self.connection)
         self.addCleanup(self.settings.keepalive.discard, self.link)
 
-    def greet(self) -> None:
+    def receive_hello(self) -> None:
         self.link.data_received(frame(encode_hello(ProtocolVersions(), "far"), LIMIT))
 
-    async def test_it_names_itself_at_once_and_sends_nothing_else_before_it_is_greeted(self):
+    async def test_it_sends_only_its_hello_before_it_receives_one(self):
         self.assertEqual(self.connection.written, [frame(encode_hello(ProtocolVersions(), "near"), LIMIT)])
         self.assertFalse(self.link.send(Note(1)))
-        self.greet()
+        self.receive_hello()
         self.assertEqual((self.link.peer, self.link.remote), ("far", "127.0.0.1:7"))
 
     async def test_messages_of_one_iteration_are_one_write(self):
-        self.greet()
+        self.receive_hello()
         self.connection.written.clear()
         notes = [Note(number) for number in range(5)]
         for note in notes:
@@ -81,29 +81,29 @@
         self.assertEqual(self.connection.written, [expected])
         self.assertEqual(self.link.queued_bytes, 0)
 
-    async def test_what_the_kernel_has_not_taken_counts_for_the_bound(self):
-        self.greet()
-        self.connection.waiting = 990
+    async def test_bytes_buffered_in_the_connection_count_for_the_queue_limit(self):
+        self.receive_hello()
+        self.connection.buffered = 990
         self.assertTrue(self.link.send(Note(1)))
         self.assertFalse(self.link.send(Note(2, body=bytes(10))))
 
     async def test_a_ping_is_not_sent_behind_other_bytes(self):
-        self.greet()
+        self.receive_hello()
         self.connection.written.clear()
-        self.connection.waiting = 1
+        self.connection.buffered = 1
         self.link.ping(5.0)
         self.assertEqual((self.connection.written, self.link.last_sent_at), ([], 5.0))
-        self.connection.waiting = 0
+        self.connection.buffered = 0
         self.link.ping(6.0)
         self.assertEqual(self.connection.written, [PING])
 
-    async def test_pings_are_not_handed_over(self):
-        self.greet()
+    async def test_pings_are_not_passed_to_the_handler(self):
+        self.receive_hello()
         self.link.data_received(PING + frame(note_codec().encode(Note(1)), LIMIT) + PING)
         self.assertEqual(self.side.messages, [Note(1)])
 
-    async def test_the_first_reason_is_the_one_that_is_told(self):
-        self.greet()
+    async def test_the_first_reason_is_reported(self):
+        self.receive_hello()
         self.link.on_silence_timeout()
         self.link.close()
         self.link.data_received(b"\0\0\0\1\xc1")
@@ -112,7 +112,7 @@
         self.assertEqual((self.side.reasons, self.ends), ([LinkClosed.SILENT], [LinkClosed.SILENT]))
 
     async def test_a_closing_link_that_stays_silent_is_aborted(self):
-        self.greet()
+        self.receive_hello()
         self.link.close()
         self.assertEqual(self.connection.ended, "closed")
         self.link.on_silence_timeout()
@@ -121,7 +121,7 @@
         self.assertEqual(self.side.reasons, [LinkClosed.LOCAL])
 
     async def test_a_batch_is_written_before_a_close(self):
-        self.greet()
+        self.receive_hello()
         self.connection.written.clear()
         self.link.send(Note(1))
         self.link.close()
@@ -129,17 +129,17 @@
         await next_iteration()
         self.assertEqual(len(self.connection.written), 1)
 
-    async def test_a_link_closed_before_its_connection_stands_says_nothing(self):
+    async def test_a_link_closed_before_its_connection_is_made_sends_nothing(self):
         link = TcpLink(self.settings, self.side, lambda link, reason: self.ends.append(reason))
         link.close()
-        connection = PlayedConnection()
+        connection = FakeConnection()
         link.connection_made(connection)
         self.assertEqual((connection.written, connection.ended), ([], "aborted"))
         link.connection_lost(None)
         self.assertEqual((self.side.calls, self.ends), ([], [LinkClosed.LOCAL]))
 
     async def test_an_error_of_the_connection_is_a_loss(self):
-        self.greet()
+        self.receive_hello()
         self.link.connection_lost(ConnectionResetError())
         self.assertEqual(self.side.reasons, [LinkClosed.LOST])
         self.assertFalse(self.link.send(Note(1)))
