--- a/brackenladder/cli/control.py
+++ b/brackenladder/cli/control.py
@@ -41,7 +41,7 @@
     """A node did not answer, or refused; the text is one line."""
 
 
-def ask(node: str, do: str, plan: str = "") -> dict[str, Any]:
+def call_node(node: str, do: str, plan: str = "") -> dict[str, Any]:
     """One line to a node's socket and its answer."""
     line = msgspec.json.encode({"version": VERSION, "do": do, "plan": plan}) + b"\n"
     data = bytearray()
@@ -66,9 +66,9 @@
     return answer
 
 
-def live_of(node: str) -> LiveState:
+def fetch_live(node: str) -> LiveState:
     try:
-        return msgspec.convert(ask(node, "live")["live"], LiveState)
+        return msgspec.convert(call_node(node, "live")["live"], LiveState)
     except msgspec.ValidationError as e:
         raise NodeError(f"{node}: not this build's answer: {e}") from None
 
@@ -90,7 +90,7 @@
     console = Console(highlight=False)
     for node in nodes:
         try:
-            answer = ask(node, "show")
+            answer = call_node(node, "show")
         except NodeError as e:
             click.echo(f"brackenladder: show: {e}", err=True)
             return FAILED
@@ -130,7 +130,7 @@
     try:
         with open(file, "rb") as opened:
             desired = parse_state(opened.read(MAX_FILE_BYTES + 1))
-        lives = {node: live_of(node) for node in nodes}
+        lives = {node: fetch_live(node) for node in nodes}
         first, *others = lives
         for node in others:
             apart = differences(lives[first].state, lives[node].state)
@@ -192,7 +192,7 @@
     done: list[str] = []
     for node in nodes:
         try:
-            answer = ask(node, "apply", data.decode())
+            answer = call_node(node, "apply", data.decode())
         except NodeError as e:
             click.echo(f"brackenladder: apply: {e}", err=True)
             left = nodes[len(done) + 1 :]
--- a/brackenladder/node/listener.py
+++ b/brackenladder/node/listener.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from brackenladder.operations.pause import Service
+from brackenladder.operations.pause import ServiceStage
 
 
 class Front(Protocol):
@@ -17,7 +17,7 @@
     def adopt(self, number: int) -> None:
         """Listens on an inherited socket, given as a descriptor. Raises OSError if it isn't a socket."""
 
-    def set_service_state(self, service: Service) -> None:
+    def set_service_stage(self, service: ServiceStage) -> None:
         """Applies the state that an operator's pause has reached. Called repeatedly during a pause."""
 
     async def drain(self) -> None:
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -10,9 +10,9 @@
 from brackenladder.membership.listing import Listing
 from brackenladder.node.listener import Front
 from brackenladder.node.pool import Pool
-from brackenladder.operations.calls import OperatorCall, answer
-from brackenladder.operations.maintenance import Maintenance, TooMany
-from brackenladder.operations.pause import Pause, Service
+from brackenladder.operations.calls import OperatorCall, format_answer
+from brackenladder.operations.maintenance import Maintenance, TooManyHolds
+from brackenladder.operations.pause import Pause, ServiceStage
 from brackenladder.sockets.listener import Address
 from brackenladder.sockets.operator_listener import OperatorListener
 from brackenladder.storage.holds import HoldsError, HoldsFile
@@ -43,7 +43,7 @@
         self.serving = serving
         self.log = log
         self.pause = Pause()
-        self.service = Service.SERVING
+        self.service = ServiceStage.SERVING
         self.maintenance = Maintenance()
         self.file = HoldsFile(folder) if folder else None
         self.operator_listener = OperatorListener(loop, self.handle)
@@ -64,7 +64,7 @@
 
     def admit(self, listing: Listing) -> Listing:
         """Returns a listing from discovery with the operators' suspensions applied."""
-        return self.maintenance.admit(listing)
+        return self.maintenance.process_listing(listing)
 
     def sync_holds(self) -> None:
         """Applies suspensions that the node's other process has recorded.
@@ -76,14 +76,14 @@
         if self.file.changed():
             try:
                 with self.file.locked():
-                    self.update_pool(self.maintenance.take_over(self.file.read()))
+                    self.update_pool(self.maintenance.replace_holds(self.file.read()))
             except HoldsError as e:
                 self.log(str(e))
         self.loop.call_later(HOLDS_INTERVAL, self.sync_holds)
 
     def update_pool(self, servers: Sequence[str]) -> None:
         if servers and self.pool.has_listing:
-            self.pool.roster.apply_listing(self.maintenance.news_of(servers, 0))
+            self.pool.roster.apply_listing(self.maintenance.listing_for(servers, 0))
 
     def hold(self, call: OperatorCall) -> bytes:
         """Suspends or restores a server. The other process's file is written before the reply."""
@@ -91,9 +91,9 @@
         try:
             with self.file.locked() if self.file is not None else nullcontext():
                 if self.file is not None and self.file.changed():
-                    self.update_pool(maintenance.take_over(self.file.read()))
-                if not maintenance.knows(call.server):
-                    return answer(False, "no such server")
+                    self.update_pool(maintenance.replace_holds(self.file.read()))
+                if not maintenance.is_known(call.server):
+                    return format_answer(False, "no such server")
                 before = maintenance.holds.get(call.server)
                 (maintenance.suspend if call.verb == "SUSPEND" else maintenance.restore)(call.server, now)
                 if maintenance.holds.get(call.server) != before:
@@ -101,13 +101,13 @@
                     self.log(f"{call.verb} {call.server}")
                     if self.file is not None:
                         self.file.write(maintenance.holds)
-        except TooMany:
-            return answer(False, "too many servers are held back")
+        except TooManyHolds:
+            return format_answer(False, "too many servers are held back")
         except HoldsError as e:
             # It is applied in this process. The reply tells the operator that a successor won't know of it.
             self.log(str(e))
-            return answer(False, str(e))
-        return answer(True)
+            return format_answer(False, str(e))
+        return format_answer(True)
 
     # ---- calls ----------------------------------------------------------------------------------------
 
@@ -116,10 +116,10 @@
         if call.server:
             return self.hold(call)
         if call.verb == "STATUS":
-            ok = self.serving() and self.service == Service.SERVING and not self.ended
-            return answer(ok, "" if ok else "takes no clients")
+            ok = self.serving() and self.service == ServiceStage.SERVING and not self.ended
+            return format_answer(ok, "" if ok else "takes no clients")
         if self.ended:
-            return answer(False, "the node ends")
+            return format_answer(False, "the node ends")
         if call.verb == "PAUSE":
             if self.pause.since is None:
                 self.log("PAUSE")
@@ -129,7 +129,7 @@
             self.log("RESUME")
             self.pause.end()
             self.update_pause()
-        return answer(True)
+        return format_answer(True)
 
     def update_pause(self) -> None:
         """Passes the state that the pause has reached to the fronts."""
@@ -138,8 +138,8 @@
             self.pause_timer = None
         if self.ended:
             return
-        self.service = self.pause.service(self.loop.time())
+        self.service = self.pause.stage(self.loop.time())
         for front in self.fronts():
-            front.set_service_state(self.service)
-        if self.service != Service.SERVING:
+            front.set_service_stage(self.service)
+        if self.service != ServiceStage.SERVING:
             self.pause_timer = self.loop.call_later(PAUSE_INTERVAL, self.update_pause)
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -1,4 +1,4 @@
-"""The HTTP pools that operators can configure. Each has its own host; they share upstream, list and router."""
+"""The HTTP pools that operators can configure. Each has its own host; they share upstream and list."""
 
 from __future__ import annotations
 
--- a/brackenladder/node/role_runner.py
+++ b/brackenladder/node/role_runner.py
@@ -92,7 +92,7 @@
         return EXIT_OK
 
     async def _start(self) -> None:
-        """Starts the role. After a stop signal it gets some time to complete: only a started role can stop."""
+        """Starts the role. After a stop signal it gets time to complete, as only a started role can stop."""
         starting = asyncio.create_task(self.role.start())
         ending = asyncio.create_task(self._ending.wait())
         await asyncio.wait((starting, ending), return_when=asyncio.FIRST_COMPLETED)
--- a/tests/recovery/test_processes.py
+++ b/tests/recovery/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 from rehearsal.playing import small
 
-from brackenladder.cli.control import NodeError, ask, live_of
+from brackenladder.cli.control import NodeError, call_node, fetch_live
 from brackenladder.control.plan import encode_plan, make_plan
 from brackenladder.control.state import DesiredState
 from brackenladder.rehearsal.nodes import NodeProcess
@@ -23,7 +23,7 @@
 
 
 async def shown(node: NodeProcess) -> dict[str, Any]:
-    return await asyncio.to_thread(ask, node.control, "show")
+    return await asyncio.to_thread(call_node, node.control, "show")
 
 
 async def until(what: Callable[[], Awaitable[bool]]) -> None:
@@ -38,11 +38,11 @@
 
 
 def apply(node: NodeProcess, weight: float, server: str) -> str:
-    live = live_of(node.control)
+    live = fetch_live(node.control)
     desired = DesiredState(pools={DEFAULT: PoolSpec(weights={f"server:{server}": weight})})
     plan = make_plan(live, msgspec.convert(msgspec.to_builtins(desired), DesiredState))
     try:
-        return str(ask(node.control, "apply", encode_plan(plan).decode())["digest"])
+        return str(call_node(node.control, "apply", encode_plan(plan).decode())["digest"])
     except NodeError as e:  # the node has taken the state from another one meanwhile
         assert "already applied" in str(e) or "the node is in state" in str(e)
         return plan.result
