--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -261,7 +261,7 @@
         client.notified.add(call)
         self.host.take(call)
 
-    def attend(self, service: ServiceStage) -> None:
+    def set_service_stage(self, service: ServiceStage) -> None:
         """An operator's pause."""
         self.service = service
         if service >= ServiceStage.REFUSING:
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -377,7 +377,7 @@
         else:
             from brackenladder.operations.pause import ServiceStage
 
-            client_connections.attend(ServiceStage.ENDING)
+            client_connections.set_service_stage(ServiceStage.ENDING)
         assert len((await client.receive())[2]) == size
         client.writer.close()
         if by == "drain":
