--- a/brackenladder/system/__init__.py
+++ b/brackenladder/system/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the whole system: run it on loopback, ask and change it, look into its store."""
+"""Command line of the whole system: runs it on loopback, queries and changes it, inspects its stores."""
--- a/brackenladder/system/__main__.py
+++ b/brackenladder/system/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m brackenladder.system`."""
+"""Entry point of `python -m brackenladder.system`."""
 
 from __future__ import annotations
 
--- a/brackenladder/system/app.py
+++ b/brackenladder/system/app.py
@@ -1,4 +1,4 @@
-"""The commands together, and how errors end."""
+"""Registers all commands and turns errors into one line and an exit code."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 PROGRAM = "brackenladder.system"
 
 app = typer.Typer(
-    help="The whole system: run it on loopback, ask and change it, look into its stores.",
+    help="The whole system: run it on loopback, query and change it, inspect its stores.",
     add_completion=False,
     pretty_exceptions_enable=False,
     rich_markup_mode=None,
@@ -36,20 +36,20 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs a command; its exit code. What goes wrong is one line."""
+    """Runs a command and returns its exit code. An error is printed as one line."""
     try:
         result = typer.main.get_command(app).main(
             list(arguments), prog_name=f"python -m {PROGRAM}", standalone_mode=False
         )
     except CommandError as error:
-        return _end(error.line, error.code)
+        return _fail(error.line, error.code)
     except TyperException as error:
-        return _end(error.format_message(), ExitCode.USAGE_ERROR)
+        return _fail(error.format_message(), ExitCode.USAGE_ERROR)
     except (Abort, KeyboardInterrupt):
-        return _end("interrupted", ExitCode.FAILED)
+        return _fail("interrupted", ExitCode.FAILED)
     return int(result or ExitCode.SUCCESS)
 
 
-def _end(line: str, code: ExitCode) -> int:
+def _fail(line: str, code: ExitCode) -> int:
     print(f"brackenladder: {line}", file=sys.stderr)
     return code
--- a/brackenladder/system/config_change.py
+++ b/brackenladder/system/config_change.py
@@ -1,4 +1,4 @@
-"""A configuration file against the configuration in force: what it changes, and what is wrong with it."""
+"""Compares a configuration file with the configuration in force: what it changes, and its faults."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from brackenladder.system.config_diff import Difference, differences
 
 Document = dict[str, Any]
-LARGEST_FILE = 8 * 1024 * 1024  # bytes; a control node takes no more
+MAX_FILE_BYTES = 8 * 1024 * 1024  # a control node accepts no larger one
 
 
 @frozen
 class ConfigurationFile:
-    """A file as it was read: a whole configuration, or an update (`Upsert`, `Remove`)."""
+    """The content of a file: a whole configuration, or an update (`Upsert`, `Remove`)."""
 
     body: bytes
     document: Document
@@ -29,47 +29,47 @@
 
     @property
     def is_update(self) -> bool:
-        """Whether it changes items by name."""
+        """Whether it changes single items by name, rather than the whole configuration."""
         return UPSERT in self.document or REMOVE in self.document
 
 
 @frozen
 class PlannedChange:
-    """What a file would do to the configuration in force."""
+    """The effect that a file would have on the configuration in force."""
 
-    base: int  # the version in force; 0: none
+    base: int  # the version in force, 0 if there is none
     current: Document
     after: Document
     faults: tuple[str, ...]
 
     @property
-    def in_force(self) -> bool:
-        """Whether nothing is left to be done."""
+    def already_in_force(self) -> bool:
+        """Whether the file would change nothing."""
         return bool(self.current) and self.after == self.current
 
     @property
     def differences(self) -> tuple[Difference, ...]:
-        """Item by item."""
+        """The differences item by item."""
         return differences(self.current, self.after)
 
 
 def read_file(path: Path) -> ConfigurationFile:
-    """The file's content; Unusable if there is none to be read."""
+    """Reads a configuration file. Raises UsageError if it cannot be read or is too large."""
     try:
         with path.open("rb") as file:
-            body = file.read(LARGEST_FILE + 1)
+            body = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise UsageError(f"{path}: cannot be read: {error.strerror}") from None
-    if len(body) > LARGEST_FILE:
-        raise UsageError(f"{path}: over {LARGEST_FILE} bytes")
-    read = read_object(body)
-    if isinstance(read, Failure):
-        return ConfigurationFile(body, {}, (str(read.failure()),))
-    return ConfigurationFile(body, read.unwrap())
+    if len(body) > MAX_FILE_BYTES:
+        raise UsageError(f"{path}: over {MAX_FILE_BYTES} bytes")
+    parsed = read_object(body)
+    if isinstance(parsed, Failure):
+        return ConfigurationFile(body, {}, (str(parsed.failure()),))
+    return ConfigurationFile(body, parsed.unwrap())
 
 
 def plan_change(file: ConfigurationFile, current_body: bytes) -> PlannedChange:
-    """What the file would do on top of the configuration that was read back (empty: there is none)."""
+    """Applies the file to the current configuration, whose body is empty if there is none."""
     current: Document = json.loads(current_body) if current_body else {}
     base = int(current.get(VERSION, 0))
     if file.faults:
@@ -80,10 +80,10 @@
         if isinstance(merged, Failure):
             return PlannedChange(base, current, {}, tuple(map(str, merged.failure())))
         after = merged.unwrap()
-    return PlannedChange(base, current, after, _faults(after, current))
+    return PlannedChange(base, current, after, _find_faults(after, current))
 
 
-def _faults(after: Document, current: Document) -> tuple[str, ...]:
+def _find_faults(after: Document, current: Document) -> tuple[str, ...]:
     parsed = parse_document(after)
     if isinstance(parsed, Failure):
         return tuple(map(str, parsed.failure()))
--- a/brackenladder/system/config_commands.py
+++ b/brackenladder/system/config_commands.py
@@ -1,4 +1,4 @@
-"""`config show`, `check`, `diff` and `apply`."""
+"""The commands `config show`, `check`, `diff` and `apply`."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     ControlOption,
     JsonOption,
     OptionalControlOption,
-    PatienceOption,
+    TimeoutOption,
     control_client,
 )
-from brackenladder.system.output import note, print_json, say
+from brackenladder.system.output import print_json, print_line, print_to_stderr
 
 config = typer.Typer(help="The operator's configuration.")
 FileArgument = Annotated[
@@ -30,38 +30,38 @@
 
 @config.command()
 def show(
-    control: ControlOption, patience: PatienceOption = DEFAULT_TIMEOUT_SECONDS, as_json: JsonOption = False
+    control: ControlOption, patience: TimeoutOption = DEFAULT_TIMEOUT_SECONDS, as_json: JsonOption = False
 ) -> None:
-    """The configuration in force, confirmed by a quorum."""
-    document = json.loads(_current(control, patience) or b"{}")
+    """Prints the configuration in force, as a quorum confirms it."""
+    document = json.loads(_fetch_current(control, patience) or b"{}")
     if not document:
         raise CommandError("there is no configuration yet")
     if as_json:
         print_json(document)
     else:
-        say(json.dumps(document, ensure_ascii=False, indent=2))
+        print_line(json.dumps(document, ensure_ascii=False, indent=2))
 
 
 @config.command()
 def check(
     file: FileArgument,
     control: OptionalControlOption = None,
-    patience: PatienceOption = DEFAULT_TIMEOUT_SECONDS,
+    patience: TimeoutOption = DEFAULT_TIMEOUT_SECONDS,
     as_json: JsonOption = False,
 ) -> int:
-    """Everything that is wrong with a file; of an update: on top of the configuration in force.
+    """Lists all faults of a file. An update is checked together with the configuration in force.
 
-    Exit code 0: nothing. 1: it would be refused.
+    Exit code 0: no fault. 1: the file would be refused.
     """
-    read = read_file(file)
-    if read.is_update and not control:
+    content = read_file(file)
+    if content.is_update and not control:
         raise UsageError(f"{file}: an update is checked on top of a configuration: give --control")
-    planned = plan_change(read, _current(control, patience) if control else b"")
+    planned = plan_change(content, _fetch_current(control, patience) if control else b"")
     if as_json:
         print_json({"File": str(file), "Faults": list(planned.faults)})
     elif not planned.faults:
-        say(f"{file}: nothing is wrong")
-    _note_faults(file, planned, as_json)
+        print_line(f"{file}: nothing is wrong")
+    _print_faults(file, planned, as_json)
     return ExitCode.FAILED if planned.faults else ExitCode.SUCCESS
 
 
@@ -69,22 +69,23 @@
 def diff(
     file: FileArgument,
     control: ControlOption,
-    patience: PatienceOption = DEFAULT_TIMEOUT_SECONDS,
+    patience: TimeoutOption = DEFAULT_TIMEOUT_SECONDS,
     as_json: JsonOption = False,
 ) -> int:
-    """What a file would change, item by item.
+    """Lists what a file would change, item by item.
 
-    Exit code 0: nothing. 1: something, or it would be refused.
+    Exit code 0: no change. 1: there are changes, or the file would be refused.
     """
-    planned = plan_change(read_file(file), _current(control, patience))
+    planned = plan_change(read_file(file), _fetch_current(control, patience))
     if as_json:
         changes = [
-            {"Place": one.place, "Before": one.before, "After": one.after} for one in planned.differences
+            {"Place": difference.path, "Before": difference.before, "After": difference.after}
+            for difference in planned.differences
         ]
         print_json({"Base": planned.base, "Differences": changes, "Faults": list(planned.faults)})
     elif not planned.faults:
         _print_differences(planned)
-    _note_faults(file, planned, as_json)
+    _print_faults(file, planned, as_json)
     return ExitCode.FAILED if planned.faults or planned.differences else ExitCode.SUCCESS
 
 
@@ -93,27 +94,27 @@
     file: FileArgument,
     control: ControlOption,
     base: Annotated[
-        int | None, typer.Option("--base", min=0, help="Refuses if another version than this is in force.")
+        int | None, typer.Option("--base", min=0, help="Fails unless this version is in force.")
     ] = None,
-    patience: PatienceOption = DEFAULT_TIMEOUT_SECONDS,
+    patience: TimeoutOption = DEFAULT_TIMEOUT_SECONDS,
     as_json: JsonOption = False,
 ) -> int:
-    """Puts a file in force; may be repeated with the same file until it is acknowledged."""
-    read = read_file(file)
-    planned = plan_change(read, _current(control, patience))
-    if planned.in_force:
-        return _applied(planned.base, as_json, "is in force already")
+    """Applies a file. May be repeated with the same file until it is acknowledged."""
+    content = read_file(file)
+    planned = plan_change(content, _fetch_current(control, patience))
+    if planned.already_in_force:
+        return _report_applied(planned.base, as_json, "is in force already")
     if base is not None and base != planned.base:
         raise CommandError(f"{file}: version {planned.base} is in force, not {base}: nothing was sent")
     if planned.faults:
-        _note_faults(file, planned, as_json=False)
+        _print_faults(file, planned, as_json=False)
         return ExitCode.FAILED
-    done = asyncio.run(_send(control_client(control, patience), read, planned.base))
-    if isinstance(done, Failure):
-        raise CommandError(f"{file}: {_failure_line(done.failure())}")
+    result = asyncio.run(_send_change(control_client(control, patience), content, planned.base))
+    if isinstance(result, Failure):
+        raise CommandError(f"{file}: {_failure_line(result.failure())}")
     if not as_json:
         _print_differences(planned)
-    return _applied(done.unwrap(), as_json, "is in force")
+    return _report_applied(result.unwrap(), as_json, "is in force")
 
 
 def _failure_line(error: ControlError) -> str:
@@ -122,29 +123,29 @@
     return f"refused: {error}"
 
 
-def _applied(version: int, as_json: bool, text: str) -> int:
+def _report_applied(version: int, as_json: bool, text: str) -> int:
     if as_json:
         print_json({"Version": version})
     else:
-        say(f"version {version} {text}")
+        print_line(f"version {version} {text}")
     return ExitCode.SUCCESS
 
 
 def _print_differences(planned: PlannedChange) -> None:
     for difference in planned.differences:
-        say(str(difference))
+        print_line(str(difference))
     if not planned.differences:
-        say(f"nothing differs from version {planned.base}")
+        print_line(f"nothing differs from version {planned.base}")
 
 
-def _note_faults(file: Path, planned: PlannedChange, as_json: bool) -> None:
+def _print_faults(file: Path, planned: PlannedChange, as_json: bool) -> None:
     if not as_json:
         for fault in planned.faults:
-            note(f"{file}: {fault}")
+            print_to_stderr(f"{file}: {fault}")
 
 
-def _current(control: list[str], patience: float) -> bytes:
-    """The configuration in force; empty if there is none."""
+def _fetch_current(control: list[str], patience: float) -> bytes:
+    """Returns the configuration in force, empty if there is none."""
     fetched = asyncio.run(_fetch(control_client(control, patience)))
     if isinstance(fetched, Failure):
         raise CommandError(str(fetched.failure()))
@@ -156,7 +157,9 @@
         return await client.fetch()
 
 
-async def _send(client: ControlClient, file: ConfigurationFile, base: int) -> Result[int, ControlError]:
+async def _send_change(
+    client: ControlClient, file: ConfigurationFile, base: int
+) -> Result[int, ControlError]:
     async with client:
         if file.is_update:
             return await client.update(base, file.body)
--- a/brackenladder/system/config_diff.py
+++ b/brackenladder/system/config_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, item by item."""
+"""Lists the differences between two configurations, item by item."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @frozen
 class Difference:
-    """One difference: `before` or `after` is None where there is nothing."""
+    """One difference. `before` is None for an added value, `after` for a removed one."""
 
-    place: str  # as `Routes.chat.TimeoutMs`
+    path: str  # for example `Routes.chat.TimeoutMs`
     before: Any
     after: Any
 
@@ -31,12 +31,12 @@
     def __str__(self) -> str:
         if self.before is None or self.after is None:
             value = self.after if self.before is None else self.before
-            return f"{self.sign} {self.place}: {_shown(value)}"
-        return f"{self.sign} {self.place}: {_shown(self.before)} -> {_shown(self.after)}"
+            return f"{self.sign} {self.path}: {_format_value(value)}"
+        return f"{self.sign} {self.path}: {_format_value(self.before)} -> {_format_value(self.after)}"
 
 
 def differences(before: Document, after: Document) -> tuple[Difference, ...]:
-    """All differences, `Version` left out: it differs in every change. The order of items does not count."""
+    """Returns all differences except in `Version`, which every change has. The order of items is ignored."""
     return tuple(_differences(before, after))
 
 
@@ -46,28 +46,28 @@
             continue
         old, new = before.get(key), after.get(key)
         if key in NAMED_LISTS:
-            yield from _items(key, _by_name(old), _by_name(new))
+            yield from _item_differences(key, _by_name(old), _by_name(new))
         else:
-            yield from _fields(key, old, new)
+            yield from _value_differences(key, old, new)
 
 
-def _items(key: str, before: Document, after: Document) -> Iterator[Difference]:
+def _item_differences(key: str, before: Document, after: Document) -> Iterator[Difference]:
     for name in dict.fromkeys((*before, *after)):
-        yield from _fields(f"{key}.{name}", before.get(name), after.get(name))
+        yield from _value_differences(f"{key}.{name}", before.get(name), after.get(name))
 
 
-def _fields(place: str, before: Any, after: Any) -> Iterator[Difference]:
-    """Differences of one value; objects are compared field by field."""
+def _value_differences(path: str, before: Any, after: Any) -> Iterator[Difference]:
+    """Yields the differences of one value. Objects are compared field by field."""
     if type(before) is dict and type(after) is dict:
         for key in dict.fromkeys((*before, *after)):
-            yield from _fields(f"{place}.{key}", before.get(key), after.get(key))
+            yield from _value_differences(f"{path}.{key}", before.get(key), after.get(key))
     elif before != after:
-        yield Difference(place, before, after)
+        yield Difference(path, before, after)
 
 
 def _by_name(items: Any) -> Document:
     return {item[NAME]: item for item in items or ()}
 
 
-def _shown(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return json.dumps(value, ensure_ascii=False)
--- a/brackenladder/system/evacuate_command.py
+++ b/brackenladder/system/evacuate_command.py
@@ -1,4 +1,4 @@
-"""`evacuate`: no more requests to a zone's servers, or requests again."""
+"""The command `evacuate`: stops the requests to a zone's servers, or allows them again."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 from brackenladder.operator_client.control_client import DEFAULT_TIMEOUT_SECONDS, ControlClient
 from brackenladder.operator_client.errors import CommandError, ControlError
-from brackenladder.system.options import ControlOption, JsonOption, PatienceOption, control_client
-from brackenladder.system.output import print_json, say
+from brackenladder.system.options import ControlOption, JsonOption, TimeoutOption, control_client
+from brackenladder.system.output import print_json, print_line
 
 
 def evacuate(
     zone: Annotated[str, typer.Argument(help="A zone that the settings files name.")],
     control: ControlOption,
-    finish: Annotated[bool, typer.Option("--finish", help="Takes the zone back.")] = False,
-    patience: PatienceOption = DEFAULT_TIMEOUT_SECONDS,
+    finish: Annotated[bool, typer.Option("--finish", help="Ends the evacuation.")] = False,
+    patience: TimeoutOption = DEFAULT_TIMEOUT_SECONDS,
     as_json: JsonOption = False,
 ) -> None:
-    """Asks that nothing more be sent to a zone's servers; --finish withdraws that. Both may be repeated."""
-    done = asyncio.run(_evacuate(control_client(control, patience), zone, finish))
-    if isinstance(done, Failure):
-        raise CommandError(f"{zone}: {done.failure()}")
+    """Stops all requests to the servers of a zone; --finish allows them again. Both may be repeated."""
+    result = asyncio.run(_evacuate(control_client(control, patience), zone, finish))
+    if isinstance(result, Failure):
+        raise CommandError(f"{zone}: {result.failure()}")
     if as_json:
         print_json({"Zone": zone, "Evacuated": not finish})
     else:
-        say(f"{zone}: {'taken back' if finish else 'evacuated'}")
+        print_line(f"{zone}: {'taken back' if finish else 'evacuated'}")
 
 
 async def _evacuate(client: ControlClient, zone: str, finish: bool) -> Result[None, ControlError]:
--- a/brackenladder/system/local/__init__.py
+++ b/brackenladder/system/local/__init__.py
@@ -1,1 +1,1 @@
-"""A whole small system on loopback: real role processes, stand-in servers and clients."""
+"""A small complete system on loopback: real node processes, stand-in servers and clients."""
--- a/brackenladder/system/local/faults.py
+++ b/brackenladder/system/local/faults.py
@@ -1,4 +1,4 @@
-"""Faults that `local` plays once, and what was seen of them."""
+"""The faults that `local` can inject, and the report of their effect."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from brackenladder.local_site.layout import MODEL_SERVICE
 from brackenladder.system.local.local_system import LocalSystem
 
-ROUTE_OF_FAULT = "after-fault"  # the route that a change adds once the leader is gone
+ROUTE_AFTER_FAULT = "after-fault"  # the route that is added after the leader was killed
 
 
 class Fault(Enum):
-    """What can be made to happen."""
+    """A fault that can be injected."""
 
     KILL_LEADER = "kill-leader"
     KILL_GATEWAY = "kill-gateway"
@@ -25,32 +25,32 @@
 
 @frozen
 class FaultReport:
-    """What was done, and what came of it."""
+    """The injected fault and its observed effect."""
 
-    done: str
-    seen: str
+    action: str
+    outcome: str
 
 
-async def play_fault(fault: Fault, system: LocalSystem, random: Random) -> FaultReport:
-    """Plays a fault; returns once the system is whole again."""
-    players: dict[Fault, Callable[[LocalSystem, Random], Awaitable[FaultReport]]] = {
+async def inject_fault(fault: Fault, system: LocalSystem, random: Random) -> FaultReport:
+    """Injects a fault and returns once the system has recovered."""
+    handlers: dict[Fault, Callable[[LocalSystem, Random], Awaitable[FaultReport]]] = {
         Fault.KILL_LEADER: _kill_leader,
         Fault.KILL_GATEWAY: _kill_gateway,
         Fault.KILL_SERVER: _kill_server,
     }
-    return await players[fault](system, random)
+    return await handlers[fault](system, random)
 
 
 async def _kill_leader(system: LocalSystem, _random: Random) -> FaultReport:
     leader = await system.leader()
     system.kill(leader)
     began = monotonic()
-    version = await system.add_route(ROUTE_OF_FAULT)
-    taken = monotonic() - began
+    version = await system.add_route(ROUTE_AFTER_FAULT)
+    elapsed = monotonic() - began
     successor = await system.leader()
     return FaultReport(
-        f"killed {leader.name}, which led",
-        f"version {version} was acknowledged {taken:.1f} s later; {successor.name} leads",
+        f"killed {leader.name}, the leader",
+        f"version {version} was acknowledged {elapsed:.1f} s later; {successor.name} is the leader",
     )
 
 
@@ -59,32 +59,32 @@
     system.kill(gateway)
     began = monotonic()
 
-    async def back() -> bool:
+    async def is_back() -> bool:
         status = await system.status()
-        states = {one.node: one for one in status.gateways}
-        known = states.get(gateway.name)
+        gateways = {reported.node: reported for reported in status.gateways}
+        current = gateways.get(gateway.name)
         restarted = bool(system.roles[gateway.name].exits) and system.roles[gateway.name].running
-        return restarted and known is not None and known.state == "ready" and known.revision is not None
+        return restarted and current is not None and current.state == "ready" and current.revision is not None
 
-    await system.wait_until(back, f"{gateway.name} is not back")
+    await system.wait_until(is_back, f"{gateway.name} is not back")
     return FaultReport(f"killed {gateway.name}", f"it was ready again {monotonic() - began:.1f} s later")
 
 
 async def _kill_server(system: LocalSystem, random: Random) -> FaultReport:
-    servers = [name for name, one in system.servers.items() if one.settings.service == MODEL_SERVICE]
+    servers = [name for name, server in system.servers.items() if server.settings.service == MODEL_SERVICE]
     server_id = random.choice(servers)
     began = monotonic()
     await system.crash_server(server_id)
 
-    async def gone() -> bool:
+    async def is_removed() -> bool:
         status = await system.status()
         ready = {service.name: service.ready for service in status.services}
         return ready.get(MODEL_SERVICE, 0) < len(servers)
 
-    await system.wait_until(gone, f"{server_id} still counts as ready")
-    silent = monotonic() - began
+    await system.wait_until(is_removed, f"{server_id} still counts as ready")
+    elapsed = monotonic() - began
     successor = await system.restart_server(server_id)
     return FaultReport(
         f"crashed server {server_id}",
-        f"control nodes let it go {silent:.1f} s later; {successor} took its place",
+        f"control nodes removed it {elapsed:.1f} s later; {successor} replaced it",
     )
--- a/brackenladder/system/local/local_system.py
+++ b/brackenladder/system/local/local_system.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback, from its first start to its orderly end."""
+"""A complete system on loopback, from its first start to its orderly shutdown."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 from brackenladder.rehearsal.standins.heartbeats import Heartbeats
 from brackenladder.rehearsal.standins.model_server import ModelServer, ServerSettings
 
-START_SECONDS = 30.0  # for the whole system to be ready
-POLL_SECONDS = 0.05
-READY_SECONDS = 1.0  # for one answer of a gateway's own check
+STARTUP_TIMEOUT_SECONDS = 30.0  # for the whole system to become ready, and for each later condition
+POLL_INTERVAL_SECONDS = 0.05
+READY_CHECK_TIMEOUT_SECONDS = 1.0  # for one HTTP request to a gateway or directory
 
 
 class LocalError(Exception):
-    """The system does not come up or does not go on; one line."""
+    """The system does not start, or a condition is not met in time. The text is one line."""
 
 
 class LocalSystem:
-    """To be used with `async with`: on entry all is started, on exit all has ended in order."""
+    """A context manager: starts the whole system on entry and shuts it down in order on exit."""
 
     def __init__(self, layout: Layout) -> None:
         self.layout = layout
@@ -44,54 +44,54 @@
             machine.name: RoleProcess(layout, machine) for machine in (*layout.control, *layout.gateways)
         }
         self.servers: dict[str, ModelServer] = {}
-        self.control = ControlClient(layout.seeds, START_SECONDS)
+        self.control = ControlClient(layout.seeds, STARTUP_TIMEOUT_SECONDS)
         self._heartbeats: dict[str, Heartbeats] = {}
         self._http: aiohttp.ClientSession
 
     async def __aenter__(self) -> LocalSystem:
-        self._http = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=READY_SECONDS))
+        self._http = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=READY_CHECK_TIMEOUT_SECONDS))
         await self.control.__aenter__()
         try:
             await self._start()
         except BaseException:
-            await self._end()
+            await self._stop()
             raise
         return self
 
     async def __aexit__(self, *_exception: object) -> None:
-        await self._end()
+        await self._stop()
 
-    # -- what it is asked and told while it runs
+    # -- queries and operations while it runs
 
     async def status(self) -> ControlStatus:
-        """The system as the control node sees it that has applied most of the log.
+        """Returns the status from the control node that has applied most of the log.
 
-        Failure prevented: a node that has just restarted answers first, and tells of no configuration.
+        The first node to answer may have just restarted, and would report no configuration.
         """
-        told = await self.control.status()
-        if isinstance(told, Failure):
-            raise LocalError(f"no status: {told.failure()}")
-        answers = [told.unwrap()]
+        first = await self.control.status()
+        if isinstance(first, Failure):
+            raise LocalError(f"no status: {first.failure()}")
+        answers = [first.unwrap()]
         for answer in (await self.control.statuses()).values():
             answers.extend(answer.map(lambda status: [status]).value_or([]))
         return max(answers, key=lambda status: status.applied_index)
 
     async def leader(self) -> Machine:
-        """The machine that leads, as soon as one does."""
+        """Waits until a control node is the leader and returns its machine."""
         found: list[Machine] = []
 
-        async def known() -> bool:
+        async def is_known() -> bool:
             status = await self.status()
-            led = status.leader.replica_id if status.leader else ""
+            leader_id = status.leader.replica_id if status.leader else ""
             ip = status.leader.address.rpartition(":")[0] if status.leader else ""
-            found[:] = [machine for machine in self.layout.control if led and machine.ip == ip]
+            found[:] = [machine for machine in self.layout.control if leader_id and machine.ip == ip]
             return bool(found) and self.roles[found[0].name].running
 
-        await self.wait_until(known, "no control node leads")
+        await self.wait_until(is_known, "no control node leads")
         return found[0]
 
     async def add_route(self, name: str) -> int:
-        """Changes the configuration; the acknowledged version."""
+        """Adds a route to the configuration and returns the acknowledged version."""
         status = await self.status()
         base = status.configuration_version
         body = json.dumps(route_update(base + 1, name)).encode()
@@ -101,46 +101,46 @@
         return answer.unwrap()
 
     def kill(self, machine: Machine) -> None:
-        """SIGKILL; the process is started again."""
+        """Kills the process of a machine, which its supervisor starts again."""
         self.roles[machine.name].send(signal.SIGKILL)
 
     async def crash_server(self, server_id: str) -> None:
-        """A server is gone without a word."""
+        """Stops a server without deregistering it."""
         await self._heartbeats.pop(server_id).stop()
         await self.servers[server_id].crash()
 
     async def restart_server(self, server_id: str) -> str:
-        """A crashed server comes back at its address as a new incarnation; the new id."""
+        """Starts a crashed server at its old address as a new incarnation, and returns the new id."""
         settings = self.servers.pop(server_id).settings
         number = settings.id.partition(".")[2] or "1"
         await self._start_server(evolve(settings, id=f"{settings.id.partition('.')[0]}.{int(number) + 1}"))
         return next(reversed(self.servers))
 
-    async def wait_until(self, condition: Callable[[], Awaitable[bool]], complaint: str) -> None:
-        """Returns as soon as a condition holds; a LocalError if that takes too long."""
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]], failure: str) -> None:
+        """Waits until a condition holds. Raises LocalError with `failure` if that takes too long."""
         try:
-            async with asyncio.timeout(START_SECONDS):
+            async with asyncio.timeout(STARTUP_TIMEOUT_SECONDS):
                 while not await condition():
-                    await asyncio.sleep(POLL_SECONDS)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
-            raise LocalError(f"{complaint} after {START_SECONDS:g} s") from None
+            raise LocalError(f"{failure} after {STARTUP_TIMEOUT_SECONDS:g} s") from None
 
-    # -- start and end
+    # -- start and shutdown
 
     async def _start(self) -> None:
         await self._check_addresses()
         await asyncio.gather(*(role.start(bootstrap=True) for role in self.roles.values()))
-        await self.wait_until(self._all_run, "not all processes run")
+        await self.wait_until(self._control_nodes_running, "not all processes run")
         body = json.dumps(first_configuration()).encode()
         answer = await self.control.replace(0, body)
         if isinstance(answer, Failure):
-            raise LocalError(f"the first configuration was not taken: {answer.failure()}")
+            raise LocalError(f"the first configuration was not accepted: {answer.failure()}")
         for settings in self.layout.servers():
             await self._start_server(settings)
-        await self.wait_until(self._ready, "the gateways are not ready")
+        await self.wait_until(self._is_ready, "the gateways are not ready")
 
     async def _check_addresses(self) -> None:
-        """A LocalError if an address is taken, most likely by another local system."""
+        """Raises LocalError if an address is in use, most likely by another local system."""
         machines = (*self.layout.control, *self.layout.gateways)
         for address in (
             machine.control if machine.role == "control" else machine.front for machine in machines
@@ -167,38 +167,38 @@
         self._heartbeats[settings.id] = Heartbeats(server, self.layout.seeds, HEARTBEAT_MS / 1000)
         await self._heartbeats[settings.id].start()
 
-    async def _all_run(self) -> bool:
-        """Whether every control node answers; a LocalError if a process ended in its start."""
+    async def _control_nodes_running(self) -> bool:
+        """Whether the control nodes have a leader. Raises LocalError if a process ended during startup."""
         for role in self.roles.values():
             if role.exits:
                 log = self.layout.log_path(role.machine)
-                raise LocalError(f"{role.exits[0]} in its start: {_last_line(log.read_text())}")
+                raise LocalError(f"{role.exits[0]} during startup: {_last_line(log.read_text())}")
         status = await self.status()
         return status.leader is not None
 
-    async def _ready(self) -> bool:
-        """Whether every gateway is ready, every server known, and every directory answers."""
+    async def _is_ready(self) -> bool:
+        """Whether all gateways are ready, all servers registered, and all directories answer."""
         checks = [f"http://{machine.ready}/-/readyz" for machine in self.layout.gateways]
-        # As its clients ask: for a host that no route names there is no answer.
+        # With a host of the configuration: for a host that no route names there is no answer.
         checks += [f"http://{directory}/-/resolve?Name={HOST}" for directory in self.layout.directories]
-        if not all([await self._says_ok(url) for url in checks]):
+        if not all([await self._returns_ok(url) for url in checks]):
             return False
         status = await self.status()
-        ready = [one for one in status.gateways if one.state == "ready"]
+        ready = [gateway for gateway in status.gateways if gateway.state == "ready"]
         return (
             len(ready) == len(self.layout.gateways)
             and sum(service.ready for service in status.services) == len(self.servers)
             and status.configuration_version >= FIRST_VERSION
         )
 
-    async def _says_ok(self, url: str) -> bool:
+    async def _returns_ok(self, url: str) -> bool:
         with suppress(aiohttp.ClientError, OSError, TimeoutError):
             async with self._http.get(url) as answer:
                 return answer.status == 200
         return False
 
-    async def _end(self) -> None:
-        """Gateways leave, which answers what is under way, then servers, then control nodes."""
+    async def _stop(self) -> None:
+        """Ends the gateways first, which completes their open requests, then servers, then control nodes."""
         await asyncio.gather(*(self.roles[machine.name].terminate() for machine in self.layout.gateways))
         for server_id, heartbeats in self._heartbeats.items():
             await heartbeats.stop()
--- a/brackenladder/system/local/traffic.py
+++ b/brackenladder/system/local/traffic.py
@@ -1,4 +1,4 @@
-"""Clients of a local system that send all the while, and the count of what they got."""
+"""Clients that send requests to a local system all the time, and counts of their outcomes."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from brackenladder.local_site.layout import ZONES, Layout
 from brackenladder.rehearsal.standins.model_clients import ModelClient, Outcome, OutcomeKind
 
-CHATS_A_SECOND, CARDS_A_SECOND = 2.0, 4.0  # of each zone's client
+CHATS_PER_SECOND, CARDS_PER_SECOND = 2.0, 4.0  # for the client of each zone
 MILLISECONDS = 1000
-MOST_DETAILS = 5
+MAX_DETAILS = 5
 
 
 @define
 class Tally:
-    """What became of the requests of one kind."""
+    """The outcomes of the requests of one kind."""
 
     counts: Counter[OutcomeKind] = Factory(Counter)
-    seconds: list[float] = Factory(list)  # of those that were served
-    details: Counter[str] = Factory(Counter)  # of those that were not
+    seconds: list[float] = Factory(list)  # response times of served requests
+    details: Counter[str] = Factory(Counter)  # reasons of requests that were not served
 
     def add(self, outcome: Outcome) -> None:
         """Counts one request."""
@@ -35,18 +35,18 @@
             self.details[outcome.detail] += 1
 
     @property
-    def lost(self) -> int:
-        """Requests that were not served."""
+    def unserved(self) -> int:
+        """Number of requests that were not served."""
         return self.counts[OutcomeKind.REFUSED] + self.counts[OutcomeKind.FAILED]
 
     def document(self) -> dict[str, Any]:
-        """For the summary; times in milliseconds."""
+        """Returns the counts for the summary, with times in milliseconds."""
         ordered = sorted(self.seconds)
         return {
             **{kind.name.lower(): self.counts[kind] for kind in OutcomeKind},
             "p50_ms": _quantile_ms(ordered, 0.5),
             "p99_ms": _quantile_ms(ordered, 0.99),
-            "details": dict(self.details.most_common(MOST_DETAILS)),
+            "details": dict(self.details.most_common(MAX_DETAILS)),
         }
 
 
@@ -57,7 +57,7 @@
 
 
 class Traffic:
-    """One client a zone; each sends chats and cards at random moments."""
+    """One client for each zone, which sends chat and card requests at random times."""
 
     def __init__(self, layout: Layout, seed: int) -> None:
         self.tallies = {"chat": Tally(), "cards": Tally()}
@@ -67,33 +67,33 @@
             for zone, region in ZONES.items()
         ]
         self._senders: list[asyncio.Task[None]] = []
-        self._open: set[asyncio.Task[None]] = set()
+        self._in_flight: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Begins to send."""
+        """Starts the clients."""
         for client in self._clients:
             await client.start()
             self._senders += [
-                asyncio.create_task(self._send(client, "chat", CHATS_A_SECOND)),
-                asyncio.create_task(self._send(client, "cards", CARDS_A_SECOND)),
+                asyncio.create_task(self._send(client, "chat", CHATS_PER_SECOND)),
+                asyncio.create_task(self._send(client, "cards", CARDS_PER_SECOND)),
             ]
 
     async def stop(self) -> None:
-        """Sends no more, waits for what is open, then ends."""
+        """Stops sending, waits for open requests, then closes the clients."""
         for sender in self._senders:
             sender.cancel()
         await asyncio.gather(*self._senders, return_exceptions=True)
-        await asyncio.gather(*self._open)
+        await asyncio.gather(*self._in_flight)
         for client in self._clients:
             await client.close()
 
     async def _send(self, client: ModelClient, kind: str, rate: float) -> None:
         while True:
             await asyncio.sleep(self._random.expovariate(rate))
-            task = asyncio.create_task(self._ask(client, kind))
-            self._open.add(task)
-            task.add_done_callback(self._open.discard)
+            task = asyncio.create_task(self._request(client, kind))
+            self._in_flight.add(task)
+            task.add_done_callback(self._in_flight.discard)
 
-    async def _ask(self, client: ModelClient, kind: str) -> None:
+    async def _request(self, client: ModelClient, kind: str) -> None:
         spec = chat_request(self._random) if kind == "chat" else card_request()
         self.tallies[kind].add(await client.ask(spec))
--- a/brackenladder/system/options.py
+++ b/brackenladder/system/options.py
@@ -18,21 +18,26 @@
     typer.Option(
         "--control",
         envvar=CONTROL_VARIABLE,
-        help="Control address of a node, ip:port; several times, or separated by spaces in the variable.",
+        help="Control address of a node, ip:port. May be repeated; in the variable, separated by spaces.",
     ),
 ]
 OptionalControlOption = Annotated[
     list[str] | None,
-    typer.Option("--control", envvar=CONTROL_VARIABLE, help="As for the other commands; for an update."),
+    typer.Option(
+        "--control", envvar=CONTROL_VARIABLE, help="As for the other commands. Needed to check an update."
+    ),
 ]
-PatienceOption = Annotated[
-    float, typer.Option("--patience", min=0.0, help="Seconds after which a call without a clear answer ends.")
+TimeoutOption = Annotated[
+    float,
+    typer.Option(
+        "--patience", min=0.0, help="Seconds for which a call is retried until its outcome is clear."
+    ),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Prints one JSON object.")]
 
 
 def control_client(nodes: list[str], timeout_s: float) -> ControlClient:
-    """A client for the nodes that an option names."""
+    """Returns a client for the nodes that `--control` names."""
     if not nodes:
         raise UsageError(f"no control node is named: give --control ip:port or set {CONTROL_VARIABLE}")
     try:
--- a/brackenladder/system/output.py
+++ b/brackenladder/system/output.py
@@ -1,4 +1,4 @@
-"""What commands print: lines for people, one JSON object with `--json`."""
+"""Output of the commands: readable lines, or one JSON object with `--json`."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from typing import Any
 
 
-def say(line: str) -> None:
-    """One line, or a text, on standard output."""
+def print_line(line: str) -> None:
+    """Prints a line or a longer text on standard output."""
     print(line, flush=True)
 
 
-def note(line: str) -> None:
-    """One line beside the answer, on standard error."""
+def print_to_stderr(line: str) -> None:
+    """Prints a line on standard error, so that standard output holds only the result."""
     print(line, file=sys.stderr, flush=True)
 
 
 def print_json(document: Any) -> None:
-    """One JSON object on one line."""
-    say(json.dumps(document, ensure_ascii=False))
+    """Prints a JSON object on one line."""
+    print_line(json.dumps(document, ensure_ascii=False))
--- a/brackenladder/system/status_command.py
+++ b/brackenladder/system/status_command.py
@@ -1,4 +1,4 @@
-"""`status`: how the control nodes see the system."""
+"""The command `status`: the state of the system as the control nodes report it."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
 from brackenladder.operator_client.control_client import ControlClient
 from brackenladder.operator_client.errors import CommandError, ExitCode
 from brackenladder.system.options import ControlOption, JsonOption, control_client
-from brackenladder.system.output import note, print_json, say
-from brackenladder.system.status_text import in_order, status_lines
+from brackenladder.system.output import print_json, print_line, print_to_stderr
+from brackenladder.system.status_text import has_quorum, status_lines
 
-Told = dict[str, Result[ControlStatus, str]]
+StatusResults = dict[str, Result[ControlStatus, str]]
 
 
 def status(control: ControlOption, as_json: JsonOption = False) -> int:
-    """Leader, voters, revision, configuration, servers and gateways, as the best informed node tells.
+    """Prints leader, voters, revision, configuration, servers and gateways, from the most current node.
 
     Exit code 0: changes are acknowledged. 1: there is no quorum, or no node answers.
     """
-    told = asyncio.run(_ask(control_client(control, 0.0)))
-    known = [one.unwrap() for one in told.values() if one.value_or(None) is not None]
-    silent = {node: one.failure() for node, one in told.items() if one.value_or(None) is None}
-    if not known:
-        raise CommandError(f"no control node answers: {'; '.join(silent.values())}")
-    best = max(known, key=lambda one: (in_order(one), one.commit_index, one.role == "leader"))
+    results = asyncio.run(_fetch_statuses(control_client(control, 0.0)))
+    statuses = [result.unwrap() for result in results.values() if result.value_or(None) is not None]
+    failures = {node: result.failure() for node, result in results.items() if result.value_or(None) is None}
+    if not statuses:
+        raise CommandError(f"no control node answers: {'; '.join(failures.values())}")
+    best = max(
+        statuses, key=lambda status: (has_quorum(status), status.commit_index, status.role == "leader")
+    )
     if as_json:
-        print_json(status_document(best) | {"InOrder": in_order(best), "Silent": silent})
+        print_json(status_document(best) | {"InOrder": has_quorum(best), "Silent": failures})
     else:
         for line in status_lines(best):
-            say(line)
-        for reason in silent.values():
-            note(f"no answer: {reason}")
-    return ExitCode.SUCCESS if in_order(best) else ExitCode.FAILED
+            print_line(line)
+        for reason in failures.values():
+            print_to_stderr(f"no answer: {reason}")
+    return ExitCode.SUCCESS if has_quorum(best) else ExitCode.FAILED
 
 
-async def _ask(client: ControlClient) -> Told:
+async def _fetch_statuses(client: ControlClient) -> StatusResults:
     async with client:
         return await client.statuses()
--- a/brackenladder/system/status_text.py
+++ b/brackenladder/system/status_text.py
@@ -1,4 +1,4 @@
-"""`status` for people."""
+"""The status of a control node as readable lines."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from brackenladder.control_plane.status import ControlStatus, GatewayStatus, MemberStatus
 
 
-def in_order(status: ControlStatus) -> bool:
-    """Whether changes are acknowledged: a leader is known and this node is in touch with it."""
+def has_quorum(status: ControlStatus) -> bool:
+    """Whether changes are acknowledged: the node knows a leader and is in contact with it."""
     return status.leader is not None and status.in_touch
 
 
 def status_lines(status: ControlStatus) -> list[str]:
-    """A line for each thing."""
+    """Returns the lines that `status` prints."""
     evacuated = ", ".join(status.evacuated_zones) or "none"
     lines = [
         f"asked         {status.node.address} ({status.role}, term {status.term})",
@@ -24,14 +24,17 @@
         f"configuration version {status.configuration_version}, evacuated zones: {evacuated}",
     ]
     if status.outgoing:
-        lines.insert(3, f"outgoing      {_members(status.outgoing)}: a change of members is under way")
+        lines.insert(3, f"outgoing      {_members(status.outgoing)}: a change of members is in progress")
     lines += [
-        f"servers       {one.name}: {one.ready} ready ({one.cold} cold), {one.draining} draining"
-        for one in status.services
+        f"servers       {service.name}: {service.ready} ready ({service.cold} cold), "
+        f"{service.draining} draining"
+        for service in status.services
     ] or ["servers       none"]
-    lines += [_gateway(one, status.revision) for one in status.gateways] or ["gateways      none"]
-    lines += [f"VIOLATED      {one.invariant}: {one.count} times" for one in status.violations]
-    if not in_order(status):
+    lines += [_gateway(gateway, status.revision) for gateway in status.gateways] or ["gateways      none"]
+    lines += [
+        f"VIOLATED      {violation.invariant}: {violation.count} times" for violation in status.violations
+    ]
+    if not has_quorum(status):
         lines.append("NO QUORUM     changes are not acknowledged here; traffic goes on with what is known")
     return lines
 
@@ -57,12 +60,15 @@
 
 def _gateway(gateway: GatewayStatus, revision: int) -> str:
     if gateway.revision is None:
-        has = "not connected here"
+        revision_text = "not connected here"
     elif gateway.revision < revision:
-        has = f"revision {gateway.revision}, behind"
+        revision_text = f"revision {gateway.revision}, behind"
     elif gateway.revision > revision:
-        has = f"revision {gateway.revision}, ahead of the node asked"
+        revision_text = f"revision {gateway.revision}, ahead of the node asked"
     else:
-        has = f"revision {gateway.revision}"
-    silent = gateway.silent_ms / 1000
-    return f"gateway       {gateway.node} {gateway.zone}: {gateway.state}, {has}, heard {silent:.1f} s ago"
+        revision_text = f"revision {gateway.revision}"
+    silent_s = gateway.silent_ms / 1000
+    return (
+        f"gateway       {gateway.node} {gateway.zone}: {gateway.state}, {revision_text},"
+        f" heard {silent_s:.1f} s ago"
+    )
--- a/brackenladder/system/store_commands.py
+++ b/brackenladder/system/store_commands.py
@@ -1,4 +1,4 @@
-"""`store inspect`, `verify` and `backup`: of a control node that is stopped."""
+"""The commands `store inspect`, `verify` and `backup`, for the store of a stopped control node."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from brackenladder.operator_client.errors import CommandError, ExitCode
 from brackenladder.system.options import JsonOption
-from brackenladder.system.output import note, print_json, say
-from brackenladder.system.store_copy import integrity_faults, opened_copy, source_of, write_backup
-from brackenladder.system.store_report import report_of
+from brackenladder.system.output import print_json, print_line, print_to_stderr
+from brackenladder.system.store_copy import integrity_faults, open_copy, store_file, write_backup
+from brackenladder.system.store_report import read_report
 
-store = typer.Typer(help="The store of a control node that is stopped.")
+store = typer.Typer(help="The store of a stopped control node.")
 PlaceArgument = Annotated[Path, typer.Argument(help="The folder that DataDir names, or a backup file.")]
 
 
@@ -23,37 +23,37 @@
     place: PlaceArgument,
     configuration: Annotated[
         bool,
-        typer.Option("--configuration", help="Prints the configuration that it holds, and nothing else."),
+        typer.Option("--configuration", help="Prints only the configuration in the store."),
     ] = False,
     as_json: JsonOption = False,
 ) -> None:
-    """What a store holds. It is read, never changed."""
-    with opened_copy(place) as opened:
-        reported = report_of(opened, str(source_of(place)))
-    if isinstance(reported, Failure):
-        raise CommandError(reported.failure())
-    report = reported.unwrap()
+    """Prints the content of a store, without changing it."""
+    with open_copy(place) as opened_store:
+        result = read_report(opened_store, str(store_file(place)))
+    if isinstance(result, Failure):
+        raise CommandError(result.failure())
+    report = result.unwrap()
     if configuration:
         if not report.configuration:
             raise CommandError(f"{place}: holds no configuration")
-        say(report.configuration.decode())
+        print_line(report.configuration.decode())
     elif as_json:
         print_json(report.document())
     else:
         for line in report.lines():
-            say(line)
+            print_line(line)
 
 
 @store.command()
 def verify(place: PlaceArgument, as_json: JsonOption = False) -> int:
-    """Reads all of a store and checks it. Exit code 0: sound. 1: damaged."""
+    """Reads and checks the whole store. Exit code 0: sound. 1: damaged."""
     faults: list[str] = []
     try:
-        with opened_copy(place) as opened:
-            reported = report_of(opened, str(source_of(place)))
-            if isinstance(reported, Failure):
-                faults.append(reported.failure())
-            faults += integrity_faults(opened)
+        with open_copy(place) as opened_store:
+            result = read_report(opened_store, str(store_file(place)))
+            if isinstance(result, Failure):
+                faults.append(result.failure())
+            faults += integrity_faults(opened_store)
     except CommandError as error:
         if error.code is not ExitCode.FAILED:
             raise
@@ -61,10 +61,10 @@
     if as_json:
         print_json({"Place": str(place), "Faults": faults})
     elif not faults:
-        say(f"{place}: sound")
+        print_line(f"{place}: sound")
     else:
         for fault in faults:
-            note(f"{place}: {fault}")
+            print_to_stderr(f"{place}: {fault}")
     return ExitCode.FAILED if faults else ExitCode.SUCCESS
 
 
@@ -74,15 +74,15 @@
     target: Annotated[Path, typer.Argument(help="The file to write; it must not exist.")],
     as_json: JsonOption = False,
 ) -> None:
-    """Writes a store as one file, and checks what was written."""
+    """Copies a store to one file and checks the copy."""
     write_backup(place, target)
-    with opened_copy(target) as opened:
-        reported = report_of(opened, str(target))
-    if isinstance(reported, Failure):
-        raise CommandError(reported.failure())
-    report = reported.unwrap()
+    with open_copy(target) as opened_store:
+        result = read_report(opened_store, str(target))
+    if isinstance(result, Failure):
+        raise CommandError(result.failure())
+    report = result.unwrap()
     if as_json:
         print_json(report.document() | {"File": str(target)})
     else:
         version = report.configuration_version
-        say(f"{target}: entries up to {report.last_index}, configuration version {version}")
+        print_line(f"{target}: entries up to {report.last_index}, configuration version {version}")
--- a/brackenladder/system/store_copy.py
+++ b/brackenladder/system/store_copy.py
@@ -1,4 +1,4 @@
-"""A copy of a store that no process has open: the original is read under a lock and never written."""
+"""Copies a store that no process has open. The original is read under a lock and never written."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from brackenladder.storage.sqlite_file import FILE_NAME, WAL_SUFFIX, has_store, sync_to_disk
 from brackenladder.storage.sqlite_log import SqliteLogStore, open_store
 
-# The bytes of the file that sqlite3 locks: a reader shares them, a process that has the store open owns them.
+# The byte range that sqlite3 locks: shared by readers, exclusive for the process that has the store open.
 LOCK_START = 0x4000_0002
 LOCK_BYTES = 510
 
 
 @contextmanager
-def opened_copy(place: Path) -> Iterator[SqliteLogStore]:
-    """The store in a folder, or of a backup file, opened as a private copy.
+def open_copy(place: Path) -> Iterator[SqliteLogStore]:
+    """Opens a private copy of the store in a folder, or of a backup file.
 
-    `Unusable` where there is none, or one that is in use; a CommandError if it is damaged.
+    Raises UsageError if there is no store or it is in use, CommandError if it is damaged.
     """
-    source = source_of(place)
+    source = store_file(place)
     if not source.is_file():
         raise UsageError(f"{place}: there is no store")
     with TemporaryDirectory(prefix="store-") as folder:
@@ -37,12 +37,12 @@
         _copy(source, target)
         found = has_store(str(target))
         if isinstance(found, Failure):
-            raise CommandError(_named(found.failure(), target, source))
+            raise CommandError(_with_original_name(found.failure(), target, source))
         if not found.unwrap():
             raise UsageError(f"{place}: there is no store")
         opened = open_store(folder, lambda: "")
         if isinstance(opened, Failure):
-            raise CommandError(_named(opened.failure(), target, source))
+            raise CommandError(_with_original_name(opened.failure(), target, source))
         store = opened.unwrap()
         try:
             yield store
@@ -50,23 +50,23 @@
             store.close()
 
 
-def source_of(place: Path) -> Path:
-    """The file of a store: in a folder, or the place itself."""
+def store_file(place: Path) -> Path:
+    """Returns the file of a store: the one in the folder `place`, or `place` itself."""
     return place / FILE_NAME if place.is_dir() else place
 
 
 def write_backup(place: Path, target: Path) -> None:
-    """Writes the store as one file that appears whole or not at all; an existing file stays."""
+    """Writes the store to one file, atomically. An existing file is not replaced."""
     if target.exists():
         raise UsageError(f"{target}: exists already")
-    with opened_copy(place) as store:
+    with open_copy(place) as store:
         source = Path(store.path)
-        store.close()  # the pages of the WAL go to the file
+        store.close()  # checkpoints the WAL into the file
         unfinished = target.with_name(f"{target.name}.new")
         try:
             shutil.copyfile(source, unfinished)
             sync_to_disk(unfinished)
-            os.link(unfinished, target)  # fails where a file has appeared meanwhile
+            os.link(unfinished, target)  # fails if the target has been created in the meantime
             sync_to_disk(target.absolute().parent)
         except OSError as error:
             raise UsageError(f"{target}: cannot be written: {error.strerror}") from None
@@ -76,7 +76,7 @@
 
 
 def integrity_faults(store: SqliteLogStore) -> list[str]:
-    """What sqlite3's own check finds; the store is closed by it."""
+    """Returns the faults that sqlite3's integrity check finds. Closes the store."""
     store.close()
     with closing(sqlite3.connect(store.path)) as connection:
         found = [str(row[0]) for row in connection.execute("PRAGMA integrity_check(5)")]
@@ -84,7 +84,7 @@
 
 
 def _copy(source: Path, target: Path) -> None:
-    """Copies the file and its WAL while no process can open them for writing."""
+    """Copies the file and its WAL under a lock that keeps other processes from opening them for writing."""
     try:
         with source.open("rb") as file:
             try:
@@ -99,6 +99,6 @@
         raise UsageError(f"{source}: cannot be read: {error.strerror}") from None
 
 
-def _named(error: object, copy: Path, source: Path) -> str:
-    """An error's line with the name of the original."""
+def _with_original_name(error: object, copy: Path, source: Path) -> str:
+    """Returns the text of an error with the name of the original file in place of the copy's."""
     return str(error).replace(str(copy), str(source))
--- a/brackenladder/system/store_report.py
+++ b/brackenladder/system/store_report.py
@@ -1,4 +1,4 @@
-"""What a store holds: its identity, votes, members, entries, and the state that the log leads to."""
+"""Summary of a store: its identity, votes, members and entries, and the state after replaying its log."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @frozen
 class StoreReport:
-    """A store as `store inspect` tells it.
+    """The content of a store as `store inspect` prints it.
 
-    The newest entries may not be committed: what they change counts only once a majority has them.
+    It includes the newest entries although they may not be committed: only a majority can commit them.
     """
 
     replica_id: str
     format: int
     term: int
     voted_for: str
-    snapshot_index: int  # 0: there is none
+    snapshot_index: int  # 0 if there is no snapshot
     snapshot_bytes: int
     first_index: int
     last_index: int
@@ -37,12 +37,12 @@
     entry_bytes: int
     members: Members
     revision: int
-    configuration_version: int  # 0: there is none
+    configuration_version: int  # 0 if there is no configuration
     configuration: bytes
     evacuated_zones: tuple[str, ...]
 
     def document(self) -> dict[str, Any]:
-        """For `--json`."""
+        """Returns the object that `--json` prints."""
         return {
             "ReplicaId": self.replica_id,
             "Format": self.format,
@@ -63,7 +63,7 @@
         }
 
     def lines(self) -> list[str]:
-        """For people."""
+        """Returns the readable lines."""
         kinds = ", ".join(f"{count} {kind}" for kind, count in self.entries.items()) or "none"
         snapshot = f"at {self.snapshot_index}, {self.snapshot_bytes} bytes" if self.snapshot_index else "none"
         return [
@@ -79,8 +79,8 @@
         ]
 
 
-def report_of(store: SqliteLogStore, name: str) -> Result[StoreReport, str]:
-    """The report, or the first thing that is wrong with the content; `name` is the file's in the message."""
+def read_report(store: SqliteLogStore, name: str) -> Result[StoreReport, str]:
+    """Reports the content of a store, or its first fault. `name` stands for the file in the error text."""
     loaded: Result[DurableState, StoreError] = store.load()
     if isinstance(loaded, Failure):
         return Failure(str(loaded.failure()).replace(store.path, name))
@@ -113,7 +113,7 @@
 
 
 def _replay(catalog: Catalog, state: DurableState) -> Members:
-    """Leads the catalog through the log; the newest members."""
+    """Applies snapshot and log to the catalog and returns the newest members."""
     members = Members()
     if state.snapshot is not None:
         members = state.snapshot.members
@@ -125,7 +125,7 @@
             members = decode_members(entry.data)
         command = assembler.take(entry)
         if command is not None:
-            decode_order(command)  # `apply` would take what it does not know for an invalid order
+            decode_order(command)  # raises for an unknown order, which `apply` would only count as invalid
             catalog.apply(entry.index, command)
     return members
 
--- a/tests/system/test_capacity_arithmetic.py
+++ b/tests/system/test_capacity_arithmetic.py
@@ -37,7 +37,7 @@
 
 SMALL = Size(gateways=3, servers=40, control_nodes=3, routes=12, zones=3)
 
-sys.path.remove(BENCHMARKS)  # it has a module of the name of the folder tests/rpc
+sys.path.remove(BENCHMARKS)  # it has a module with the same name as the folder tests/rpc
 
 
 class PercentileTest(unittest.TestCase):
@@ -51,18 +51,18 @@
         self.assertEqual(percentile([7.0], 0.5), 7.0)
         self.assertEqual(percentile([7.0], 0.99), 7.0)
 
-    def test_no_values_and_no_share_are_refused(self) -> None:
+    def test_no_values_and_invalid_shares_are_refused(self) -> None:
         self.assertRaises(TooFewValues, percentile, [], 0.5)
         self.assertRaises(ValueError, percentile, [1.0], 0.0)
         self.assertRaises(ValueError, percentile, [1.0], 1.5)
 
-    def test_spread_names_the_worst(self) -> None:
+    def test_spread_includes_the_worst_value(self) -> None:
         figures = spread([3.0, 1.0, 2.0])
         self.assertEqual((figures.p50, figures.p99, figures.worst, figures.count), (2.0, 3.0, 3.0, 3))
 
 
 class SlopeTest(unittest.TestCase):
-    def test_a_straight_line_is_found_again(self) -> None:
+    def test_a_straight_line_is_recovered(self) -> None:
         line = fit_line([30, 100, 300], [5 + 2 * size for size in (30, 100, 300)])
         self.assertAlmostEqual(line.fixed, 5)
         self.assertAlmostEqual(line.slope, 2)
@@ -77,14 +77,14 @@
         self.assertRaises(TooFewValues, fit_line, [30, 30], [1, 2])
         self.assertRaises(ValueError, fit_line, [30], [1, 2])
 
-    def test_exponents_tell_how_a_load_grows(self) -> None:
+    def test_growth_exponents_of_constant_linear_and_quadratic_loads(self) -> None:
         sizes = [30, 100, 300]
         self.assertAlmostEqual(growth_exponent(sizes, [4, 4, 4]), 0)
         self.assertAlmostEqual(growth_exponent(sizes, [0.1 * size for size in sizes]), 1)
         self.assertAlmostEqual(growth_exponent(sizes, [0.1 * size * size for size in sizes]), 2)
         self.assertRaises(ValueError, growth_exponent, sizes, [0, 1, 2])
 
-    def test_what_one_unit_adds(self) -> None:
+    def test_increase_per_unit(self) -> None:
         self.assertEqual(per_unit(100, 160, 30), 2)
         self.assertRaises(ValueError, per_unit, 1, 2, 0)
 
@@ -108,7 +108,7 @@
 
 
 class TrafficTest(unittest.TestCase):
-    def test_both_directions_are_counted_with_their_prefix(self) -> None:
+    def test_both_directions_are_counted_with_the_length_prefix(self) -> None:
         codec = CountingCodec()
         data = codec.encode(GatewayCount(1, 490))
         codec.decode(data)
@@ -116,7 +116,7 @@
         self.assertEqual(codec.received.messages["GatewayCount"], 1)
         self.assertEqual(codec.received.total_bytes, codec.sent.total_bytes)
 
-    def test_a_difference_holds_only_what_came_since(self) -> None:
+    def test_a_difference_has_only_later_traffic(self) -> None:
         traffic = Traffic()
         traffic.add("Ack", 10)
         before = traffic.copy()
@@ -136,7 +136,7 @@
 
 
 class WorkloadTest(unittest.TestCase):
-    def test_heartbeats_are_read_and_rise(self) -> None:
+    def test_heartbeats_are_parsed_and_their_numbers_increase(self) -> None:
         server = hollow_server(5, SMALL)
         first, second = (parse_heartbeat(server.id, server.body()).unwrap() for _ in range(2))
         self.assertEqual(second.seq, first.seq + 1)
@@ -149,7 +149,7 @@
         self.assertEqual(len({server.id for server in servers}), TARGET.servers)
         self.assertEqual(len({server.address for server in servers}), TARGET.servers)
 
-    def test_changes_are_taken_one_after_the_other(self) -> None:
+    def test_successive_changes_are_accepted(self) -> None:
         catalog = Catalog()
         self.assertEqual(catalog.apply(1, replacing_order(1, SMALL.routes)), Accepted(1))
         self.assertEqual(catalog.apply(2, updating_order(1, 2, route=3)), Accepted(2))
@@ -157,7 +157,7 @@
         assert catalog.configuration is not None
         self.assertEqual(len(catalog.configuration.routes), SMALL.routes)
 
-    def test_a_document_is_the_same_each_time(self) -> None:
+    def test_configuration_documents_are_deterministic(self) -> None:
         self.assertEqual(configuration_document(1, 8), configuration_document(1, 8))
 
 
--- a/tests/system/test_local_status.py
+++ b/tests/system/test_local_status.py
@@ -1,4 +1,4 @@
-"""Whose view a local run tells of."""
+"""Which control node's status a local run reports."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 CURRENT = SimpleNamespace(applied_index=7)
 
 
-class Nodes:
-    """Control nodes of which the one that has just restarted answers first."""
+class FakeControlClient:
+    """A client of control nodes of which one that has just restarted answers first."""
 
     def __init__(self, first: object) -> None:
         self.first = first
@@ -29,12 +29,12 @@
 class LocalStatusTest(IsolatedAsyncioTestCase):
     def system(self, first: object) -> LocalSystem:
         system = LocalSystem.__new__(LocalSystem)
-        system.control = Nodes(first)
+        system.control = FakeControlClient(first)
         return system
 
-    async def test_the_node_that_has_applied_most_is_told_of(self) -> None:
+    async def test_the_status_of_the_node_that_has_applied_most_is_reported(self) -> None:
         self.assertIs(await self.system(Success(RESTARTED)).status(), CURRENT)
 
-    async def test_no_node_at_all_is_an_error(self) -> None:
+    async def test_no_answer_from_any_node_is_an_error(self) -> None:
         with self.assertRaises(LocalError):
             await self.system(Failure("no answer")).status()
--- a/tests/system/test_system_end_to_end.py
+++ b/tests/system/test_system_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole system as real processes on loopback: configuration, servers, streams, ends of processes."""
+"""The whole system as real processes on loopback: configuration, servers, streams, process exits."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 from brackenladder.rehearsal.standins.model_clients import ModelClient, OutcomeKind
 from brackenladder.system.local.local_system import LocalSystem
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+TIMEOUT_SECONDS = 20.0  # reached only by a failing test
 EVENTS_BEFORE_END = 3
-LONG_ANSWER = 400  # tokens: about 2 s
+LONG_ANSWER_TOKENS = 400  # tokens: about 2 s
 
 
 def own_network() -> str:
-    """Addresses that no other process's tests use."""
+    """Returns a loopback network that no concurrent test process uses."""
     pid = os.getpid() % 65_536
     return f"127.{210 + pid // 256 % 40}.{pid % 256}"
 
@@ -45,13 +45,15 @@
         self.addAsyncCleanup(self.client.close)
 
     def executed(self) -> int:
-        """How often any server has begun to work on a request."""
+        """Number of request executions that all servers have begun."""
         return sum(sum(server.executed.values()) for server in self.system.servers.values())
 
-    async def test_a_configuration_and_heartbeats_bring_requests_to_servers(self) -> None:
+    async def test_with_configuration_and_heartbeats_requests_reach_servers(self) -> None:
         status = await self.system.status()
-        self.assertEqual({one.name: one.ready for one in status.services}, {"cards": 3, "chat": 4})
-        self.assertEqual({one.revision for one in status.gateways}, {status.revision})
+        self.assertEqual(
+            {service.name: service.ready for service in status.services}, {"cards": 3, "chat": 4}
+        )
+        self.assertEqual({gateway.revision for gateway in status.gateways}, {status.revision})
         fetched = (await self.system.control.fetch()).unwrap()
         self.assertEqual(json.loads(fetched), first_configuration())
         for gateway in self.layout.gateways:
@@ -73,12 +75,12 @@
                 lambda at=gateway.front: self.has_route(at, "later"), "no such route"
             )
 
-        async def back() -> bool:
+        async def is_back() -> bool:
             role = self.system.roles[killed.name]
             status = await self.system.status()
-            return [end.status for end in role.exits] == [-signal.SIGKILL] and len(status.voters) == 3
+            return [ended.status for ended in role.exits] == [-signal.SIGKILL] and len(status.voters) == 3
 
-        await self.system.wait_until(back, "the killed node is not back")
+        await self.system.wait_until(is_back, "the killed node is not back")
 
     async def has_route(self, front: str, name: str) -> bool:
         """Whether a gateway serves requests on a route."""
@@ -89,37 +91,37 @@
         writer.close()
         return status == HTTPStatus.OK
 
-    async def test_a_stream_under_way_ends_whole_at_a_gateway_that_is_told_to_end(self) -> None:
+    async def test_a_gateway_completes_an_open_stream_after_sigterm(self) -> None:
         gateway = self.layout.gateways[0]
         process = self.system.roles[gateway.name]
-        under_way = asyncio.Event()
-        spec = chat_request(Random(3), tokens_out=LONG_ANSWER)
+        in_progress = asyncio.Event()
+        spec = chat_request(Random(3), tokens_out=LONG_ANSWER_TOKENS)
         answer = asyncio.create_task(
             self.client.ask(
-                spec, lambda number: number >= EVENTS_BEFORE_END and under_way.set(), gateway.front
+                spec, lambda number: number >= EVENTS_BEFORE_END and in_progress.set(), gateway.front
             )
         )
-        async with asyncio.timeout(PATIENCE):
-            await under_way.wait()
+        async with asyncio.timeout(TIMEOUT_SECONDS):
+            await in_progress.wait()
             process.send(signal.SIGTERM)
-            await self.system.wait_until(self.not_named, "the directory still names the gateway")
+            await self.system.wait_until(self.not_listed, "the directory still lists the gateway")
             self.assertFalse(answer.done())
             outcome = await answer
         self.assertEqual((outcome.kind, outcome.detail), (OutcomeKind.SERVED, ""))
         self.assertEqual(self.executed(), 1)
 
-        async def ended() -> bool:
+        async def has_ended() -> bool:
             return bool(process.exits)
 
-        await self.system.wait_until(ended, "the gateway did not end")
+        await self.system.wait_until(has_ended, "the gateway did not end")
         self.assertEqual(process.exits[0].status, 0)
 
-    async def not_named(self) -> bool:
-        """Whether no directory sends clients to the first gateway any more."""
-        named = set()
+    async def not_listed(self) -> bool:
+        """Whether no directory returns the first gateway to clients any more."""
+        listed = set()
         for directory in self.layout.directories:
             client = ModelClient((directory,), "north", "north-a", Random(1))
             await client.start()
-            named.update(await client.resolve(HOST))
+            listed.update(await client.resolve(HOST))
             await client.close()
-        return self.layout.gateways[0].front not in named
+        return self.layout.gateways[0].front not in listed
--- a/tests/system/test_system_local.py
+++ b/tests/system/test_system_local.py
@@ -1,4 +1,4 @@
-"""`local` as a process of its own: by time and by Ctrl-C, and what it leaves behind: nothing."""
+"""The command `local` as a separate process: it ends in time or on Ctrl-C and leaves nothing behind."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from test_system_commands import PAGE
 from test_system_end_to_end import own_network
 
-PATIENCE = 60.0  # seconds; only a failure waits so long
+TIMEOUT_SECONDS = 60.0  # reached only by a failing test
 ROOT = Path(__file__).parents[2]
 COMMAND = (sys.executable, "-m", "brackenladder.system", "local")
 
 
 class LocalCommandTest(IsolatedAsyncioTestCase):
     async def local(self, *arguments: str) -> asyncio.subprocess.Process:
-        """The command, started."""
+        """Starts the command."""
         pipe = asyncio.subprocess.PIPE
         process = await asyncio.create_subprocess_exec(
             *COMMAND, "--network", own_network(), *arguments, cwd=ROOT, stdout=pipe, stderr=pipe
@@ -28,14 +28,14 @@
         return process
 
     async def end(self, process: asyncio.subprocess.Process) -> None:
-        """After a failure: the command ends its processes itself."""
+        """Terminates the command after a failure. It ends its own child processes."""
         if process.returncode is None:
             process.terminate()
             await process.communicate()
 
-    async def test_a_fault_is_played_and_no_request_lost(self) -> None:
+    async def test_no_request_is_lost_under_an_injected_fault(self) -> None:
         process = await self.local("--seconds", "0.5", "--fault", "kill-leader", "--json")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             out, errors = await process.communicate()
         self.assertEqual(process.returncode, 0, errors.decode())
         summary = json.loads(out)
@@ -49,7 +49,7 @@
         process = await self.local()
         assert process.stdout is not None and process.stderr is not None
         lines = []
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while not lines or not lines[-1].startswith("Ctrl-C"):
                 line = (await process.stdout.readline()).decode()
                 if not line:
@@ -61,26 +61,26 @@
         self.assertTrue(any("curl -N" in line for line in lines))
         folder = Path(next(line for line in lines if "logs are in" in line).split()[-1])
         self.assertFalse(folder.exists())
-        self.assertEqual(self.processes_of(folder), [])
+        self.assertEqual(self.processes_with_settings_in(folder), [])
 
-    async def test_an_address_in_use_is_told_in_one_line(self) -> None:
+    async def test_an_address_in_use_is_reported_in_one_line(self) -> None:
         address = f"{own_network()}.1:8146"
         server = await asyncio.start_server(lambda _reader, _writer: None, *address.split(":"))
         self.addCleanup(server.close)
         process = await self.local()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             _, errors = await process.communicate()
         line = f"brackenladder: {address} can't be had (Address already in use): try another --network\n"
         self.assertEqual((process.returncode, errors.decode()), (1, line))
         self.assertIn(line.strip().replace(address, "IP:PORT"), PAGE.read_text())
 
-    def processes_of(self, folder: Path) -> list[str]:
-        """Processes whose settings file lay in a folder."""
-        found = []
+    def processes_with_settings_in(self, folder: Path) -> list[str]:
+        """Returns the ids of processes whose settings file was in a folder."""
+        process_ids = []
         for environment in Path("/proc").glob("[0-9]*/environ"):
             try:
                 if str(folder).encode() in environment.read_bytes():
-                    found.append(environment.parent.name)
+                    process_ids.append(environment.parent.name)
             except OSError:
                 continue
-        return found
+        return process_ids
--- a/tests/system/test_system_standins.py
+++ b/tests/system/test_system_standins.py
@@ -1,4 +1,4 @@
-"""The stand-in servers and clients of the whole system speak as its servers and clients do."""
+"""The stand-in servers and clients follow the protocol of real servers and clients."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class PromptCacheTest(unittest.TestCase):
-    def test_a_part_counts_only_if_all_before_it_are_kept(self) -> None:
+    def test_a_part_is_a_hit_only_if_all_parts_before_it_are_cached(self) -> None:
         cache = PromptCache(1000)
         first = parse_prompt("a:100,b:50,c:20", "170,8", 4)
         self.assertEqual((cache.unread(first), first.events), (170, 2))
@@ -27,7 +27,7 @@
         self.assertEqual(cache.unread(parse_prompt("a:100,b:50,d:30", "180,8", 4)), 30)
         self.assertEqual(cache.unread(parse_prompt("b:50,c:20", "70,8", 4)), 70)
 
-    def test_parts_unused_longest_give_way(self) -> None:
+    def test_least_recently_used_parts_are_evicted(self) -> None:
         cache = PromptCache(150)
         for name in ("a", "b"):
             cache.keep(parse_prompt(f"{name}:100", "100,4", 4))
@@ -35,8 +35,8 @@
         self.assertEqual(cache.unread(parse_prompt("b:100", "100,4", 4)), 0)
 
 
-class LosesAPiece(ModelServer):
-    """Leaves out the second event of every stream."""
+class DropsSecondEvent(ModelServer):
+    """A server that omits the second event of every stream."""
 
     def event_numbers(self, first: int, last: int) -> Iterable[int]:
         return (number for number in super().event_numbers(first, last) if number != 2)
@@ -46,11 +46,11 @@
     async def asyncSetUp(self) -> None:
         engine = EngineSettings(slots=1, queue=0, event_seconds=0.001)
         self.server = await self.start(ModelServer, engine)
-        self.rogue = await self.start(LosesAPiece, engine)
+        self.faulty_server = await self.start(DropsSecondEvent, engine)
         self.session = await self.enterAsyncContext(aiohttp.ClientSession())
 
     async def start(self, server_type: type[ModelServer], engine: EngineSettings) -> ModelServer:
-        """A server at an address of its own."""
+        """Starts a server at its own address."""
         host = own_address(Random())
         address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         server = server_type(ServerSettings("i-1", "chat", address, "north-a", engine))
@@ -59,12 +59,12 @@
         return server
 
     async def post(self, **headers: str) -> tuple[int, aiohttp.ClientResponse, bytes]:
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        renamed = {name.replace("_", "-"): value for name, value in headers.items()}
         url = f"http://{self.server.settings.address}/chat/x"
-        async with self.session.post(url, headers=HEADERS | named) as answer:
+        async with self.session.post(url, headers=HEADERS | renamed) as answer:
             return answer.status, answer, await answer.read()
 
-    async def test_a_stream_has_numbered_events_and_goes_on_after_the_last_one_that_came(self) -> None:
+    async def test_a_stream_numbers_its_events_and_resumes_after_the_last_one_received(self) -> None:
         status, answer, body = await self.post()
         self.assertEqual((status, answer.headers["X-Brackenladder-Request-Id"]), (200, "r1"))
         self.assertEqual(
@@ -73,11 +73,11 @@
         _, _, rest = await self.post(Last_Event_Id="2")
         self.assertEqual(rest, b"id: 3\ndata: piece 3 of 3\n\n")
 
-    async def test_what_has_not_run_says_so(self) -> None:
+    async def test_refused_requests_are_marked_as_not_executed(self) -> None:
         refusals = [await self.post(X_Brackenladder_Expected_Instance="i-2")]
         refusals.append(await self.post(X_Brackenladder_Request_Id=""))
         refusals.append(await self.post(X_Brackenladder_Token_Usage="many"))
-        async with self.server._slot():  # the only one; no request may wait here
+        async with self.server._slot():  # takes the only slot; no request may queue
             refusals.append(await self.post())
         self.assertEqual([status for status, _, _ in refusals], [421, 400, 400, 503])
         for _, answer, _ in refusals:
@@ -92,22 +92,22 @@
         async with self.session.get(f"{base}/-/report") as answer:
             self.assertEqual((await answer.json())["Running"], 0)
 
-    async def test_a_client_finds_a_stream_that_lacks_a_piece(self) -> None:
+    async def test_a_client_detects_a_missing_event(self) -> None:
         client = ModelClient((), "north", "north-a", Random(1))
         await client.start()
         self.addAsyncCleanup(client.close)
         spec = RequestSpec("h", "/chat/x", streaming=True, deadline_s=5.0)
         outcome = await client.ask(spec, gateway=self.server.settings.address)
         self.assertIs(outcome.kind, OutcomeKind.SERVED)
-        outcome = await client.ask(spec, gateway=self.rogue.settings.address)
+        outcome = await client.ask(spec, gateway=self.faulty_server.settings.address)
         self.assertEqual((outcome.kind, outcome.detail), (OutcomeKind.FAILED, "event 3 where 2 was due"))
 
 
 class DifferencesTest(unittest.TestCase):
-    def test_items_are_compared_by_name_and_the_version_left_out(self) -> None:
+    def test_items_are_compared_by_name_and_the_version_is_ignored(self) -> None:
         before = {"Version": 1, "Routes": [{"Name": "a", "TimeoutMs": 1}, {"Name": "b"}], "Limits": {"X": 1}}
         after = {"Version": 2, "Routes": [{"Name": "c"}, {"Name": "a", "TimeoutMs": 2}], "Limits": {"X": 1}}
         self.assertEqual(
-            [str(one) for one in differences(before, after)],
+            [str(difference) for difference in differences(before, after)],
             ["~ Routes.a.TimeoutMs: 1 -> 2", '- Routes.b: {"Name": "b"}', '+ Routes.c: {"Name": "c"}'],
         )
