--- a/brackenladder/system/config_commands.py
+++ b/brackenladder/system/config_commands.py
@@ -32,7 +32,7 @@
 def show(
     control: ControlOption, patience: TimeoutOption = DEFAULT_TIMEOUT_SECONDS, as_json: JsonOption = False
 ) -> None:
-    """Prints the configuration in force, as a quorum confirms it."""
+    """Prints the configuration in force, confirmed by a quorum."""
     document = json.loads(_fetch_current(control, patience) or b"{}")
     if not document:
         raise CommandError("there is no configuration yet")
--- a/brackenladder/system/local/run.py
+++ b/brackenladder/system/local/run.py
@@ -1,4 +1,4 @@
-"""The run of `local`: starts a system, sends traffic, injects a fault and sums up."""
+"""Implements `local`: starts a system, sends traffic, injects a fault and sums up."""
 
 from __future__ import annotations
 
--- a/tests/system/test_system_end_to_end.py
+++ b/tests/system/test_system_end_to_end.py
@@ -25,7 +25,7 @@
 
 TIMEOUT_SECONDS = 20.0  # reached only by a failing test
 EVENTS_BEFORE_END = 3
-LONG_ANSWER_TOKENS = 400  # tokens: about 2 s
+LONG_ANSWER_TOKENS = 400  # streamed in about 2 s
 
 
 def own_network() -> str:
