--- a/brackenladder/local_site/__init__.py
+++ b/brackenladder/local_site/__init__.py
@@ -1,1 +1,1 @@
-"""A whole system on one machine: its machines and addresses, its processes, its first configuration."""
+"""A complete system on one computer: its nodes and addresses, its processes, its first configuration."""
--- a/brackenladder/local_site/first_configuration.py
+++ b/brackenladder/local_site/first_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a local system starts with, and the requests that its clients send."""
+"""The first configuration of a local system, and the requests that its clients send."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 HOST = "local.example"
 CHAT_PATH, CARDS_PATH = "/chat/", "/cards/"
 FIRST_VERSION = 1
-SHARED_PROMPTS = 4  # different prompts that many requests begin with
+SHARED_PROMPTS = 4  # number of different prompt prefixes that requests share
 SHARED_TOKENS, OWN_TOKENS, TOKENS_OUT = 1200, 300, 80
 
 
 def first_configuration() -> dict[str, Any]:
-    """One streaming route to the model servers, one safe route to the plain ones."""
+    """Returns a streaming route to the model servers and a safe route to the plain servers."""
     return {
         "Version": FIRST_VERSION,
         "Routes": [
@@ -85,14 +85,14 @@
 
 
 def route_update(version: int, name: str) -> dict[str, Any]:
-    """A change that adds a route `name`, or sets it anew."""
+    """Returns an update that adds the route `name` or replaces it."""
     cards = next(route for route in first_configuration()["Routes"] if route["Name"] == "cards")
     route = cards | {"Name": name, "PathPrefix": f"/{name}/"}
     return {"Version": version, "Upsert": {"Routes": [route]}, "Remove": {}}
 
 
 def chat_request(random: Random, tokens_out: int = TOKENS_OUT, deadline_s: float = 8.0) -> RequestSpec:
-    """A streamed answer to a prompt whose beginning others share."""
+    """Returns a request with a streamed answer, whose prompt prefix other requests share."""
     shared = random.randrange(SHARED_PROMPTS)
     prompt = f"{0x5C1E07A0 + shared:08x}:{SHARED_TOKENS},{random.getrandbits(32):08x}:{OWN_TOKENS}"
     return RequestSpec(
@@ -107,5 +107,5 @@
 
 
 def card_request() -> RequestSpec:
-    """A small safe request."""
+    """Returns a small safe request."""
     return RequestSpec(HOST, f"{CARDS_PATH}7", streaming=False, deadline_s=3.0)
--- a/brackenladder/local_site/layout.py
+++ b/brackenladder/local_site/layout.py
@@ -1,4 +1,4 @@
-"""Who runs where in a local system: three regions of one zone each, and their settings files."""
+"""Addresses and settings files of a local system with three regions of one zone each."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ZONES = {f"{region}-a": region for region in REGIONS}
 FRONT_PORT, READY_PORT, CONTROL_PORT, DIRECTORY_PORT, SERVER_PORT = 8144, 8140, 8146, 8148, 8080
 INTERNAL_PORTS = (7660, 7675)
-FIRST_CONTROL, FIRST_GATEWAY, FIRST_SERVER = 1, 11, 21  # last numbers of their addresses
+FIRST_CONTROL, FIRST_GATEWAY, FIRST_SERVER = 1, 11, 21  # last number of the address of the first of each kind
 HEARTBEAT_MS = 600
 GRACE_S = 8
 DEFAULT_NETWORK = "127.77.0"
@@ -26,7 +26,7 @@
 
 @frozen
 class Machine:
-    """A process of the system and where it runs."""
+    """A node process with its address and zone."""
 
     name: str
     role: str  # gateway or control
@@ -35,33 +35,33 @@
 
     @property
     def front(self) -> str:
-        """Where clients connect."""
+        """Address for client connections."""
         return f"{self.ip}:{FRONT_PORT}"
 
     @property
     def ready(self) -> str:
-        """Where a gateway tells whether it is ready."""
+        """Address of a gateway's readiness check."""
         return f"{self.ip}:{READY_PORT}"
 
     @property
     def control(self) -> str:
-        """Where operators and servers call."""
+        """Address for calls from operators and servers."""
         return f"{self.ip}:{CONTROL_PORT}"
 
     @property
     def directory(self) -> str:
-        """Where clients ask for gateways."""
+        """Address at which clients look up gateways."""
         return f"{self.ip}:{DIRECTORY_PORT}"
 
     @property
     def region(self) -> str:
-        """The region of its zone, whose name begins with it."""
+        """The region of the zone; a zone name is the region name with a suffix."""
         return self.zone.rpartition("-")[0]
 
 
 @frozen
 class Layout:
-    """All machines and servers, in a network of loopback such as `127.77.0`, with files in a folder."""
+    """All nodes and servers of a local system, in a loopback network such as `127.77.0`."""
 
     network: str
     folder: Path
@@ -84,23 +84,23 @@
 
     @property
     def zones(self) -> dict[str, str]:
-        """The region of each zone."""
+        """Maps each zone to its region."""
         return ZONES
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """The control addresses."""
+        """The addresses of the control nodes."""
         return tuple(machine.control for machine in self.control)
 
     @property
     def directories(self) -> tuple[str, ...]:
-        """The directory addresses."""
+        """The addresses of the directories."""
         return tuple(machine.directory for machine in self.control)
 
     def servers(self) -> tuple[ServerSettings, ...]:
-        """The stand-in servers of the first start."""
-        places = [(MODEL_SERVICE, zone, ENGINE) for zone in MODEL_SERVER_ZONES]
-        plain = [(PLAIN_SERVICE, zone, None) for zone in PLAIN_SERVER_ZONES]
+        """Returns the settings of the stand-in servers that are started at first."""
+        model_servers = [(MODEL_SERVICE, zone, ENGINE) for zone in MODEL_SERVER_ZONES]
+        plain_servers = [(PLAIN_SERVICE, zone, None) for zone in PLAIN_SERVER_ZONES]
         return tuple(
             ServerSettings(
                 f"i-{service}-{number}",
@@ -109,23 +109,23 @@
                 zone,
                 engine,
             )
-            for number, (service, zone, engine) in enumerate((*places, *plain))
+            for number, (service, zone, engine) in enumerate((*model_servers, *plain_servers))
         )
 
     def data_dir(self, machine: Machine) -> Path:
-        """Where a control node keeps its store."""
+        """Returns the folder of a control node's store."""
         return self.folder / machine.name
 
     def settings_path(self, machine: Machine) -> Path:
-        """Where the settings file of a machine lies."""
+        """Returns the path of a node's settings file."""
         return self.folder / f"{machine.name}.toml"
 
     def log_path(self, machine: Machine) -> Path:
-        """Where the log of a machine lies."""
+        """Returns the path of a node's log."""
         return self.folder / f"{machine.name}.log"
 
     def settings_text(self, machine: Machine, bootstrap: bool) -> str:
-        """The settings file of a machine."""
+        """Returns the content of a node's settings file."""
         is_control = machine.role == "control"
         listen = {"Front": machine.front, "Ready": machine.ready}
         if is_control:
--- a/brackenladder/local_site/processes.py
+++ b/brackenladder/local_site/processes.py
@@ -1,4 +1,4 @@
-"""The role processes of a local system: started, ended, and started again when they end by themselves."""
+"""Starts and ends the node processes of a local system, and restarts those that end unexpectedly."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 import brackenladder
 from brackenladder.local_site.layout import GRACE_S, Layout, Machine
 
-RESTART_SECONDS = 1.0  # until a process that has ended is started again
-KILL_MARGIN_SECONDS = 2.0  # after the grace
+RESTART_SECONDS = 1.0  # before an ended process is started again
+KILL_MARGIN_SECONDS = 2.0  # beyond the grace period, before SIGKILL
 PACKAGE_ROOT = Path(brackenladder.__file__).parents[1]
 
 
 @frozen
 class ProcessExit:
-    """A process has ended without being told to."""
+    """The unrequested end of a process."""
 
     machine: str
-    status: int  # of the process; below 0: the signal that ended it
+    status: int  # exit status, or the negative number of the signal that ended it
 
     def __str__(self) -> str:
         if self.status < 0:
@@ -33,7 +33,7 @@
 
 
 class RoleProcess:
-    """The process of one machine; while `supervised` it is started again after it ends."""
+    """The process of one node. While `supervised` is true it is restarted after it ends."""
 
     def __init__(self, layout: Layout, machine: Machine) -> None:
         self.machine = machine
@@ -41,33 +41,33 @@
         self.supervised = True
         self._layout = layout
         self._process: asyncio.subprocess.Process | None = None
-        self._watch: asyncio.Task[None] | None = None
+        self._supervisor: asyncio.Task[None] | None = None
 
     async def start(self, bootstrap: bool) -> None:
         """Writes the settings file and starts the process."""
         self._write_settings(bootstrap)
         await self._spawn()
-        self._watch = asyncio.create_task(self._supervise())
+        self._supervisor = asyncio.create_task(self._supervise())
 
     @property
     def pid(self) -> int:
-        """The process id; 0 before the start."""
+        """The process id, 0 before the start."""
         return self._process.pid if self._process is not None else 0
 
     @property
     def running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
-        """Sends a signal, if the process still runs."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Sends a signal if the process is still running."""
         if self._process is not None:
             with suppress(ProcessLookupError):
-                self._process.send_signal(number)
+                self._process.send_signal(signal_number)
 
     async def terminate(self) -> int:
-        """SIGTERM, and SIGKILL after the grace; the exit status. It is not started again."""
-        self._stop_watching()
+        """Ends the process for good, with SIGKILL after the grace period, and returns its exit status."""
+        self._stop_supervising()
         if self._process is None:
             return 0
         self.send(signal.SIGTERM)
@@ -78,10 +78,10 @@
             self.send(signal.SIGKILL)
             return await self._process.wait()
 
-    def _stop_watching(self) -> None:
+    def _stop_supervising(self) -> None:
         self.supervised = False
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._supervisor is not None:
+            self._supervisor.cancel()
 
     async def _spawn(self) -> None:
         environment = {
@@ -99,7 +99,7 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                start_new_session=True,  # Ctrl-C is for the command, which ends its processes itself
+                start_new_session=True,  # so that Ctrl-C reaches only the command, which ends its processes
             )
 
     async def _supervise(self) -> None:
--- a/brackenladder/operations/__init__.py
+++ b/brackenladder/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions for a node's operators: their calls, servers held back, a node that pauses. Pure."""
+"""Operator commands of a node: parsing, servers on hold, and pausing the node. Pure logic without I/O."""
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -1,6 +1,6 @@
-"""Servers that operators hold back: what discovery says of them while they are, and after. No I/O, no clock.
+"""Servers that operators put on hold, and how a hold changes what discovery reports. No I/O, no clock.
 
-Times are integer microseconds of Unix time, the clock that a list's start times are of.
+Times are integer microseconds of Unix time, as are the start times in discovery's list.
 """
 
 from __future__ import annotations
@@ -11,37 +11,37 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-MAX_HOLDS = 4096  # servers that may be held back, or lately have been, at once
-HOLD_RETENTION_US = 300_000_000  # after so long a server that was given back counts as any other
+MAX_HOLDS = 4096  # servers on hold or with a recent hold
+HOLD_RETENTION_US = 300_000_000  # how long a hold is remembered after its end
 
 
 @dataclass(frozen=True)
 class Hold:
-    """A server held back since `since`, and given back at `until` (0: not yet)."""
+    """A hold on a server from `since` to `until`, where 0 means that it has not ended."""
 
     since: int
     until: int = 0
 
 
 class TooManyHolds(Exception):
-    """As many servers are held back as may be."""
+    """No more servers can be put on hold."""
 
 
 class Maintenance:
-    """Lays the operators' word over discovery's.
+    """Applies operators' holds to the server list from discovery.
 
-    A server that is held back drains, whatever the list says. One that was given back may have been started
-    anew in between, and the list says so late: until it names a start later than the hold, the server counts
-    as started when it was given back. Failure prevented: a cold server gets a warm one's load, and falls
-    over.
+    A server on hold is reported as draining, whatever the list says. During the hold it may have been
+    restarted, which the list may show late. Until the list has a start time at or after the begin of the
+    hold, the server therefore counts as started at the end of the hold. Otherwise a cold server would get
+    the load of a warm one and fail.
     """
 
     def __init__(self) -> None:
         self.holds: dict[str, Hold] = {}
-        self.lines: dict[str, Line] = {}  # the list as discovery last gave it, without those that are gone
+        self.lines: dict[str, Line] = {}  # discovery's latest list, without servers that are gone
 
     def is_known(self, server: str) -> bool:
-        """Whether the list names this server, or an operator holds it back."""
+        """Whether the server is in the list or on hold."""
         return server in self.lines or self.is_held(server)
 
     def is_held(self, server: str) -> bool:
@@ -49,7 +49,7 @@
         return hold is not None and not hold.until
 
     def suspend(self, server: str, now: int) -> None:
-        """Holds a server back; a second time changes nothing. TooMany if there is no room."""
+        """Puts a server on hold; a repeated call changes nothing. Raises TooManyHolds at the limit."""
         self.drop_expired_holds(now)
         if self.is_held(server):
             return
@@ -58,16 +58,18 @@
         self.holds[server] = Hold(now)
 
     def restore(self, server: str, now: int) -> None:
-        """Gives a server back, however often it was held back; one that was not held is left as it is."""
+        """Ends the hold on a server, even after several calls of `suspend`. Ignores a server not on hold."""
         if self.is_held(server):
             self.holds[server] = replace(self.holds[server], until=now)
 
     def drop_expired_holds(self, now: int) -> None:
-        for server in [s for s, h in self.holds.items() if h.until and h.until + HOLD_RETENTION_US <= now]:
+        for server in [
+            name for name, hold in self.holds.items() if hold.until and hold.until + HOLD_RETENTION_US <= now
+        ]:
             del self.holds[server]
 
     def process_listing(self, listing: Listing) -> Listing:
-        """Discovery's news, as the node is to take them."""
+        """Records a listing from discovery and returns it with the holds applied."""
         if listing.kind != ListKind.CHANGES:
             self.lines.clear()
         for line in listing.lines:
@@ -88,12 +90,12 @@
         return line if line.started >= hold.since else replace(line, started=hold.until)
 
     def listing_for(self, servers: Iterable[str], version: int) -> Listing:
-        """The change of list that a call about these servers makes."""
-        lines = tuple(self.apply_hold(self.lines[s]) for s in servers if s in self.lines)
+        """Returns the list update to apply after the holds of these servers have changed."""
+        lines = tuple(self.apply_hold(self.lines[server]) for server in servers if server in self.lines)
         return Listing(ListKind.CHANGES, version, lines)
 
     def replace_holds(self, holds: Mapping[str, Hold]) -> list[str]:
-        """Takes on what another process of this node has noted; the servers that it changes."""
-        changed = [s for s in {**self.holds, **holds} if self.holds.get(s) != holds.get(s)]
+        """Adopts the holds that another process of this node saved. Returns the servers whose hold changed."""
+        changed = [name for name in {**self.holds, **holds} if self.holds.get(name) != holds.get(name)]
         self.holds = dict(holds)
         return changed
--- a/brackenladder/operations/pause.py
+++ b/brackenladder/operations/pause.py
@@ -1,32 +1,32 @@
-"""A node that an operator takes out of service for a while. No I/O, no clock; times in seconds."""
+"""Pausing a node: it leaves service in stages. No I/O, no clock; times in seconds."""
 
 from __future__ import annotations
 
 from enum import IntEnum
 
-CLOSING_AFTER = 0.6  # the front learns of a pause within 0.1 s and sends new connections for 0.2 s more
-REFUSING_AFTER = 1.8  # 2 s after this nothing that came later may be on its way, nor a connection idle
+CLOSING_AFTER = 0.6  # the proxy in front notices a pause within 0.1 s and opens connections for 0.2 s more
+REFUSING_AFTER = 1.8  # 2 s after a pause begins, no later request may be open and no connection idle
 ENDING_AFTER = 3.0
 
 
 class ServiceStage(IntEnum):
-    """What a node does with what comes, each step with all before it."""
+    """How a node treats requests and connections. Each stage includes those before it."""
 
     SERVING = 0
-    PAUSED = 1  # `/ready` says no; all else is as before
-    CLOSING = 2  # no connection outlives its answer
-    REFUSING = 3  # what still comes is refused at once, and idle connections are closed
-    ENDING = 4  # what has begun and not come whole is given up
+    PAUSED = 1  # `/ready` reports not ready; all else is unchanged
+    CLOSING = 2  # each connection is closed after its current answer
+    REFUSING = 3  # new requests are refused at once and idle connections closed
+    ENDING = 4  # requests that have not arrived completely are dropped
 
 
 class Pause:
-    """Since when the node pauses, if it does."""
+    """The pause of a node, if any, and its stage."""
 
     def __init__(self) -> None:
         self.since: float | None = None
 
     def begin(self, now: float) -> None:
-        """A second call changes nothing."""
+        """Starts the pause; a second call changes nothing."""
         if self.since is None:
             self.since = now
 
--- a/brackenladder/operator_client/__init__.py
+++ b/brackenladder/operator_client/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's side of the control nodes' interface: calls to any node, and how they fail."""
+"""Client of the control nodes' operator API, and its errors."""
--- a/brackenladder/operator_client/control_client.py
+++ b/brackenladder/operator_client/control_client.py
@@ -1,4 +1,7 @@
-"""Calls of an operator to the control nodes: any node, again after a failure, until the answer is clear."""
+"""Client for the operator API of the control nodes.
+
+A call is tried at one node after the other until a node answers definitely or time runs out.
+"""
 
 from __future__ import annotations
 
@@ -18,18 +21,18 @@
 from brackenladder.control_plane.status import ControlStatus
 from brackenladder.operator_client.errors import ControlError, NoAnswer, Refusal
 
-# For one call. A node may wait 2.5 s for the outcome of an order before it answers that it is unknown.
+# For one request. A node may wait 2.5 s for the outcome of an order before it answers that it is unknown.
 CALL_TIMEOUT_SECONDS = 4.0
 DEFAULT_TIMEOUT_SECONDS = 15.0
 FIRST_RETRY_PAUSE_SECONDS = 0.1
 MAX_RETRY_PAUSE_SECONDS = 1.0
 MAX_REDIRECTS = 2
-RETRYABLE_STATUSES = frozenset({408, 429})  # and every 5xx: another node may know better
+RETRYABLE_STATUSES = frozenset({408, 429})  # and every 5xx: another node may have a definite answer
 
 
 @frozen
 class Answer:
-    """A clear answer of a control node."""
+    """The HTTP answer of a control node."""
 
     status: int
     body: bytes
@@ -37,7 +40,7 @@
 
     @property
     def document(self) -> Any:
-        """The JSON object of the body; an empty one if it holds none."""
+        """The JSON object in the body, empty if the body is not one."""
         try:
             document = json.loads(self.body)
         except ValueError:
@@ -46,7 +49,7 @@
 
 
 class ControlClient:
-    """An operator's client; to be used with `async with`."""
+    """Calls the operator API of several control nodes. Used with `async with`."""
 
     def __init__(self, nodes: tuple[str, ...], timeout_s: float = DEFAULT_TIMEOUT_SECONDS) -> None:
         self._nodes = nodes
@@ -61,31 +64,31 @@
         await self._session.close()
 
     async def status(self) -> Result[ControlStatus, ControlError]:
-        """What the first node that answers tells of itself and the system."""
+        """Returns the status from the first node that answers."""
         answer = await self.call("GET", "/-/Status")
         return answer.bind(_read_status)
 
     async def statuses(self) -> dict[str, Result[ControlStatus, str]]:
-        """What each node tells, each asked once; a failure says why a node told nothing."""
+        """Asks each node once for its status. A failure says why a node gave none."""
         answers = await asyncio.gather(
             *(self._call_node(node, "GET", "/-/Status", b"", None) for node in self._nodes)
         )
         return {
-            node: answer.bind(lambda one: _read_status(one).alt(str))
+            node: answer.bind(lambda received: _read_status(received).alt(str))
             for node, answer in zip(self._nodes, answers, strict=True)
         }
 
     async def fetch(self) -> Result[bytes, ControlError]:
-        """The newest configuration as it was written; empty if there is none yet."""
+        """Returns the newest configuration as it was submitted, empty if there is none yet."""
         answer = await self.call("GET", "/-/Config.Fetch", accepted=frozenset({HTTPStatus.NOT_FOUND}))
-        return answer.map(lambda one: one.body if one.status == HTTPStatus.OK else b"")
+        return answer.map(lambda received: received.body if received.status == HTTPStatus.OK else b"")
 
     async def replace(self, base: int, body: bytes) -> Result[int, ControlError]:
-        """Puts a whole configuration in force; the version."""
+        """Replaces the whole configuration and returns the new version."""
         return (await self.call("POST", "/-/Config.Replace", body, base)).map(_acknowledged_version)
 
     async def update(self, base: int, body: bytes) -> Result[int, ControlError]:
-        """Changes items by name; the version."""
+        """Changes single items by name and returns the new version."""
         return (await self.call("POST", "/-/Config.Update", body, base)).map(_acknowledged_version)
 
     async def evacuate(self, zone: str, finish: bool = False) -> Result[None, ControlError]:
@@ -101,27 +104,27 @@
         base: int | None = None,
         accepted: frozenset[int] = frozenset(),
     ) -> Result[Answer, ControlError]:
-        """The first clear answer: a 200, a status of `also`, or a refusal."""
-        last = "nothing was tried"
+        """Returns the first definite answer: a 200, a status in `accepted`, or a refusal."""
+        last_problem = "nothing was tried"
         pause = FIRST_RETRY_PAUSE_SECONDS
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._timeout_s
+        deadline = loop.time() + self._timeout_s
         while True:
             for node in self._nodes:
                 match await self._call_node(node, method, path, body, base):
                     case Success(answer):
                         return _definite_result(answer, accepted)
                     case Failure(problem):
-                        last = problem
-                if loop.time() >= until:
-                    return Failure(NoAnswer(self._nodes, last))
-            await asyncio.sleep(min(pause, max(0.0, until - loop.time())))
+                        last_problem = problem
+                if loop.time() >= deadline:
+                    return Failure(NoAnswer(self._nodes, last_problem))
+            await asyncio.sleep(min(pause, max(0.0, deadline - loop.time())))
             pause = min(2 * pause, MAX_RETRY_PAUSE_SECONDS)
 
     async def _call_node(
         self, node: str, method: str, path: str, body: bytes, base: int | None
     ) -> Result[Answer, str]:
-        """One call of one node; a failure if another node may know better."""
+        """Calls one node once. Fails if another node may have a definite answer."""
         headers = {} if base is None else {BASE_VERSION_HEADER: str(base)}
         try:
             async with self._session.request(
@@ -149,8 +152,8 @@
     if answer.status == HTTPStatus.PRECONDITION_FAILED:
         reason = f"version {answer.document.get('Version', '?')} is in force, not the one that this builds on"
         return Failure(Refusal(answer.status, (reason,)))
-    told = answer.document.get("Error", [])
-    reasons = [told] if isinstance(told, str) else told
+    error = answer.document.get("Error", [])
+    reasons = [error] if isinstance(error, str) else error
     return Failure(Refusal(answer.status, tuple(str(reason) for reason in reasons)))
 
 
@@ -164,4 +167,6 @@
             return Success(status)
         case faults:
             reasons = tuple(str(fault) for fault in faults.failure())
-            return Failure(Refusal(answer.status, (f"{answer.node}: not this build's status", *reasons[:1])))
+            return Failure(
+                Refusal(answer.status, (f"{answer.node}: the status of another build", *reasons[:1]))
+            )
--- a/brackenladder/operator_client/errors.py
+++ b/brackenladder/operator_client/errors.py
@@ -1,4 +1,4 @@
-"""How commands end, and what a command fails with."""
+"""Exit codes and errors of the commands."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class ExitCode(IntEnum):
-    """The status of the process."""
+    """The exit status of the process."""
 
     SUCCESS = 0
-    FAILED = 1  # the answer is no: refused, damaged, different, not in order, or nobody answered
-    USAGE_ERROR = 2  # what was given cannot be used
+    FAILED = 1  # refused, damaged, different, without quorum, or no node answered
+    USAGE_ERROR = 2  # invalid arguments or files
 
 
 class CommandError(Exception):
-    """Ends a command with one line and an exit code."""
+    """Ends a command with an error line and an exit code."""
 
     def __init__(self, line: str, code: ExitCode = ExitCode.FAILED) -> None:
         super().__init__(line)
@@ -25,7 +25,7 @@
 
 
 class UsageError(CommandError):
-    """What was given cannot be used."""
+    """An argument or file of the command is invalid."""
 
     def __init__(self, line: str) -> None:
         super().__init__(line, ExitCode.USAGE_ERROR)
@@ -33,18 +33,18 @@
 
 @frozen
 class NoAnswer:
-    """No control node gave a clear answer in time."""
+    """No control node gave a definite answer in time."""
 
     nodes: tuple[str, ...]
-    last: str  # what the last call met
+    last_problem: str  # why the last call failed
 
     def __str__(self) -> str:
-        return f"no clear answer from {', '.join(self.nodes)} ({self.last})"
+        return f"no clear answer from {', '.join(self.nodes)} ({self.last_problem})"
 
 
 @frozen
 class Refusal:
-    """A control node refused for good."""
+    """A control node refused the call; a retry would not help."""
 
     status: int
     reasons: tuple[str, ...]
