--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -95,7 +95,7 @@
         return Listing(ListKind.CHANGES, version, lines)
 
     def replace_holds(self, holds: Mapping[str, Hold]) -> list[str]:
-        """Adopts the holds that another process of this node saved. Returns the servers whose hold changed."""
+        """Adopts the holds saved by another process of this node. Returns the servers with a changed hold."""
         changed = [name for name in {**self.holds, **holds} if self.holds.get(name) != holds.get(name)]
         self.holds = dict(holds)
         return changed
