--- a/benchmarks/capacity/prefix_probes.py
+++ b/benchmarks/capacity/prefix_probes.py
@@ -10,10 +10,10 @@
 from brackenladder.placement.cost import CostModel
 from brackenladder.placement.in_flight import InFlight
 from brackenladder.placement.silent_zones import SilentZones
-from brackenladder.placement.site import ServerPlace, ServiceSite
+from brackenladder.placement.site import ServerLocation, ServiceSite
 from brackenladder.prefix_cache.announcer import PrefixAnnouncer
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices
-from brackenladder.prefix_cache.relay import INTERVAL, MOST_NOTICES, PrefixRelay, Receiver
+from brackenladder.prefix_cache.relay import INTERVAL, MAX_NOTICES, PrefixRelay, Receiver
 from brackenladder.transport.framing import PREFIX_BYTES
 from capacity.target import Size
 from capacity.timing import best_of, memory_of
@@ -25,7 +25,7 @@
 
 @frozen
 class PrefixCosts:
-    """A full message of notices, of `MOST_NOTICES`."""
+    """A full message of notices, of `MAX_NOTICES`."""
 
     message_bytes: int
     relay_us: float  # taken from a gateway, told to the gateways of one control node, each encoded
@@ -42,7 +42,7 @@
     gateways = max(1, size.gateways // size.control_nodes)
     relay = PrefixRelay(0)
     for number in range(gateways):
-        relay.serve(str(number), wanted=True)
+        relay.set_subscribed(str(number), wanted=True)
     relay.take(0)
     now = 0
 
@@ -63,12 +63,12 @@
         for data in encoded:
             message = codec.decode(data)
             assert isinstance(message, PrefixNotices)
-            in_flight.told(now, message.notices)
+            in_flight.apply_notices(now, message.notices)
 
     def kept() -> InFlight:
         made = _in_flight(size)
         for message in messages:
-            made.told(0, message.notices)
+            made.apply_notices(0, message.notices)
         return made
 
     return PrefixCosts(
@@ -82,7 +82,7 @@
 
 def _notices(size: Size, random: Random) -> tuple[PrefixNotice, ...]:
     notices = []
-    for _ in range(MOST_NOTICES):
+    for _ in range(MAX_NOTICES):
         prefix = random.randrange(PREFIXES)
         server = _server(random.randrange(size.servers))
         notices.append(PrefixNotice(server, (1 << 63, (1 << 62) + prefix), (2_500, 3_800), 9_000))
@@ -95,7 +95,8 @@
 
 def _in_flight(size: Size) -> InFlight:
     site = ServiceSite("zone-1", "region-1", kv_tokens=KV_TOKENS, gateways=size.gateways)
-    site.places = {
-        _server(number): ServerPlace(str(number), "zone-1", "region-1", 64) for number in range(size.servers)
+    site.locations = {
+        _server(number): ServerLocation(str(number), "zone-1", "region-1", 64)
+        for number in range(size.servers)
     }
     return InFlight(site, CostModel(site), SilentZones(), PrefixAnnouncer(lambda: None))
--- a/brackenladder/catalog/conversion.py
+++ b/brackenladder/catalog/conversion.py
@@ -1,11 +1,11 @@
-"""Makes the model's objects from documents: defaults filled in, units made the model's own."""
+"""Converts parsed documents to the model: fills in defaults and converts units."""
 
 from __future__ import annotations
 
 import math
 
 from brackenladder.catalog.documents import EngineDocument, LimitsDocument, RouteDocument, ServiceDocument
-from brackenladder.catalog.hosts import normal_host
+from brackenladder.catalog.hosts import normalize_host
 from brackenladder.catalog.model import (
     DEFAULT_HEALTH_PATH,
     DEFAULT_LIMITS,
@@ -26,10 +26,10 @@
     return math.ceil(value)
 
 
-def _kind(word: str | None) -> RouteKind:
-    """An unknown word is read as the kind that allows least."""
+def _kind(name: str | None) -> RouteKind:
+    """The route kind of this name; the most restrictive kind if the name is missing or unknown."""
     try:
-        return RouteKind(word)
+        return RouteKind(name)
     except ValueError:
         return RouteKind.UNSAFE
 
@@ -41,11 +41,11 @@
 
 
 def new_route(item: RouteDocument) -> Route:
-    """The route that a document without a fault describes."""
+    """The route that a valid document describes."""
     timeout = _milliseconds(item.timeout_ms)
     return Route(
         name=item.name,
-        host=normal_host(item.hostname),
+        host=normalize_host(item.hostname),
         prefix=item.path_prefix,
         kind=_kind(item.kind),
         timeout_ms=timeout,
@@ -86,7 +86,7 @@
 
 
 def new_limits(item: LimitsDocument | None) -> Limits:
-    """The limits that a document describes; the usual ones for what it leaves out."""
+    """The limits that a document describes; defaults for those that are missing or 0."""
     if item is None:
         return DEFAULT_LIMITS
     return Limits(
--- a/brackenladder/catalog/validation.py
+++ b/brackenladder/catalog/validation.py
@@ -1,4 +1,4 @@
-"""What must hold in and between the items of a configuration, beyond the form of each."""
+"""Validation of routes and of references between the items of a configuration."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 
 @frozen
 class RouteEntry:
-    """One route as it is written and as the model has it."""
+    """A route as its document and as its model."""
 
     document: RouteDocument
     route: Route
 
 
-def route_faults(place: str, document: RouteDocument) -> Iterator[ConfigurationFault]:
-    """What is wrong with a route whatever else the configuration holds."""
+def route_faults(location: str, document: RouteDocument) -> Iterator[ConfigurationFault]:
+    """The faults of a single route, regardless of the rest of the configuration."""
     prefix = document.path_prefix
     if not (prefix[0] == "/" == prefix[-1]):
         detail = "must begin and end with a slash"
-        yield ConfigurationFault(f"{place}.PathPrefix", FaultKind.OUT_OF_RANGE, detail)
+        yield ConfigurationFault(f"{location}.PathPrefix", FaultKind.OUT_OF_RANGE, detail)
     if not document.traffic_split and not document.backend:
-        yield ConfigurationFault(f"{place}.Backend", FaultKind.MISSING, "has no Backend and no TrafficSplit")
+        yield ConfigurationFault(
+            f"{location}.Backend", FaultKind.MISSING, "has no Backend and no TrafficSplit"
+        )
     if document.traffic_split and not any(target.weight for target in document.traffic_split):
-        detail = "the weights add up to 0"
-        yield ConfigurationFault(f"{place}.TrafficSplit", FaultKind.NO_WEIGHT, detail)
+        detail = "the sum of the weights is 0"
+        yield ConfigurationFault(f"{location}.TrafficSplit", FaultKind.NO_WEIGHT, detail)
 
 
 def configuration_faults(
     routes: tuple[RouteEntry, ...], services: tuple[ServiceDocument, ...]
 ) -> Iterator[ConfigurationFault]:
-    """What is wrong between items that are each right by themselves."""
+    """The faults between items that are each valid by themselves."""
     names = {service.name for service in services}
     yield from name_faults("Routes", (entry.route.name for entry in routes))
     yield from name_faults("Services", (service.name for service in services))
@@ -45,13 +47,13 @@
     yield from _location_faults(routes)
 
 
-def name_faults(place: str, names: Iterable[str]) -> Iterator[ConfigurationFault]:
-    """The items of one list whose name an earlier item has."""
+def name_faults(location: str, names: Iterable[str]) -> Iterator[ConfigurationFault]:
+    """A fault for each item of a list that has the name of an earlier item."""
     seen: set[str] = set()
     for index, name in enumerate(names):
         if name in seen:
-            detail = f"an earlier item is named {name!r}"
-            yield ConfigurationFault(f"{place}[{index}].Name", FaultKind.DUPLICATE_NAME, detail)
+            detail = f"an earlier item has the name {name!r}"
+            yield ConfigurationFault(f"{location}[{index}].Name", FaultKind.DUPLICATE_NAME, detail)
         seen.add(name)
 
 
@@ -61,16 +63,16 @@
     return all(target.backend in names for target in document.traffic_split or ())
 
 
-def _service_faults(place: str, document: RouteDocument, names: set[str]) -> Iterator[ConfigurationFault]:
+def _service_faults(location: str, document: RouteDocument, names: set[str]) -> Iterator[ConfigurationFault]:
     if document.backend and document.backend not in names:
-        yield _unknown_service(f"{place}.Backend", document.backend)
+        yield _unknown_service(f"{location}.Backend", document.backend)
     for index, target in enumerate(document.traffic_split or ()):
         if target.backend not in names:
-            yield _unknown_service(f"{place}.TrafficSplit[{index}].Backend", target.backend)
+            yield _unknown_service(f"{location}.TrafficSplit[{index}].Backend", target.backend)
 
 
-def _unknown_service(place: str, name: str) -> ConfigurationFault:
-    return ConfigurationFault(place, FaultKind.UNKNOWN_SERVICE, f"there is no service {name!r}")
+def _unknown_service(location: str, name: str) -> ConfigurationFault:
+    return ConfigurationFault(location, FaultKind.UNKNOWN_SERVICE, f"there is no service {name!r}")
 
 
 def _location_faults(routes: tuple[RouteEntry, ...]) -> Iterator[ConfigurationFault]:
@@ -79,6 +81,6 @@
         route = entry.route
         prefixes = hosts.setdefault(route.host, {})
         if route.prefix in prefixes:
-            detail = f"host and prefix are those of {prefixes[route.prefix]!r}"
+            detail = f"the route {prefixes[route.prefix]!r} has the same host and prefix"
             yield ConfigurationFault(f"Routes[{index}].PathPrefix", FaultKind.SAME_PLACE, detail)
         prefixes[route.prefix] = route.name
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -1,4 +1,4 @@
-"""One control node: consensus, registry and delivery behind its links and its HTTP interfaces."""
+"""A control node: connects consensus, registry and delivery to the peer links and the HTTP interfaces."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 from brackenladder.consensus.types import DurableState, Member, Members
 from brackenladder.control_plane.consensus_host import ConsensusHost
 from brackenladder.control_plane.directory_api import DirectoryApi
+from brackenladder.control_plane.environment import NodeEnvironment, host_environment
 from brackenladder.control_plane.membership import Membership, max_voters
 from brackenladder.control_plane.messages import Hello
 from brackenladder.control_plane.node_status import node_status
@@ -26,34 +27,33 @@
 from brackenladder.control_plane.server_calls import ServerCalls
 from brackenladder.control_plane.soft_state import TICK_SECONDS, SoftState
 from brackenladder.control_plane.status import ControlStatus
-from brackenladder.control_plane.surroundings import Surroundings, host_surroundings
 from brackenladder.platform_settings import Platform
 from brackenladder.registry.records import ServerRecord
 from brackenladder.storage.writer import LogWriter
 from brackenladder.transport.link import Link, Transport
 
 MICROSECONDS_PER_MILLISECOND = 1000
-ELECTION_HEAD_START = 350_000  # microseconds by which a node that starts stands for election earlier
-STOP_SECONDS = 1.5  # longest orderly end, all of the waits below together
-HANDOVER_SECONDS = 0.6  # longest wait for another leader before the end
-HTTP_GRACE_SECONDS = 0.3  # for calls under way
-LINK_GRACE = 300_000  # microseconds for what is queued for other nodes; a setting of the transport
-STORE_GRACE_SECONDS = 0.2  # for the store's last write; a disk may hang
+ELECTION_HEAD_START = 350_000  # microseconds by which the first election timeout after a start is shortened
+STOP_SECONDS = 1.5  # longest orderly shutdown; at least the sum of the waits below
+HANDOVER_SECONDS = 0.6  # longest wait for another leader before shutdown
+HTTP_GRACE_SECONDS = 0.3  # longest wait for open calls
+LINK_GRACE = 300_000  # microseconds; longest wait for messages queued for other nodes, set in the transport
+STORE_GRACE_SECONDS = 0.2  # longest wait for the last write to the store; a disk may hang
 
 log = logbook.Logger("control")
 
 
 @frozen
 class ReplicaStart:
-    """What a replica starts from."""
+    """The state that a replica starts with."""
 
     replica_id: str
     state: DurableState
-    genesis: Members | None  # the first voters, at the very first start of the whole system
+    genesis: Members | None  # the initial voters; only at the first start of the system
 
 
 class ControlNode:
-    """Ties the parts of a control node together; made and used in a running event loop."""
+    """Connects the parts of a control node. Must be created and used in a running event loop."""
 
     def __init__(
         self,
@@ -64,17 +64,17 @@
         clock: Callable[[], int],
         random: Random,
         timing: Timing | None = None,
-        surroundings: Surroundings | None = None,
+        environment: NodeEnvironment | None = None,
     ) -> None:
-        surroundings = surroundings or host_surroundings(platform)
+        environment = environment or host_environment(platform)
         self.platform = platform
         self.member = Member(start.replica_id, platform.inner_address, platform.zone, platform.region)
         self.catalog = Catalog()
         self.peers = PeerLinks(transport, self, self._hello)
-        # where there is a leader already, the pre-vote keeps an early candidate from disturbing it
-        began = clock() - ELECTION_HEAD_START
+        # if there already is a leader, the pre-vote keeps an early candidate from disturbing it
+        created_at = clock() - ELECTION_HEAD_START
         timing = evolve(timing or Timing(), max_voters=max_voters(platform.tolerate.machines))
-        replica = Replica(self.member, start.state, timing, random, began, start.genesis)
+        replica = Replica(self.member, start.state, timing, random, created_at, start.genesis)
         self.host = ConsensusHost(
             replica, writer, self.catalog, clock, self._send_consensus, self._catalog_changed
         )
@@ -82,21 +82,21 @@
         heartbeat = int(platform.heartbeat_ms * MICROSECONDS_PER_MILLISECOND)
         self.soft_state = SoftState(clock, self.host, self.peers, heartbeat, platform.region)
         self.recovery = RestartRecovery(
-            surroundings,
+            environment,
             self.host,
             self.soft_state,
             clock,
             start.replica_id,
-            self._newest_order,
+            self._newest_order_index,
             self._local_servers,
         )
         seeds = platform.seed_inner_addresses
         self._membership = Membership(self.member, self.host, self.peers, self.soft_state, clock, seeds)
         self.server_calls = ServerCalls(self.soft_state, self.orders)
         operator_api = OperatorApi(self.orders, self.server_calls, self._zones, self.status)
-        self._control_listener = surroundings.listener(operator_api.handle)
+        self._control_listener = environment.listener(operator_api.handle)
         directory_api = DirectoryApi(self.soft_state.resolve, platform.bounds)
-        self._directory_listener = surroundings.listener(directory_api.handle)
+        self._directory_listener = environment.listener(directory_api.handle)
         self._clock = clock
         self._writer = writer
         self._transport = transport
@@ -104,7 +104,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def start(self) -> None:
-        """Opens the listeners and begins to dial, to tick and to answer."""
+        """Starts consensus, the timer and the listeners."""
         self.host.start()
         self.recovery.start()
         await self.peers.listen(self.member.address)
@@ -112,16 +112,16 @@
         await self._control_listener.listen(self.platform.listen.control)
         if self.platform.listen.directory:
             await self._directory_listener.listen(self.platform.listen.directory)
-        log.info("{} listens at {}", self.member.replica_id, self.member.address)
+        log.info("{} listens on {}", self.member.replica_id, self.member.address)
 
     async def stop(self) -> None:
-        """Hands leadership over, answers what is under way, then ends; takes at most `STOP_SECONDS`."""
+        """Hands over leadership, finishes open calls, then closes; takes at most `STOP_SECONDS`."""
         await self._hand_over()
         await self._close_listeners(HTTP_GRACE_SECONDS)
         await self.close()
 
     async def close(self) -> None:
-        """Ends at once; what the store was given is still written."""
+        """Closes everything at once; writes already passed to the store are completed."""
         if self._timer is not None:
             self._timer.cancel()
         self.recovery.close()
@@ -133,12 +133,12 @@
         self._writer.join(STORE_GRACE_SECONDS)
 
     def reload(self, platform: Platform) -> None:
-        """Takes the seeds of changed settings; addresses stay as they are."""
+        """Applies changed settings. Only the seeds take effect; addresses stay until a restart."""
         self.platform = platform
         self._membership.set_seeds(platform.seed_inner_addresses)
 
     def status(self) -> ControlStatus:
-        """This node's view of itself and of the system, for operators."""
+        """This node's view of itself and of the system."""
         return node_status(self.member, self.host, self.peers, self.soft_state)
 
     # -- PeerListener
@@ -146,9 +146,9 @@
     def peer_connected(self, peer: Hello, link: Link) -> None:
         """See `peers.PeerListener`."""
         self._membership.peer_connected(peer)
-        self.recovery.peer_told(peer.replica_id, peer.newest_order)
+        self.recovery.peer_reported(peer.replica_id, peer.newest_order)
         self._membership.dial()
-        self.host.reached(peer.replica_id)
+        self.host.peer_connected(peer.replica_id)
         self.soft_state.peer_connected(peer.replica_id)
 
     def peer_received(self, peer: Hello, link: Link, message: object) -> None:
@@ -160,7 +160,7 @@
         elif not self.orders.received(link, message):
             self.soft_state.peer_received(peer.replica_id, message)
 
-    def stranger_received(self, link: Link, message: object) -> None:
+    def gateway_received(self, link: Link, message: object) -> None:
         """See `peers.PeerListener`."""
         self.soft_state.gateway_received(link, message)
 
@@ -175,12 +175,20 @@
         member = self.member
         neighbours = self.peers.connected_addresses()
         return Hello(
-            member.replica_id, member.address, member.zone, member.region, neighbours, self._newest_order()
+            member.replica_id,
+            member.address,
+            member.zone,
+            member.region,
+            neighbours,
+            self._newest_order_index(),
         )
 
-    def _newest_order(self) -> int:
-        """Index of the newest order in this node's log; what a snapshot covers counts by its last change."""
-        return max(self.catalog.revision, self.host.replica.newest_command)
+    def _newest_order_index(self) -> int:
+        """Index of the newest order in this node's log.
+
+        For the part of the log that a snapshot replaces, this is the last change of the catalog.
+        """
+        return max(self.catalog.revision, self.host.replica.newest_command_index)
 
     def _zones(self) -> dict[str, str]:
         return self.platform.zones
@@ -199,7 +207,7 @@
         self._membership.tick()
         self.soft_state.tick()
         self.recovery.tick()
-        self.orders.held_calls.look(self._clock())
+        self.orders.held_calls.check_limits(self._clock())
 
     async def _close_listeners(self, grace_seconds: float) -> None:
         await asyncio.gather(
@@ -212,4 +220,4 @@
         self.host.transfer_leadership()
         deadline = self._loop.time() + HANDOVER_SECONDS
         while self.host.leads and self._loop.time() < deadline:
-            await self.host.leadership_changed(deadline - self._loop.time())
+            await self.host.wait_for_leader_change(deadline - self._loop.time())
--- a/brackenladder/control_plane/http_server.py
+++ b/brackenladder/control_plane/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP listener on aiohttp's low-level server, for the interfaces of a control node."""
+"""An HTTP listener on aiohttp's low-level server, for the interfaces of a control node."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 BACKLOG = 512
-KEEPALIVE_SECONDS = 30.0  # between requests, until the first one, and for a body to come whole
+KEEPALIVE_SECONDS = 30.0  # longest wait for a first or next request, and for a complete body
 RETRY_AFTER_SECONDS = "0.2"
-LISTEN_PATIENCE_SECONDS = 10.0  # how long an address is tried that a killed predecessor still holds
-LISTEN_RETRY_SECONDS = 0.1  # pause between these tries
-SHORTEST_GRACE_SECONDS = 0.02  # aiohttp takes 0 as no bound at all
-SHUTDOWN_STEPS = 2  # for the answer, then for the cancelled handler; aiohttp bounds each
+BIND_TIMEOUT_SECONDS = 10.0  # how long to retry an address that a killed process still holds
+BIND_RETRY_SECONDS = 0.1  # pause between these retries
+MIN_GRACE_SECONDS = 0.02  # aiohttp treats 0 as no limit
+SHUTDOWN_STEPS = 2  # aiohttp waits for the handler, then again after cancelling it
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -33,26 +33,27 @@
 
 
 def json_response(status: HTTPStatus, document: object) -> web.Response:
-    """An answer with a JSON body."""
+    """A response with a JSON body."""
     return web.Response(status=status, body=json.dumps(document).encode(), content_type="application/json")
 
 
 def unavailable(reason: str) -> web.Response:
-    """No clear answer: whoever asks may ask again, here or elsewhere."""
+    """A 503 response: there is no definite answer, and the caller may repeat the call on any node."""
     response = json_response(HTTPStatus.SERVICE_UNAVAILABLE, {"Error": reason})
     response.headers["Retry-After"] = RETRY_AFTER_SECONDS
     return response
 
 
 def not_found(what: str) -> web.Response:
-    """There is no such call, or it names something unknown."""
+    """A 404 response: the call does not exist, or names something unknown."""
     return json_response(HTTPStatus.NOT_FOUND, {"Error": f"unknown: {what}"})
 
 
-async def _body_arrives(request: web.BaseRequest) -> bool:
-    """Reads the body, which the request keeps; False if it does not come whole in time.
+async def _read_body(request: web.BaseRequest) -> bool:
+    """Reads the body into the request's buffer; False if it is not complete in time.
 
-    Failure prevented: a caller that stops in the middle of its body is waited for as long as it stays.
+    Failure prevented: a caller stops sending in the middle of its body, and its request waits until it
+    disconnects.
     """
     try:
         async with asyncio.timeout(KEEPALIVE_SECONDS):
@@ -62,24 +63,24 @@
     return True
 
 
-def _too_slow() -> web.Response:
-    response = json_response(HTTPStatus.REQUEST_TIMEOUT, {"Error": "the body did not come in time"})
+def _body_timeout() -> web.Response:
+    response = json_response(HTTPStatus.REQUEST_TIMEOUT, {"Error": "the body did not arrive in time"})
     response.force_close()
     return response
 
 
 class Listener(Protocol):
-    """Serves one address with a handler."""
+    """Serves one address."""
 
     async def listen(self, address: str) -> None:
         """Binds the address and accepts connections."""
 
     async def close(self, grace_seconds: float) -> None:
-        """Accepts nothing more; requests under way have `grace_seconds` to end."""
+        """Accepts no more connections; open requests have `grace_seconds` to finish."""
 
 
 class HttpListener:
-    """Serves one address until it is closed."""
+    """Passes the requests at one address to a handler."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -87,7 +88,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Binds the address and accepts connections; one in use is tried for `LISTEN_PATIENCE_SECONDS`."""
+        """Binds the address and accepts connections; retries for `BIND_TIMEOUT_SECONDS` if it is in use."""
         self._protocols = web.Server(
             self._handle,
             request_factory=self._make_request,
@@ -98,31 +99,31 @@
         self._server = await self._bind(address, self._protocols)
 
     async def close(self, grace_seconds: float) -> None:
-        """Accepts nothing more; requests under way have `grace_seconds` to end, then are cut off."""
+        """Accepts no more connections; open requests have `grace_seconds` to finish, then are cancelled."""
         if self._server is not None:
             self._server.close()
         if self._protocols is not None:
             self._protocols.pre_shutdown()
-            await self._protocols.shutdown(max(grace_seconds, SHORTEST_GRACE_SECONDS) / SHUTDOWN_STEPS)
+            await self._protocols.shutdown(max(grace_seconds, MIN_GRACE_SECONDS) / SHUTDOWN_STEPS)
 
     async def _bind(self, address: str, protocols: web.Server) -> asyncio.Server:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        until = loop.time() + LISTEN_PATIENCE_SECONDS
+        deadline = loop.time() + BIND_TIMEOUT_SECONDS
         while True:
             try:
                 return await loop.create_server(
                     protocols, host, int(port), reuse_address=True, backlog=BACKLOG
                 )
             except OSError as error:
-                if error.errno != errno.EADDRINUSE or loop.time() >= until:
+                if error.errno != errno.EADDRINUSE or loop.time() >= deadline:
                     raise
-            await asyncio.sleep(LISTEN_RETRY_SECONDS)
+            await asyncio.sleep(BIND_RETRY_SECONDS)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
-            if not await _body_arrives(request):
-                return _too_slow()
+            if not await _read_body(request):
+                return _body_timeout()
             return await self._handler(request)
         except web.HTTPRequestEntityTooLarge:
             return json_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, {"Error": "body too large"})
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -1,7 +1,7 @@
-"""Whether a catalog that a node remembers over its restart is still the newest that was committed.
+"""Confirms that the catalog a node has cached across its restart is still the newest committed one.
 
-Every committed order is in the log of one member at least of any majority. So a remembered catalog is the
-newest once a majority of the members has said, after this node's start, that its log holds no later order.
+Every committed order is in the log of at least one member of any majority. So the cached catalog is the
+newest if a majority of the members has reported, after this node's start, that its log has no later order.
 """
 
 from __future__ import annotations
@@ -11,38 +11,38 @@
 from brackenladder.consensus.members import quorum_value
 from brackenladder.consensus.types import Members
 
-WORD_AGE = 1_500_000  # microseconds for which a word counts; as contact does (`soft_state.IN_TOUCH_AGE`)
+MAX_REPORT_AGE = 1_500_000  # microseconds that a report counts; same as `soft_state.IN_TOUCH_AGE`
 
 
 @frozen
-class _Word:
+class _Report:
     newest_order: int
     at: int
 
 
 class RestartGate:
-    """Takes what the members say of their logs; this node is one of them. Times are this host's."""
+    """Collects the members' reports on their logs, this node's included. Times are of this host's clock."""
 
     def __init__(self) -> None:
-        self._words: dict[str, _Word] = {}  # by replica id
+        self._reports: dict[str, _Report] = {}  # by replica id
 
-    def told(self, now: int, replica_id: str, newest_order: int) -> None:
-        """A replica's log holds orders up to this index, committed or not."""
-        self._words[replica_id] = _Word(newest_order, now)
+    def record(self, now: int, replica_id: str, newest_order: int) -> None:
+        """Records the index of the newest order in a replica's log, committed or not."""
+        self._reports[replica_id] = _Report(newest_order, now)
 
     def confirms(self, now: int, members: Members, revision: int) -> bool:
-        """Whether no order after `revision` can have been committed before the members spoke, just now.
+        """Whether no order after `revision` can have been committed before the members' recent reports.
 
-        A node that knows of a later order speaks against it, member or not, however long ago: the members
-        known here may have been replaced.
+        A report of a later order prevents this whatever its age, even if it is not from a member: the member
+        list known here may be outdated.
 
-        Failure prevented: a node's disk answers long after its peers have greeted it, it is cut off
-        meanwhile, and tells what was the newest when they spoke.
+        Failure prevented: a node's disk answers long after its peers have reported, the node is disconnected
+        meanwhile, and publishes a catalog that was the newest at the time of the reports only.
         """
-        if any(word.newest_order > revision for word in self._words.values()):
+        if any(report.newest_order > revision for report in self._reports.values()):
             return False
-        return quorum_value(members, lambda replica_id: int(self._spoke(now, replica_id))) >= 1
+        return quorum_value(members, lambda replica_id: int(self._reported_recently(now, replica_id))) >= 1
 
-    def _spoke(self, now: int, replica_id: str) -> bool:
-        word = self._words.get(replica_id)
-        return word is not None and now - word.at <= WORD_AGE
+    def _reported_recently(self, now: int, replica_id: str) -> bool:
+        report = self._reports.get(replica_id)
+        return report is not None and now - report.at <= MAX_REPORT_AGE
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -12,8 +12,8 @@
 
 import numpy as np
 
-from brackenladder.cluster.share import CERTAIN, LEAST_PART
-from brackenladder.core.host import GUARD, Host
+from brackenladder.cluster.live_count import ABSENCE_TIME, MIN_COUNTED_PART
+from brackenladder.core.host import EXPIRY_DELAY, Host
 from brackenladder.core.roster import number_of
 from brackenladder.fleet.clients import Clients
 from brackenladder.fleet.discovery import Source, numbered
@@ -38,7 +38,7 @@
     Servers,
 )
 from brackenladder.rehearsal.scenario import Clients as ClientsTable
-from brackenladder.settings import settings_of
+from brackenladder.settings import parse_settings
 
 BEGIN = 1_000_000_000_000_000  # of the run, in the queue's time: Unix time, so that starts can be told
 MOST_MEMORY = 4 << 30  # bytes that a run may be expected to take
@@ -176,7 +176,7 @@
         node = Node(
             name,
             zone,
-            settings_of(table),
+            parse_settings(table),
             Random(f"node {self.seed} {index if not tier else name}"),
             around,
             self.sources[2 * tier : 2 * tier + 2],
@@ -243,7 +243,7 @@
 
     def deliver(self, node: Node, source: int, data: bytes) -> None:
         if node.up:
-            node.turn(node.host.heard, source, data)
+            node.turn(node.host.peer_message, source, data)
 
     # ---- servers --------------------------------------------------------------------------------------
 
@@ -388,11 +388,11 @@
         now = self.queue.now
         for name, node in self.nodes.items():
             self.was_up[name] = now if node.up else self.was_up.get(name, now)
-        there = sum(now - at < KNOWN + CERTAIN for at in self.was_up.values())
-        there = max(there, ceil(LEAST_PART * len(self.nodes)))
+        there = sum(now - at < KNOWN + ABSENCE_TIME for at in self.was_up.values())
+        there = max(there, ceil(MIN_COUNTED_PART * len(self.nodes)))
         for node in self.nodes.values():
             if node.up and node.host.settings.instances != there:
-                node.host.shared(there)
+                node.host.set_instances(there)
         if now + LIVING_EVERY < BEGIN + self.plan.length:
             self.queue.after(LIVING_EVERY, self.count_living)
 
@@ -427,7 +427,7 @@
         collects = gc.isenabled()
         gc.disable()  # what a run keeps is its events, and what it lets go holds no cycles
         try:
-            self.queue.run(BEGIN + self.plan.length + SETTLE + GUARD)
+            self.queue.run(BEGIN + self.plan.length + SETTLE + EXPIRY_DELAY)
         finally:
             if collects:
                 gc.enable()
--- a/brackenladder/gateway/failures.py
+++ b/brackenladder/gateway/failures.py
@@ -1,4 +1,4 @@
-"""Log lines of failures: one for each kind in a span of time, with how many there were."""
+"""Rate-limited logging of failures: at most one line of a kind in each interval."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 import logbook
 from attrs import define
 
-SPAN = 5_000_000  # microseconds between two lines of a kind
+LOG_INTERVAL = 5_000_000  # microseconds between two lines of a kind
 
 
 @define
-class _Kind:
+class _FailureCount:
     logged_at: int
     unlogged: int = 0
 
 
 class FailureLog:
-    """Writes a failure to the log unless one of its kind was written a short while ago."""
+    """Logs a failure, unless one of its kind was logged a short while ago; then it is only counted."""
 
     def __init__(self, log: logbook.Logger, now: Callable[[], int]) -> None:
         self._log = log
         self._now = now
-        self._kinds: dict[str, _Kind] = {}
+        self._kinds: dict[str, _FailureCount] = {}
 
     def __call__(self, kind: str, detail: str) -> None:
-        """A failure of a kind, and what tells it from others of it."""
+        """Report a failure of a kind; `detail` says which server or error it was."""
         now = self._now()
         known = self._kinds.get(kind)
         if known is None:
-            self._kinds[kind] = _Kind(now)
+            self._kinds[kind] = _FailureCount(now)
             self._log.warning("{}: {}", kind, detail)
-        elif now - known.logged_at < SPAN:
+        elif now - known.logged_at < LOG_INTERVAL:
             known.unlogged += 1
         else:
-            self._log.warning("{}: {} ({} more before)", kind, detail, known.unlogged)
+            self._log.warning("{}: {} ({} more since the last line)", kind, detail, known.unlogged)
             known.logged_at = now
             known.unlogged = 0
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Passes an open answer on as it comes; a broken stream that may be resumed is taken up elsewhere."""
+"""Forwards a response to the client as it arrives, and resumes a broken stream at another server."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 US_PER_S = 1e6
 US_PER_MS = 1000
-DEADLINE_MARGIN = 250_000  # microseconds after the client's deadline until a stream is broken off
-PATIENT_GAPS = 3  # pauses of the aim after which a stream is taken up elsewhere
-LEAST_PATIENCE = 800_000  # microseconds
+DEADLINE_MARGIN = 250_000  # microseconds after the client's deadline at which its stream is aborted
+# Multiples of the target gap between events; a longer pause makes the stream count as stalled.
+STALL_EVENT_GAPS = 3
+MIN_STALL = 800_000  # microseconds; a shorter pause never counts as a stall
 
 
-class SilentAnswer(Exception):
-    """A stream pauses for so long that another server had better go on with it."""
+class StreamStalled(Exception):
+    """A stream has paused so long that it should be resumed at another server."""
 
 
 class RelayedResponse(web.StreamResponse):
@@ -32,7 +33,7 @@
 
 
 class Relay:
-    """Relays one answer to its client."""
+    """Relays one response to its client."""
 
     def __init__(
         self,
@@ -46,12 +47,13 @@
         self.answer = answer
         self.order = EventOrder()
         self._successor_call = successor_call
-        self._ordered = answer.streaming and exchange.route.resumable
-        self._patient = False  # no further look for another server while this one is only silent
-        self._heard_at = 0
+        self._tracks_order = answer.streaming and exchange.route.resumable
+        # Set after no other server could take over a stalled stream: this one is waited for.
+        self._no_successor = False
+        self._last_data_at = 0
 
     async def run(self) -> web.StreamResponse:
-        """Relay to the end; an answer that can't be completed ends with a broken connection."""
+        """Relay to the end. If the response can't be completed, the client's connection is aborted."""
         exchange = self.exchange
         answer = self.answer
         response = RelayedResponse(status=answer.status, reason=answer.reason, headers=answer.headers)
@@ -61,61 +63,61 @@
         try:
             async with asyncio.timeout(left / US_PER_S):
                 await response.prepare(exchange.request)
-                complete = await self._pass_all(response)
+                complete = await self._forward_all(response)
         except TimeoutError:
-            exchange.context.failures("stream broken off at its deadline", self.answer.server_id)
-        except ConnectionError:  # the client has gone
+            exchange.context.failures("stream aborted at its deadline", self.answer.server_id)
+        except ConnectionError:  # the client has disconnected
             pass
         finally:
             self._end()
         if not complete:
-            self._break_off()
-        return exchange.finished(response)  # the drain may have begun after its head was sent
+            self._abort_client()
+        return exchange.finished(response)  # the gateway may have begun to drain after the head was sent
 
-    async def _pass_all(self, response: web.StreamResponse) -> bool:
-        """Pass on what comes; False if the answer breaks and can't be taken up."""
+    async def _forward_all(self, response: web.StreamResponse) -> bool:
+        """Forward all data; False if the response breaks and can't be resumed."""
         while True:
             try:
                 data = await self._read()
             except (AnswerBroken, EventTooLarge) as error:
                 self.exchange.context.failures("stream broken", f"{self.answer.server_id}: {error}")
                 self._end()
-                if not await self._take_up():
+                if not await self._resume_elsewhere():
                     return False
                 continue
-            except SilentAnswer:
-                self._patient = not await self._take_up()
+            except StreamStalled:
+                self._no_successor = not await self._resume_elsewhere()
                 continue
             if not data:
                 return True
-            self._heard_at = self.exchange.context.now()
-            if self._ordered:
+            self._last_data_at = self.exchange.context.now()
+            if self._tracks_order:
                 data = self.order.pass_on(data)
             if data:
                 await response.write(data)
 
     async def _read(self) -> bytes:
-        if self._patient or not self._may_resume():
+        if self._no_successor or not self._may_resume():
             return await self.answer.read()
         gap = self.exchange.route.gap_aim_ms * US_PER_MS
-        patience = max(PATIENT_GAPS * gap, LEAST_PATIENCE)
+        stall_time = max(STALL_EVENT_GAPS * gap, MIN_STALL)
         try:
-            async with asyncio.timeout(patience / US_PER_S):
+            async with asyncio.timeout(stall_time / US_PER_S):
                 return await self.answer.read()
         except TimeoutError:
-            raise SilentAnswer from None
+            raise StreamStalled from None
 
     def _may_resume(self) -> bool:
-        return self._ordered and self.order.last_id is not None and self.exchange.may_resume()
+        return self._tracks_order and self.order.last_id is not None and self.exchange.may_resume()
 
-    async def _take_up(self) -> bool:
-        """Go on with the stream of another server, if there is one; the present one is closed then."""
+    async def _resume_elsewhere(self) -> bool:
+        """Continue with the stream of another server, if one takes it, and close the current response."""
         last_id = self.order.last_id
         if last_id is None or not self._may_resume():
             return False
         exchange = self.exchange
         now = exchange.context.now()
-        silent_at = self._heard_at + exchange.longest_silence
+        silent_at = self._last_data_at + exchange.max_silence
         left = min(silent_at, exchange.client_deadline) - now
         successor = await resume(self._successor_call(self.call, last_id, max(0, left)))
         if successor is None:
@@ -123,16 +125,16 @@
         self._end()
         self.call = successor.call
         self.answer = successor.answer
-        self._patient = False
+        self._no_successor = False
         return True
 
     def _end(self) -> None:
-        """The present server's answer is over, whole or not."""
+        """Close the current server's response, complete or not."""
         self.answer.close()
         self.call.end_stream()
 
-    def _break_off(self) -> None:
-        """Show the client that the answer is not whole."""
+    def _abort_client(self) -> None:
+        """Abort the client's connection, so that it sees that the response is incomplete."""
         transport = self.exchange.request.transport
         if transport is not None:
             transport.abort()
--- a/brackenladder/http/relay.py
+++ b/brackenladder/http/relay.py
@@ -1,24 +1,24 @@
-"""A large answer on its way from a server's connection to a client's, as fast as the slower of the two."""
+"""Forwards a large response from a server's connection to a client's, at the speed of the slower one."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Protocol
 
-STALLED = 30.0  # seconds without a byte from the server, or to the client, after which it is cut off
+STALLED = 30.0  # seconds without progress after which the relay is aborted
 LARGEST_ANSWER = 1 << 30  # bytes
 
 
-class Giver(Protocol):
-    """A server's connection, as far as a relay uses it."""
+class ServerSide(Protocol):
+    """The server's connection, as the relay uses it."""
 
     transport: asyncio.Transport
 
     def close(self) -> None: ...
 
 
-class Taker(Protocol):
-    """A client's connection, as far as a relay uses it."""
+class ClientSide(Protocol):
+    """The client's connection, as the relay uses it."""
 
     transport: asyncio.Transport
     chunks: bool
@@ -26,99 +26,109 @@
 
     def head(self, status: int, headers: bytes, close: bool) -> None: ...
 
-    def passed_on(self) -> None: ...
+    def relay_finished(self) -> None: ...
 
-    def cut(self) -> None: ...
+    def cut_answer(self) -> None: ...
 
 
 class Relay:
-    """The call is concluded when this begins: the first bytes are the answer's time. What breaks it then cuts
-    the client's connection, so that it can tell the answer from a whole one.
+    """Forwards the body of a response whose call has been concluded by its first bytes.
 
-    `length`: the body's, if the server told it; else the client gets chunks.
+    If either side breaks, the client's connection is cut, so that the client can tell that the response is
+    incomplete. `length` is the length of the body, if the server announced it; otherwise the client gets
+    chunks.
     """
 
-    __slots__ = ("loop", "connection", "length", "caller", "chunked", "passed", "timer", "moved")
-
-    def __init__(self, loop: asyncio.AbstractEventLoop, connection: Giver, length: int | None) -> None:
+    __slots__ = (
+        "loop",
+        "connection",
+        "length",
+        "client",
+        "chunked",
+        "relayed_bytes",
+        "timer",
+        "last_progress",
+    )
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, connection: ServerSide, length: int | None) -> None:
         self.loop = loop
-        self.connection: Giver | None = connection
+        self.connection: ServerSide | None = connection
         self.length = length
-        self.caller: Taker | None = None
+        self.client: ClientSide | None = None
         self.chunked = False
-        self.passed = 0
-        self.moved = loop.time()
+        self.relayed_bytes = 0
+        self.last_progress = loop.time()
         self.timer: asyncio.TimerHandle | None = None
 
-    def begin(self, caller: Taker, status: int, headers: bytes, body: bytes) -> None:
-        """Writes the head and what has come so far."""
-        self.caller = caller
-        caller.relay = self
-        self.chunked = self.length is None and caller.chunks
+    def begin(self, client: ClientSide, status: int, headers: bytes, body: bytes) -> None:
+        """Sends the head and the part of the body that was received so far."""
+        self.client = client
+        client.relay = self
+        self.chunked = self.length is None and client.chunks
         framing = b"Transfer-Encoding: chunked\r\n" if self.chunked else b""
         if self.length is not None:
             framing = b"Content-Length: %d\r\n" % self.length
-        caller.head(status, headers + framing, close=self.length is None and not self.chunked)
-        self.timer = self.loop.call_later(STALLED, self.look)
-        self.data(body)
+        client.head(status, headers + framing, close=self.length is None and not self.chunked)
+        self.timer = self.loop.call_later(STALLED, self.check_stalled)
+        self.forward(body)
 
-    def data(self, body: bytes) -> None:
-        """More of the body from the server."""
-        if self.caller is None or not body:
+    def forward(self, body: bytes) -> None:
+        """Forwards more of the body."""
+        if self.client is None or not body:
             return
-        self.moved = self.loop.time()
-        self.passed += len(body)
-        if self.passed > LARGEST_ANSWER:
+        self.last_progress = self.loop.time()
+        self.relayed_bytes += len(body)
+        if self.relayed_bytes > LARGEST_ANSWER:
             self.stop()
             return
         if self.chunked:
             body = b"%x\r\n%b\r\n" % (len(body), body)
-        self.caller.transport.write(body)
+        self.client.transport.write(body)
 
-    def look(self) -> None:
-        """Cuts off what has not moved for long, whoever is the cause.
+    def check_stalled(self) -> None:
+        """Aborts the relay if neither side made progress for a while.
 
-        The client's time is no bound: a large answer is timed by its first bytes, and what the server still
-        gives may not be cut off.
+        The client's timeout does not apply: a large response is timed by its first bytes, and must not be cut
+        off while the server still sends.
         """
-        left = self.moved + STALLED - self.loop.time()
+        left = self.last_progress + STALLED - self.loop.time()
         if left > 0:
-            self.timer = self.loop.call_later(left, self.look)
+            self.timer = self.loop.call_later(left, self.check_stalled)
         else:
             self.stop()
 
-    def full(self, on: bool) -> None:
-        """The client takes no more for now, or takes more again."""
-        self.moved = self.loop.time()
+    def set_client_paused(self, paused: bool) -> None:
+        """Pauses or resumes reading from the server when the client's write buffer is full or has drained."""
+        self.last_progress = self.loop.time()
         if self.connection is not None and not self.connection.transport.is_closing():
-            if on:
+            if paused:
                 self.connection.transport.pause_reading()
             else:
                 self.connection.transport.resume_reading()
 
-    def whole(self) -> None:
-        """The server has given all of it."""
-        caller = self.end()
-        if caller is not None:
+    def complete(self) -> None:
+        """Ends the relay: the body is complete."""
+        client = self.end()
+        if client is not None:
             if self.chunked:
-                caller.transport.write(b"0\r\n\r\n")
-            caller.passed_on()
+                client.transport.write(b"0\r\n\r\n")
+            client.relay_finished()
 
     def stop(self) -> None:
-        """It will not come whole: whichever side is left is cut off."""
+        """Aborts the relay and the connections on both sides."""
         connection = self.connection
-        caller = self.end()
+        client = self.end()
         if connection is not None:
             connection.close()
-        if caller is not None:
-            caller.cut()
+        if client is not None:
+            client.cut_answer()
 
-    def end(self) -> Taker | None:
-        """Nothing more passes; the client's connection, if there is one."""
-        caller, self.caller, self.connection = self.caller, None, None
+    def end(self) -> ClientSide | None:
+        """Detaches both sides; returns the client's connection, if it was still attached."""
+        client, self.client, self.connection = self.client, None, None
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if caller is not None:
-            caller.relay = None
-        return caller
+        if client is not None:
+            client.relay = None
+        return client
--- a/brackenladder/membership/listing.py
+++ b/brackenladder/membership/listing.py
@@ -1,18 +1,18 @@
-"""Discovery's form of the server list, read and checked."""
+"""Parsing and validation of the server list in discovery's format."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from brackenladder.interface import ListKind, State
-from brackenladder.settings import Fields
+from brackenladder.settings import FieldReader
 
 STATES = {"ready": State.READY, "draining": State.DRAINING, "gone": State.GONE}
 
 
 @dataclass(frozen=True)
 class Line:
-    """One server as discovery names it."""
+    """One server in a list from discovery."""
 
     id: str
     host: str
@@ -22,12 +22,12 @@
     cell: int
     state: State
     weight: float
-    started: int  # microseconds of Unix time; 0 = long ago
+    started: int  # Unix time in microseconds; 0: long ago
 
 
 @dataclass(frozen=True)
 class Listing:
-    """A list or its changes, with the version they lead to."""
+    """A full server list or changes to one, with the resulting version."""
 
     kind: ListKind
     version: int
@@ -35,33 +35,33 @@
 
 
 def read_listing(table: object, kind: ListKind | None = None) -> Listing:
-    """A Listing from decoded JSON, of the `kind` it states itself if none is given.
+    """Parses a listing from decoded JSON. Without `kind` it has the kind that it states itself.
 
-    Failure prevented: skipping one bad line of a full list would remove a server that runs. Anything
-    wrong is a ValueError for the whole list, and the list in hand stays.
+    Any defect raises a ValueError for the whole listing, and the caller keeps its current list. Skipping one
+    bad line of a full list would remove a running server.
     """
     if not isinstance(table, dict):
         raise ValueError("list: not an object")
-    fields = Fields(table, "list.")
+    fields = FieldReader(table, "list.")
     if kind is None:
         kind = ListKind.FULL if fields.flag("full") else ListKind.CHANGES
     lines = tuple(read_line(line) for line in fields.tables("servers"))
-    return Listing(kind, fields.whole("version"), lines)
+    return Listing(kind, fields.integer("version"), lines)
 
 
-def read_line(line: Fields) -> Line:
-    """One server. A state that is not known counts as draining: nothing new goes there."""
+def read_line(line: FieldReader) -> Line:
+    """Parses one server. An unknown state counts as draining, so that it gets no new requests."""
     host, _, port = line.text("addr").rpartition(":")
     if not (host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise line.bad("addr")
+        raise line.invalid("addr")
     return Line(
         id=line.text("id"),
         host=host.strip("[]"),
         port=int(port),
         zone=line.text("zone", ""),
         kind=line.text("kind", ""),
-        cell=line.whole("cell", 0),
+        cell=line.integer("cell", 0),
         state=STATES.get(line.text("state"), State.DRAINING),
         weight=line.number("weight", 1.0),
-        started=line.whole("started_ms", 0) * 1000,
+        started=line.integer("started_ms", 0) * 1000,
     )
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -1,4 +1,4 @@
-"""HTTP's pools where an operator may have several: a host for each, one upstream, one list, one router."""
+"""The HTTP pools that operators can configure. Each has its own host; they share upstream and list."""
 
 from __future__ import annotations
 
@@ -11,42 +11,45 @@
 
 import msgspec
 
-from brackenladder.control.plan import Applied, Live, Plan, admitted, remembered
-from brackenladder.control.state import NOTHING, Desired
+from brackenladder.control.plan import AppliedChange, LiveState, Plan, append_history, check_plan
+from brackenladder.control.state import DEFAULT_STATE, DesiredState
 from brackenladder.core.clock import Clock
 from brackenladder.core.ending import last_moment
 from brackenladder.core.host import Host
 from brackenladder.core.roster import Roster, number_of
 from brackenladder.http.front import HttpFront
 from brackenladder.interface import ListKind, ServerEntry, State
-from brackenladder.membership.kept import Kept
+from brackenladder.membership.latest_list import LatestList
 from brackenladder.membership.listing import Line, Listing
 from brackenladder.node.config import Config
 from brackenladder.node.pool import NoMessenger, Pool
-from brackenladder.routing.pools import DEFAULT, PoolSpec, holds, of_pool, weight
+from brackenladder.routing.pools import DEFAULT, PoolSpec, contains, pool_listing, weight
 from brackenladder.routing.routes import Router
 
-OBJECT = b"obj="  # in a target's query
+OBJECT = b"obj="  # the query parameter with the key of sticky routes
 
 
-class Quiet:
-    """For pools beside the first, which alone asks for the list; the upstream is told once for all."""
+class NullDirectory:
+    """The directory and list consumer of pools other than the default one.
+
+    Only the default pool requests the server list, and `Pools.distribute` updates the upstream for all pools.
+    """
 
     def watch(self, on: bool) -> None:
-        """The first pool's source watches."""
+        """Does nothing: the default pool watches."""
 
     def fetch(self) -> None:
-        """The same."""
+        """Does nothing: the default pool fetches."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
-        """The upstream has been told."""
+        """Does nothing: `Pools.distribute` has updated the upstream."""
 
 
-class Side(Roster):
-    """A pool's host, and its part of the list."""
+class RoutedPool(Roster):
+    """One pool: its host, and the roster of the servers that match its specification."""
 
     def __init__(self, name: str, spec: PoolSpec, host: Host, config: Config, pools: Pools) -> None:
-        super().__init__(host, Quiet(), config.zones, config.kinds)
+        super().__init__(host, NullDirectory(), config.zones, config.kinds)
         self.name = name
         self.spec = spec
         self.pools = pools
@@ -54,19 +57,19 @@
     def entry(self, number: int, line: Line) -> ServerEntry:
         entry = super().entry(number, line)
         share = weight(self.spec, line)
-        return replace(entry, share=share or 1.0, pools=self.pools.counts.get(line.id, 1))
+        return replace(entry, share=share or 1.0, pools=self.pools.pools_per_server.get(line.id, 1))
 
-    def hear(self, listing: Listing) -> None:
-        self.told(of_pool(self.spec, listing))
+    def apply_pool_listing(self, listing: Listing) -> None:
+        self.apply_listing(pool_listing(self.spec, listing))
 
 
 def selector(spec: PoolSpec) -> PoolSpec:
-    """What of a pool says which servers it has."""
+    """Returns the part of a pool's specification that selects its servers."""
     return msgspec.structs.replace(spec, weights={}, limit=0)
 
 
 class Pools:
-    """What runs, and the step that changes it."""
+    """The pools and routes in force, and the operations that change them."""
 
     def __init__(
         self,
@@ -83,135 +86,145 @@
         self.first = first
         self.front = front
         self.log = log
-        self.state = NOTHING
-        self.kept: Kept | None = None
-        self.history: tuple[Applied, ...] = ()
-        self.counts: dict[str, int] = {}  # pools that have a server, where there are several pools
-        self.sides = {DEFAULT: Side(DEFAULT, PoolSpec(), first.host, config, self)}
-        self.changed: Callable[[], None] = lambda: None  # hears of each plan that was applied
-        self.closed = False  # nothing is taken: every request is refused at once
-        self.leaving: list[Side] = []  # pools that are gone, until their last call has ended
-        self.draw = random.random  # which requests of a split go where is no secret, and not for the module
+        self.state = DEFAULT_STATE
+        self.latest_list: LatestList | None = None
+        self.history: tuple[AppliedChange, ...] = ()
+        self.pools_per_server: dict[str, int] = {}  # by server id; empty if there is only one pool
+        self.routed_pools = {DEFAULT: RoutedPool(DEFAULT, PoolSpec(), first.host, config, self)}
+        self.changed: Callable[[], None] = lambda: None  # called after each applied plan
+        self.closed = False  # every request is refused at once
+        self.draining: list[RoutedPool] = []  # removed pools, until their last call has ended
+        self.random_fraction = random.random  # splits traffic; needs no secure or seeded source
         self.router = Router((), config.classes, config.tenants)
-        first.spread = self.spread
+        first.distribute = self.distribute
 
     # ---- the list -------------------------------------------------------------------------------------
 
-    def count(self, lines: Iterable[Line]) -> None:
-        """Takes note of how many pools have each server."""
-        if len(self.sides) == 1:
-            self.counts.clear()
+    def count_pools(self, lines: Iterable[Line]) -> None:
+        """Counts the pools that each of these servers belongs to."""
+        if len(self.routed_pools) == 1:
+            self.pools_per_server.clear()
             return
         for line in lines:
             if line.state == State.GONE:
-                self.counts.pop(line.id, None)
+                self.pools_per_server.pop(line.id, None)
             else:
-                self.counts[line.id] = max(1, sum(holds(side.spec, line) for side in self.sides.values()))
-
-    def spread(self, listing: Listing) -> None:
-        """News of the list, to the upstream first and to every pool then."""
-        if self.kept is None:
-            self.kept = Kept(listing)
+                self.pools_per_server[line.id] = max(
+                    1, sum(contains(pool.spec, line) for pool in self.routed_pools.values())
+                )
+
+    def distribute(self, listing: Listing) -> None:
+        """Passes a listing to the upstream first and then to every pool."""
+        if self.latest_list is None:
+            self.latest_list = LatestList(listing)
         else:
-            self.kept.admit(listing)
+            self.latest_list.apply(listing)
         if listing.kind != ListKind.CHANGES:
-            self.counts.clear()
-        self.count(listing.lines)
+            self.pools_per_server.clear()
+        self.count_pools(listing.lines)
         latest = {number_of(line.id): line for line in listing.lines}
         self.first.upstream.update(listing.kind, latest)
-        self.leaving = [side for side in self.leaving if side.host.calls]
-        for side in (*self.sides.values(), *self.leaving):
-            side.hear(listing)
+        self.draining = [pool for pool in self.draining if pool.host.calls]
+        for pool in (*self.routed_pools.values(), *self.draining):
+            pool.apply_pool_listing(listing)
 
     # ---- requests -------------------------------------------------------------------------------------
 
     def hosts(self) -> list[Host]:
-        """Every pool's."""
-        return [side.host for side in self.sides.values()]
+        """The hosts of all pools."""
+        return [pool.host for pool in self.routed_pools.values()]
 
     def route(self, klass: int, tenant: int, target: bytes, name: bytes) -> Host:
-        """The host that takes a request."""
+        """Returns the host that handles a request. `name` is the tenant's name."""
         path, _, query = target.partition(b"?")
-        by = self.router.sticky(klass, tenant, path)
+        sticky_by = self.router.sticky(klass, tenant, path)
         key = ""
-        if by:
-            key = (name if by == "tenant" else query.rpartition(OBJECT)[2]).decode("latin-1")
-        return self.sides[self.router.route(klass, tenant, path, key, self.draw())].host
+        if sticky_by:
+            key = (name if sticky_by == "tenant" else query.rpartition(OBJECT)[2]).decode("latin-1")
+        return self.routed_pools[self.router.route(klass, tenant, path, key, self.random_fraction())].host
 
     # ---- changes --------------------------------------------------------------------------------------
 
-    def live(self) -> Live:
-        lines = self.kept.whole().lines if self.kept is not None else ()
-        return Live(
+    def live(self) -> LiveState:
+        lines = self.latest_list.merged().lines if self.latest_list is not None else ()
+        return LiveState(
             self.state,
             lines,
-            {name: len(side.host.calls) for name, side in self.sides.items()},
+            {name: len(pool.host.calls) for name, pool in self.routed_pools.items()},
             tuple(self.config.classes),
             tuple(self.config.tenants),
             self.history,
         )
 
     def apply(self, plan: Plan, user: int) -> None:
-        """Makes the change in one step of the event loop. A Refused leaves everything as it was."""
-        desired = admitted(self.live(), plan)
-        made = {name: self.side(name, spec) for name, spec in desired.pools.items() if name not in self.sides}
+        """Applies a plan within one loop iteration. Raises PlanRefused if it may not, and changes nothing."""
+        desired = check_plan(self.live(), plan)
+        new_pools = {
+            name: self.make_pool(name, spec)
+            for name, spec in desired.pools.items()
+            if name not in self.routed_pools
+        }
         router = Router(desired.routes, self.config.classes, self.config.tenants)
-        # From here on nothing can fail.
+        # Nothing below can fail, so a plan is never applied partly.
         keys = tuple(".".join(change.key) for change in plan.changes)
-        self.switch(desired, made, router)
-        self.history = remembered(self.history, Applied(time(), user, plan.base, plan.result, keys))
+        self.switch(desired, new_pools, router)
+        self.history = append_history(self.history, AppliedChange(time(), user, plan.base, plan.result, keys))
         self.changed()
 
-    def restore(self, desired: Desired) -> None:
-        """Takes a whole state on, in one step of the event loop: a kept one, or others' newest."""
-        made = {name: self.side(name, spec) for name, spec in desired.pools.items() if name not in self.sides}
-        self.switch(desired, made, Router(desired.routes, self.config.classes, self.config.tenants))
-
-    def shut(self, closed: bool) -> None:
-        """Takes nothing from now on, or takes requests again."""
+    def restore_state(self, desired: DesiredState) -> None:
+        """Replaces the whole state within one loop iteration, with a saved one or another node's newest."""
+        new_pools = {
+            name: self.make_pool(name, spec)
+            for name, spec in desired.pools.items()
+            if name not in self.routed_pools
+        }
+        self.switch(desired, new_pools, Router(desired.routes, self.config.classes, self.config.tenants))
+
+    def set_closed(self, closed: bool) -> None:
+        """Refuses all requests, or accepts them again."""
         if closed != self.closed:
             self.closed = closed
-            self.limits()
+            self.apply_limits()
 
-    def limits(self) -> None:
-        most = self.config.settings.max_open
-        for side in self.sides.values():
-            side.host.most = 0 if self.closed else min(most, side.spec.limit or most)
+    def apply_limits(self) -> None:
+        max_open = self.config.settings.max_open
+        for pool in self.routed_pools.values():
+            pool.host.max_open = 0 if self.closed else min(max_open, pool.spec.limit or max_open)
 
-    def side(self, name: str, spec: PoolSpec) -> Side:
-        """A pool that has not begun: its own module, the node's upstream."""
+    def make_pool(self, name: str, spec: PoolSpec) -> RoutedPool:
+        """Creates a pool with its own Balancer and the node's shared upstream, without starting it."""
         settings = replace(self.config.settings, peers=False, list_on_request=False)
         seed = self.config.seed ^ int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
         host = Host(settings, seed, self.loop, self.first.upstream, self.log, self.clock)
-        host.directory = Quiet()
+        host.directory = NullDirectory()
         host.messenger = NoMessenger()
-        return Side(name, spec, host, self.config, self)
+        return RoutedPool(name, spec, host, self.config, self)
 
-    def switch(self, desired: Desired, made: Mapping[str, Side], router: Router) -> None:
-        before = {name: side.spec for name, side in self.sides.items()}
-        gone = [name for name in self.sides if name not in desired.pools]
-        self.leaving += [self.sides.pop(name) for name in gone]
-        self.sides |= made
+    def switch(self, desired: DesiredState, new_pools: Mapping[str, RoutedPool], router: Router) -> None:
+        before = {name: pool.spec for name, pool in self.routed_pools.items()}
+        gone = [name for name in self.routed_pools if name not in desired.pools]
+        self.draining += [self.routed_pools.pop(name) for name in gone]
+        self.routed_pools |= new_pools
         self.state = desired
-        for name, side in self.sides.items():
-            side.spec = desired.pools[name]
-        self.limits()
-        for side in made.values():
-            side.host.start()
-        if self.kept is not None:
-            whole = self.kept.whole()
-            chosen = {name: selector(spec) for name, spec in before.items()}
-            if chosen != {name: selector(spec) for name, spec in desired.pools.items()}:
-                self.counts.clear()
-                self.count(whole.lines)
-                before = {}  # a server's other pools count too: all are told
-            for name, side in self.sides.items():
-                if before.get(name) != side.spec:
-                    side.hear(whole)
+        for name, pool in self.routed_pools.items():
+            pool.spec = desired.pools[name]
+        self.apply_limits()
+        for pool in new_pools.values():
+            pool.host.start()
+        if self.latest_list is not None:
+            whole = self.latest_list.merged()
+            selectors_before = {name: selector(spec) for name, spec in before.items()}
+            if selectors_before != {name: selector(spec) for name, spec in desired.pools.items()}:
+                self.pools_per_server.clear()
+                self.count_pools(whole.lines)
+                before = {}  # the number of a server's pools may have changed, so update all pools
+            for name, pool in self.routed_pools.items():
+                if before.get(name) != pool.spec:
+                    pool.apply_pool_listing(whole)
         self.router = router
         self.front.route = self.route if desired.routes else None
 
-    def last_orders(self) -> None:
-        """The node is to end: what pools beside the first take from now on must be concluded in time."""
-        for side in (*self.sides.values(), *self.leaving):
-            side.host.ends = last_moment(side.host.now(), self.config.settings.classes)
+    def begin_shutdown(self) -> None:
+        """Limits new calls of all pools to the time that is left until the node is killed."""
+        for pool in (*self.routed_pools.values(), *self.draining):
+            pool.host.conclude_by = last_moment(pool.host.now(), self.config.settings.classes)
--- a/brackenladder/registry/directory.py
+++ b/brackenladder/registry/directory.py
@@ -1,4 +1,4 @@
-"""Which gateways a client is sent to."""
+"""Selects the gateways whose addresses a client receives."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 from brackenladder.registry.gateways import GatewayRecord, GatewayState
 
-MOST_ADDRESSES = 64  # of one answer
+MAX_ADDRESSES = 64  # in one answer
 
 
-class Reach(Enum):
-    """How far from a client the gateways of an answer are."""
+class Proximity(Enum):
+    """How close to the client the gateways in an answer are."""
 
     ZONE = "its zone"
     REGION = "its region"
     ELSEWHERE = "other regions"
-    NOWHERE = "none"  # there is no gateway to be named
+    NOWHERE = "none"  # no gateway is available
 
 
-NEAR_REACHES = (Reach.ZONE, Reach.REGION)  # gateways of the client's own region
+OWN_REGION = (Proximity.ZONE, Proximity.REGION)  # values that mean the client's own region
 
 
 @frozen
-class ClientPlace:
-    """Where a client is, and the host that it wants to reach."""
+class ClientLocation:
+    """The region and zone of a client, and the host name that it resolves."""
 
     host: str
     region: str
@@ -34,56 +34,56 @@
 
 
 @frozen
-class Offer:
-    """The gateways that a client gets, by their front addresses."""
+class ResolvedGateways:
+    """The result of a lookup: front addresses of gateways."""
 
     addresses: tuple[str, ...] = ()
-    reach: Reach = Reach.NOWHERE
-    regions: frozenset[str] = frozenset()  # of these gateways
+    proximity: Proximity = Proximity.NOWHERE
+    regions: frozenset[str] = frozenset()  # the regions of these gateways
 
     @property
-    def near(self) -> bool:
-        """Whether they are of the client's own region."""
-        return self.reach in NEAR_REACHES
+    def in_client_region(self) -> bool:
+        """Whether the gateways are in the client's own region."""
+        return self.proximity in OWN_REGION
 
 
-NO_OFFER = Offer()
+NO_GATEWAYS = ResolvedGateways()
 
 
-Permitted = Callable[[str], bool]
+RegionFilter = Callable[[str], bool]
 
 
 def resolve(
     gateways: Iterable[GatewayRecord],
-    client: ClientPlace,
-    permitted: Permitted,
-    limit: int = MOST_ADDRESSES,
+    client: ClientLocation,
+    permitted: RegionFilter,
+    limit: int = MAX_ADDRESSES,
     offset: int = 0,
-) -> Offer:
-    """Return the front addresses for a client.
+) -> ResolvedGateways:
+    """Return the front addresses of ready gateways for a client.
 
-    They are the ready ones of its zone if there are any, else those of its region, else those of the regions
-    that are `permitted` to the host's clients from elsewhere, else none. Where there are more than `limit`,
-    `offset` turns the list, so that callers who vary it spread their clients over all.
+    Gateways in the client's zone are preferred, then those in its region, then those in other regions for
+    which `permitted` returns True. If there are more than `limit`, the sorted list is rotated by `offset`:
+    callers that vary the offset spread their clients over all gateways.
     """
     ready = [gateway for gateway in gateways if gateway.state is GatewayState.READY]
-    reach, chosen = _nearest(ready, client, permitted)
+    proximity, chosen = _nearest(ready, client, permitted)
     regions = {gateway.front_address: gateway.region for gateway in chosen}
     addresses = sorted(regions)
     if len(addresses) > limit:
         start = offset % len(addresses)
         addresses = (addresses[start:] + addresses[:start])[:limit]
-    return Offer(tuple(addresses), reach, frozenset(regions[address] for address in addresses))
+    return ResolvedGateways(tuple(addresses), proximity, frozenset(regions[address] for address in addresses))
 
 
 def _nearest(
-    ready: list[GatewayRecord], client: ClientPlace, permitted: Permitted
-) -> tuple[Reach, list[GatewayRecord]]:
+    ready: list[GatewayRecord], client: ClientLocation, permitted: RegionFilter
+) -> tuple[Proximity, list[GatewayRecord]]:
     in_region = [gateway for gateway in ready if gateway.region == client.region]
     in_zone = [gateway for gateway in in_region if gateway.zone == client.zone]
     if in_zone:
-        return Reach.ZONE, in_zone
+        return Proximity.ZONE, in_zone
     if in_region:
-        return Reach.REGION, in_region
+        return Proximity.REGION, in_region
     elsewhere = [gateway for gateway in ready if permitted(gateway.region)]
-    return (Reach.ELSEWHERE, elsewhere) if elsewhere else (Reach.NOWHERE, [])
+    return (Proximity.ELSEWHERE, elsewhere) if elsewhere else (Proximity.NOWHERE, [])
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -11,8 +11,8 @@
 from brackenladder.consensus.timing import Timing
 from brackenladder.consensus.types import Members
 from brackenladder.control_plane.control_node import ControlNode, ReplicaStart
+from brackenladder.control_plane.environment import NodeEnvironment
 from brackenladder.control_plane.http_server import Handler
-from brackenladder.control_plane.surroundings import Surroundings
 from brackenladder.control_plane.wire import control_codec, gateway_codec
 from brackenladder.delivery.presence import Presence
 from brackenladder.delivery.subscriber import Subscriber
@@ -21,8 +21,8 @@
 from brackenladder.prefix_cache.messages import PrefixNotices
 from brackenladder.prefix_cache.relay_choice import RelayChoice
 from brackenladder.registry.gateways import GatewayState
-from brackenladder.registry.recall import HealthAnswer, RememberedServer
 from brackenladder.registry.records import ServerState
+from brackenladder.registry.remembered_servers import HealthAnswer, RememberedServer
 from brackenladder.simulation.disk import Disk, SimulatedRestartFile, SimulatedWriter
 from brackenladder.simulation.documents import order_of
 from brackenladder.simulation.network import SimulatedNetwork
@@ -53,7 +53,7 @@
 class UnansweredChecks:
     """Health checks that no server answers."""
 
-    async def ask_all(self, servers: object) -> list[HealthAnswer]:
+    async def check_all(self, servers: object) -> list[HealthAnswer]:
         """See `HealthChecks`."""
         assert isinstance(servers, tuple)
         return [HealthAnswer("") for server in servers if isinstance(server, RememberedServer)]
@@ -140,7 +140,7 @@
 
     def _start(self, genesis: Members | None, process: Process) -> None:
         self._writer = SimulatedWriter(self.disk, process)
-        surroundings = Surroundings(UnusedListener, SimulatedRestartFile(self.disk), UnansweredChecks)
+        environment = NodeEnvironment(UnusedListener, SimulatedRestartFile(self.disk), UnansweredChecks)
         node = self.node_type(
             self._platform(),
             ReplicaStart(self.disk.replica_id, self.disk.load(), genesis),
@@ -149,7 +149,7 @@
             lambda: self._loop.microseconds,
             Random(self._random.getrandbits(64)),
             timing=self._timing,
-            surroundings=surroundings,
+            environment=environment,
         )
         self.node = node
         self._loop.create_task(node.start())
@@ -294,7 +294,7 @@
         now = self._loop.microseconds
         self.subscriber.tick(now)
         self._links.tick()
-        if not self.ready and self.subscriber.ready_by_timeout(now):
+        if not self.ready and self.subscriber.complete_or_timed_out(now):
             self.ready = True
             self._presence.set_state(GatewayState.READY)
 
@@ -322,10 +322,10 @@
         super().__init__()
         self._changed = changed
 
-    def told(self, now: int, control_address: str, message: object) -> tuple[object, ...]:
-        """See `Subscriber.told`."""
+    def receive(self, now: int, control_address: str, message: object) -> tuple[object, ...]:
+        """See `Subscriber.receive`."""
         revision = self.view.revision
-        answers = super().told(now, control_address, message)
+        answers = super().receive(now, control_address, message)
         if self.view.revision != revision:
             self._changed(control_address, revision == 0)
         return answers
--- a/brackenladder/system/options.py
+++ b/brackenladder/system/options.py
@@ -7,7 +7,7 @@
 import typer
 
 from brackenladder.operator_client.control_client import ControlClient
-from brackenladder.operator_client.errors import Unusable
+from brackenladder.operator_client.errors import UsageError
 from brackenladder.transport.address import parse_address
 from brackenladder.transport.errors import AddressError
 
@@ -18,24 +18,29 @@
     typer.Option(
         "--control",
         envvar=CONTROL_VARIABLE,
-        help="Control address of a node, ip:port; several times, or separated by spaces in the variable.",
+        help="Control address of a node, ip:port. May be repeated; in the variable, separated by spaces.",
     ),
 ]
 OptionalControlOption = Annotated[
     list[str] | None,
-    typer.Option("--control", envvar=CONTROL_VARIABLE, help="As for the other commands; for an update."),
+    typer.Option(
+        "--control", envvar=CONTROL_VARIABLE, help="As for the other commands. Needed to check an update."
+    ),
 ]
-PatienceOption = Annotated[
-    float, typer.Option("--patience", min=0.0, help="Seconds after which a call without a clear answer ends.")
+TimeoutOption = Annotated[
+    float,
+    typer.Option(
+        "--patience", min=0.0, help="Seconds for which a call is retried until its outcome is clear."
+    ),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Prints one JSON object.")]
 
 
-def control_client(nodes: list[str], patience_s: float) -> ControlClient:
-    """A client for the nodes that an option names."""
+def control_client(nodes: list[str], timeout_s: float) -> ControlClient:
+    """Returns a client for the nodes that `--control` names."""
     if not nodes:
-        raise Unusable(f"no control node is named: give --control ip:port or set {CONTROL_VARIABLE}")
+        raise UsageError(f"no control node is named: give --control ip:port or set {CONTROL_VARIABLE}")
     try:
-        return ControlClient(tuple(str(parse_address(node)) for node in nodes), patience_s)
+        return ControlClient(tuple(str(parse_address(node)) for node in nodes), timeout_s)
     except AddressError as error:
-        raise Unusable(f"--control: {error}") from None
+        raise UsageError(f"--control: {error}") from None
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -48,13 +48,13 @@
     async def scene():
         bench = await Bench(going := Server(), staying := Server(), config={"known": None}).start()
         bench.discovery.say(42, True, going.entry("s0"))
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         start = bench.pool.host.balancer.request
 
         def request(*args):
             start(*args)  # a connection is being opened; then the news comes
             body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
-            bench.pool.source.watched(bench.pool.source.watching, json.dumps(body).encode())
+            bench.pool.source.on_watch_answer(bench.pool.source.watch_call, json.dumps(body).encode())
 
         bench.pool.host.balancer.request = request
         assert (await bench.once(call("invite")))[0] == 200
@@ -110,9 +110,9 @@
 
     async def scene():
         monkeypatch.setattr("brackenladder.discovery.watch.CONNECT_TIMEOUT", 0.2)
-        monkeypatch.setattr("brackenladder.membership.inhand.LEAST_WAIT_MS", 200)
-        monkeypatch.setattr("brackenladder.membership.inhand.WAIT_MS_A_NODE", 0)
-        monkeypatch.setattr("brackenladder.discovery.watch.ANSWER_TIME", 0.2)
+        monkeypatch.setattr("brackenladder.membership.current_list.MIN_WAIT_MS", 200)
+        monkeypatch.setattr("brackenladder.membership.current_list.WAIT_MS_PER_NODE", 0)
+        monkeypatch.setattr("brackenladder.discovery.watch.ANSWER_TIMEOUT", 0.2)
         rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
@@ -160,7 +160,7 @@
         bench = await Bench(server := Server(), discovery="push", config={"known": None}).start()
         bench.discovery.raw(b"", b"503 Busy")
         bench.discovery.say(42, True, server.entry("s0"))
-        await until(lambda: bench.pool.listed)
+        await until(lambda: bench.pool.has_listing)
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
