--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -120,8 +120,7 @@
         raise ConfigError("seed: not a hexadecimal number") from None
     fields = FieldReader(table)
     process_limits = fields.nested("limits", optional=True)
-    sockets = process_limits.integer("sockets", 1024)
-    memory = process_limits.integer("memory_mb", 128)
+    sockets, memory = process_limits.integer("sockets", 1024), process_limits.integer("memory_mb", 128)
     operator_address = table.get("operator")
     reserved = RESERVED_SOCKETS + (OPERATOR_SOCKETS if operator_address else 0)
     if sockets < reserved + MIN_CONNECTIONS:
--- a/brackenladder/node/control_socket.py
+++ b/brackenladder/node/control_socket.py
@@ -113,8 +113,9 @@
                 return refusal("[members] is not in this node's operator file")
             return msgspec.json.encode({"ok": True, **self.members()})
         live = self.pools.live()
-        answer = {"ok": True, **(summary(live) if request.do == "show" else {"live": live})}
-        return msgspec.json.encode(answer)
+        return msgspec.json.encode(
+            {"ok": True, **(summary(live) if request.do == "show" else {"live": live})}
+        )
 
     def apply(self, text: str, user: int) -> bytes:
         seal = "-"
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -96,9 +96,11 @@
     def count_live(self) -> None:
         """Counts the live nodes and reports a changed number."""
         detector, before = self.detector, self.live_nodes.number
-        may_declare_dead = detector.health.may_declare_dead
         if (
-            self.live_nodes.count(self.now(), detector.view, detector.heard_at, may_declare_dead) != before
+            self.live_nodes.count(
+                self.now(), detector.view, detector.heard_at, detector.health.may_declare_dead
+            )
+            != before
             and self.table.share
         ):
             self.on_live_count(self.live_nodes.number)
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -47,8 +47,9 @@
 
     def source(on_listing: OnListing) -> Source:
         if table.discovery is None:
-            lines = [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers]
-            return FixedList(lines, on_listing)
+            return FixedList(
+                [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], on_listing
+            )
         address = parse_address(table.discovery, "rpc.discovery")
         return PolledDiscovery(loop, address, None, settings.instances, on_listing, stray_log.line)
 
--- a/tests/node/node_samples.py
+++ b/tests/node/node_samples.py
@@ -1,4 +1,4 @@
-"""Answers of stand-in servers, and a node as a process, for the tests of a node."""
+"""Responses of fake servers, and functions that start a node process, for the node tests."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 
 def always(*answers: bytes | None):
-    """A handle that gives these answers in turn, the last one for good."""
+    """Returns a handler that sends these answers in turn and then repeats the last one."""
     left = list(answers)
 
     async def handle(request, writer):
--- a/tests/node/test_control.py
+++ b/tests/node/test_control.py
@@ -1,4 +1,4 @@
-"""Plan and apply at a real node over its control socket, with stand-in servers."""
+"""Tests of the commands `plan`, `apply` and `show` with a real node and fake servers."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 """
 
 
-def scene(folder, servers, play_it, **changes):
-    """Plays with a node whose control socket stands in a folder."""
-    room = tempfile.TemporaryDirectory(prefix="lb")  # a socket's path has a hundred bytes at most
-    path = f"{room.name}/control"
+def scene(folder, servers, act, **changes):
+    """Runs `act` with a node that has a control socket. The audit file is in `folder`."""
+    socket_folder = tempfile.TemporaryDirectory(prefix="lb")  # short: a socket's path has at most ~100 bytes
+    path = f"{socket_folder.name}/control"
 
-    async def whole():
+    async def run():
         table = ControlTable(socket=path, audit=str(folder / "audit"))
         bench = Bench(*servers, operator=Operator(control=table), **changes)
         await bench.start()
@@ -43,15 +43,15 @@
         async def command(*arguments: str) -> int:
             return await asyncio.to_thread(main, [*arguments, "--node", path])
 
-        await play_it(bench, path, command)
+        await act(bench, path, command)
         bench.node.control.end()
 
-    with room:
-        play(whole)
+    with socket_folder:
+        play(run)
 
 
 def test_a_plan_from_file_to_a_running_node(tmp_path, capsys):
-    """Weights, a pool and a split; a second plan from the old state is refused and names what changed."""
+    """Applies a pool, routes and a split. A second plan from the old state is refused."""
 
     async def act(bench, path, command):
         assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
@@ -63,7 +63,7 @@
         assert '+ pools.canary.servers = ["s0"]' in text and "routes.0.to.canary" in text
         stale = tmp_path / "stale"
         assert await command("plan", str(weights), "--out", str(stale)) == 2
-        assert await command("apply", str(out)) == 1  # nobody to ask, and no --yes
+        assert await command("apply", str(out)) == 1  # no terminal to confirm on, and no --yes
         assert (await asyncio.to_thread(call_node, path, "show"))["history"] == []
         assert await command("apply", str(out), "--yes") == 0
         assert await command("apply", str(out), "--yes") == 1
@@ -71,12 +71,12 @@
         assert await command("apply", str(stale), "--yes") == 1
         assert "changed since: pools.canary" in capsys.readouterr().err
         assert await command("plan", str(desired)) == 0
-        went = Counter()
+        sent = Counter()
         for i in range(300):
             data = call("view").replace(b"obj=7f", b"obj=%x" % i)
             assert (await bench.once(data))[0] == 200
-            went["s0"] = len(bench.servers[0].requests)
-        assert 75 <= went["s0"] < 300  # a quarter by the route, and its part of the rest
+            sent["s0"] = len(bench.servers[0].requests)
+        assert 75 <= sent["s0"] < 300  # a quarter through the canary route, plus its share of the rest
         assert len(bench.node.control.pools.routed_pools) == 2
         assert await command("show", "--history") == 0
         assert "pool canary: 1 ready" in capsys.readouterr().out
@@ -86,7 +86,7 @@
     scene(tmp_path, [Server(), Server(), Server()], act)
 
 
-def test_a_weight_of_nothing_drains_softly_and_an_empty_pool_is_refused(tmp_path, capsys):
+def test_a_weight_of_zero_stops_new_requests_and_an_empty_pool_is_refused(tmp_path, capsys):
     async def act(bench, path, command):
         one, all_of_them, out = (tmp_path / name for name in ("one.toml", "all.toml", "plan"))
         one.write_text('[pools.default.weights]\n"server:s1" = 0\n')
@@ -99,9 +99,9 @@
         for _ in range(60):
             assert (await bench.once(call("view")))[0] == 200
         assert bench.servers[1].requests == []
-        # Discovery takes another away: the pool keeps to the weights, and what it knows of the list stays.
+        # Discovery removes another server: the weights stay in force, and so does the rest of the list.
         bench.discovery.say(42, False, bench.servers[0].entry("s0", "draining"))
-        await until(lambda: ask_live(bench)["s0"] != 0)
+        await until(lambda: live_states(bench)["s0"] != 0)
         for _ in range(30):
             assert (await bench.once(call("view")))[0] == 200
         assert bench.servers[1].requests == []
@@ -109,12 +109,12 @@
     scene(tmp_path, [Server(), Server(), Server()], act)
 
 
-def ask_live(bench) -> dict[str, int]:
+def live_states(bench) -> dict[str, int]:
     return {line.id: int(line.state) for line in bench.node.control.pools.live().lines}
 
 
 def test_changes_under_load_lose_no_request(tmp_path):
-    """40 applies while six clients ask: pools come and go, weights and routes change."""
+    """Applies 40 plans that change pools, weights and routes while six clients send requests."""
     texts = [
         CANARY,
         "",
@@ -139,7 +139,7 @@
             await until(lambda before=before: sum(statuses.values()) >= before + 12)
         done.set()
         await asyncio.gather(*clients)
-        # A busy machine makes the limit refuse some; nothing fails, and each has had its one answer.
+        # On a busy machine the concurrency limit refuses some requests, but none fails.
         assert set(statuses) <= {200, 503} and statuses[200] > statuses[503] and len(pools.history) == 40
         await until(
             lambda: not any(pool.host.calls for pool in (*pools.routed_pools.values(), *pools.draining))
@@ -149,7 +149,7 @@
 
 
 def test_requests_in_flight_keep_the_pool_that_they_began_with(tmp_path):
-    """A removed pool's calls end as they would have; its servers' drains still reach it."""
+    """Open calls of a removed pool complete normally, and it still gets updates of its servers."""
 
     async def act(bench, path, command):
         desired, nothing, out = (tmp_path / name for name in ("desired.toml", "nothing.toml", "plan"))
@@ -158,13 +158,13 @@
         for file in (desired, nothing):
             assert await command("plan", str(file), "--out", str(out)) == 2
             if file == nothing:
-                held = asyncio.create_task(bench.once(call("view")))
+                open_request = asyncio.create_task(bench.once(call("view")))
                 await until(lambda: gate.waiting == 1)
             assert await command("apply", str(out), "--yes") == 0
         pools = bench.node.control.pools
         assert list(pools.routed_pools) == ["default"] and len(pools.draining) == 1
         gate.open.set()
-        assert (await held)[0] == 200
+        assert (await open_request)[0] == 200
         bench.discovery.say(42, False)
         await until(lambda: not pools.draining)
 
@@ -192,16 +192,16 @@
 }
 
 
-def test_whoever_speaks_otherwise_is_told_and_nothing_changes(tmp_path):
+def test_invalid_requests_get_an_error_and_change_nothing(tmp_path):
     async def act(bench, path, command):
         before = bench.node.control.pools.live()
         for line, why in LINES.items():
             reader, writer = await asyncio.open_unix_connection(path)
             writer.write(line)
-            said = json.loads(await reader.readline())
-            assert said["ok"] is False and said["why"].startswith(why)
+            reply = json.loads(await reader.readline())
+            assert reply["ok"] is False and reply["why"].startswith(why)
             writer.close()
-        silent = await asyncio.open_unix_connection(path)  # says nothing, and keeps nobody waiting
+        silent = await asyncio.open_unix_connection(path)  # sends nothing and must not block others
         assert await command("show") == 0
         silent[1].close()
         assert bench.node.control.pools.live() == before
@@ -209,7 +209,7 @@
     scene(tmp_path, [Server()], act)
 
 
-def test_without_a_node_or_a_file_it_is_one_line(tmp_path, capsys):
+def test_errors_of_files_and_sockets_are_one_line(tmp_path, capsys):
     file = tmp_path / "x.toml"
     file.write_text("[pools.default]\nlimt = 1\n")
     for arguments, where in (
@@ -219,8 +219,8 @@
         (["show", "--node", str(tmp_path / "none")], "No such file"),
     ):
         assert main(arguments) == 1
-        told = capsys.readouterr().err
-        assert told.startswith(f"brackenladder: {arguments[0]}: ") and where in told and told.count("\n") == 1
+        text = capsys.readouterr().err
+        assert text.startswith(f"brackenladder: {arguments[0]}: ") and where in text and text.count("\n") == 1
     for text in ("[control]\n", "[control]\nsocket = ''\n", "[control]\nsocket = 'x'\nusers = [-1]\n"):
         with pytest.raises(OperatorError, match="control"):
             parse(text.encode())
--- a/tests/node/test_early_listener.py
+++ b/tests/node/test_early_listener.py
@@ -1,4 +1,4 @@
-"""The gateway's socket is open before the gateway is loaded."""
+"""Tests of the gateway's client socket that is opened before the gateway is imported."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class OpenEarlyTest(unittest.TestCase):
-    def test_connections_wait_before_anything_accepts(self) -> None:
+    def test_clients_can_connect_before_anything_accepts(self) -> None:
         listener = open_early("127.0.0.1:0")
         assert listener is not None
         self.addCleanup(listener.close)
@@ -23,7 +23,7 @@
         self.addCleanup(client.close)
         client.sendall(b"GET / HTTP/1.1\r\n")
 
-    def test_an_address_that_is_in_use_or_none_gives_no_socket(self) -> None:
+    def test_an_address_that_is_in_use_or_empty_gives_no_socket(self) -> None:
         listener = open_early("127.0.0.1:0")
         assert listener is not None
         self.addCleanup(listener.close)
@@ -44,5 +44,5 @@
         await gateway.start()
         self.addAsyncCleanup(gateway.close)
         self.assertEqual(gateway.addresses[0], listener.getsockname())
-        got = await asyncio.wait_for(client.read(), PATIENCE)
-        self.assertEqual(got.status, 200)
+        response = await asyncio.wait_for(client.read(), PATIENCE)
+        self.assertEqual(response.status, 200)
--- a/tests/node/test_end_while_loading.py
+++ b/tests/node/test_end_while_loading.py
@@ -1,4 +1,4 @@
-"""A gateway that is told to end while it is loaded answers whoever waits in its queue."""
+"""A gateway that gets SIGTERM while it is being imported still answers the clients in its accept queue."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from unittest import IsolatedAsyncioTestCase
 
 ROOT = Path(__file__).parents[2]
-PATIENCE = 30.0  # seconds; only a failure waits so long
+PATIENCE = 30.0  # seconds after which the test fails
 SETTINGS = """
 NodeName = "gateway-1"
 Role = "gateway"
@@ -46,20 +46,20 @@
         self.addAsyncCleanup(self.end)
 
     async def end(self) -> None:
-        """After a failure."""
+        """Kills the process if the test failed before its end."""
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A connection, made as soon as the process listens."""
+        """Connects as soon as the process listens."""
         while True:
             try:
                 return await asyncio.open_connection(self.ip, 21008)
             except OSError:
                 await asyncio.sleep(0)
 
-    async def test_what_waits_is_answered_and_the_process_ends_in_order(self) -> None:
+    async def test_a_waiting_client_is_answered_and_the_process_exits_with_status_0(self) -> None:
         async with asyncio.timeout(PATIENCE):
             reader, writer = await self.connect()
             writer.write(REQUEST)
--- a/tests/node/test_gateway_role.py
+++ b/tests/node/test_gateway_role.py
@@ -1,4 +1,4 @@
-"""The gateway role by itself: what its operator is told."""
+"""Tests of the gateway role: what it logs for its operator."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class UnreadableConfigurationTest(TestCase):
-    def test_it_is_told_once_and_the_older_one_stays(self) -> None:
+    def test_it_is_logged_once_and_the_older_one_stays(self) -> None:
         loop = StreamEventLoop()
         with logbook.TestHandler() as handler:
             loop.run_until_complete(self.play(loop))
-        told = [record.message for record in handler.records if "can't be read" in record.message]
-        self.assertEqual(len(told), 1)
-        self.assertIn("revision 99", told[0])
+        messages = [record.message for record in handler.records if "can't be read" in record.message]
+        self.assertEqual(len(messages), 1)
+        self.assertIn("revision 99", messages[0])
         loop.close()
 
     async def play(self, loop: StreamEventLoop) -> None:
--- a/tests/node/test_node_answers.py
+++ b/tests/node/test_node_answers.py
@@ -1,4 +1,4 @@
-"""Servers' answers, good and malformed, their load reports, and errors inside the node."""
+"""Tests of server responses, valid and malformed, of load reports, and of exceptions inside the node."""
 
 import pytest
 from loopback import OK, Bench, Server, call, play, until
@@ -16,8 +16,8 @@
         (GOOD.replace(b"\r\n\r\n", b"\r\nX-Load-Report: \xff=;nan,mean_ms=inf\r\n\r\n"), 1),
     ],
 )
-def test_a_good_answer_is_served_whatever_comes_with_it(answer, connections):
-    """Failure prevented: noise behind a whole answer fails a request that has run."""
+def test_a_valid_response_is_served_whatever_surrounds_it(answer, connections):
+    """Stray bytes after a complete response must not fail the request, as it has run."""
 
     async def scene():
         bench = await Bench(server := Server(always(answer)), report={"columns": ["mean_ms"]}).start()
@@ -25,7 +25,7 @@
         for _ in range(2):
             status, headers, body = await client.ask(call("invite"))
             assert (status, headers["content-type"], body) == (200, "text/plain", b"ok")
-        assert server.connections == connections  # one with strays on it is not used again
+        assert server.connections == connections  # a connection with stray bytes isn't reused
 
     play(scene)
 
@@ -48,10 +48,10 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Pad: " + b"p" * 600000,
     ],
 )
-def test_a_spoilt_answer_fails_its_attempt_at_once(answer):
-    """Failure prevented: it is served as good, or the attempt waits out its time for bytes without end.
+def test_a_malformed_response_fails_its_attempt_at_once(answer):
+    """It must not be served, and the attempt must not wait for its time-out.
 
-    The server keeps the connection open, so only the node can end it.
+    The server keeps the connection open, so the node has to close it.
     """
 
     async def scene():
@@ -65,8 +65,8 @@
     play(scene)
 
 
-def test_a_report_that_cannot_be_is_none():
-    """Failure prevented: a value that is no number, endless or negative goes into an average for good."""
+def test_an_invalid_load_report_is_ignored():
+    """A value that isn't a number, infinite or negative would spoil an average permanently."""
 
     async def scene():
         bench = await Bench(Server()).start()
@@ -77,7 +77,7 @@
     play(scene)
 
 
-def test_the_guard_answers_what_the_module_forgets():
+def test_a_request_that_the_balancer_never_answers_fails_at_its_deadline():
     async def scene():
         bench = await Bench(Server()).start()
         bench.pool.host.balancer.request = lambda *args: None
@@ -88,7 +88,7 @@
 
 
 def test_an_exception_in_the_node_answers_that_request():
-    """Failure prevented: the event loop closes the connection, and the request has no answer."""
+    """Otherwise the event loop would close the connection without a response."""
 
     async def scene():
         bench = await Bench(Server()).start()
@@ -122,15 +122,15 @@
         report = b"inflight=7,latency_ms=1.5"
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(report), report)
         bench = await Bench(server := Server(always(answer, BUSY))).start()
-        heard = []
-        bench.pool.host.balancer.probed = lambda now, server, ok, took, values: heard.append(
+        probes = []
+        bench.pool.host.balancer.probed = lambda now, server, ok, took, values: probes.append(
             (ok, tuple(values))
         )
         (number,) = bench.pool.upstream.pool.endpoints
         for count in (1, 2):
             bench.pool.host.probe(number)
-            await until(lambda count=count: len(heard) == count)
-        assert heard == [(True, (1.5, 7.0)), (False, ())]
+            await until(lambda count=count: len(probes) == count)
+        assert probes == [(True, (1.5, 7.0)), (False, ())]
         assert server.requests[0].target == "/status/load"
 
     play(scene)
--- a/tests/node/test_node_attempts.py
+++ b/tests/node/test_node_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts at servers: the outcome of each, and which connections are used again."""
+"""Tests of attempts at servers: their outcomes, and which connections are reused."""
 
 import asyncio
 import os
@@ -14,7 +14,7 @@
 from brackenladder.interface import Outcome
 
 
-def test_an_unsafe_request_goes_on_after_a_refused_connection():
+def test_an_unsafe_request_is_retried_after_a_refused_connection():
     async def scene():
         bench = await Bench(dead := Server(), alive := Server()).start()
         dead.server.close()
@@ -26,7 +26,7 @@
 
 
 def test_a_connection_that_never_comes_up_ends_in_the_connect_time_out():
-    """Failure prevented: a machine that is cut off says nothing, and costs a request its whole time."""
+    """An unreachable machine doesn't answer. Without a connect time-out it would use up a request's time."""
 
     async def scene():
         with cut_off() as port:
@@ -36,25 +36,25 @@
             bench.discovery.say(43, False, silent.entry("s0"))
             await until(lambda: len(bench.discovery.requests) == 2)
             outcomes = []
-            told = bench.pool.host.balancer.outcome
+            original = bench.pool.host.balancer.outcome
 
             def outcome(now, request, number, server, outcome, *rest):
                 outcomes.append(outcome)
-                told(now, request, number, server, outcome, *rest)
+                original(now, request, number, server, outcome, *rest)
 
             bench.pool.host.balancer.outcome = outcome
             while Outcome.CONNECT_FAILED not in outcomes:
-                assert (await bench.once(call("invite")))[0] == 200  # it cannot have run: sent on
+                assert (await bench.once(call("invite")))[0] == 200  # it can't have run, so it is retried
             assert set(outcomes) == {Outcome.CONNECT_FAILED, Outcome.OK}
             assert len(alive.requests) == outcomes.count(Outcome.OK)
             endpoints = bench.pool.upstream.pool.endpoints.values()
-            # None is counted for ever.
+            # Failed connections no longer count as open.
             assert bench.pool.upstream.pool.open == sum(len(e.idle) for e in endpoints)
 
     play(scene)
 
 
-def test_an_unsafe_request_goes_on_after_being_turned_away():
+def test_an_unsafe_request_is_retried_after_a_rejection():
     async def scene():
         bench = await Bench(Server(always(FULL)), Server(always(FULL))).start()
         status, headers, _ = await bench.once(call("invite"))
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("answer", [BUSY, BROKEN])
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(answer):
-    """Failure prevented: a 503 of a tier behind, without the mark, is taken for proof that nothing ran."""
+    """A 503 without the rejection header may come from a further tier, so the request may have run."""
 
     async def scene():
         bench = await Bench(Server(always(answer)), Server(always(answer))).start()
@@ -90,13 +90,13 @@
 
 
 def test_a_connection_that_breaks_before_the_last_byte_never_ran(monkeypatch):
-    """Failure prevented: a large request that the server never got whole is failed as if it had run."""
-    made = Connection.connection_made
+    """A request that the server didn't receive completely can't have run and must not fail as if it had."""
+    original = Connection.connection_made
 
     def small(self, transport):  # so that the kernel does not take the whole request at once
         with socket.socket(fileno=os.dup(transport.get_extra_info("socket").fileno())) as s:
             s.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        made(self, transport)
+        original(self, transport)
 
     monkeypatch.setattr(Connection, "connection_made", small)
 
@@ -128,20 +128,20 @@
 
 
 def record_outcomes(bench):
-    """The outcomes that the module is told from here on."""
+    """Returns a list of the outcomes that are reported to the balancer from now on."""
     outcomes = []
-    told = bench.pool.host.balancer.outcome
+    original = bench.pool.host.balancer.outcome
 
     def outcome(now, request, attempt, server, outcome, *rest):
         outcomes.append(outcome)
-        told(now, request, attempt, server, outcome, *rest)
+        original(now, request, attempt, server, outcome, *rest)
 
     bench.pool.host.balancer.outcome = outcome
     return outcomes
 
 
 def test_a_time_out_ends_the_attempt_and_its_connection():
-    """Failure prevented: a late answer on a connection that is used again is taken for another request's."""
+    """A late response on a reused connection would be taken for another request's response."""
 
     async def scene():
         bench = await Bench(server := Server(always(None, OK))).start()
@@ -186,15 +186,15 @@
     play(scene)
 
 
-def test_connections_idle_no_longer_than_servers_let_them():
-    """Failure prevented: servers close sooner than the settings say; what is written just then is reset."""
+def test_the_idle_time_adapts_to_servers_that_close_earlier():
+    """If servers close idle connections earlier than configured, requests written at that time are reset."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
         pool, client = bench.pool.upstream.pool, await bench.client()
         (endpoint,) = pool.endpoints.values()
         stated = pool.idle_time
-        for idle, least in ((0.0, stated), (1.0, 0.5)):  # a close right after an answer tells nothing
+        for idle, least in ((0.0, stated), (1.0, 0.5)):  # a close right after a response says nothing
             assert (await client.ask(call()))[0] == 200
             (connection,) = endpoint.idle
             connection.idle_since = pool.loop.time() + 600 if idle == 0 else pool.loop.time() - idle
@@ -206,16 +206,16 @@
         assert (await client.ask(call()))[0] == 200
         endpoint.idle[0].idle_since -= learned + 0.1
         assert (await client.ask(call()))[0] == 200
-        assert server.connections == 4  # it was not used again
+        assert server.connections == 4  # the idle connection wasn't reused
         pool.sweep()
-        assert learned < pool.idle_time < stated  # what was learned fades
+        assert learned < pool.idle_time < stated  # the learned value drifts back
 
     play(scene)
 
 
 def test_a_close_that_waits_in_the_socket_is_seen_before_the_connection_is_used():
-    """Failure prevented: an unsafe request is written to a connection that its server has closed, and
-    counts as one that may have run."""
+    """An unsafe request written to a connection that the server has closed would count as one that may have
+    run."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -225,14 +225,14 @@
         (idle,) = endpoint.idle
         (writer,) = server.writers
         with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as end:
-            end.shutdown(socket.SHUT_WR)  # the node's loop has no turn from here on
+            end.shutdown(socket.SHUT_WR)  # the node's loop doesn't run before the next line
             assert bench.pool.upstream.pool.take(endpoint) is None
         assert (await client.ask(call("invite")))[0] == 200
 
     play(scene)
 
 
-def test_headers_that_come_twice_and_offers_of_other_protocols():
+def test_repeated_headers_are_kept_and_protocol_upgrades_are_dropped():
     async def scene():
         bench = await Bench(server := Server()).start()
         extra = b"X-Tag: 1\r\nX-Tag: 2\r\nUpgrade: h2c\r\nConnection: Upgrade\r\n"
@@ -246,8 +246,8 @@
 
 
 def test_a_connection_that_is_lost_before_the_request_is_written_never_ran():
-    """Failure prevented: a server at its cap takes a connection and ends it at once; the write then raises,
-    nothing ends the attempt, and at its time-out it counts as one that may have run."""
+    """A server at its connection limit may accept a connection and close it at once. If the write then
+    raised, the attempt would end only at its time-out and count as one that may have run."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -268,7 +268,7 @@
 
 
 def test_stray_bytes_on_an_idle_connection_close_it():
-    """Failure prevented: bytes left over from one answer are served as the next one."""
+    """Bytes left over from one response must not be served as the next one."""
 
     async def scene():
         bench = await Bench(server := Server(always(OK + OK.replace(b"ok", b"no")))).start()
--- a/tests/node/test_node_discovery.py
+++ b/tests/node/test_node_discovery.py
@@ -1,4 +1,4 @@
-"""The server list: the watch, its outages, and what a change of the list ends."""
+"""Tests of the server list: the watch, outages of discovery, and the effect of changes of the list."""
 
 import json
 
@@ -9,7 +9,7 @@
 from brackenladder.interface import ListKind
 
 
-def test_a_watch_is_renewed_at_once_with_the_version_in_hand():
+def test_a_watch_is_renewed_at_once_with_the_current_version():
     async def scene():
         bench = await Bench(server := Server()).start()
         bench.discovery.say(43, False, server.entry("s0"))
@@ -22,43 +22,43 @@
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_nothing_new_goes_to_a_server_that_drains_or_left(full):
-    """Failure prevented: an open connection, or a pooled one, carries requests to a server after its end."""
+def test_no_new_request_goes_to_a_draining_or_removed_server(full):
+    """Requests must not be sent over connections that are still open to such a server."""
 
     async def scene():
-        bench = await Bench(going := Server(), staying := Server()).start()
-        while not going.requests:
+        bench = await Bench(leaving := Server(), staying := Server()).start()
+        while not leaving.requests:
             assert (await bench.once(call()))[0] == 200
         if full:
             bench.discovery.say(43, True, staying.entry("s1"))
         else:
-            bench.discovery.say(43, False, going.entry("s0", "draining"))
-        await until(lambda: going.closed == going.connections)
-        sent = len(going.requests)
+            bench.discovery.say(43, False, leaving.entry("s0", "draining"))
+        await until(lambda: leaving.closed == leaving.connections)
+        sent = len(leaving.requests)
         for _ in range(10):
             assert (await bench.once(call()))[0] == 200
-        assert len(going.requests) == sent
+        assert len(leaving.requests) == sent
 
     play(scene)
 
 
-def test_a_server_that_drains_while_its_connection_comes_up_gets_no_byte():
-    """Failure prevented: the server was ready at the send, and the request is written after its drain."""
+def test_a_server_that_drains_while_connecting_gets_no_request():
+    """The server is ready when it is chosen, but draining when the connection is established."""
 
     async def scene():
-        bench = await Bench(going := Server(), staying := Server(), config={"known": None}).start()
-        bench.discovery.say(42, True, going.entry("s0"))
+        bench = await Bench(leaving := Server(), staying := Server(), config={"known": None}).start()
+        bench.discovery.say(42, True, leaving.entry("s0"))
         await until(lambda: bench.pool.has_listing)
         start = bench.pool.host.balancer.request
 
         def request(*args):
-            start(*args)  # a connection is being opened; then the news comes
+            start(*args)  # a connection is being opened when the new list arrives
             body = {"version": 43, "full": True, "servers": [staying.entry("s1")]}
             bench.pool.source.on_watch_answer(bench.pool.source.watch_call, json.dumps(body).encode())
 
         bench.pool.host.balancer.request = request
         assert (await bench.once(call("invite")))[0] == 200
-        assert not going.requests and len(staying.requests) == 1
+        assert not leaving.requests and len(staying.requests) == 1
 
     play(scene)
 
@@ -80,8 +80,8 @@
     "body",
     [b"{", b"[]", b'{"version":43,"full":true,"servers":[{"id":7}]}', b'{"full":true,"servers":[]}'],
 )
-def test_garbage_from_discovery_leaves_the_list_alone(body):
-    """Failure prevented: an answer that cannot be read empties the list, or ends the process."""
+def test_an_invalid_response_of_discovery_leaves_the_list_unchanged(body):
+    """It must not empty the list or end the process."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -92,7 +92,7 @@
     play(scene)
 
 
-def test_a_failed_watch_is_asked_for_again():
+def test_a_failed_watch_is_retried():
     async def scene():
         bench = await Bench(Server()).start()
         bench.discovery.raw(b"", b"503 Busy")
@@ -106,30 +106,30 @@
 
 @pytest.mark.parametrize("how", ["down", "cut off", "silent"])
 def test_the_watch_outlives_an_outage_of_discovery(how, monkeypatch):
-    """Failure prevented: a call that is never answered is waited for, and the list stays as it was."""
+    """A request that is never answered must time out, or the list would never be updated again."""
 
     async def scene():
         monkeypatch.setattr("brackenladder.discovery.watch.CONNECT_TIMEOUT", 0.2)
         monkeypatch.setattr("brackenladder.membership.current_list.MIN_WAIT_MS", 200)
         monkeypatch.setattr("brackenladder.membership.current_list.WAIT_MS_PER_NODE", 0)
         monkeypatch.setattr("brackenladder.discovery.watch.ANSWER_TIMEOUT", 0.2)
-        rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
+        rules = settings()["rules"] | {"ask_within": MOMENT}  # retries soon
         bench = await Bench(old := Server(), rules=rules).start()
         await Server.start(new := Server())
         node = bench.node
         failed = []
-        told = node.http.host.balancer.server_list
+        original = node.http.host.balancer.server_list
 
         def server_list(now, kind, entries):
             failed.append(kind == ListKind.FAILED)
-            told(now, kind, entries)
+            original(now, kind, entries)
 
         node.http.host.balancer.server_list = server_list
         with cut_off() as nowhere:
-            if how != "silent":  # which the test's discovery is until it is told what to say
+            if how != "silent":  # the test's discovery sends nothing until `say` is called
                 node.http.source.address = ("127.0.0.1", free_port() if how == "down" else nowhere)
             await until(lambda: sum(failed) >= 3)
-            assert (await bench.once(call()))[0] == 200 and old.requests  # the last list holds
+            assert (await bench.once(call()))[0] == 200 and old.requests  # the last list stays in force
         await Server.start(back := Discovery())
         node.http.source.address = ("127.0.0.1", back.port)
         back.say(50, True, new.entry("s1"))
@@ -142,15 +142,15 @@
 
 
 @pytest.mark.parametrize(("nodes", "wait"), [(1, 3000), (13, 6500), (300, 20000)])
-def test_a_watch_waits_as_long_as_the_fleet_is_large(nodes, wait):
-    """Failure prevented: a small fleet notices after 22 s that discovery is cut off; a large one spends
-    all that discovery can do on empty answers."""
+def test_the_wait_of_a_watch_grows_with_the_number_of_nodes(nodes, wait):
+    """With a fixed wait, few nodes would notice only after 22 s that discovery is unreachable, or many nodes
+    would overload discovery with empty responses."""
 
     async def scene():
         bench = await Bench(Server(), group_size=nodes).start()
         await until(lambda: len(bench.discovery.requests) == 1)
-        asked = int(bench.discovery.requests[0].target.rpartition("=")[2])
-        assert 0.9 * wait <= asked <= wait
+        requested = int(bench.discovery.requests[0].target.rpartition("=")[2])
+        assert 0.9 * wait <= requested <= wait
 
     play(scene)
 
@@ -166,8 +166,8 @@
     play(scene)
 
 
-def test_an_old_whole_list_does_not_bring_a_drained_server_back():
-    """Failure prevented: a replica of discovery that lags behind names as ready who drains."""
+def test_an_older_full_list_does_not_bring_a_drained_server_back():
+    """A lagging replica of discovery may still list a draining server as ready."""
 
     async def scene():
         bench = await Bench(drained := Server(), other := Server()).start()
--- a/tests/node/test_node_limits.py
+++ b/tests/node/test_node_limits.py
@@ -1,4 +1,4 @@
-"""Limits on connections and requests, and which clients make room for others."""
+"""Tests of limits on connections and requests, and of which connections are closed in favour of others."""
 
 import asyncio
 import os
@@ -20,8 +20,8 @@
 from node_samples import always, spawn
 
 
-def test_clients_beyond_the_budget_are_refused_and_idle_ones_make_room():
-    """Failure prevented: more clients than descriptors end the process or stop it from taking anyone."""
+def test_clients_over_the_limit_are_refused_and_idle_ones_are_closed_first():
+    """More clients than descriptors would end the process or keep it from accepting anyone."""
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
@@ -29,25 +29,25 @@
         idle = await bench.client()
         await until(lambda: bench.node.front.clients.connections)
         for connection in bench.node.front.clients.connections:
-            connection.request_since -= 1.0  # it is no longer fresh
-        most = bench.node.front.clients.max_connections
-        assert most >= 4  # a small budget too is mostly for clients that are served
+            connection.request_since -= 1.0  # as if it had been accepted a second ago
+        limit = bench.node.front.clients.max_connections
+        assert limit >= 4  # even with few descriptors, most are for clients that are served
         clients = []
-        for _ in range(most):
+        for _ in range(limit):
             clients.append(await bench.client())
             clients[-1].send(call("invite"))
             await until(lambda: len(bench.node.front.by_connection) == len(clients))
         assert await idle.ended()
         status, headers, _ = await bench.once(call("invite"))
-        assert status == 503 and float(headers["retry-after"]) > 0  # or it would be back at once
+        assert status == 503 and float(headers["retry-after"]) > 0  # otherwise it would retry at once
         clients[0].writer.close()
-        await until(lambda: len(bench.node.front.clients.connections) < most)
+        await until(lambda: len(bench.node.front.clients.connections) < limit)
         assert (await bench.once(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 200
 
     play(scene)
 
 
-def test_requests_beyond_the_settings_are_refused_with_advice():
+def test_requests_over_max_open_are_refused_with_retry_after():
     async def scene():
         bench = await Bench(server := Server(always(None)), policy_limits={"max_open": 1}).start()
         (first := await bench.client()).send(call())
@@ -62,7 +62,7 @@
     play(scene)
 
 
-def test_connects_beyond_the_budget_fail_and_idle_ones_make_room():
+def test_server_connections_over_the_limit_fail_and_idle_ones_are_closed_first():
     async def scene():
         bench = await Bench(first := Server(), second := Server()).start()
         bench.pool.upstream.pool.max_connections = 1
@@ -76,8 +76,8 @@
     play(scene)
 
 
-def test_a_crowd_of_clients_keeps_the_process_within_its_descriptors(tmp_path):
-    """Failure prevented: a process over its limit is killed, or cannot open what it needs."""
+def test_many_clients_do_not_exceed_the_process_limit_of_descriptors(tmp_path):
+    """Over the limit, the process would be killed or couldn't open what it needs."""
 
     async def scene():
         await (server := Server()).start()
@@ -90,8 +90,8 @@
         crowd = []
         for _ in range(150):
             crowd.append(client := await Client(port).open())
-            # Half a request, and at once: an idle client would make room for the next, and how many are
-            # held in the end would depend on how fast they came.
+            # Part of a request, sent at once: an idle client could be closed for the next one, and the
+            # number of open connections would depend on how fast the clients connect.
             client.send(b"GET /ready HTTP/1.1\r\n")
         await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) >= before + 8)
         for _ in range(200):
@@ -111,26 +111,26 @@
     play(scene)
 
 
-def test_who_never_asks_is_closed_and_who_has_asked_may_stay():
-    """Failure prevented: hundreds that connect and say nothing hold descriptors for good."""
+def test_clients_that_never_send_a_request_are_closed():
+    """Otherwise hundreds of silent clients would hold descriptors for ever."""
 
     async def scene():
         bench = await Bench(Server()).start()
-        silent, asked = await bench.client(), await bench.client()
-        assert (await asked.ask(call()))[0] == 200
+        silent, active = await bench.client(), await bench.client()
+        assert (await active.ask(call()))[0] == 200
         await until(lambda: len(bench.node.front.clients.connections) == 2)
         for connection in bench.node.front.clients.connections:
-            connection.request_since -= 2.6  # as if it were so long ago
+            connection.request_since -= 2.6  # as if it had been accepted 2.6 s ago
         bench.node.front.clients.sweep()
         assert await silent.ended()
-        assert (await asked.ask(call()))[0] == 200
+        assert (await active.ask(call()))[0] == 200
 
     play(scene)
 
 
-def test_silent_clients_in_every_place_make_room_at_once(monkeypatch):
-    """Failure prevented: nobody is let in until the slow ones are swept; requests wait beyond their time."""
-    monkeypatch.setattr("brackenladder.http.large_bodies.HEAD_TIMEOUT", 1000.0)  # no sweep will help
+def test_silent_clients_on_all_connections_are_closed_at_once_for_others(monkeypatch):
+    """If new clients had to wait for the periodic sweep, their requests would exceed their deadlines."""
+    monkeypatch.setattr("brackenladder.http.large_bodies.HEAD_TIMEOUT", 1000.0)  # the sweep closes none
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
@@ -145,8 +145,8 @@
     play(scene)
 
 
-def test_a_client_that_was_just_let_in_does_not_make_room():
-    """Failure prevented: its first request is on the way, and is reset with the connection."""
+def test_a_client_that_was_just_accepted_is_not_closed_for_others():
+    """Its first request may be in transit and would be reset together with the connection."""
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
@@ -168,8 +168,8 @@
     play(scene)
 
 
-def test_room_is_made_by_those_who_never_asked_and_then_by_those_who_stall():
-    """Failure prevented: silent connections, or half requests, push out clients that are served."""
+def test_silent_clients_are_closed_first_and_then_clients_with_partial_requests():
+    """Neither may push out clients that are being served."""
 
     async def scene():
         bench = await Bench(Server(), config={"limits": {"sockets": 48}}).start()
@@ -197,8 +197,8 @@
     play(scene)
 
 
-def test_a_request_that_never_comes_whole_is_given_up():
-    """Failure prevented: clients that send half a request hold descriptors for good."""
+def test_a_request_that_stays_incomplete_is_given_up():
+    """Otherwise clients that send part of a request would hold descriptors for ever."""
 
     async def scene():
         bench = await Bench(Server()).start()
@@ -206,11 +206,11 @@
         client.send(b"GET /view HTTP/1.1\r\nX-Call-Id: 1\r\n")
         await until(lambda: any(c.partial_request for c in bench.node.front.clients.connections))
         (connection,) = bench.node.front.clients.connections
-        for _ in range(2):  # more bytes do not start the time anew
-            seen = connection.request_bytes  # not the time: the loop's clock counts in whole milliseconds
+        for _ in range(2):  # further bytes don't restart the time
+            seen = connection.request_bytes  # not a time, as the loop's clock has a resolution of 1 ms
             client.send(b"X-N: 1\r\n")
             await until(lambda seen=seen: connection.request_bytes > seen)
-        connection.request_since -= 2.6  # as if it had come so long ago
+        connection.request_since -= 2.6  # as if it had begun 2.6 s ago
         bench.node.front.clients.sweep()
         assert (await client.receive())[0] == 408 and await client.ended()
 
--- a/tests/node/test_node_of_pools.py
+++ b/tests/node/test_node_of_pools.py
@@ -1,4 +1,4 @@
-"""A node of several pools: what reaches all of them, and what a new configuration changes."""
+"""Tests of a node with several pools: reloads, readiness and pauses."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     return Operator(rpc=msgspec.structs.replace(old.rpc, **changes))
 
 
-def test_a_new_operator_file_moves_the_discovery_of_rpc(capsys):
-    """Failure prevented: the signal reaches HTTP's pool alone, and RPC's asks an address that is gone."""
+def test_a_reload_changes_the_discovery_address_of_rpc(capsys):
+    """A reload must reach the RPC pool too, or it would go on using an old address."""
 
     async def scene():
         bench = await Bench(old := Server()).start()
@@ -36,13 +36,13 @@
         log = capsys.readouterr().err
         assert "needs a restart: rpc.pipeline\n" in log and f"rpc.discovery {address}" in log
         assert bench.node.operator.rpc.discovery == address
-        bench.node.reload(bench.node.config, operator(bench))  # the same: its watch goes on
+        bench.node.reload(bench.node.config, operator(bench))  # the same address: its watch continues
         assert len(moved.requests) == 2
 
     play(scene)
 
 
-def test_a_pool_that_came_or_went_needs_a_restart(capsys):
+def test_adding_or_removing_a_pool_needs_a_restart(capsys):
     async def scene():
         bench = await Bench(Server()).start()
         bench.node.reload(bench.node.config, Operator())
@@ -54,7 +54,7 @@
 
 def test_ready_once_every_pool_has_a_list():
     async def scene():
-        bench = await Bench(server := Server(), table={"servers": ()}).start()  # nobody was told yet
+        bench = await Bench(server := Server(), table={"servers": ()}).start()  # no list has arrived yet
         http = bench.node.listeners["http"].front.clients.listener.sock.getsockname()[1]
         ready = b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n"
         bench.node.http.on_listing(Listing(ListKind.FULL, 1, ()))
@@ -67,8 +67,8 @@
     play(scene)
 
 
-def test_a_pause_reaches_the_clients_of_rpc():
-    """Failure prevented: an operator takes the node out of service, and RPC clients go on."""
+def test_a_pause_applies_to_rpc_clients():
+    """Otherwise RPC clients would go on using a node that an operator has taken out of service."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -79,7 +79,7 @@
         error, _ = await client.ask("view", 2)
         assert error[0] == "refused" and error[2] == "this node pauses" and len(server.calls) == 1
         for client_connection in front.clients:
-            client_connection.last_active -= 1  # as if it had been quiet for so long
+            client_connection.last_active -= 1  # as if it had been idle for a second
         front.set_service_stage(ServiceStage.REFUSING)
         await until(lambda: not front.clients)
         front.set_service_stage(ServiceStage.SERVING)
--- a/tests/node/test_node_peers.py
+++ b/tests/node/test_node_peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes, and the clock they share."""
+"""Tests of datagrams between nodes, and of the clock."""
 
 import socket
 import time
@@ -6,8 +6,8 @@
 from loopback import MOMENT, Bench, Server, call, play, until
 
 
-def test_datagrams_come_from_peers_only():
-    """Failure prevented: stray or oversized datagrams reach the module, or end the process."""
+def test_datagrams_are_accepted_from_peers_only():
+    """Stray or oversized datagrams must not reach the balancer or end the process."""
 
     async def scene():
         mine, peer, stranger = (socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3))
@@ -16,15 +16,15 @@
         names = [f"127.0.0.1:{s.getsockname()[1]}" for s in (mine, peer)]
         config = {"peer_listen": "127.0.0.1:0", "peers": names, "peers_all": names[1]}
         bench = await Bench(Server(), config=config).start()
-        heard = []
-        bench.pool.host.balancer.peer_message = lambda now, number, data: heard.append((number, data))
+        received = []
+        bench.pool.host.balancer.peer_message = lambda now, number, data: received.append((number, data))
         assert bench.node.peers.transport is not None
         address = bench.node.peers.transport.get_extra_info("sockname")
         stranger.sendto(b"stray", address)
         peer.sendto(b"x" * 300, address)
         peer.sendto(b"hello", address)
-        await until(lambda: bool(heard))
-        assert heard == [(1, b"hello")]
+        await until(lambda: bool(received))
+        assert received == [(1, b"hello")]
         peer.settimeout(20)
         bench.pool.host.tell(1, b"x" * 257)
         bench.pool.host.tell(-1, b"all")
@@ -34,8 +34,8 @@
     play(scene)
 
 
-def test_a_flood_of_strays_does_not_hide_faults_in_the_log(capsys):
-    """Failure prevented: whoever sends garbage uses up the lines of the second, and faults go unseen."""
+def test_a_flood_of_stray_datagrams_does_not_hide_faults_in_the_log(capsys):
+    """Stray datagrams must not use up the log's lines per second, or faults would not be logged."""
 
     async def scene():
         config = {"peer_listen": "127.0.0.1:0", "peers": []}
@@ -58,7 +58,7 @@
     assert 0 < sum("stray" in line for line in lines) < 100
 
 
-def test_now_never_goes_back_and_is_unix_time():
+def test_the_clock_is_monotonic_and_shows_unix_time():
     async def scene():
         bench = await Bench().start()
         times = [bench.pool.host.now() for _ in range(1000)]
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -1,4 +1,4 @@
-"""Start and end of a node: bad configuration, SIGTERM, a kill, a restart under load."""
+"""Tests of a node's start and end: invalid configuration, SIGTERM, SIGKILL, a restart under load."""
 
 import asyncio
 import signal
@@ -24,7 +24,7 @@
 from brackenladder.node.config import ConfigError, load, parse_table
 
 
-def test_bad_configuration_is_one_plain_line(tmp_path):
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path):
     file = tmp_path / "config.json"
     with pytest.raises(ConfigError, match="not set"):
         load({})
@@ -39,7 +39,7 @@
         parse_table(node_table(0, settings(policy_limits={"max_attempts": None})))
 
 
-def test_the_program_says_what_it_cannot_start_with(tmp_path):
+def test_the_program_exits_with_the_configuration_error(tmp_path):
     async def scene():
         process = await spawn(tmp_path, {"name": "n0"})
         _, errors = await process.communicate()
@@ -49,8 +49,8 @@
     play(scene)
 
 
-def test_sigterm_answers_what_is_open_and_ends_with_status_0(tmp_path):
-    """Failure prevented: a request that is out is lost at a planned restart, or the second signal ends it."""
+def test_after_sigterm_open_requests_are_answered_and_the_status_is_0(tmp_path):
+    """A planned restart must not lose open requests, even if a second signal arrives."""
 
     async def scene():
         release = asyncio.Event()
@@ -64,7 +64,7 @@
         client.send(call("invite"))
         await until(lambda: len(server.requests) == 1)
         process.send_signal(signal.SIGTERM)
-        assert await idle.ended()  # the signal has been heard
+        assert await idle.ended()  # the signal has been handled
         process.send_signal(signal.SIGTERM)
         release.set()
         status, headers, body = await client.receive()
@@ -76,8 +76,8 @@
     play(scene)
 
 
-def test_a_killed_node_starts_again_under_its_address(tmp_path):
-    """Failure prevented: what is left of the old process's connections keeps the new one from listening."""
+def test_a_killed_node_can_be_restarted_with_the_same_address(tmp_path):
+    """Remaining connections of the old process must not keep the new one from listening."""
 
     async def scene():
         await (server := Server()).start()
@@ -95,9 +95,8 @@
     play(scene)
 
 
-def test_a_node_that_ends_answers_all_that_it_has_taken(monkeypatch):
-    """Failure prevented: requests that come late, or that wait in the backlog, are lost at a planned restart;
-    an idle client is reset."""
+def test_a_node_that_shuts_down_answers_all_accepted_requests(monkeypatch):
+    """Late requests and those in the backlog must not be lost, and idle clients not be reset."""
 
     async def scene():
         release = asyncio.Event()
@@ -111,12 +110,12 @@
         early.send(call("invite"))
         await until(lambda: len(server.requests) == 1)
         drain = asyncio.create_task(bench.node.drain())
-        assert await idle.ended()  # idle ones end while new ones are still taken
+        assert await idle.ended()  # idle ones are closed while new ones are still accepted
         monkeypatch.setattr("brackenladder.http.client_connections.SETTLE", 600.0)
         late = await bench.client()
         late.send(call("invite"))
         await until(lambda: len(server.requests) == 2)
-        with socket.create_connection(("127.0.0.1", bench.port)) as waiting:  # the loop has not seen it
+        with socket.create_connection(("127.0.0.1", bench.port)) as waiting:  # not accepted by the loop yet
             waiting.settimeout(20)
             client_connections.listener.stop()
             waiting.send(call("invite"))
@@ -137,7 +136,7 @@
 
 
 def test_clients_keep_their_connections_for_a_while_after_sigterm():
-    """Failure prevented: the node is of use to nobody long before its end, while others are not back yet."""
+    """If it closed them at once, the node would be useless before its end, while other nodes restart too."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -149,7 +148,7 @@
         await until(lambda: bench.node.front.clients.listener.sock is None)
         status, headers, _ = await client.ask(call("invite", 15000))
         assert status == 200 and "connection" not in headers
-        # By then the process may be killed, whatever the client's own patience.
+        # The process may be killed then, even if the client's own budget is longer.
         assert int(server.requests[-1].headers["x-budget-ms"]) <= 3400
         assert (await client.ask(b"GET /ready HTTP/1.1\r\n\r\n"))[0] == 503
         client_connections.handover = 0.0
@@ -160,10 +159,10 @@
 
 
 def test_a_planned_restart_under_load_loses_nothing(monkeypatch):
-    """Failure prevented: a client that uses its connection just as the node ends is reset or left unheard."""
+    """Clients that use their connections while the node shuts down must get responses, not resets."""
 
     async def scene():
-        # Nobody here is idle, however slow the machine, and new ones are taken until the test says so.
+        # No client counts as idle, however slow the machine, and new ones are accepted until `stop`.
         monkeypatch.setattr("brackenladder.http.client_connections.TAKING", 600.0)
         monkeypatch.setattr("brackenladder.sockets.listener.TAKING", 600.0)
         monkeypatch.setattr("brackenladder.http.client_connections.SETTLE", 600.0)
@@ -172,12 +171,12 @@
         answers = 0
         last = 0
 
-        async def keep_asking() -> None:
+        async def send_requests() -> None:
             nonlocal answers, last
             client = await bench.client()
             while True:
                 status, headers, _ = await client.ask(call("invite"))
-                assert status in (200, 503)  # served, or refused by the module
+                assert status in (200, 503)  # served, or refused by the balancer
                 answers += 1
                 if "connection" in headers:
                     assert await client.ended()
@@ -188,7 +187,7 @@
                     except ConnectionRefusedError:
                         return
 
-        crowd = [asyncio.create_task(keep_asking()) for _ in range(20)]
+        crowd = [asyncio.create_task(send_requests()) for _ in range(20)]
         await until(lambda: answers > 200)
         drain = asyncio.create_task(bench.node.drain())
         await until(lambda: last > 200)
@@ -199,7 +198,7 @@
 
 
 def test_a_client_that_has_just_sent_is_not_idle():
-    """Failure prevented: closing its connection at a planned restart resets it and loses the request."""
+    """Closing its connection at a planned restart would reset it and lose the request."""
 
     async def scene():
         bench = await Bench(Server()).start()
@@ -207,7 +206,7 @@
             await until(lambda: any(c.transport for c in bench.node.front.clients.connections))
             (connection,) = bench.node.front.clients.connections
             assert connection.idle()
-            client.send(b"G")  # the node's loop has no turn until the next line
+            client.send(b"G")  # the node's loop doesn't run before the next line
             assert not connection.idle()
 
     play(scene)
--- a/tests/node/test_node_reload.py
+++ b/tests/node/test_node_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration in a running node: another discovery service, SIGHUP."""
+"""Tests of reloading the configuration of a running node: another discovery address, SIGHUP."""
 
 import asyncio
 import json
@@ -25,14 +25,14 @@
 from node_samples import FULL, spawn, start
 
 
-def renewed(bench: Bench, port: int) -> None:
-    """The node is told that discovery is on another port."""
+def reload_discovery(bench: Bench, port: int) -> None:
+    """Reloads the node with another port of discovery."""
     bench.node.reload(replace(bench.node.config, discovery=("127.0.0.1", port)))
 
 
-def test_a_new_discovery_begins_with_its_whole_list_and_keeps_all_else():
-    """Failure prevented: the new address numbers versions otherwise, so its list would be dropped as old
-    or changes missed; or clients, requests and connections to servers are lost."""
+def test_a_new_discovery_address_starts_with_a_full_list_and_keeps_connections():
+    """The new address may number versions differently, so continuing from the old version would drop its list
+    or miss changes. Clients, requests and connections to servers must survive."""
 
     async def scene():
         release = asyncio.Event()
@@ -43,8 +43,8 @@
         await until(lambda: len(old.requests) == 1)
         (client := await bench.client()).send(call("invite"))
         await until(lambda: len(server.requests) == 1)
-        renewed(bench, new.port)
-        old.say(99, True)  # too late: nobody listens
+        reload_discovery(bench, new.port)
+        old.say(99, True)  # too late to be read
         await until(lambda: old.closed == 1)
         new.say(3, True, server.entry("s0"), second.entry("s1"))
         await until(lambda: len(new.requests) == 2)
@@ -63,17 +63,17 @@
     play(scene)
 
 
-def test_a_new_discovery_that_fails_at_first_is_asked_for_its_whole_list_again():
-    """Failure prevented: the retry goes on from the old address's version, or takes changes for a list."""
+def test_a_new_discovery_that_fails_at_first_is_asked_for_a_full_list_again():
+    """The retry must not use the old address's version or take a list of changes for a full one."""
 
     async def scene():
-        rules = settings()["rules"] | {"ask_within": MOMENT}  # asks again soon
+        rules = settings()["rules"] | {"ask_within": MOMENT}  # retries soon
         bench = await Bench(server := Server(), rules=rules).start()
         await Server.start(new := Discovery())
         new.raw(b"", b"503 Busy")
         new.say(50, False, server.entry("s0", "gone"))
         new.say(3, True, server.entry("s0"))
-        renewed(bench, new.port)
+        reload_discovery(bench, new.port)
         await until(lambda: len(new.requests) == 4)
         assert [r.target.split("&")[0] for r in new.requests[:3]] == ["/v1/endpoints"] * 3
         assert "since=3&" in new.requests[3].target
@@ -82,17 +82,17 @@
     play(scene)
 
 
-def test_of_two_new_discoveries_in_a_row_the_last_one_holds():
-    """Failure prevented: the first one's answer, on its way already, brings its list back."""
+def test_after_two_changes_in_a_row_the_last_discovery_is_used():
+    """A response of the first one that is already in transit must be ignored."""
 
     async def scene():
         bench = await Bench(old := Server()).start()
         await Server.start(new := Server())
         await Server.start(first := Discovery())
         await Server.start(last := Discovery())
-        renewed(bench, first.port)
+        reload_discovery(bench, first.port)
         await until(lambda: len(first.requests) == 1)
-        renewed(bench, last.port)
+        reload_discovery(bench, last.port)
         first.say(900, True, old.entry("s0"))
         last.say(2, True, new.entry("s1"))
         await until(lambda: len(last.requests) == 2 and first.closed == 1)
@@ -101,8 +101,8 @@
     play(scene)
 
 
-def test_a_new_configuration_while_the_node_ends_is_taken_on():
-    """Failure prevented: the list stands still from then on, and retries go to servers that drain."""
+def test_a_reload_while_the_node_shuts_down_is_applied():
+    """Otherwise the list would no longer be updated, and retries would go to draining servers."""
 
     async def scene():
         tell = asyncio.Event()
@@ -113,7 +113,7 @@
         await until(lambda: len(full.requests) == 1)
         end = asyncio.create_task(bench.node.drain())
         await until(lambda: bench.node.front.clients.draining)
-        renewed(bench, discovery.port)
+        reload_discovery(bench, discovery.port)
         discovery.say(1, True, new.entry("s1"))
         await until(lambda: len(discovery.requests) == 2)
         tell.set()
@@ -124,7 +124,7 @@
     play(scene)
 
 
-def test_what_only_a_start_can_take_on_is_named(capsys):
+def test_changes_that_need_a_restart_are_logged(capsys):
     async def scene():
         bench = await Bench(Server(), Server()).start()
         config = bench.node.config
@@ -133,15 +133,15 @@
         assert "needs a restart: connections, tenants\n" in capsys.readouterr().err
         assert bench.node.config == replace(config, peers=peers)
         assert list(bench.node.peers.numbers) == list(peers)
-        assert len(bench.discovery.requests) <= 1  # the address is the same: its watch goes on
+        assert len(bench.discovery.requests) <= 1  # the same address: its watch continues
         assert (await bench.once(call()))[0] == 200
 
     play(scene)
 
 
-def test_sighup_reads_the_file_anew(tmp_path):
-    """Failure prevented: the signal ends the node, a bad file stops it, or the environment of its start
-    hides the file's new address for good."""
+def test_sighup_reloads_the_file(tmp_path):
+    """Neither the signal nor an invalid file may end the node, and the environment of its start must not hide
+    a new address in the file."""
 
     async def scene():
         await (server := Server()).start()
@@ -160,18 +160,18 @@
         assert process.stderr is not None
         await connected(client := Client(port))
         await until(lambda: len(outside.requests) == 2)
-        for text in ("{", "[]", json.dumps(table(second) | {"settings": {}})):  # none can be used
+        for text in ("{", "[]", json.dumps(table(second) | {"settings": {}})):  # all invalid
             file.write_text(text)
             process.send_signal(signal.SIGHUP)
             assert b"the old configuration stays" in await process.stderr.readline()
-        file.write_text(json.dumps(table(first)))  # as it was: the environment's holds
+        file.write_text(json.dumps(table(first)))  # unchanged, so the environment's address stays
         process.send_signal(signal.SIGHUP)
         assert b"%d\n" % outside.port in await process.stderr.readline()
         for discovery in (second, third):
             file.write_text(json.dumps(table(discovery)))
             process.send_signal(signal.SIGHUP)
             assert b"%d\n" % discovery.port in await process.stderr.readline()
-        outside.say(99, True)  # nobody listens there any more
+        outside.say(99, True)  # the node no longer reads from it
         await until(lambda: len(third.requests) == 2 and outside.closed == 1)
         assert not first.requests
         assert (await client.ask(call("invite")))[0] == 200  # on the connection from before
@@ -181,8 +181,8 @@
     play(scene)
 
 
-def test_a_sighup_during_the_start_is_kept_until_it_can_be_taken(tmp_path):
-    """Failure prevented: it ends a node that is still being imported, or what it told of is lost."""
+def test_a_sighup_during_the_start_stays_pending_until_it_can_be_handled(tmp_path):
+    """It must not end a node that is still being imported, and the reload must not be lost."""
 
     async def scene():
         await (server := Server()).start()
@@ -190,28 +190,28 @@
             await discovery.start()
             discovery.say(1, True, server.entry("s0"))
         old, new = discoveries
-        os.mkfifo(tmp_path / "config.json")  # the node stands still here until its file is written
+        os.mkfifo(tmp_path / "config.json")  # the node blocks here until the test writes the file
         port = free_port()
         table = node_table(old.port, settings(), f"127.0.0.1:{port}", server.entry("s0"))
         process = await start(tmp_path)
 
-        def held() -> bool:
+        def sighup_blocked() -> bool:
             lines = (Path("/proc") / str(process.pid) / "status").read_text().splitlines()
             blocked = next(line.split()[1] for line in lines if line.startswith("SigBlk"))
             return bool(int(blocked, 16) >> (signal.SIGHUP - 1) & 1)
 
-        await until(held)
+        await until(sighup_blocked)
         process.send_signal(signal.SIGHUP)
 
-        async def tell(discovery: Discovery) -> None:
+        async def write_config(discovery: Discovery) -> None:
             text = json.dumps(table | {"discovery": f"127.0.0.1:{discovery.port}"})
             await asyncio.get_running_loop().run_in_executor(
                 None, (tmp_path / "config.json").write_text, text
             )
 
-        await tell(old)
-        await until(lambda: not held())  # it has read that, and takes the signal
-        await tell(new)
+        await write_config(old)
+        await until(lambda: not sighup_blocked())  # it has read the file and handles the signal
+        await write_config(new)
         await connected(client := Client(port))
         await until(lambda: len(new.requests) == 2)
         assert (await client.ask(call("invite")))[0] == 200
--- a/tests/node/test_node_requests.py
+++ b/tests/node/test_node_requests.py
@@ -1,4 +1,4 @@
-"""Requests over loopback sockets: what the node passes on, what it refuses, ids that are in use."""
+"""Tests of client requests: what the node forwards, what it refuses, and call ids that are in use."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def chunked(coding: bytes) -> bytes:
-    """A request with a chunked body, said to have this coding."""
+    """A request with a chunked body and the given Transfer-Encoding."""
     data = call("invite", extra=b"Transfer-Encoding: %b\r\n" % coding, body=b"")
     return data.replace(b"Content-Length: 0\r\n", b"") + b"2\r\nok\r\n0\r\n\r\n"
 
@@ -18,7 +18,7 @@
 MANY_LINES = b"GET /view HTTP/1.1\r\n" + b"a: b\r\n" * 1000
 
 
-def test_a_request_and_its_answer_go_through_unchanged():
+def test_a_request_and_its_response_are_forwarded_unchanged():
     body = bytes(range(256)) * 256
 
     async def scene():
@@ -28,16 +28,16 @@
         bench = await Bench(server := Server(echo)).start()
         status, _, answer = await bench.once(call("offer", 9000, b"X-Trace: 7\r\n", body, b"9b1f"))
         assert (status, answer) == (200, body)
-        (got,) = server.requests
-        assert (got.method, got.target, got.body) == ("POST", "/offer?obj=7f", body)
-        assert got.headers["x-call-id"] == "9b1f" and got.headers["idempotency-key"] == "5c0f"
-        assert got.headers["x-trace"] == "7" and 0 < int(got.headers["x-budget-ms"]) <= 9000
+        (request,) = server.requests
+        assert (request.method, request.target, request.body) == ("POST", "/offer?obj=7f", body)
+        assert request.headers["x-call-id"] == "9b1f" and request.headers["idempotency-key"] == "5c0f"
+        assert request.headers["x-trace"] == "7" and 0 < int(request.headers["x-budget-ms"]) <= 9000
 
     play(scene)
 
 
-def test_the_size_of_a_head_does_not_count_what_came_before_it():
-    """Failure prevented: a request whose head begins behind another's body is refused as too large."""
+def test_the_size_of_a_head_does_not_include_bytes_before_it():
+    """A head that arrives after another request's body must not be refused as too large."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -51,16 +51,14 @@
     play(scene)
 
 
-def test_requests_sent_ahead_are_held_within_a_bound():
-    """Failure prevented: many clients that send large requests ahead end the process for its memory."""
+def test_pipelined_requests_are_held_within_a_memory_limit():
+    """Many clients that pipeline large requests must not make the process run out of memory."""
 
     async def scene():
         release = asyncio.Event()
         bench = await Bench(server := Server(held_until(release))).start()
         client_connections = bench.node.front.clients
-        assert (
-            client_connections.max_held_bytes == 16 << 20
-        )  # an eighth of the memory that is given if none is named
+        assert client_connections.max_held_bytes == 16 << 20  # an eighth of the default memory limit
         client_connections.max_held_bytes = 150_000
 
         def large():
@@ -74,7 +72,7 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         second.writer.transport.abort()
         await until(lambda: client_connections.held_bytes < 120_000)
-        first.send(large())  # waits behind its first
+        first.send(large())  # waits behind the client's first request
         await until(lambda: client_connections.held_bytes > 120_000)
         release.set()
         assert (await first.receive())[0] == 200 and (await first.receive())[0] == 200
@@ -83,8 +81,8 @@
     play(scene)
 
 
-def test_headers_that_are_for_this_hop_end_here():
-    """Failure prevented: what a client agreed with the node alone is taken up by the server."""
+def test_hop_by_hop_headers_are_not_forwarded():
+    """They concern only the connection between the client and the node."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -93,13 +91,13 @@
         (request,) = server.requests
         assert "x-trace" not in request.headers and "connection" not in request.headers
         assert request.headers["x-kept"] == "6"
-        assert request.headers["x-call-id"] == "9b1f"  # part of the contract, whatever a client says
+        assert request.headers["x-call-id"] == "9b1f"  # always forwarded, even if listed in Connection
 
     play(scene)
 
 
-def test_requests_in_pieces_and_in_a_row_are_answered_in_order():
-    """Failure prevented: a request cut anywhere by the network, or sent before the last answer, is lost."""
+def test_split_and_pipelined_requests_are_answered_in_order():
+    """No request may be lost because it arrives in pieces or before the previous response."""
 
     async def scene():
         async def name(request, writer):
@@ -117,7 +115,7 @@
     play(scene)
 
 
-def test_connections_to_a_server_are_used_again():
+def test_connections_to_a_server_are_reused():
     async def scene():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
@@ -162,9 +160,9 @@
         (call("invite", body=b"x" * 390).replace(b"Content-Length: 390", b"Content-Length: 10"), 400),
     ],
 )
-def test_bad_input_gets_its_status_and_harms_nobody(data, status):
-    """Failure prevented: what comes from outside ends the process, or a request with no right to a repeat
-    is taken for one that has it."""
+def test_invalid_requests_get_their_status_and_affect_no_other(data, status):
+    """Input must not end the process, and a request that may not be repeated must not be taken for one that
+    may."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
@@ -186,8 +184,8 @@
     play(scene)
 
 
-def test_a_refusal_comes_at_once_with_advice():
-    """Failure prevented: a request that the module gave up is held back until near its deadline."""
+def test_a_refusal_is_sent_at_once_with_retry_after():
+    """A request that the balancer has given up must not be held until near its deadline."""
 
     async def scene():
         bench = await Bench().start()
@@ -197,7 +195,7 @@
     play(scene)
 
 
-def test_a_request_without_time_is_not_sent():
+def test_a_request_with_no_time_left_is_not_sent():
     async def scene():
         bench = await Bench(server := Server()).start()
         assert (await bench.once(call("invite", budget=0)))[0] == 503
@@ -206,8 +204,8 @@
     play(scene)
 
 
-def test_what_cannot_be_read_ends_its_connection_whatever_is_open_there():
-    """Failure prevented: the error waits behind a request that takes its time, and the client with it."""
+def test_a_malformed_request_closes_its_connection_even_with_an_open_request():
+    """The error response must not wait for an open request that takes long."""
 
     async def scene():
         bench = await Bench(server := Server(always(None))).start()
@@ -225,21 +223,25 @@
     play(scene)
 
 
-def test_trailers_are_not_passed_on():
-    """Failure prevented: what comes behind the body is taken for headers by the next."""
+def test_trailers_are_not_forwarded():
+    """The server could take trailers for headers."""
 
     async def scene():
         bench = await Bench(server := Server()).start()
         data = chunked(b"chunked")[:-2] + b"X-Call-Id: 9b1f\r\nX-Trace: 7\r\n\r\n"
         assert (await bench.once(data))[0] == 200
-        (got,) = server.requests
-        assert got.body == b"ok" and "x-trace" not in got.headers and got.headers["x-call-id"] != "9b1f"
+        (request,) = server.requests
+        assert (
+            request.body == b"ok"
+            and "x-trace" not in request.headers
+            and request.headers["x-call-id"] != "9b1f"
+        )
 
     play(scene)
 
 
-def test_the_id_of_another_clients_open_request_is_refused_before_the_module():
-    """Failure prevented: servers take it for a mistake, and their errors close the limit to everybody."""
+def test_the_id_of_another_clients_open_request_is_refused_by_the_node():
+    """Servers would answer with errors, which would lower the concurrency limit for all clients."""
 
     async def scene():
         release = asyncio.Event()
@@ -251,15 +253,15 @@
         assert len(server.requests) == 1 and bench.pool.host.balancer.controller.in_flight == 1
         release.set()
         assert (await first.receive())[0] == 200
-        assert (await bench.once(call("invite", name=b"7f01")))[0] == 200  # it is open no more
+        assert (await bench.once(call("invite", name=b"7f01")))[0] == 200  # no longer open
         assert not bench.node.front.by_call_id
 
     play(scene)
 
 
 @pytest.mark.parametrize("seen", [False, True])
-def test_a_repeat_of_a_request_whose_client_has_left_is_served(seen):
-    """Failure prevented: a client whose connection broke asks again under its id and is turned away."""
+def test_a_repeat_of_a_request_whose_client_has_disconnected_is_served(seen):
+    """A client whose connection broke and that repeats its request with the same id must not be refused."""
 
     async def scene():
         release = asyncio.Event()
@@ -270,7 +272,7 @@
         if seen:
             first.writer.transport.abort()
             await until(lambda: not bench.node.front.by_call_id)
-        else:  # its end waits in the socket, not yet read
+        else:  # the disconnect is in the socket but not read yet
             connection.transport.pause_reading()
             first.writer.close()
             await until(connection.gone)
--- a/tests/node/test_replica_store.py
+++ b/tests/node/test_replica_store.py
@@ -1,4 +1,4 @@
-"""The store that a control node starts from: damaged, foreign, newer, or on a disk that hangs."""
+"""Tests of opening a control node's store: damaged, foreign or newer stores, and failing disks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from brackenladder.storage.sqlite_file import FILE_NAME
 from brackenladder.storage.sqlite_log import SqliteLogStore, open_store
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
+PATIENCE = 20.0  # seconds after which a test fails
 
 
 class ReplicaStoreTest(IsolatedAsyncioTestCase):
@@ -32,12 +32,12 @@
         self.enterContext(patch.object(replica_store, "OPEN_RETRY_SECONDS", 0.01))
 
     async def open(self) -> OpenedStore:
-        opened = await open_replica_store(self.folder, lambda succeeds: f"new-{succeeds}")
+        opened = await open_replica_store(self.folder, lambda replaces_damaged: f"new-{replaces_damaged}")
         self.addCleanup(opened.store.close)
         return opened
 
     def make(self) -> None:
-        """A store with a vote and some entries."""
+        """Creates a store with a vote and some entries."""
         os.makedirs(self.folder)
         store = open_store(self.folder, lambda: "old").unwrap()
         entries = tuple(Entry(index, 1, EntryKind.COMMAND, b"x" * 400) for index in range(1, 60))
@@ -57,13 +57,13 @@
         self.assertEqual(opened.store.identity.replica_id, "new-False")
         self.assertFalse(opened.replaces_damaged)
 
-    async def test_a_store_is_opened_with_what_it_holds(self) -> None:
+    async def test_a_store_is_opened_with_its_contents(self) -> None:
         self.make()
         opened = await self.open()
         self.assertEqual(opened.store.identity.replica_id, "old")
         self.assertEqual((opened.state.hard_state.voted_for, len(opened.state.entries)), ("replica-2", 59))
 
-    async def test_a_damaged_store_gives_way_to_a_new_replica(self) -> None:
+    async def test_a_damaged_store_is_replaced_by_a_new_replica(self) -> None:
         damages: dict[str, Callable[[], None]] = {
             "its rows": lambda: self.execute("UPDATE entry SET data = x'00' WHERE position = 5"),
             "a gap": lambda: self.execute("DELETE FROM entry WHERE position = 5"),
@@ -83,7 +83,7 @@
                 self.assertTrue(os.path.exists(f"{self.path}.corrupt-{number}"))
                 opened.store.close()
 
-    async def test_what_succeeds_a_damaged_store_is_known_as_such_later(self) -> None:
+    async def test_the_replacement_of_a_damaged_store_is_known_later(self) -> None:
         self.make()
         self.execute("DELETE FROM identity")
         (await self.open()).store.close()
@@ -91,7 +91,7 @@
         self.assertEqual(opened.store.identity.replica_id, "new-True")
         self.assertTrue(opened.replaces_damaged)
 
-    async def test_a_damage_that_passes_is_not_believed(self) -> None:
+    async def test_a_single_corrupt_read_does_not_replace_the_store(self) -> None:
         self.make()
         real = SqliteLogStore.load
         answers = [Failure(StoreCorrupt("misread"))]
@@ -104,13 +104,13 @@
         self.assertEqual(opened.store.identity.replica_id, "old")
         self.assertEqual(answers, [])
 
-    async def test_a_disk_that_damages_every_store_ends_the_start(self) -> None:
+    async def test_a_disk_that_damages_every_store_fails_the_start(self) -> None:
         corrupt = Failure(StoreCorrupt("noise"))
         with patch.object(SqliteLogStore, "load", lambda _: corrupt), self.assertRaises(RoleError) as caught:
             await self.open()
         self.assertIn(f"{MAX_SET_ASIDE} stores were set aside", str(caught.exception))
 
-    async def test_a_store_that_cannot_be_renamed_is_tried_again(self) -> None:
+    async def test_moving_a_store_aside_is_retried(self) -> None:
         self.make()
         self.execute("DELETE FROM identity")
         faults = [OSError(5, "Input/output error")]
@@ -125,7 +125,7 @@
             opened = await self.open()
         self.assertEqual((opened.store.identity.replica_id, faults), ("new-True", []))
 
-    async def test_foreign_files_and_newer_stores_are_left_alone(self) -> None:
+    async def test_foreign_files_and_newer_stores_are_not_changed(self) -> None:
         self.make()
         self.execute(f"PRAGMA user_version = {FORMAT + 1}")
         newer = self.read()
@@ -140,7 +140,7 @@
                 self.assertEqual(self.read(), content)
                 self.assertEqual(os.listdir(self.folder), [FILE_NAME])
 
-    async def test_a_disk_that_refuses_is_tried_again(self) -> None:
+    async def test_a_failing_disk_is_retried(self) -> None:
         self.make()
         answers = [Failure(StoreFailed("no"))]
         real = replica_store.open_store
@@ -152,7 +152,7 @@
             opened = await self.open()
         self.assertEqual(opened.store.identity.replica_id, "old")
 
-    async def test_the_event_loop_goes_on_while_the_disk_hangs(self) -> None:
+    async def test_the_event_loop_keeps_running_while_the_disk_hangs(self) -> None:
         self.make()
         answers = threading.Event()
         real = replica_store.open_store
@@ -168,7 +168,7 @@
             answers.set()
             self.assertEqual((await opening).store.identity.replica_id, "old")
 
-    async def test_a_fault_in_the_thread_is_told(self) -> None:
+    async def test_an_exception_in_the_thread_is_reported(self) -> None:
         with (
             patch.object(replica_store, "open_store", side_effect=KeyError("fault")),
             self.assertRaises(RoleError),
--- a/tests/node/test_soak.py
+++ b/tests/node/test_soak.py
@@ -1,4 +1,4 @@
-"""What a node holds does not grow with the servers, tenants, objects and clients that it has seen."""
+"""A node's memory must not grow with the servers, tenants, objects and clients that it has seen."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from loopback import PATIENCE, Bench, Client, Server, call, play, until
 
 CYCLES, WARM = 48, 24
-SERVERS, CLIENTS, CALLS = 100, 20, 2  # a cycle: new servers, new clients, and what each of these asks
-MARGIN = 128 << 10  # bytes: tables that keep something of each server, client or kind would pass it
+SERVERS, CLIENTS, CALLS = 100, 20, 2  # per cycle: new servers, new clients, and requests of each client
+MARGIN = 128 << 10  # bytes; a table with an entry for each server, client or kind would exceed it
 
 
-def held() -> tuple[int, tracemalloc.Snapshot]:
-    """Bytes that this project's lines hold."""
+def allocated() -> tuple[int, tracemalloc.Snapshot]:
+    """Returns the bytes allocated by this project's code, and the snapshot."""
     gc.collect()
-    ours = tracemalloc.Filter(True, "*/brackenladder/*")
-    snapshot = tracemalloc.take_snapshot().filter_traces([ours])
+    own_code = tracemalloc.Filter(True, "*/brackenladder/*")
+    snapshot = tracemalloc.take_snapshot().filter_traces([own_code])
     return sum(s.size for s in snapshot.statistics("filename")), snapshot
 
 
-def test_thousands_of_servers_tenants_objects_and_clients_leave_nothing_behind():
+def test_memory_does_not_grow_with_servers_tenants_objects_and_clients():
     async def scene():
         server = Server()
         bench = await Bench(server, max_open=1000).start()
         served = 0
-        found = []
+        measurements = []
         for cycle in range(CYCLES):
             async with asyncio.timeout(PATIENCE):
                 lines = [server.entry(f"s{cycle}-{i}", kind=f"k{cycle}-{i}") for i in range(SERVERS)]
@@ -44,9 +44,9 @@
                 server.requests.clear()
                 bench.discovery.requests.clear()
                 if cycle in (WARM, CYCLES - 1):
-                    await until(lambda: not bench.pool.host.expiring)  # which last as long as the budgets
-                    found.append(held())
-        (before, first), (after, last) = found
+                    await until(lambda: not bench.pool.host.expiring)  # these last as long as the budgets
+                    measurements.append(allocated())
+        (before, first), (after, last) = measurements
         growth = last.compare_to(first, "lineno")[:9]
         assert after - before < MARGIN, "\n".join(map(str, growth))
         assert served > CYCLES * CLIENTS * CALLS / 2
