--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -13,7 +13,7 @@
 from brackenladder.node.log import Log
 from brackenladder.node.operator import RpcTable
 from brackenladder.node.pool import NoMessenger, OnListing, Pool, Source
-from brackenladder.rpc.codec import Bounds
+from brackenladder.rpc.codec import MessageLimits
 from brackenladder.rpc.front import FrontLimits, RpcFront
 from brackenladder.rpc.methods import MethodError, Methods, compile_method
 from brackenladder.rpc.upstream import RpcUpstream, UpstreamLimits
@@ -22,8 +22,8 @@
 MIN_HTTP_CONNECTIONS = 8  # descriptors that must be left for HTTP
 
 
-def message_limits(table: RpcTable) -> Bounds:
-    return Bounds(message=table.message_kb << 10, nesting=table.nesting)
+def message_limits(table: RpcTable) -> MessageLimits:
+    return MessageLimits(message=table.message_kb << 10, nesting=table.nesting)
 
 
 def rpc_pool(
--- a/brackenladder/rpc/call.py
+++ b/brackenladder/rpc/call.py
@@ -1,4 +1,4 @@
-"""A MessagePack-RPC call between front and upstream, and what a server's answer says of its attempt."""
+"""A MessagePack-RPC call, passed from the front to the upstream, and the outcome of a server's response."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from brackenladder.core.call import Call
 from brackenladder.interface import Outcome
-from brackenladder.rpc.methods import Method, Read
+from brackenladder.rpc.methods import CallParameters, Method
 
-REJECTED = "rejected"  # the first word of an error: turned away unseen
+REJECTED = "rejected"  # the first word of an error if the server refused the call without running it
 IN_DOUBT = (
     "refused",
     "failed",
-)  # of a node one tier further on, which speaks for its own attempts
+)  # first words of errors from another node of this program, whose own attempts may have run
 
 
 class Reply:
-    """What a server answered: the error and the result as they came."""
+    """A server's response: the bytes of its error and its result."""
 
     __slots__ = ("raw_error", "raw_result")
 
@@ -25,37 +25,39 @@
         self.raw_result = raw_result
 
 
-class GivenUp(Protocol):
-    """An attempt that nobody waits for, on a connection that may carry others."""
+class AbandonedAttempt(Protocol):
+    """An attempt that was given up, on a connection that other calls may share."""
 
     def ended(self) -> bool:
-        """Whether it is over at its server, as far as can be told: answered, or its connection closed.
+        """Whether it can no longer run at its server: it was answered, or its connection is closed.
 
-        Closes the connection if nobody waits for anything on it.
+        Closes the connection if no other call waits for a response on it.
         """
 
 
 class RpcCall(Call):
-    """A call or a notification (`msgid` None), with the params' bytes as they came."""
+    """A call, or a notification if `msgid` is None, with the received bytes of its params."""
 
-    __slots__ = ("msgid", "name", "raw", "method", "last_error", "given_up")
+    __slots__ = ("msgid", "name", "raw_params", "method", "last_error", "given_up")
 
-    def __init__(self, msgid: int | None, name: str, raw: bytes, method: Method, read: Read) -> None:
-        super().__init__(method.klass, read.tenant, read.budget, repeat=False)
+    def __init__(
+        self, msgid: int | None, name: str, raw_params: bytes, method: Method, parameters: CallParameters
+    ) -> None:
+        super().__init__(method.klass, parameters.tenant, parameters.budget, repeat=False)
         self.msgid = msgid
         self.name = name
-        self.raw = raw
+        self.raw_params = raw_params
         self.method = method
         self.single_attempt = msgid is None
-        self.given_up: GivenUp | None = None  # its last attempt, if nobody waits for it any more
-        self.last_error = b""  # of a failed attempt, which goes to the client if nothing better does
+        self.given_up: AbandonedAttempt | None = None  # the last attempt, if it was given up
+        self.last_error = b""  # the last failed attempt's error, sent to the client if no attempt succeeds
 
 
 def outcome_of(error: Any, method: Method) -> Outcome:
-    """What a server's answer says of the attempt.
+    """Returns the outcome of an attempt from the error in the server's response.
 
-    An application's error is an answer, as a 404 is in HTTP. Failure prevented: it is taken for a server's
-    failure, and the call runs as often as there may be attempts, or ejects a server that is well.
+    An application's error is a valid response, like a 404 in HTTP. If it counted as a server failure, the
+    call would be retried although it ran, and a healthy server could be ejected.
     """
     if error is None:
         return Outcome.OK
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -1,4 +1,4 @@
-"""The front that speaks MessagePack-RPC: requests and notifications to calls, conclusions to responses."""
+"""The MessagePack-RPC front: turns requests and notifications into calls, and results into responses."""
 
 from __future__ import annotations
 
@@ -12,16 +12,25 @@
 from brackenladder.core.host import Host
 from brackenladder.operations.pause import ServiceStage
 from brackenladder.rpc.call import Reply, RpcCall
-from brackenladder.rpc.codec import NIL, PACK, Bounds, Message, Notification, Reader, Request, response
-from brackenladder.rpc.methods import Method, Methods, Read
+from brackenladder.rpc.codec import (
+    NIL,
+    PACK,
+    Message,
+    MessageLimits,
+    MessageReader,
+    Notification,
+    Request,
+    response,
+)
+from brackenladder.rpc.methods import CallParameters, Method, Methods
 from brackenladder.sockets.listener import LINGER, AcceptedConnection, Address, Listener
 
-FULL_ADVICE = 500_000  # microseconds after which there may be room again
-STALLED = 2.0  # seconds without a byte read by the client, with its buffer full, after which it is closed
-SETTLE = 0.2  # seconds in which a connection that was just used may bring a further call
-NOT_RUN = "not served; it has not run, and may be sent again"
-DOUBT = "not served; it may have run, and sending it again does no harm"
-TEXTS = {
+FULL_RETRY_AFTER = 500_000  # microseconds; the retry advice when too many calls are open
+STALL_TIMEOUT = 2.0  # seconds after which a client that doesn't read its responses is closed
+SETTLE = 0.2  # seconds for which a connection counts as in use after its last bytes
+HAS_NOT_RUN = "not served; it has not run, and may be sent again"
+MAY_HAVE_RUN = "not served; it may have run, and sending it again does no harm"
+FAILURE_TEXTS = {
     Failure.GIVEN_UP: "not served; it may have run",
     Failure.EXPIRED: "not served in time; it may have run",
     Failure.FAULT: "a fault of the balancer; it may have run",
@@ -30,28 +39,30 @@
 
 @dataclass(frozen=True)
 class FrontLimits:
-    """What one client may hold. `calls`: open calls; `unread`: bytes of answers that it has not taken."""
+    """Limits of the front. Per client: `calls` open calls, and `unread` bytes of responses not yet sent."""
 
-    bounds: Bounds
+    message_limits: MessageLimits
     calls: int
     unread: int
     connections: int
 
 
 class ClientCall(RpcCall):
-    """A call or a notification, and the connection that its answer goes to."""
+    """A call or a notification of a client, and the connection for its response."""
 
     __slots__ = ("client",)
 
-    def __init__(self, client: Client, msgid: int | None, name: str, raw: bytes, method: Method, read: Read):
+    def __init__(
+        self, client: Client, msgid: int | None, name: str, raw: bytes, method: Method, read: CallParameters
+    ):
         super().__init__(msgid, name, raw, method, read)
         self.client = client
 
     def released(self) -> None:
         if self.msgid is None:
-            # Failure prevented: what waits behind notifications, which end with no answer, waits for ever.
-            self.client.notified.discard(self)
-            self.client.settle()
+            # A notification has no response, so calls that wait for it to end are resumed here.
+            self.client.notifications.discard(self)
+            self.client.on_call_ended()
         elif self.client.calls.get(self.msgid) is self:
             del self.client.calls[self.msgid]
 
@@ -60,77 +71,82 @@
         self.reply(reply.raw_error, reply.raw_result)
 
     def refused(self, retry_after: int) -> None:
-        self.reply(PACK(["refused", max(0, retry_after) / 1e6, DOUBT if self.in_doubt else NOT_RUN]), NIL)
+        self.reply(
+            PACK(["refused", max(0, retry_after) / 1e6, MAY_HAVE_RUN if self.in_doubt else HAS_NOT_RUN]), NIL
+        )
 
     def failed(self, why: Failure) -> None:
-        self.reply(self.last_error or PACK(["failed", TEXTS[why]]), NIL)
+        self.reply(self.last_error or PACK(["failed", FAILURE_TEXTS[why]]), NIL)
 
     def gone(self) -> bool:
-        if self.msgid is None or not self.client.gone():  # nobody has to wait for a notification's end
+        if self.msgid is None or not self.client.gone():  # a notification doesn't depend on its client
             return False
-        self.client.hang_up()
+        self.client.abandon()
         return True
 
     def reply(self, raw_error: bytes, raw_result: bytes) -> None:
         if self.msgid is not None:
             self.client.send(response(self.msgid, raw_error, raw_result))
-            self.client.settle()
+            self.client.on_call_ended()
 
 
 class Client(AcceptedConnection):
-    """A client's connection: calls in any number within the bound, answers in any order."""
+    """A client's connection. Several calls may be open, up to the limit, and responses come in any order."""
 
-    HANGUP_EVENTS = 0  # one that only ends its sending gets its answers: a reset is told in any case
+    HANGUP_EVENTS = 0  # a half-closed client still gets its responses; resets are reported in any case
 
     def __init__(self, front: RpcFront) -> None:
         super().__init__(front.loop.time())
         self.front = front
-        self.reader = Reader(front.limits.bounds)
-        self.calls: dict[int, ClientCall] = {}  # open ones, by msgid
-        self.notified: set[ClientCall] = set()
-        self.ending = False  # nothing more is read; it is closed once all is answered
-        self.full = False  # the client does not take its answers
-        self.stall: asyncio.TimerHandle | None = None
-        self.waiting: list[Message] = []  # read, with no room to take them
+        self.reader = MessageReader(front.limits.message_limits)
+        self.calls: dict[int, ClientCall] = {}  # open calls by msgid
+        self.notifications: set[ClientCall] = set()
+        self.ending = False  # no longer reads; closes once all calls are answered
+        self.write_full = False  # the client doesn't read its responses
+        self.stall_timer: asyncio.TimerHandle | None = None
+        self.pending: list[Message] = []  # received, but over the limit of open calls
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.transport.set_write_buffer_limits(high=self.front.limits.unread)
 
     def is_busy(self) -> bool:
-        return bool(self.calls or self.notified or self.waiting or self.ending)
+        return bool(self.calls or self.notifications or self.pending or self.ending)
 
     def has_partial_request(self) -> bool:
-        return self.reader.waiting() > 0
+        return self.reader.buffered() > 0
 
     def data_received(self, data: bytes) -> None:
         if self.ending:
             return
         self.last_active = self.front.loop.time()
-        before = self.reader.waiting()
+        before = self.reader.buffered()
         messages = self.reader.feed(data)
         self.got_request = self.got_request or bool(messages)
         if messages or not before:
             self.request_since = self.last_active
-        self.waiting += messages
-        self.work()
+        self.pending += messages
+        self.process_pending()
 
-    def work(self, waited: bool = False) -> None:
-        """Takes what was read, as far as there is room; what is left waits, and nothing more is read.
+    def process_pending(self, waited: bool = False) -> None:
+        """Processes pending messages up to the limit of open calls. If some remain, reading is paused.
 
-        `waited`: it did not come just now, so its client may have left since, and nobody was told.
+        `waited` says that the messages have been pending for some time. The client may have disconnected
+        since, which goes unnoticed while reading is paused.
         """
-        if waited and self.waiting and self.gone():
-            self.hang_up()
+        if waited and self.pending and self.gone():
+            self.abandon()
             return
         while (
-            self.waiting and len(self.calls) + len(self.notified) < self.front.limits.calls and not self.full
+            self.pending
+            and len(self.calls) + len(self.notifications) < self.front.limits.calls
+            and not self.write_full
         ):
-            self.front.message(self, self.waiting.pop(0))
-        if self.waiting or self.full:
+            self.front.message(self, self.pending.pop(0))
+        if self.pending or self.write_full:
             self.transport.pause_reading()
-        elif self.reader.broken:
-            self.end(f"broken off: {self.reader.broken}")
+        elif self.reader.error:
+            self.end(f"broken off: {self.reader.error}")
         elif not self.transport.is_closing():
             self.transport.resume_reading()
 
@@ -139,56 +155,56 @@
             self.last_active = self.front.loop.time()
             self.transport.write(data)
 
-    def settle(self) -> None:
-        """A call or a notification is over: room for what waits, or the end."""
-        if self.waiting:
-            self.front.loop.call_soon(self.work, True)
+    def on_call_ended(self) -> None:
+        """Processes pending messages after a call has ended, or closes the connection after the last one."""
+        if self.pending:
+            self.front.loop.call_soon(self.process_pending, True)
         elif self.ending and not self.calls:
             self.transport.close()
 
     def end(self, why: str) -> None:
-        """Reads nothing more; closes once every call that was taken has its answer."""
+        """Stops reading and closes the connection once all accepted calls are answered."""
         if not self.ending:
             self.ending = True
             if why:
                 self.front.log(f"rpc client: {why}")
             self.transport.pause_reading()
-            if not self.calls and not self.waiting:
+            if not self.calls and not self.pending:
                 self.transport.close()
 
     def eof_received(self) -> bool:
-        """The client sends no more; its answers still go out."""
+        """Handles a half-closed connection: the open calls are still answered."""
         self.end("")
         return not self.transport.is_closing()
 
     def pause_writing(self) -> None:
-        self.full = True
+        self.write_full = True
         self.transport.pause_reading()
-        self.stall = self.front.loop.call_later(STALLED, self.transport.abort)
+        self.stall_timer = self.front.loop.call_later(STALL_TIMEOUT, self.transport.abort)
 
     def resume_writing(self) -> None:
-        self.full = False
-        if self.stall is not None:
-            self.stall.cancel()
-        self.work()
+        self.write_full = False
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+        self.process_pending()
 
-    def hang_up(self) -> None:
-        """The client has gone: nothing is owed."""
+    def abandon(self) -> None:
+        """Drops the open calls, as the client has disconnected."""
         self.ending = True
-        self.waiting.clear()
+        self.pending.clear()
         for call in list(self.calls.values()):
             self.front.host.client_left(call)
         self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.stall is not None:
-            self.stall.cancel()
-        self.hang_up()
+        if self.stall_timer is not None:
+            self.stall_timer.cancel()
+        self.abandon()
         self.front.listener.connection_ended(self)
 
 
 class RpcFront:
-    """The listener and its connections."""
+    """The front: a listener and its client connections."""
 
     def __init__(
         self,
@@ -211,15 +227,15 @@
         return cast(set[Client], self.listener.connections)
 
     def start(self, address: Address) -> None:
-        """Binds and listens. An OSError if the address cannot be had."""
+        """Binds and listens. Raises OSError if the address can't be bound."""
         self.listener.start(address)
 
     def adopt(self, number: int) -> None:
-        """Listens on a socket that was handed down. An OSError if it is no such socket."""
+        """Listens on an inherited socket. Raises OSError if it isn't a listening socket."""
         self.listener.adopt(number)
 
     def message(self, client: Client, message: Message) -> None:
-        """A message that came whole. Whatever is wrong with it is told to its sender, who goes on."""
+        """Handles a complete message. An invalid request gets an error; the connection stays open."""
         if isinstance(message, Request):
             self.request(client, message)
         elif isinstance(message, Notification):
@@ -229,48 +245,48 @@
 
     def request(self, client: Client, message: Request) -> None:
         if message.msgid in client.calls:
-            # The first call stands: its answer is the one that goes out under this msgid.
+            # The first call stays open. Its response is the one sent with this msgid.
             self.log(f"rpc client: msgid {message.msgid} used again while its call is open")
             client.send(response(message.msgid, PACK(["failed", "this msgid has a call open"]), NIL))
             return
         method = self.methods.get(message.method)
-        read = self.methods.read(method, message.params) if method is not None else ""
-        if method is None or isinstance(read, str):
-            text = read or f"no method '{message.method.encode(errors='replace').decode()}'"
+        parameters = self.methods.read_parameters(method, message.params) if method is not None else ""
+        if method is None or isinstance(parameters, str):
+            text = parameters or f"no method '{message.method.encode(errors='replace').decode()}'"
             client.send(response(message.msgid, PACK(["refused", 0, text]), NIL))
             return
         if self.host.full() or self.service >= ServiceStage.REFUSING:
-            s = self.host.settings
-            wait = min(FULL_ADVICE, s.max_retry_after) / 1e6 if s.retry_after else 0
+            settings = self.host.settings
+            wait = min(FULL_RETRY_AFTER, settings.max_retry_after) / 1e6 if settings.retry_after else 0
             text = "no room" if self.service < ServiceStage.REFUSING else "this node pauses"
             client.send(response(message.msgid, PACK(["refused", wait, text]), NIL))
             return
-        call = ClientCall(client, message.msgid, message.method, message.raw, method, read)
+        call = ClientCall(client, message.msgid, message.method, message.raw, method, parameters)
         client.calls[message.msgid] = call
         self.host.take(call)
 
     def notification(self, client: Client, message: Notification) -> None:
         method = self.methods.get(message.method)
-        read = self.methods.read(method, message.params) if method is not None else ""
-        if method is None or isinstance(read, str) or not self.methods.may_notify(method):
+        parameters = self.methods.read_parameters(method, message.params) if method is not None else ""
+        if method is None or isinstance(parameters, str) or not self.methods.may_notify(method):
             self.log(f"rpc client: notification {message.method!r} dropped: not allowed")
             return
         if self.host.full() or self.service >= ServiceStage.REFUSING:
             return
-        call = ClientCall(client, None, message.method, message.raw, method, read)
-        client.notified.add(call)
+        call = ClientCall(client, None, message.method, message.raw, method, parameters)
+        client.notifications.add(call)
         self.host.take(call)
 
     def set_service_stage(self, service: ServiceStage) -> None:
-        """An operator's pause."""
+        """Applies the step that an operator's pause has reached."""
         self.service = service
         if service >= ServiceStage.REFUSING:
             self.close_idle(service >= ServiceStage.ENDING)
 
-    def close_idle(self, all_of_them: bool) -> None:
-        """Closes connections on which nothing is on its way; the others once what they brought is answered.
+    def close_idle(self, end_others: bool) -> None:
+        """Closes the idle connections. With `end_others`, closes the others once their calls are answered.
 
-        Failure prevented: a connection is closed while a call is on its way, which gets no answer.
+        A recently used connection isn't idle: the client may have sent a call that would get no response.
         """
         now = self.loop.time()
         for client in list(self.clients):
@@ -278,15 +294,15 @@
                 continue
             if now - client.last_active > SETTLE and client.idle():
                 client.transport.close()
-            elif all_of_them:
+            elif end_others:
                 client.end("")
 
     async def drain(self) -> None:
-        """Ends the service: what was taken is answered; connections serve further calls for a while."""
-        stays = handover(self.host.settings.classes)
+        """Shuts down after answering the accepted calls. Clients may send further calls for a while."""
+        keep_open = handover(self.host.settings.classes)
 
-        def look(since: float) -> None:
-            if since >= stays:
-                self.close_idle(since >= stays + LINGER)
+        def close_connections(since: float) -> None:
+            if since >= keep_open:
+                self.close_idle(since >= keep_open + LINGER)
 
-        await self.listener.drain(look)
+        await self.listener.drain(close_connections)
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -1,4 +1,4 @@
-"""What the operator file says of RPC methods, compile_method once: pure, asked for every call."""
+"""The RPC methods of the operator file, compiled once and used for every call."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from brackenladder.interface import ClassSettings, Effect
 
-MOST_STEPS = 8  # of a path
-MOST_BUDGET = 3_600_000  # milliseconds that a client may ask for
+MAX_STEPS = 8  # steps of a path
+MAX_BUDGET = 3_600_000  # milliseconds
 
 Path = tuple[int | str, ...]
 
 
 class MethodError(ValueError):
-    """A method's entry that cannot be used: `KEY: what is wrong`."""
+    """A method's entry is invalid. The text is `KEY: what is wrong`."""
 
 
 @dataclass(frozen=True)
 class FailurePattern:
-    """An error that means that the server failed: `value` stands at `path` (empty: it is the whole error)."""
+    """Matches errors that mean a server failure: with `value` at `path` (empty: the error itself)."""
 
     path: Path
     value: Any
@@ -28,9 +28,9 @@
 
 @dataclass(frozen=True)
 class Method:
-    """A method: its class, and where in the params the rest stands (an empty path: nowhere).
+    """A method: its class, and the paths of other values in the params (empty: not given).
 
-    `failures`: the errors that are a server's failure and not the application's answer.
+    `failures` match the errors that mean a server failure and aren't an application's response.
     """
 
     klass: int
@@ -41,26 +41,28 @@
     failures: tuple[FailurePattern, ...] = ()
 
     def fails(self, error: Any) -> bool:
-        """Whether this error says that the server has failed; the call may have run."""
-        return any(same(at(error, pattern.path), pattern.value) for pattern in self.failures)
+        """Whether this error means that the server failed. The call may have run."""
+        return any(matches(value_at(error, pattern.path), pattern.value) for pattern in self.failures)
 
 
 @dataclass(frozen=True)
-class Read:
-    """What a call's params say. `budget`: microseconds."""
+class CallParameters:
+    """A call's tenant, and its budget in microseconds."""
 
     tenant: int
     budget: int
 
 
-def path_of(text: str, where: str, in_params: bool = True) -> Path:
-    """`0.key` as (0, "key"): places in arrays and names in maps, the first a place in the params, if it is
-    of them."""
+def parse_path(text: str, where: str, in_params: bool = True) -> Path:
+    """Parses a path such as `0.key` to (0, "key"): indexes of arrays and names in maps.
+
+    With `in_params`, the first step has to be an index, as the params are an array.
+    """
     if not text:
         return ()
     steps = text.split(".")
-    if len(steps) > MOST_STEPS:
-        raise MethodError(f"{where}: a path of more than {MOST_STEPS} steps")
+    if len(steps) > MAX_STEPS:
+        raise MethodError(f"{where}: a path of more than {MAX_STEPS} steps")
     if not all(steps):
         raise MethodError(f"{where}: a path with an empty step")
     path = tuple(int(step) if step.isascii() and step.isdigit() else step for step in steps)
@@ -69,8 +71,8 @@
     return path
 
 
-def at(params: Any, path: Path) -> Any:
-    """What stands at a path; None if nothing does."""
+def value_at(params: Any, path: Path) -> Any:
+    """Returns the value at a path, or None if there is none."""
     value = params
     for step in path:
         if isinstance(value, list) and isinstance(step, int):
@@ -82,17 +84,17 @@
     return value
 
 
-def same(value: Any, wanted: Any) -> bool:
-    """Whether a value is the one that the operator wrote: 1 is 1.0 but not true; raw bytes count as text."""
+def matches(value: Any, wanted: Any) -> bool:
+    """Whether a value equals the operator's: 1 equals 1.0 but not true, and bytes are compared as text."""
     if isinstance(value, bytes):
         value = value.decode(errors="replace")
     if isinstance(value, list) and isinstance(wanted, list):
-        return len(value) == len(wanted) and all(map(same, value, wanted))
+        return len(value) == len(wanted) and all(map(matches, value, wanted))
     return isinstance(value, bool) == isinstance(wanted, bool) and bool(value == wanted)
 
 
-def failure_of(entry: Any, where: str) -> FailurePattern:
-    """An entry of `failures`: an exact value, or `{ at = "PATH", is = VALUE }`. A MethodError otherwise."""
+def parse_failure(entry: Any, where: str) -> FailurePattern:
+    """Parses an entry of `failures`: an exact value or `{ at = "PATH", is = VALUE }`. Raises MethodError."""
     if not isinstance(entry, dict):
         if not isinstance(entry, (str, int, float, list)):
             raise MethodError(f"{where}: neither a value nor {{ at = PATH, is = VALUE }}")
@@ -101,7 +103,7 @@
         raise MethodError(f"{where}: takes at = PATH and is = VALUE, and nothing else")
     if not isinstance(entry["is"], (str, int, float, list)):
         raise MethodError(f"{where}.is: neither text, a number, true or false nor an array")
-    return FailurePattern(path_of(entry["at"], f"{where}.at", in_params=False), entry["is"])
+    return FailurePattern(parse_path(entry["at"], f"{where}.at", in_params=False), entry["is"])
 
 
 class Methods:
@@ -118,21 +120,21 @@
         self.table = dict(table)
         self.classes = classes
         self.tenants = {name: i for i, name in enumerate(tenants)}
-        self.tenant = self.tenants.get(tenant, len(tenants))  # of calls that name none
-        self.budget = budget  # microseconds, of calls that name none
+        self.tenant = self.tenants.get(tenant, len(tenants))  # for calls without one
+        self.budget = budget  # microseconds, for calls without one
 
     def get(self, name: str) -> Method | None:
         return self.table.get(name)
 
     def may_notify(self, method: Method) -> bool:
-        """Whether a notification may go out: its sender never learns whether it ran, and may repeat it."""
+        """Whether the method may be notified. The sender doesn't learn whether it ran, and may repeat it."""
         return method.notify or self.classes[method.klass].effect == Effect.SAFE
 
-    def read(self, method: Method, params: Sequence[Any]) -> Read | str:
-        """Tenant and budget of a call, or why it cannot be taken."""
-        tenant = at(params, method.tenant) if method.tenant else None
-        budget = at(params, method.budget) if method.budget else None
-        if method.key and at(params, method.key) in (None, "", b""):
+    def read_parameters(self, method: Method, params: Sequence[Any]) -> CallParameters | str:
+        """Returns a call's tenant and budget, or the text why the call is invalid."""
+        tenant = value_at(params, method.tenant) if method.tenant else None
+        budget = value_at(params, method.budget) if method.budget else None
+        if method.key and value_at(params, method.key) in (None, "", b""):
             return "no key where the method has one"
         number = self.tenant
         if isinstance(tenant, (str, bytes)):
@@ -140,14 +142,14 @@
             number = self.tenants.get(name, len(self.tenants))
         elif tenant is not None:
             return "a tenant that is no string"
-        micro = self.budget
+        budget_us = self.budget
         if budget is not None:
             if isinstance(budget, bool) or not isinstance(budget, (int, float)):
                 return "a budget that is no number"
-            if not 0 < budget <= MOST_BUDGET:
-                return f"a budget that is not above 0 and at most {MOST_BUDGET} ms"
-            micro = int(budget * 1000)
-        return Read(number, min(micro, self.classes[method.klass].deadline))
+            if not 0 < budget <= MAX_BUDGET:
+                return f"a budget that is not above 0 and at most {MAX_BUDGET} ms"
+            budget_us = int(budget * 1000)
+        return CallParameters(number, min(budget_us, self.classes[method.klass].deadline))
 
 
 def compile_method(
@@ -161,7 +163,7 @@
     classes: Sequence[str],
     settings: Sequence[ClassSettings],
 ) -> Method:
-    """A method's entry, checked. A MethodError names the key."""
+    """Checks and compiles a method's entry. Raises MethodError with the key if it is invalid."""
     where = f"methods.{name}"
     if klass not in classes:
         raise MethodError(f"{where}.class: no class '{klass}'; there are {', '.join(classes)}")
@@ -170,9 +172,9 @@
         raise MethodError(f"{where}.key: missing; '{klass}' is a keyed class")
     return Method(
         klass=number,
-        tenant=path_of(tenant, f"{where}.tenant"),
-        budget=path_of(budget, f"{where}.budget"),
-        key=path_of(key, f"{where}.key"),
+        tenant=parse_path(tenant, f"{where}.tenant"),
+        budget=parse_path(budget, f"{where}.budget"),
+        key=parse_path(key, f"{where}.key"),
         notify=notify,
-        failures=tuple(failure_of(entry, f"{where}.failures[{i}]") for i, entry in enumerate(failures)),
+        failures=tuple(parse_failure(entry, f"{where}.failures[{i}]") for i, entry in enumerate(failures)),
     )
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -1,9 +1,8 @@
-"""The upstream that speaks MessagePack-RPC: many calls on a connection, answers in any order.
+"""The MessagePack-RPC upstream: many calls share a connection, and responses come in any order.
 
-What may have run is told by what was handed to the system. A connection's calls go out one write each, and
-while the system does not take a write whole, no further one begins: the calls behind it wait here, and have
-not been sent. So when a connection breaks, the calls that wait and the last one whose write was not taken
-whole cannot have run, and all others may have.
+Whether a call may have run depends on what the kernel has taken. Each call is one write, and no further one
+begins until the kernel has taken the last write completely. So when a connection breaks, the calls that still
+wait here and the one whose write is incomplete can't have run; all others may have.
 """
 
 from __future__ import annotations
@@ -21,21 +20,21 @@
 from brackenladder.membership.listing import Line
 from brackenladder.membership.stall import BEAT_INTERVAL, READ_FIRST_DELAY, StallDetector
 from brackenladder.rpc.call import Reply, RpcCall, outcome_of
-from brackenladder.rpc.codec import MOST_MSGID, Bounds, Reader, Response, notification, request
+from brackenladder.rpc.codec import MAX_MSGID, MessageLimits, MessageReader, Response, notification, request
 
-SWEEP = 0.25  # seconds between two looks at connections that say nothing
+SWEEP_INTERVAL = 0.25  # seconds between two checks for idle and silent connections
 
 
 @dataclass(frozen=True)
 class UpstreamLimits:
-    """`pipeline`: calls that one connection carries; `connections`: to one server; `all`: in all."""
+    """Limits: `pipeline` calls per connection, `connections` to one server, `all` connections in total."""
 
-    bounds: Bounds
+    message_limits: MessageLimits
     pipeline: int
     connections: int
     all: int
     connect_timeout: float  # seconds
-    idle: float  # seconds after which a connection that carries nothing is closed, before its server does
+    idle: float  # seconds until an unused connection is closed, which should be before its server closes it
 
 
 class Endpoint:
@@ -49,12 +48,13 @@
         self.started = started
         self.ready = True
         self.links: list[Link] = []
-        self.queue: deque[Exchange] = deque()  # that no connection has room for yet
+        self.queue: deque[Exchange] = deque()  # waiting for a connection
 
     def retire(self) -> None:
-        """Nothing new is written here; what was written may finish, then the connections close.
+        """Stops new calls. Written calls may finish, then the connections close.
 
-        Failure prevented: what waits is given back before the module has the new list, and comes again.
+        Waiting calls are returned in the next loop iteration, after the Balancer has the new list. Otherwise
+        it could choose this server for them again.
         """
         self.ready = False
         queue, self.queue = self.queue, deque()
@@ -71,248 +71,249 @@
         self.upstream = upstream
         self.endpoint = endpoint
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
-        self.reader = Reader(upstream.limits.bounds)
-        self.up = False
-        self.over = False
+        self.reader = MessageReader(upstream.limits.message_limits)
+        self.connected = False
+        self.closed = False
         self.retired = False
-        self.out: dict[int, Exchange | None] = {}  # by msgid; None: given up, and the msgid stays unused
-        self.quiet_since: float | None = None  # when a call was given up, if nothing has come since
-        self.unwhole: Exchange | None = None  # its write is not with the system whole
+        self.open_exchanges: dict[
+            int, Exchange | None
+        ] = {}  # by msgid; None if given up: the msgid stays reserved
+        self.silent_since: float | None = None  # when a call was given up, if nothing was received since
+        self.partially_written: Exchange | None = None  # the kernel hasn't taken its write completely
         self.paused = False
         self.last_msgid = 0
-        self.heard = upstream.loop.time()
+        self.last_received = upstream.loop.time()
         self.connecting: asyncio.Task[None] | None = None
 
-    # ---- life -----------------------------------------------------------------------------------------
+    # ---- connection -----------------------------------------------------------------------------------
 
     async def connect(self) -> None:
         loop = self.upstream.loop
-        limit = loop.call_later(self.upstream.limits.connect_timeout, self.not_up)
+        limit = loop.call_later(self.upstream.limits.connect_timeout, self.on_connect_timeout)
         try:
             await loop.create_connection(lambda: self, self.endpoint.host, self.endpoint.port)
-        except (OSError, UnicodeError):  # the latter for a name that cannot be one of a host
-            self.gone(Outcome.CONNECT_FAILED)
+        except (OSError, UnicodeError):  # UnicodeError: invalid host name
+            self.on_closed(Outcome.CONNECT_FAILED)
         finally:
             limit.cancel()
             self.connecting = None
 
-    def not_up(self) -> None:
-        """The connect time-out.
+    def on_connect_timeout(self) -> None:
+        """Aborts a connection that isn't established in time.
 
-        Failure prevented: it comes up, calls are written, and as the loop is late with all that it is taken
-        for one that never came up.
+        If the loop is late, the connection may be established already and carry calls; it is then kept.
         """
-        if not self.up:
+        if not self.connected:
             self.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, pause_writing says that a write was not taken whole.
+        # With a limit of 0, asyncio calls pause_writing if the kernel didn't take a write completely.
         self.transport.set_write_buffer_limits(high=0)
-        self.up = True
-        self.heard = self.upstream.loop.time()
-        self.upstream.feed(self.endpoint)
-        self.settle()
+        self.connected = True
+        self.last_received = self.upstream.loop.time()
+        self.upstream.dispatch(self.endpoint)
+        self.close_if_retired()
 
     def pause_writing(self) -> None:
         self.paused = True
 
     def resume_writing(self) -> None:
         self.paused = False
-        self.unwhole = None
-        self.upstream.feed(self.endpoint)
+        self.partially_written = None
+        self.upstream.dispatch(self.endpoint)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone(Outcome.CONNECT_FAILED)
+        self.on_closed(Outcome.CONNECT_FAILED)
 
-    def gone(self, unsent: Outcome) -> None:
-        """The connection has ended: what was handed over whole may have run."""
-        if self.over:
+    def on_closed(self, unsent: Outcome) -> None:
+        """Ends the open calls when the connection closes. `unsent`: the outcome of a partly written call."""
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         if self in self.endpoint.links:
             self.endpoint.links.remove(self)
         self.upstream.open -= 1
-        out, self.out = self.out, {}
-        for exchange in out.values():
+        open_exchanges, self.open_exchanges = self.open_exchanges, {}
+        for exchange in open_exchanges.values():
             if exchange is not None:
-                never = self.paused and exchange is self.unwhole
-                exchange.end(unsent if never else Outcome.RESET)
-        self.upstream.orphaned(self.endpoint, failed=not self.up)
+                not_sent = self.paused and exchange is self.partially_written
+                exchange.end(unsent if not_sent else Outcome.RESET)
+        self.upstream.on_connection_ended(self.endpoint, failed=not self.connected)
 
     def abort(self) -> None:
         if self.connecting is not None:
             self.connecting.cancel()
         if self.transport is not None:
             self.transport.abort()
-        self.gone(Outcome.CONNECT_FAILED)
+        self.on_closed(Outcome.CONNECT_FAILED)
 
     def retire(self) -> None:
         self.retired = True
-        self.settle()
+        self.close_if_retired()
 
-    def settle(self) -> None:
-        """Closes a retired connection once nobody waits for anything on it."""
-        if self.retired and not self.waited_for():
+    def close_if_retired(self) -> None:
+        """Closes a retired connection once no call waits for a response on it."""
+        if self.retired and not self.has_waiters():
             self.abort()
 
-    def waited_for(self) -> bool:
-        """Whether somebody waits for an answer here."""
-        return any(exchange is not None for exchange in self.out.values())
+    def has_waiters(self) -> bool:
+        """Whether any call waits for a response on this connection."""
+        return any(exchange is not None for exchange in self.open_exchanges.values())
 
-    def suspect(self) -> bool:
-        """Whether it may be cut off: a call was given up a while ago, and nothing has come since.
+    def may_be_dead(self) -> bool:
+        """Whether the server may be unreachable: a call was given up a while ago and nothing came since.
 
-        Failure prevented: what is written to a machine that has vanished waits in vain. Those that wait here
-        already are left alone: a server that is slow, or one client's short time, must not cost them theirs.
+        New calls then use other connections. Calls that already wait here are kept: the server may just be
+        slow, and another client's short budget must not fail them.
         """
-        if self.quiet_since is None:
+        if self.silent_since is None:
             return False
-        patience = max(self.upstream.limits.connect_timeout, SWEEP)
-        return self.upstream.loop.time() - self.quiet_since > patience
+        patience = max(self.upstream.limits.connect_timeout, SWEEP_INTERVAL)
+        return self.upstream.loop.time() - self.silent_since > patience
 
     # ---- calls ----------------------------------------------------------------------------------------
 
-    def room(self) -> bool:
-        """Whether a further call may be written now.
+    def has_room(self) -> bool:
+        """Whether another call may be written now.
 
-        A connection with an answer that has stopped partway takes none: they would wait behind it.
+        Not if the current response has stopped partway, as further responses would have to wait for it.
         """
-        if self.suspect():
+        if self.may_be_dead():
             return False
-        if not self.up or self.over or self.retired or self.paused or self.transport.is_closing():
+        if not self.connected or self.closed or self.retired or self.paused or self.transport.is_closing():
             return False
-        if not self.out and self.spoken_to():
+        if not self.open_exchanges and self.has_unexpected_input():
             self.abort()
             return False
-        return len(self.out) < self.upstream.limits.pipeline and not self.stuck()
+        return len(self.open_exchanges) < self.upstream.limits.pipeline and not self.response_stalled()
 
-    def spoken_to(self) -> bool:
-        """Whether the end of a connection that carries nothing, or stray bytes, wait in the socket.
+    def has_unexpected_input(self) -> bool:
+        """Whether a connection without calls has a close or stray bytes in its socket, unread.
 
-        Failure prevented: the server has closed it, and a call that is written there may have run.
+        A call written to a connection that the server has closed would count as one that may have run.
         """
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def stuck(self) -> bool:
-        """Whether half an answer has come, and nothing since."""
-        late = self.upstream.loop.time() - self.heard
-        return self.reader.waiting() > 0 and late > self.upstream.limits.connect_timeout
+    def response_stalled(self) -> bool:
+        """Whether part of a response has arrived and then nothing for some time."""
+        silence = self.upstream.loop.time() - self.last_received
+        return self.reader.buffered() > 0 and silence > self.upstream.limits.connect_timeout
 
     def write(self, exchange: Exchange) -> None:
-        """Writes a call, whose last byte is with the system once `paused` is False."""
+        """Writes a call. The kernel has taken it completely once `paused` is False."""
         call = exchange.call
         if call.msgid is None:
-            self.transport.write(notification(call.name, call.raw))
-            exchange.end(Outcome.CANCELLED)  # it may have run, and nobody will say
+            self.transport.write(notification(call.name, call.raw_params))
+            exchange.end(Outcome.CANCELLED)  # it may have run; there is no response
             return
         msgid = self.msgid()
-        self.out[msgid] = exchange
+        self.open_exchanges[msgid] = exchange
         exchange.link, exchange.msgid = self, msgid
-        self.unwhole = exchange
-        self.transport.write(request(msgid, call.name, call.raw))
+        self.partially_written = exchange
+        self.transport.write(request(msgid, call.name, call.raw_params))
 
     def msgid(self) -> int:
-        """The next one that no call of this connection has, open or given up."""
+        """Returns the next msgid that no call of this connection uses, open or given up."""
         while True:
-            self.last_msgid = 0 if self.last_msgid >= MOST_MSGID else self.last_msgid + 1
-            if self.last_msgid not in self.out:
+            self.last_msgid = 0 if self.last_msgid >= MAX_MSGID else self.last_msgid + 1
+            if self.last_msgid not in self.open_exchanges:
                 return self.last_msgid
 
-    def still_out(self, msgid: int) -> bool:
-        """Whether a call that was given up may still run here. A connection with nothing else is closed.
+    def may_still_run(self, msgid: int) -> bool:
+        """Whether a call that was given up may still run. Closes the connection if no other call uses it.
 
-        Failure prevented: its next attempt goes to another server while this one is out, two at once.
+        While it may run, the next attempt must not start, or two would run at the same time.
         """
-        if self.over or msgid not in self.out:
+        if self.closed or msgid not in self.open_exchanges:
             return False
-        if self.waited_for():
+        if self.has_waiters():
             return True
         self.abort()
         return False
 
     def give_up(self, msgid: int) -> None:
-        """Nobody waits for this call any more; its neighbours lose nothing, and its msgid stays unused."""
-        self.out[msgid] = None
-        if self.quiet_since is None:
-            self.quiet_since = self.upstream.loop.time()
-        self.settle()
+        """Stops waiting for a call. Other calls are not affected, and the msgid stays reserved."""
+        self.open_exchanges[msgid] = None
+        if self.silent_since is None:
+            self.silent_since = self.upstream.loop.time()
+        self.close_if_retired()
 
     def data_received(self, data: bytes) -> None:
-        self.heard = self.upstream.loop.time()
-        self.quiet_since = None
+        self.last_received = self.upstream.loop.time()
+        self.silent_since = None
         for message in self.reader.feed(data):
-            if not isinstance(message, Response) or message.msgid not in self.out:
-                # Of a stream that answers what was not asked, no further answer can be believed.
+            if not isinstance(message, Response) or message.msgid not in self.open_exchanges:
+                # After a response to a call that wasn't sent, later responses can't be trusted either.
                 self.upstream.log(f"rpc server {self.endpoint.host}:{self.endpoint.port}: a stray message")
                 self.abort()
                 return
-            exchange = self.out.pop(message.msgid)
+            exchange = self.open_exchanges.pop(message.msgid)
             if exchange is not None:
-                exchange.answered(message)
-            if self.over:
+                exchange.on_response(message)
+            if self.closed:
                 return
-        if self.reader.broken:
+        if self.reader.error:
             self.upstream.log(
-                f"rpc server {self.endpoint.host}:{self.endpoint.port}: broken off: {self.reader.broken}"
+                f"rpc server {self.endpoint.host}:{self.endpoint.port}: broken off: {self.reader.error}"
             )
             self.abort()
             return
-        self.settle()
-        self.upstream.feed(self.endpoint)
+        self.close_if_retired()
+        self.upstream.dispatch(self.endpoint)
 
 
 class Exchange:
-    """An attempt: it ends exactly once."""
+    """One attempt. It ends exactly once."""
 
     def __init__(self, upstream: RpcUpstream, endpoint: Endpoint, call: RpcCall, done: Done) -> None:
         self.upstream = upstream
         self.endpoint = endpoint
         self.call = call
         self.done = done
-        self.over = False
+        self.closed = False
         self.link: Link | None = None
         self.msgid = 0
         self.timer: asyncio.TimerHandle | None = None
 
     def start(self, timeout: float) -> None:
-        """Waits for a connection with room, and is written there."""
+        """Queues the call for a connection that can take it."""
         self.timer = self.upstream.loop.call_later(timeout, self.expire)
         self.endpoint.queue.append(self)
-        self.upstream.feed(self.endpoint)
+        self.upstream.dispatch(self.endpoint)
 
     def expire(self) -> None:
         self.stop(Outcome.TIMEOUT)
 
     def stop(self, outcome: Outcome) -> None:
-        """Gives it up. What has not been written cannot have run."""
-        if self.over:
+        """Gives the attempt up. A call that wasn't written can't have run."""
+        if self.closed:
             return
         if self.link is not None:
-            # First out of the connection: the module may send the call on as it hears of the end.
+            # The connection is updated first: the Balancer may retry the call within `end`.
             self.call.given_up = self
-            if not self.link.over:
+            if not self.link.closed:
                 self.link.give_up(self.msgid)
             self.end(outcome)
         else:
             self.end(Outcome.CONNECT_FAILED if outcome == Outcome.TIMEOUT else Outcome.NOT_SENT)
 
     def ended(self) -> bool:
-        """Whether an attempt that was given up is over at its server."""
-        return self.link is None or not self.link.still_out(self.msgid)
+        """See `AbandonedAttempt.ended`."""
+        return self.link is None or not self.link.may_still_run(self.msgid)
 
-    def answered(self, message: Response) -> None:
+    def on_response(self, message: Response) -> None:
         outcome = outcome_of(message.error, self.call.method)
         if outcome == Outcome.ERROR:
             self.call.last_error = message.raw_error
         self.end(outcome, Reply(message.raw_error, message.raw_result))
 
     def end(self, outcome: Outcome, reply: Reply | None = None) -> None:
-        if self.over:
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         if self.timer is not None:
             self.timer.cancel()
         if self.link is None and self in self.endpoint.queue:
@@ -321,7 +322,7 @@
 
 
 class RpcUpstream:
-    """The servers of the pool by number, and the connections to them."""
+    """The servers of the pool, by number, and the connections to them."""
 
     def __init__(
         self,
@@ -338,17 +339,17 @@
         self.open = 0
         self.tasks: set[asyncio.Task[None]] = set()
         self.stall = StallDetector(monotonic())
-        self.loop.call_later(SWEEP, self.sweep)
+        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
         self.loop.call_later(BEAT_INTERVAL, self.beat)
 
     def beat(self) -> None:
         self.stall.beat(monotonic())
         self.loop.call_later(BEAT_INTERVAL, self.beat)
 
-    # ---- the list -------------------------------------------------------------------------------------
+    # ---- server list ----------------------------------------------------------------------------------
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
-        """Takes note of a list or its changes, each server once."""
+        """Applies a full list or changes. `latest` has the last line of each server."""
         if kind != ListKind.CHANGES:
             for number in [n for n in self.endpoints if n not in latest]:
                 self.endpoints.pop(number).retire()
@@ -358,16 +359,16 @@
                 if endpoint is not None:
                     self.endpoints.pop(number).retire()
                 continue
-            place = (line.host, line.port, line.started)
-            if endpoint is None or (endpoint.host, endpoint.port, endpoint.started) != place:
+            identity = (line.host, line.port, line.started)
+            if endpoint is None or (endpoint.host, endpoint.port, endpoint.started) != identity:
                 if endpoint is not None:
                     endpoint.retire()
-                self.endpoints[number] = Endpoint(*place)
+                self.endpoints[number] = Endpoint(*identity)
 
     # ---- Upstream -------------------------------------------------------------------------------------
 
     def attempt(self, server: int, call: Call, expires: int, done: Done) -> Attempt | None:
-        """An exchange with a server; None if it is not ready, or an earlier one may still run."""
+        """Returns an attempt at a server, or None if it isn't ready or an earlier attempt may still run."""
         endpoint = self.endpoints.get(server)
         call = cast(RpcCall, call)
         if endpoint is None or (call.given_up is not None and not call.given_up.ended()):
@@ -375,42 +376,42 @@
         return Exchange(self, endpoint, call, done)
 
     def probe(self, server: int, done: Probed) -> None:
-        """There are no probes in this protocol, and the pool's settings ask for none."""
+        """Fails at once: the protocol has no probes, and the pool's settings disable them."""
         done(False, ())
 
     def close_idle(self, server: int) -> None:
-        """Closes the connections to a server that carry nothing."""
+        """Closes the unused connections to a server."""
         endpoint = self.endpoints.get(server)
         for link in list(endpoint.links) if endpoint is not None else ():
-            if link.up and not link.out:
+            if link.connected and not link.open_exchanges:
                 link.abort()
 
     # ---- connections ----------------------------------------------------------------------------------
 
-    def feed(self, endpoint: Endpoint) -> None:
-        """Writes what waits, once news of the list that may be waiting has been read."""
+    def dispatch(self, endpoint: Endpoint) -> None:
+        """Writes waiting calls. After a stall of the process, updates of the server list are read first."""
         if self.stall.must_read_first(monotonic()):
             self.loop.call_later(READ_FIRST_DELAY, self.write, endpoint)
         else:
             self.write(endpoint)
 
     def write(self, endpoint: Endpoint) -> None:
-        """Writes what waits to connections with room, the least busy first; opens another if none has."""
+        """Writes waiting calls to the least busy connections, or opens another one if none can take them."""
         while endpoint.queue and endpoint.ready:
-            links = [link for link in endpoint.links if link.room()]
+            links = [link for link in endpoint.links if link.has_room()]
             if not links:
                 break
             exchange = endpoint.queue.popleft()
             if exchange.call.may_be_written(self.now()):
-                min(links, key=lambda link: len(link.out)).write(exchange)
+                min(links, key=lambda link: len(link.open_exchanges)).write(exchange)
             else:
                 exchange.end(Outcome.NOT_SENT)
-        coming = sum(not link.up for link in endpoint.links)
-        if endpoint.queue and endpoint.ready and not coming:
+        connecting = sum(not link.connected for link in endpoint.links)
+        if endpoint.queue and endpoint.ready and not connecting:
             if len(endpoint.links) < self.limits.connections and self.open < self.limits.all:
                 self.connect(endpoint)
             elif not endpoint.links:
-                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # no descriptor for this server at all
+                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # no connection may be opened
 
     def connect(self, endpoint: Endpoint) -> None:
         link = Link(self, endpoint)
@@ -420,25 +421,28 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def orphaned(self, endpoint: Endpoint, failed: bool) -> None:
-        """A connection has ended, or never came up: what waits for one goes to another, or has failed."""
-        if failed and not any(link.up for link in endpoint.links):
+    def on_connection_ended(self, endpoint: Endpoint, failed: bool) -> None:
+        """Retries waiting calls after a connection has ended. Fails them if it couldn't be established.
+
+        They wait on if another connection to the server is established.
+        """
+        if failed and not any(link.connected for link in endpoint.links):
             queue, endpoint.queue = endpoint.queue, deque()
             for exchange in queue:
                 exchange.end(Outcome.CONNECT_FAILED)
         elif endpoint.queue:
-            self.feed(endpoint)
+            self.dispatch(endpoint)
 
     def sweep(self) -> None:
-        """Closes connections that stand idle, and those that have said nothing since a call was given up."""
+        """Closes idle connections, and silent ones whose calls have all been given up."""
         now = self.loop.time()
         for endpoint in list(self.endpoints.values()):
             for link in list(endpoint.links):
-                if link.up and not link.out and now - link.heard > self.limits.idle:
+                if link.connected and not link.open_exchanges and now - link.last_received > self.limits.idle:
                     link.abort()
                     continue
-                if link.suspect() and not link.waited_for():
+                if link.may_be_dead() and not link.has_waiters():
                     link.abort()
             if endpoint.queue:
-                self.feed(endpoint)
-        self.loop.call_later(SWEEP, self.sweep)
+                self.dispatch(endpoint)
+        self.loop.call_later(SWEEP_INTERVAL, self.sweep)
--- a/tests/endings/test_process_ends.py
+++ b/tests/endings/test_process_ends.py
@@ -1,4 +1,4 @@
-"""Process ends: SIGTERM at each phase of a request, and what deadlines leave of the time before SIGKILL."""
+"""Tests of process shutdown: SIGTERM in each phase of a request, and the time limits before SIGKILL."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize(
     ("deadlines", "killed", "stays"),
     [
-        # SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s after SIGTERM.
+        # SIGKILL comes 0.7 s after the longest deadline (at most 3 s) has passed since SIGTERM.
         ([0.1], 0.8, TAKING),
         ([0.2], 0.9, TAKING),
         ([0.9, 0.3], 1.6, 1.0),
@@ -27,11 +27,11 @@
         ([60.0], 3.7, HANDOVER),
     ],
 )
-def test_what_is_taken_at_the_end_is_concluded_before_the_process_is_killed(deadlines, killed, stays):
+def test_requests_accepted_during_shutdown_end_before_the_process_is_killed(deadlines, killed, stays):
     classes = [ClassSettings(Effect.SAFE, aim=1, deadline=int(d * SECOND), worth=1) for d in deadlines]
     assert kill_after(classes) == round(killed * SECOND)
     assert handover(classes) == pytest.approx(stays)
-    # Requests get their time for as long as connections stay open, and nothing is owed at SIGKILL.
+    # Requests have time to end while connections stay open, and all have ended before SIGKILL.
     assert handover(classes) * SECOND <= last_moment(0, classes) <= (killed - 0.3) * SECOND
 
 
@@ -39,8 +39,8 @@
     "phase", ["half-read", "connecting", "written", "half-answered", "waiting", "crossing"]
 )
 @pytest.mark.parametrize("klass", ["view", "invite"])
-def test_a_request_that_crosses_the_end_is_answered_once_and_whole(phase, klass, monkeypatch):
-    """The node is told to end at this phase, and no connection outlives its answer from then on."""
+def test_a_request_during_shutdown_is_answered_once_and_completely(phase, klass, monkeypatch):
+    """The shutdown starts in this phase, and then each connection closes after its response."""
 
     async def scene():
         release = asyncio.Event()
@@ -74,7 +74,7 @@
                 await until(lambda: len(server.requests) == 1)
         if phase == "crossing":
             monkeypatch.setattr("brackenladder.http.client_connections.SETTLE", 0.0)
-            client.send(request)  # is in the socket as the node first looks for who is idle
+            client.send(request)  # in the socket, unread, when the node first checks for idle connections
         drain = asyncio.create_task(bench.node.drain())
         if phase != "crossing":
             await until(lambda: client_connections.closing)
@@ -86,18 +86,18 @@
         answers = b""
         while part := await client.answer():
             answers += part
-        owed = 2 if phase == "waiting" else 1
-        assert answers.count(b"HTTP/1.1 200 OK") == answers.count(b"\r\n\r\nok") == owed
+        expected = 2 if phase == "waiting" else 1
+        assert answers.count(b"HTTP/1.1 200 OK") == answers.count(b"\r\n\r\nok") == expected
         assert answers.count(b"Connection: close") == 1
-        assert len(server.requests) == owed + (phase == "crossing")
+        assert len(server.requests) == expected + (phase == "crossing")
         client.leave("fin")
         await asyncio.wait_for(drain, 20)
 
     play(scene)
 
 
-def test_short_deadlines_end_the_handover_sooner():
-    """Failure prevented: the process is killed with requests open, on connections that it kept open."""
+def test_with_short_deadlines_connections_close_sooner():
+    """Otherwise the process would be killed with open requests on connections that it kept open."""
 
     async def scene():
         classes = [
@@ -110,7 +110,7 @@
         assert (await client.ask(call("view", 900)))[0] == 200
         asyncio.get_running_loop().create_task(bench.node.drain())
         await until(lambda: bench.node.front.clients.listener.sock is None)  # TAKING: half a second
-        # Before, what came by then had no time left: the longest deadline counted from SIGTERM.
+        # The deadline must not count from SIGTERM, or a request at this time would have no time left.
         assert (await client.ask(call("view", 700)))[0] == 200
         assert int(server.requests[-1].headers["x-budget-ms"]) > 300
         client.writer.close()
--- a/tests/endings/test_rpc_ends.py
+++ b/tests/endings/test_rpc_ends.py
@@ -1,4 +1,4 @@
-"""RPC ends: a client that resets while its calls wait, a repeat that is late, a process that stood still."""
+"""Tests of RPC calls that end early or late: client resets, late repeats, a process that was suspended."""
 
 from __future__ import annotations
 
@@ -26,13 +26,14 @@
     return msgpack.packb([0, msgid, "invite", [msgid]])
 
 
-async def settled(bench: Bench, clients: int) -> None:
-    """So many clients are left, and nothing is open in the core."""
+async def until_settled(bench: Bench, clients: int) -> None:
+    """Waits until this number of clients is left and no call is open."""
     await until(lambda: len(bench.front.clients) == clients and not bench.pool.host.calls)
 
 
-def test_a_client_that_reset_while_its_call_waited_for_room_is_not_sent_on():
-    """Its reset and the answer that makes room are there in one turn, and the answer is read first."""
+def test_a_waiting_call_of_a_client_that_reset_is_not_sent():
+    """The reset and the response that frees a connection arrive in the same loop iteration, and the response
+    is read first."""
 
     async def scene():
         bench = (await Bench(server := Server(None), table=ONE_AT_A_TIME).start()).wide()
@@ -43,18 +44,18 @@
             await until(lambda n=n: len(server.calls) == n)
             leaving = Raw(bench.port, call(7))
             await until(lambda: len(endpoint.queue) == 1)
-            await asyncio.sleep(0.0015)  # as it waits at least; no more is asked of the order
+            await asyncio.sleep(0.0015)  # the minimum time that it waits
             leaving.leave("rst")
             endpoint.links[0].data_received(answer(server.calls[-1][1]))
             assert (await staying.receive())[2] is None
-            await settled(bench, 1)
+            await until_settled(bench, 1)
             assert len(server.calls) == n
 
     play(scene)
 
 
-class Gate(HeldConnects):
-    """A loop whose connects begin at `go`."""
+class DelayedConnects(HeldConnects):
+    """A loop that starts to connect only once `go` is set."""
 
     async def create_connection(self, *args: Any, **kwargs: Any) -> Any:
         self.up += 1
@@ -67,8 +68,9 @@
 
 
 @pytest.mark.parametrize("how", ["stays", "ends its sending", "rst"])
-def test_what_waits_unread_behind_notifications_is_sent_on_unless_its_client_reset(how):
-    """They are over with no answer. So many wait that nothing more is read, and a reset is told to nobody."""
+def test_calls_behind_notifications_are_sent_unless_their_client_reset(how):
+    """Notifications end without a response. While the limit of open calls is reached, the client's connection
+    isn't read, so a reset goes unnoticed."""
 
     async def scene():
         bench = (await Bench(server := Server(), table={"client_calls": 2}).start()).wide()
@@ -76,31 +78,31 @@
         loop = upstream.loop
         for n in range(DEPARTURES // 4 if how == "rst" else 1):
             upstream.close_idle(number_of("s0"))
-            upstream.loop = gate = Gate(loop)  # so all that comes waits for a connection
+            upstream.loop = connects = DelayedConnects(loop)  # so all calls wait for a connection
             client = Raw(bench.port, b"".join(notification(i) for i in range(2)) + call(7) + call(8))
-            await until(lambda: any(len(c.waiting) == 2 for c in bench.front.clients))
+            await until(lambda: any(len(c.pending) == 2 for c in bench.front.clients))
             if how == "rst":
                 client.leave("rst")
             elif how == "ends its sending":
                 client.sock.shutdown(socket.SHUT_WR)
-            gate.go.set()
+            connects.go.set()
             await until(lambda n=n: len(server.messages) >= 2 * n + 2)
             if how != "rst":
                 answers = msgpack.Unpacker()
-                got: list[Any] = []
-                while len(got) < 2:
+                responses: list[Any] = []
+                while len(responses) < 2:
                     answers.feed(await client.answer())
-                    got += list(answers)
-                assert sorted(got) == [[1, 7, None, [7]], [1, 8, None, [8]]]
+                    responses += list(answers)
+                assert sorted(responses) == [[1, 7, None, [7]], [1, 8, None, [8]]]
                 client.leave("fin")
-            await settled(bench, 0)
+            await until_settled(bench, 0)
             assert len(server.calls) == (0 if how == "rst" else 2)
 
     play(scene)
 
 
-class Sends:
-    """A module that sends every call to the server `first`, and what came back with no answer to `s1`."""
+class FixedBalancer:
+    """Replaces the Balancer: sends each call to the server `first`, and a failed one once more, to `s1`."""
 
     def __init__(self, bench: Bench, first: str) -> None:
         self.host = bench.pool.host
@@ -124,7 +126,7 @@
 
 @pytest.mark.parametrize("late", [False, True])
 def test_a_keyed_repeat_is_not_written_after_its_window(late):
-    """It was decided within the window, and there is room for it after that."""
+    """The retry was decided within the window, but a connection becomes free only after it."""
 
     async def scene():
         first = Server(lambda connection, _: connection.transport.abort())
@@ -132,10 +134,10 @@
         host = bench.pool.host
         busy = bench.pool.upstream.endpoints[number_of("s1")]
         client = await bench.client()
-        module = Sends(bench, "s1")
+        balancer = FixedBalancer(bench, "s1")
         client.call("invite", "takes the only place")
         await until(lambda: len(second.calls) == 1)
-        module.first = "s0"
+        balancer.first = "s0"
         client.call("offer", {"key": 1})
         await until(lambda: len(busy.queue) == 1)
         (repeat,) = [c for c in host.calls.values() if c.in_doubt]
@@ -150,31 +152,31 @@
         else:
             await until(lambda: len(second.calls) == 2)
         assert len(second.calls) == (1 if late else 2)
-        assert module.outcomes[:1] == [Outcome.RESET]
+        assert balancer.outcomes[:1] == [Outcome.RESET]
 
     play(scene)
 
 
-def test_a_process_that_stood_still_reads_the_news_before_it_sends_a_call_on():
-    """The call is read first, and the news that its server drains waits in another socket."""
+def test_after_a_suspension_list_updates_are_read_before_calls_are_sent():
+    """The call is read first, while the update that its server drains is still unread in another socket."""
 
     async def scene():
         bench = await Bench(leaving := Server(), staying := Server()).start()
-        module = Sends(bench, "s0")
+        balancer = FixedBalancer(bench, "s0")
         client = await bench.client()
         assert (await client.ask("invite", 1))[0] is None  # a connection to `s0` is up
-        (guest,) = bench.front.clients
+        (connection,) = bench.front.clients
         await until(lambda: len(bench.discovery.writers) == 1 and len(bench.discovery.requests) == 2)
         bench.pool.upstream.stall.grace_until = time.monotonic() + 60
-        news = json.dumps(
+        update = json.dumps(
             {"version": 42, "full": False, "servers": [leaving.entry("s0", "draining")]}
         ).encode()
         number = bench.discovery.writers[0].get_extra_info("socket").fileno()
         with socket.socket(fileno=os.dup(number)) as sock:
-            sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(news), news))
-        guest.data_received(call(2))
+            sock.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(update), update))
+        connection.data_received(call(2))
         assert await client.receive() == [1, 2, None, [2]]
         assert len(leaving.calls) == len(staying.calls) == 1
-        assert module.outcomes == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
+        assert balancer.outcomes == [Outcome.OK, Outcome.NOT_SENT, Outcome.OK]
 
     play(scene)
--- a/tests/fuzz/run.py
+++ b/tests/fuzz/run.py
@@ -1,7 +1,7 @@
-"""Fuzzes one target, guided by coverage: `python tests/fuzz/run.py TARGET FOLDER [libFuzzer's options]`.
+"""Coverage-guided fuzzing of one target: `python tests/fuzz/run.py TARGET FOLDER [libFuzzer's options]`.
 
-FOLDER takes the corpus; `tests/corpus/TARGET` is read too. It needs requirements-fuzz.txt, and ends with a
-file `crash-...` and the fault's trace if something did not hold. Not part of `make test`.
+New inputs are written to FOLDER; `tests/corpus/TARGET` is read too. Needs requirements-fuzz.txt. If a check
+fails, it writes a file `crash-...` and prints the traceback. Not part of `make test`.
 """
 
 from __future__ import annotations
--- a/tests/fuzz/targets.py
+++ b/tests/fuzz/targets.py
@@ -1,7 +1,7 @@
-"""What the fuzzer feeds: each target takes bytes and fails if something that must always hold does not.
+"""The fuzz targets. Each takes bytes and fails if an invariant is violated.
 
-The first byte says how the rest is cut into pieces, the second how attempts end. No sockets carry data and no
-loop runs: the transports are stand-ins, and time stands still.
+The first byte determines how the rest is split into pieces, the second how attempts end. There is no event
+loop and no network: transports are fakes, and the time doesn't advance.
 """
 
 from __future__ import annotations
@@ -28,22 +28,27 @@
 from brackenladder.interface import ListKind, Outcome, ServerEntry
 from brackenladder.node.config import parse_table
 from brackenladder.rpc.call import Reply, RpcCall
-from brackenladder.rpc.codec import Bounds, Broken, Reader, Request, Response
-from brackenladder.rpc.codec import read as read_message
+from brackenladder.rpc.codec import (
+    MessageLimits,
+    MessageReader,
+    ProtocolError,
+    Request,
+    Response,
+    parse_message,
+)
 from brackenladder.rpc.front import Client, FrontLimits, RpcFront
-from brackenladder.rpc.methods import Method, Methods
-from brackenladder.rpc.methods import Read as MethodRead
+from brackenladder.rpc.methods import CallParameters, Method, Methods
 from brackenladder.rpc.upstream import Exchange as RpcExchange
 from brackenladder.rpc.upstream import Link, RpcUpstream, UpstreamLimits
 
-BOUNDS = Bounds(message=2048, nesting=8, method=32)
+LIMITS = MessageLimits(message=2048, nesting=8, method=32)
 FAULT = re.compile(r"^\w+: \w+(Error|Exception): ")
 METHODS = {"view": Method(0, (), (1,), (), False), "invite": Method(1, (), (1,), (), False)}
 SERVER = 7
 
 
 class Loop:
-    """Time stands still; what is to be called soon is called when the target says so."""
+    """A fake event loop. Its time doesn't advance, and `run` executes the callbacks of `call_soon`."""
 
     def __init__(self) -> None:
         self.soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
@@ -59,15 +64,15 @@
         return self
 
     def create_task(self, coroutine: Any) -> Any:
-        """A connection that never comes up."""
+        """Never runs the coroutine: connections are never established."""
         coroutine.close()
         return self
 
     def add_done_callback(self, action: Any) -> None:
-        """It never ends."""
+        """Does nothing, as no task ends."""
 
     def cancel(self) -> None:
-        """A timer never fires."""
+        """Does nothing, as timers never fire."""
 
     def run(self) -> None:
         while self.soon:
@@ -77,7 +82,7 @@
 
 @cache
 def real_sockets() -> tuple[socket.socket, socket.socket]:
-    """Whose descriptors can be polled, and never have anything to read."""
+    """Sockets whose descriptors can be polled and never have anything to read."""
     return socket.socketpair()
 
 
@@ -110,21 +115,21 @@
         self.reading = True
 
     def set_write_buffer_limits(self, high: int) -> None:
-        """There is no buffer."""
+        """Does nothing: there is no buffer."""
 
     def get_extra_info(self, name: str) -> Any:
         return real_sockets()[0]
 
 
 def pieces(data: bytes) -> Iterator[bytes]:
-    """The bytes after the first two, cut as the first says."""
+    """Splits the bytes after the first two into pieces of the size given by the first."""
     size = data[0] % 64 or len(data)
     for start in range(2, len(data), size):
         yield data[start : start + size]
 
 
 class Upstream:
-    """Attempts end at once, in an order of outcomes that a byte begins."""
+    """An upstream whose attempts end at once. The outcomes follow `ORDER`, starting at `first`."""
 
     ORDER = (Outcome.OK, Outcome.OK, Outcome.REJECTED, Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT)
 
@@ -140,7 +145,7 @@
         done(False, ())
 
     def close_idle(self, server: int) -> None:
-        """There are none."""
+        """Does nothing: there are no connections."""
 
 
 class _Attempt:
@@ -153,7 +158,7 @@
         self.done(self.outcome, self.answer if self.outcome == Outcome.OK else None, ())
 
     def stop(self, outcome: Outcome) -> None:
-        raise AssertionError("it has ended")
+        raise AssertionError("the attempt has ended")
 
 
 @cache
@@ -175,46 +180,46 @@
         return lambda *args: None
 
 
-def sound(log: list[str]) -> None:
-    """What a front catches so that others are served is a fault all the same."""
+def assert_no_faults(log: list[str]) -> None:
+    """Fails on exceptions that a front caught and logged so that other requests were served."""
     faults = [line for line in log if FAULT.match(line)]
     assert not faults, faults
 
 
 def codec(data: bytes) -> None:
-    """However a stream is cut, it gives the same messages and the same fault; what is read is passed on."""
+    """A stream gives the same messages and the same error however it is split."""
     if len(data) < 2:
         return
-    whole, cut = Reader(BOUNDS), Reader(BOUNDS)
+    whole, cut = MessageReader(LIMITS), MessageReader(LIMITS)
     messages = whole.feed(data[2:])
     in_pieces = [m for piece in pieces(data) for m in cut.feed(piece)]
-    assert in_pieces == messages and cut.broken == whole.broken
-    assert "\n" not in whole.broken and whole.waiting() <= BOUNDS.message + 1
+    assert in_pieces == messages and cut.error == whole.error
+    assert "\n" not in whole.error and whole.buffered() <= LIMITS.message + 1
     for message in messages:
         if isinstance(message, Request):
             params = msgpack.unpackb(message.raw, strict_map_key=False, unicode_errors="surrogateescape")
             assert type(params) is list and len(params) == len(message.params)
             assert 0 <= message.msgid < 1 << 32
         elif isinstance(message, Response):
-            read_message(b"\x94\x01\x00" + message.raw_error + message.raw_result, BOUNDS)
+            parse_message(b"\x94\x01\x00" + message.raw_error + message.raw_result, LIMITS)
     try:
-        read_message(data[2:], BOUNDS)
-    except Broken as e:
+        parse_message(data[2:], LIMITS)
+    except ProtocolError as e:
         assert "\n" not in str(e)
 
 
 def rpc_front(data: bytes) -> None:
-    """Each request has one response under its msgid, whatever comes with it and after it."""
+    """Each request has exactly one response with its msgid, whatever other bytes arrive."""
     if len(data) < 2:
         return
     host, loop, log = host_of(data, Reply(b"\xc0", b"\xa2ok"))
     methods = Methods(METHODS, host.settings.classes, ("acme",), "acme", 1_000_000)
-    front = RpcFront(loop, host, methods, FrontLimits(BOUNDS, 4, 1 << 20, 8), log.append)  # type: ignore[arg-type]
-    asked: Counter[int] = Counter()
+    front = RpcFront(loop, host, methods, FrontLimits(LIMITS, 4, 1 << 20, 8), log.append)  # type: ignore[arg-type]
+    requested: Counter[int] = Counter()
     request = front.request
 
     def counted(client: Client, message: Request) -> None:
-        asked[message.msgid] += 1
+        requested[message.msgid] += 1
         request(client, message)
 
     front.request = counted  # type: ignore[method-assign]
@@ -227,18 +232,18 @@
         loop.run()
     responses = [msgpack.unpackb(r, strict_map_key=False) for r in transport.written]
     assert all(len(r) == 4 and r[0] == 1 for r in responses)
-    assert Counter(r[1] for r in responses) == asked
+    assert Counter(r[1] for r in responses) == requested
     client.connection_lost(None)
-    assert not client.calls and not client.notified and not host.calls
-    sound(log)
+    assert not client.calls and not client.notifications and not host.calls
+    assert_no_faults(log)
 
 
 def rpc_upstream(data: bytes) -> None:
-    """Each attempt ends once, whatever a server says; a connection that cannot be believed is closed."""
+    """Each attempt ends once, whatever a server sends. A connection with invalid responses is closed."""
     if len(data) < 2:
         return
     loop, log = Loop(), []
-    upstream = RpcUpstream(loop, UpstreamLimits(BOUNDS, 8, 1, 4, 1.0, 5.0), log.append, lambda: 0)  # type: ignore[arg-type]
+    upstream = RpcUpstream(loop, UpstreamLimits(LIMITS, 8, 1, 4, 1.0, 5.0), log.append, lambda: 0)  # type: ignore[arg-type]
     endpoint = _RpcEndpoint()
     link = Link(upstream, endpoint)
     endpoint.links.append(link)
@@ -249,22 +254,22 @@
     for i in range(6):
         ended: list[Outcome] = []
         ends.append(ended)
-        call = RpcCall(i, "view", b"\x90", METHODS["view"], MethodRead(0, 1_000_000))
+        call = RpcCall(i, "view", b"\x90", METHODS["view"], CallParameters(0, 1_000_000))
         exchange = RpcExchange(upstream, endpoint, call, lambda o, a, r, ended=ended: ended.append(o))
         exchange.start(1.0)
         exchanges.append(exchange)
     if data[1] % 2:
         exchanges[2].stop(Outcome.TIMEOUT)
     for piece in pieces(data):
-        if link.over:
+        if link.closed:
             break
         link.data_received(piece)
-    if link.over:
+    if link.closed:
         assert transport.closed
     link.connection_lost(None)
     assert all(len(ended) == 1 for ended in ends), ends
     assert upstream.open == 0 and not endpoint.links
-    sound(log)
+    assert_no_faults(log)
 
 
 def _RpcEndpoint() -> Any:
@@ -274,7 +279,7 @@
 
 
 def http_front(data: bytes) -> None:
-    """Each request that is handed on has one answer, in order; nothing is held once the client has gone."""
+    """Each accepted request has one response, in order. No memory is held after the client disconnects."""
     if len(data) < 2:
         return
     host, loop, log = host_of(data, Answer(200, b"ok", b"text/plain", False, b""))
@@ -299,16 +304,16 @@
         loop.run()
     final = [w for w in transport.written if not w.startswith(b"HTTP/1.1 100 ")]
     assert all(w.startswith(b"HTTP/1.1 ") and b"\r\n\r\n" in w for w in final)
-    assert taken <= len(final) <= taken + 1  # one more for what could not be read
+    assert taken <= len(final) <= taken + 1  # one more for malformed input
     connection.connection_lost(None)
     assert (
         front.clients.held_bytes == 0 and not front.by_connection and not front.by_call_id and not host.calls
     )
-    sound(log)
+    assert_no_faults(log)
 
 
 def http_upstream(data: bytes) -> None:
-    """The exchange ends once, and a connection is kept only after a whole answer with nothing behind it."""
+    """The exchange ends once. A connection is reused only after a complete response without stray bytes."""
     if len(data) < 2:
         return
     loop = Loop()
--- a/tests/fuzz/test_corpus.py
+++ b/tests/fuzz/test_corpus.py
@@ -1,4 +1,4 @@
-"""The fuzzer's corpus, replayed: what it once found, and the cases that reach the most."""
+"""Replays the fuzzer's corpus: inputs that once found a fault, and those with the most coverage."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("path", CASES, ids=lambda path: f"{path.parent.name}-{path.name}")
-def test_what_always_holds(path: Path) -> None:
+def test_corpus_case(path: Path) -> None:
     TARGETS[path.parent.name](path.read_bytes())
 
 
--- a/tests/rpc/standins.py
+++ b/tests/rpc/standins.py
@@ -1,4 +1,4 @@
-"""What the RPC pool meets on loopback: servers that answer as a test says, and a client."""
+"""Fake RPC servers, an RPC client, and a node with an RPC pool, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class Server:
-    """`handle` gets each message; None: nothing is answered until the test does."""
+    """A server. `handle` is called with each message; if it is None, the test has to send the responses."""
 
     def __init__(self, handle: Callable[[Connection, Any], None] | None = echo) -> None:
         self.handle = handle
@@ -73,11 +73,11 @@
 
     @property
     def calls(self) -> list[Any]:
-        """Requests in the order of their coming."""
+        """The received requests, in order."""
         return [message for _, message in self.messages if message[0] == 0]
 
     def answer_first(self, result: Any) -> None:
-        """Answers the call that came first."""
+        """Answers the first message."""
         connection, message = self.messages[0]
         connection.reply(message[1], None, result)
 
@@ -86,7 +86,7 @@
 
 
 class Client:
-    """A client that knows nothing of the balancer."""
+    """An ordinary MessagePack-RPC client."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -106,7 +106,7 @@
         self.writer.write(msgpack.packb([2, method, list(params)]))
 
     async def receive(self) -> list[Any]:
-        """The next response: [1, msgid, error, result]."""
+        """Returns the next response: [1, msgid, error, result]."""
         async with asyncio.timeout(PATIENCE):
             while True:
                 try:
@@ -118,14 +118,14 @@
                     self.unpacker.feed(data)
 
     async def ask(self, method: str, *params: Any) -> list[Any]:
-        """Error and result of a call."""
+        """Sends a call and returns its error and result."""
         msgid = self.call(method, *params)
         kind, number, error, result = await self.receive()
         assert (kind, number) == (1, msgid)
         return [error, result]
 
     async def ended(self) -> bool:
-        """Waits for the connection's end; whether nothing more came."""
+        """Waits for the end of the connection. Returns whether no more bytes arrived."""
         async with asyncio.timeout(PATIENCE):
             return await self.reader.read() == b""
 
@@ -139,7 +139,7 @@
 
 
 class Bench:
-    """The RPC pool of a node, with servers `s0`, `s1`, ... behind it and a discovery that knows them."""
+    """A node with an RPC pool, servers `s0`, `s1`, ... and a discovery that lists them."""
 
     def __init__(self, *servers: Server, table: dict[str, Any] | None = None, **changes: Any) -> None:
         self.servers = servers
@@ -178,7 +178,7 @@
         return self
 
     def wide(self) -> Bench:
-        """Lifts the module's own limit, which begins at a few calls: what is tested is the protocol's."""
+        """Lifts the Balancer's concurrency limit, which starts at a few calls, to test other limits."""
         controller = self.pool.host.balancer.controller
         controller.limit = controller.pass_limit = 1e6
         return self
--- a/tests/rpc/test_client_library.py
+++ b/tests/rpc/test_client_library.py
@@ -1,4 +1,4 @@
-"""A client of the registry's, which knows nothing of the balancer: aio-msgpack-rpc."""
+"""Tests with an independent client library from PyPI, aio-msgpack-rpc."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_pipelined_calls_while_one_of_three_servers_dies():
-    """Answers out of order; what may have run of the unsafe is not run again."""
+    """Responses come in any order, and unsafe calls that may have run are not repeated."""
 
     async def scene():
         rng = Random(1)
@@ -37,20 +37,20 @@
             return "served"
 
         calls = [asyncio.create_task(one(i)) for i in range(300)]
-        await until(lambda: len(servers[0].calls) > 3)  # on a busy machine most of the rest is refused
+        await until(lambda: len(servers[0].calls) > 3)  # on a busy machine most others are refused
         servers[0].server.close()
         for connection in servers[0].connections:
             connection.transport.abort()
-        ends = await asyncio.gather(*calls)
-        # How many the module refuses depends on how busy the machine is; whoever lives serves on.
-        assert ends.count("served") > 20 and len(servers[1].calls) + len(servers[2].calls) > 20
+        results = await asyncio.gather(*calls)
+        # How many are refused depends on how busy the machine is; the other servers go on serving.
+        assert results.count("served") > 20 and len(servers[1].calls) + len(servers[2].calls) > 20
         unsafe = Counter(m[3][0] for s in servers for m in s.calls if m[2] == "invite")
-        assert set(unsafe.values()) == {1}  # reset after the write: never again
+        assert set(unsafe.values()) == {1}  # not repeated, as the connection broke after the write
 
     play(scene)
 
 
-def test_errors_and_notifications_as_the_library_knows_them():
+def test_errors_and_notifications_with_the_library():
     async def scene():
         def answer(connection: Connection, message: Any) -> None:
             if message[0] == 0:
--- a/tests/rpc/test_errors.py
+++ b/tests/rpc/test_errors.py
@@ -1,4 +1,4 @@
-"""What a server's error means: an answer, a failure that may have run, or a call turned away unseen."""
+"""Tests of server errors: a response, a failure that may have run, or or a call that was rejected unrun."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from brackenladder.node.operator import MethodTable, OperatorError, parse
 from brackenladder.node.rpc import check
 from brackenladder.rpc.call import outcome_of
-from brackenladder.rpc.methods import Method, failure_of
+from brackenladder.rpc.methods import Method, parse_failure
 
 FAILURES = ("timeout", 503, ["busy", 1], {"at": "code", "is": 7}, {"at": "0", "is": "temporary"})
-METHOD = Method(0, (), (), (), False, tuple(failure_of(f, "failures") for f in FAILURES))
+METHOD = Method(0, (), (), (), False, tuple(parse_failure(f, "failures") for f in FAILURES))
 
 
 @pytest.mark.parametrize(
@@ -31,7 +31,7 @@
         ({"code": True}, Outcome.OK),
         ([], Outcome.OK),
         (False, Outcome.OK),
-        ("rejected", Outcome.OK),  # the mark is an array's first word
+        ("rejected", Outcome.OK),  # only the first item of an array counts
         (["rejected"], Outcome.REJECTED),
         ([b"rejected", "full"], Outcome.REJECTED),
         (["refused", 1.0, "not served"], Outcome.ERROR),
@@ -46,14 +46,14 @@
         (["temporary", "of the line"], Outcome.ERROR),
     ],
 )
-def test_what_an_error_says_of_its_attempt(error: Any, outcome: Outcome) -> None:
+def test_the_outcome_of_an_error(error: Any, outcome: Outcome) -> None:
     assert outcome_of(error, METHOD) == outcome
 
 
 @pytest.mark.parametrize("method", ["view", "invite", "offer"])
 @pytest.mark.parametrize("error", ["no such candidate", {"code": 404}, ["nested", 3.5]])
-def test_an_applications_error_passes_after_one_attempt_and_is_no_servers_failure(method, error):
-    """Failure prevented: a call that was answered runs three times, and is then said not to have run."""
+def test_an_applications_error_is_forwarded_after_one_attempt_and_is_no_server_failure(method, error):
+    """A call that was answered must not run three times and then be reported as not run."""
 
     async def scene():
         servers = [Server(lambda c, m: c.reply(m[1], error)) for _ in range(3)]
@@ -67,7 +67,7 @@
     play(scene)
 
 
-def of_failures(**table: Any) -> dict[str, Any]:
+def method_tables(**table: Any) -> dict[str, Any]:
     methods = {
         k: MethodTable(klass=k, key="0.key" * (k == "offer"), **table) for k in ("view", "invite", "offer")
     }
@@ -75,22 +75,22 @@
 
 
 @pytest.mark.parametrize("error", ["lost", ["refused", 1, "x"], ["failed", "x"]])
-def test_a_failure_may_have_run_and_nothing_says_otherwise(error):
+def test_a_failed_call_is_never_reported_as_not_run(error):
     async def scene():
         servers = [Server(lambda c, m: c.reply(m[1], error)) for _ in range(3)]
-        bench = (await Bench(*servers, table=of_failures(failures=("lost",))).start()).wide()
+        bench = (await Bench(*servers, table=method_tables(failures=("lost",))).start()).wide()
         client = await bench.client()
-        assert await client.ask("invite", {"key": "k"}) == [error, None]  # once, as it came
+        assert await client.ask("invite", {"key": "k"}) == [error, None]  # one attempt, its error unchanged
         assert sum(len(s.calls) for s in servers) == 1
         (word, _, text), result = await client.ask("view", {"key": "k"})
-        assert sum(len(s.calls) for s in servers) > 2  # safe: it was tried again
+        assert sum(len(s.calls) for s in servers) > 2  # safe, so it was retried
         assert word == "refused" and result is None
         assert "may have run" in text and "not run" not in text
 
     play(scene)
 
 
-def test_a_refusal_of_what_cannot_have_run_says_so():
+def test_a_refusal_says_if_the_call_has_not_run():
     async def scene():
         def rejects(connection: Connection, message: Any) -> None:
             connection.reply(message[1], ["rejected", "full"])
@@ -102,7 +102,7 @@
     play(scene)
 
 
-def test_https_refusal_of_what_may_have_run_says_nothing_of_it():
+def test_the_http_refusal_of_a_request_that_may_have_run_has_no_text():
     async def scene():
         async def fails(request, writer):
             return ERROR_500
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("failures", "addr", "told"),
+    ("failures", "addr", "error_text"),
     [
         (
             '"x", { at = "code" }',
@@ -143,8 +143,8 @@
         ("", "127.0.0.1:99999", "rpc.servers: a: not an address"),
     ],
 )
-def test_what_the_operator_file_cannot_mean_is_named_at_the_start(failures, addr, told):
+def test_errors_in_the_operator_file_are_reported_at_the_start(failures, addr, error_text):
     config = parse_table({"name": "n", "listen": "h:1", "discovery": "h:2", "settings": settings()})
     with pytest.raises((ConfigError, OperatorError)) as caught:
         check(parse(FILE.format(failures=failures, addr=addr).encode()).rpc, config)
-    assert told in str(caught.value) and "\n" not in str(caught.value)
+    assert error_text in str(caught.value) and "\n" not in str(caught.value)
--- a/tests/rpc/test_given_up.py
+++ b/tests/rpc/test_given_up.py
@@ -1,4 +1,4 @@
-"""A call given up on a connection that others share: never two attempts at once."""
+"""A call given up on a shared connection must never have two attempts running at the same time."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from brackenladder.interface import Outcome
 
 
-class Twice:
-    """A module that gives the first attempt 0.1 s and sends the call on, whatever became of it."""
+class RetryingBalancer:
+    """Replaces the Balancer: the first attempt has a time-out of 0.1 s and is then retried at `s1`."""
 
     def __init__(self, bench: Bench) -> None:
         self.host = bench.pool.host
@@ -34,30 +34,30 @@
             self.host.refuse(request, 0)
 
 
-def test_the_next_attempt_goes_out_once_the_connection_of_the_first_is_closed():
+def test_the_next_attempt_starts_after_the_connection_of_the_first_is_closed():
     async def scene():
         bench = await Bench(silent := Server(None), other := Server()).start()
-        module = Twice(bench)
+        balancer = RetryingBalancer(bench)
         client = await bench.client()
         assert await client.ask("view", 1) == [None, [1]]
         assert len(silent.calls) == len(other.calls) == 1
         await until(lambda: all(c.ended for c in silent.connections))
-        assert module.outcomes == [Outcome.TIMEOUT, Outcome.OK]
+        assert balancer.outcomes == [Outcome.TIMEOUT, Outcome.OK]
 
     play(scene)
 
 
-def test_no_further_attempt_while_the_first_may_run_beside_its_neighbours():
+def test_there_is_no_further_attempt_while_other_calls_keep_the_connection_open():
     async def scene():
         bench = await Bench(silent := Server(None), other := Server()).start()
-        module = Twice(bench)
+        balancer = RetryingBalancer(bench)
         client = await bench.client()
         client.call("invite", "neighbour")
         await until(lambda: len(silent.calls) == 1)
         client.call("view", 1)
         _, msgid, error, _ = await client.receive()
         assert msgid == 2 and error[0] == "refused" and "may have run" in error[2]
-        assert not other.calls and module.outcomes == [Outcome.TIMEOUT, Outcome.NOT_SENT]
+        assert not other.calls and balancer.outcomes == [Outcome.TIMEOUT, Outcome.NOT_SENT]
         connection, message = silent.messages[0]
         connection.reply(message[1], None, "neighbour")
         assert await client.receive() == [1, 1, None, "neighbour"]
--- a/tests/rpc/test_rpc_calls.py
+++ b/tests/rpc/test_rpc_calls.py
@@ -1,4 +1,4 @@
-"""RPC calls through the core: who is served, by whom, and what is refused."""
+"""Tests of RPC calls through a node: which are served, retried or refused."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from brackenladder.node.operator import FixedServer, MethodTable
 
 
-def test_a_client_that_knows_nothing_of_the_balancer_is_served():
+def test_a_call_and_its_response_are_forwarded_unchanged():
     async def scene():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
@@ -33,7 +33,7 @@
     play(scene)
 
 
-def test_answers_may_come_in_any_order_on_both_sides():
+def test_responses_may_come_in_any_order_on_both_sides():
     async def scene():
         bench = (await Bench(server := Server(None), table={"server_connections": 1}).start()).wide()
         client = await bench.client()
@@ -47,7 +47,7 @@
     play(scene)
 
 
-def test_an_unsafe_call_that_may_have_run_is_neither_sent_again_nor_refused():
+def test_an_unsafe_call_that_may_have_run_is_neither_retried_nor_refused():
     async def scene():
         servers = [Server(resets), Server(resets)]
         client = await (await Bench(*servers).start()).client()
@@ -59,21 +59,21 @@
 
 
 @pytest.mark.parametrize("method", ["view", "invite", "offer"])
-def test_a_call_that_was_turned_away_unseen_goes_on(method):
+def test_a_call_that_was_rejected_without_running_is_retried(method):
     async def scene():
-        turning, serving = Server(rejects), Server()
-        bench = await Bench(turning, serving).start()
+        rejecting, serving = Server(rejects), Server()
+        bench = await Bench(rejecting, serving).start()
         client = await bench.client()
         for _ in range(12):
             error, result = await client.ask(method, {"key": "k"})
             assert (error is None and result) or error[0] == "refused"
-        assert turning.calls and serving.calls
+        assert rejecting.calls and serving.calls
 
     play(scene)
 
 
 @pytest.mark.parametrize(
-    ("method", "params", "told"),
+    ("method", "params", "reason"),
     [
         ("nonsense", [], "no method 'nonsense'"),
         ("offer", [{}], "no key where the method has one"),
@@ -83,18 +83,18 @@
         ("view", [1, True], "a budget that is no number"),
     ],
 )
-def test_a_call_that_cannot_be_taken_is_refused_with_the_reason(method, params, told):
+def test_an_invalid_call_is_refused_with_the_reason(method, params, reason):
     async def scene():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
-        assert await client.ask(method, *params) == [["refused", 0, told], None]
-        assert await client.ask("view", 1) == [None, [1]]  # the connection goes on
+        assert await client.ask(method, *params) == [["refused", 0, reason], None]
+        assert await client.ask("view", 1) == [None, [1]]  # the connection stays open
         assert len(server.calls) == 1
 
     play(scene)
 
 
-def test_a_call_that_is_cut_at_every_byte():
+def test_a_call_that_arrives_byte_by_byte():
     async def scene():
         bench = await Bench(Server()).start()
         client = await bench.client()
@@ -107,7 +107,7 @@
     play(scene)
 
 
-def test_notifications_are_sent_once_and_only_where_they_may():
+def test_notifications_are_sent_once_and_only_if_allowed():
     async def scene():
         bench = await Bench(server := Server()).start()
         client = await bench.client()
@@ -123,7 +123,7 @@
     play(scene)
 
 
-def test_a_notification_that_meets_no_server_is_not_sent_again():
+def test_a_notification_on_a_reset_connection_is_not_sent_again():
     async def scene():
         bench = await Bench(Server(resets), Server(resets)).start()
         client = await bench.client()
@@ -137,6 +137,6 @@
     play(scene)
 
 
-def test_the_methods_of_the_tests_are_of_all_three_effects():
+def test_the_methods_of_the_tests_cover_all_classes():
     assert {m.klass for m in METHODS.values()} == {"view", "invite", "offer"}
     assert isinstance(METHODS["view"], MethodTable)
--- a/tests/rpc/test_rpc_clients.py
+++ b/tests/rpc/test_rpc_clients.py
@@ -1,4 +1,4 @@
-"""Connections of RPC clients: what breaks off, ends early, stalls or asks too much."""
+"""Tests of RPC client connections: malformed streams, early ends, stalls and limits."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from rpc.standins import Bench, Server
 
 
-def test_an_open_msgid_that_is_used_again_is_an_error_and_the_first_call_stands():
+def test_reusing_an_open_msgid_is_an_error_and_the_first_call_stays_open():
     async def scene():
         bench = await Bench(server := Server(None)).start()
         client = await bench.client()
@@ -18,13 +18,13 @@
         await until(lambda: len(server.calls) == 1)
         server.answer_first("first")
         assert await client.receive() == [1, 5, None, "first"]
-        client.call("view", 3, msgid=5)  # free again
+        client.call("view", 3, msgid=5)  # no longer in use
         await until(lambda: len(server.calls) == 2)
 
     play(scene)
 
 
-def test_a_stream_that_breaks_off_ends_after_the_calls_before_it():
+def test_a_malformed_stream_is_closed_after_its_earlier_calls_are_answered():
     async def scene():
         bench = await Bench(server := Server(None)).start()
         client = await bench.client()
@@ -38,7 +38,7 @@
     play(scene)
 
 
-def test_a_client_that_ends_its_sending_side_gets_its_answers():
+def test_a_half_closed_client_gets_its_responses():
     async def scene():
         bench = await Bench(server := Server(None)).start()
         client = await bench.client()
@@ -52,9 +52,9 @@
     play(scene)
 
 
-def test_a_client_that_reads_no_answers_is_closed(monkeypatch):
-    """Failure prevented: its answers fill the memory."""
-    monkeypatch.setattr("brackenladder.rpc.front.STALLED", 0.3)
+def test_a_client_that_reads_no_responses_is_closed(monkeypatch):
+    """Its responses would fill the memory."""
+    monkeypatch.setattr("brackenladder.rpc.front.STALL_TIMEOUT", 0.3)
 
     async def scene():
         bench = await Bench(server := Server(None)).start()
@@ -62,11 +62,11 @@
         client.call("view", 1)
         await until(lambda: len(server.calls) == 1)
         client.writer.transport.pause_reading()
-        (ours,) = bench.front.clients
-        for _ in range(300):  # more than the system holds for a client
-            ours.send(b"x" * 100_000)
-        await until(lambda: ours.full)
-        assert not ours.transport.is_reading()
+        (connection,) = bench.front.clients
+        for _ in range(300):  # more than the kernel buffers
+            connection.send(b"x" * 100_000)
+        await until(lambda: connection.write_full)
+        assert not connection.transport.is_reading()
         await until(lambda: not bench.front.clients)
         server.answer_first("late")
         await until(lambda: not bench.pool.host.calls)
@@ -74,14 +74,14 @@
     play(scene)
 
 
-def test_open_calls_of_one_client_are_bounded():
+def test_open_calls_of_one_client_are_limited():
     async def scene():
         bench = (await Bench(server := Server(None), table={"client_calls": 3, "pipeline": 8}).start()).wide()
         client = await bench.client()
         for i in range(8):
             client.call("view", i)
         await until(lambda: len(server.calls) == 3)
-        await asyncio.sleep(0.05)  # a moment in which a fourth would come
+        await asyncio.sleep(0.05)  # time in which a fourth would arrive
         assert len(server.calls) == 3
         for n in range(8):
             await until(lambda n=n: len(server.calls) > n)
@@ -92,7 +92,7 @@
     play(scene)
 
 
-def test_a_client_that_leaves_is_owed_nothing():
+def test_calls_of_a_disconnected_client_end():
     async def scene():
         bench = await Bench(server := Server(None)).start()
         client = await bench.client()
--- a/tests/rpc/test_rpc_links.py
+++ b/tests/rpc/test_rpc_links.py
@@ -1,4 +1,4 @@
-"""Connections to RPC servers: their bounds, message ids, and calls that were given up."""
+"""Tests of connections to RPC servers: limits, message ids, and calls that were given up."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from rpc.standins import Bench, Connection, Server, answer
 
 
-def test_what_is_given_up_costs_its_neighbours_nothing_and_its_late_answer_meets_nobody():
+def test_giving_up_a_call_does_not_affect_others_and_its_late_response_is_dropped():
     async def scene():
         bench = (await Bench(server := Server(None), table={"server_connections": 1}).start()).wide()
         client = await bench.client()
@@ -21,16 +21,16 @@
         (connection, first), (_, second) = server.messages
         assert (await client.receive())[1:3] == [1, ["failed", "not served; it may have run"]]
         link = bench.pool.upstream.endpoints[next(iter(bench.pool.upstream.endpoints))].links[0]
-        assert link.out[first[1]] is None  # its msgid stays unused
+        assert link.open_exchanges[first[1]] is None  # its msgid stays reserved
         connection.reply(first[1], None, "late")
         connection.reply(second[1], None, "in time")
         assert await client.receive() == [1, 2, None, "in time"]
-        assert first[1] not in link.out and len(server.connections) == 1 and not connection.ended
+        assert first[1] not in link.open_exchanges and len(server.connections) == 1 and not connection.ended
 
     play(scene)
 
 
-def test_a_connection_that_says_nothing_once_a_call_is_given_up_is_closed():
+def test_a_connection_that_stays_silent_after_a_call_is_given_up_is_closed():
     async def scene():
         bench = await Bench(server := Server(None), policy_limits={"connect_timeout": 200_000}).start()
         client = await bench.client()
@@ -42,8 +42,8 @@
     play(scene)
 
 
-def test_a_call_given_up_costs_its_neighbours_nothing_while_the_server_says_nothing():
-    """Failure prevented: one client's short budget resets what others have open at a slow server."""
+def test_giving_up_a_call_does_not_affect_others_while_the_server_is_silent():
+    """One client's short budget must not reset other clients' open calls at a slow server."""
 
     async def scene():
         limits = {"connect_timeout": 100_000}
@@ -55,20 +55,20 @@
         assert (await client.receive())[1] == 2
         (endpoint,) = bench.pool.upstream.endpoints.values()
         link = endpoint.links[0]
-        await until(link.suspect)
-        client.call("invite", "next", 15000)  # goes out on another connection
+        await until(link.may_be_dead)
+        client.call("invite", "next", 15000)  # uses another connection
         await until(lambda: len(server.connections) == 2 and len(server.calls) == 3)
         bench.pool.upstream.sweep()
         connection, message = server.messages[0]
         connection.reply(message[1], None, "at last")
         assert await client.receive() == [1, 1, None, "at last"]
-        assert not link.suspect() and not connection.ended
+        assert not link.may_be_dead() and not connection.ended
 
     play(scene)
 
 
 @pytest.mark.parametrize("stray", [answer(99999, None, 1), msgpack.packb([0, 1, "m", []]), b"\xc1"])
-def test_a_server_that_says_what_nobody_asked_for_is_not_believed(stray):
+def test_a_connection_with_an_unexpected_message_is_closed(stray):
     async def scene():
         bench = await Bench(server := Server(lambda c, m: c.transport.write(stray))).start()
         client = await bench.client()
@@ -79,7 +79,7 @@
     play(scene)
 
 
-def test_the_same_answer_twice_ends_the_connection():
+def test_a_duplicate_response_closes_the_connection():
     async def scene():
         def twice(connection: Connection, message: Any) -> None:
             connection.reply(message[1], None, "once")
@@ -93,7 +93,7 @@
     play(scene)
 
 
-def test_msgids_wrap_and_pass_over_those_in_use():
+def test_msgids_wrap_around_and_skip_those_in_use():
     async def scene():
         bench = (await Bench(server := Server(None), table={"server_connections": 1}).start()).wide()
         client = await bench.client()
@@ -111,7 +111,7 @@
 
 
 def test_a_drain_while_calls_are_pipelined():
-    """Nothing new is written, what was written gets its answer, what waited goes to another server."""
+    """No new calls are written, written ones are answered, and waiting ones go to another server."""
 
     async def scene():
         table = {"server_connections": 1, "pipeline": 2}
@@ -122,8 +122,8 @@
         await until(lambda: len(draining.calls) == 2)
         await (other := Server()).start()
         bench.discovery.say(42, False, draining.entry("s0", "draining"), other.entry("s1"))
-        got = {(await client.receive())[1] for _ in range(3)}
-        assert got == {3, 4, 5}  # those that had not been written
+        answered = {(await client.receive())[1] for _ in range(3)}
+        assert answered == {3, 4, 5}  # those that had not been written
         assert len(draining.calls) == 2 and len(other.calls) == 3
         for connection, message in draining.messages:
             connection.reply(message[1], None, "done")
@@ -133,7 +133,7 @@
     play(scene)
 
 
-def test_calls_beyond_the_pipeline_open_further_connections_up_to_the_bound():
+def test_calls_over_the_pipeline_limit_open_further_connections_up_to_the_limit():
     async def scene():
         bench = (
             await Bench(server := Server(None), table={"server_connections": 2, "pipeline": 3}).start()
@@ -142,7 +142,7 @@
         for i in range(10):
             client.call("view", i)
         await until(lambda: len(server.calls) == 6)
-        await asyncio.sleep(0.05)  # a moment in which a seventh would come
+        await asyncio.sleep(0.05)  # time in which a seventh would arrive
         assert len(server.calls) == 6 and len(server.connections) == 2
         for connection, message in list(server.messages):
             connection.reply(message[1])
@@ -151,7 +151,7 @@
     play(scene)
 
 
-def test_a_connection_whose_answer_stops_partway_takes_nothing_new():
+def test_a_connection_whose_response_stops_partway_gets_no_new_calls():
     async def scene():
         limits = {"connect_timeout": 100_000}
         bench = (await Bench(server := Server(None), policy_limits=limits).start()).wide()
@@ -162,7 +162,7 @@
         connection.transport.write(answer(message[1], None, "x" * 50)[:20])
         (endpoint,) = bench.pool.upstream.endpoints.values()
         link = endpoint.links[0]
-        await until(link.stuck)
+        await until(link.response_stalled)
         client.call("view", 1)
         await until(lambda: len(server.calls) == 2)
         assert server.messages[1][0] is not connection
@@ -170,13 +170,14 @@
     play(scene)
 
 
-def test_a_host_that_cannot_be_named_leaves_no_connection_that_is_coming_for_ever():
-    """Failure prevented: it counts as coming, no other is made, and its calls end by their time only."""
+def test_an_invalid_host_name_leaves_no_connection_behind():
+    """Otherwise it would count as being established for ever, no other would be opened, and the calls would
+    only time out."""
 
     async def scene():
         bench = await Bench(Server()).start()
         (endpoint,) = bench.pool.upstream.endpoints.values()
-        endpoint.host = "a" * 70 + ".\udcff"  # no name of a host
+        endpoint.host = "a" * 70 + ".\udcff"  # not a valid host name
         client = await bench.client()
         error, _ = await client.ask("view", 1)
         assert error is not None
--- a/tests/rpc/test_rpc_node.py
+++ b/tests/rpc/test_rpc_node.py
@@ -1,4 +1,4 @@
-"""A node process with an operator file for RPC."""
+"""Tests of a node process with an operator file for RPC."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     )
 
 
-def test_a_node_serves_rpc_and_ends_after_sigterm_with_all_answered(tmp_path):
+def test_a_node_serves_rpc_and_answers_open_calls_after_sigterm(tmp_path):
     async def scene():
         await (server := Server(None)).start()
         await (discovery := Discovery()).start()
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "error_text"),
     [
         ("[rcp]\n", "operator file: rcp: not a known key"),
         ("[rpc]\n", "operator file: rpc.listen: missing"),
@@ -95,11 +95,11 @@
         ("[rpc", "operator file: not TOML"),
     ],
 )
-def test_an_operator_file_that_cannot_be_used(text, told, tmp_path):
+def test_an_invalid_operator_file_is_reported(text, error_text, tmp_path):
     async def scene():
         process = await node(tmp_path, text.format(port=1, server=2), 1, free_port())
         _, errors = await asyncio.wait_for(process.communicate(), PATIENCE)
         assert process.returncode == 2
-        assert errors.decode().startswith(f"brackenladder: {told}") and errors.count(b"\n") == 1
+        assert errors.decode().startswith(f"brackenladder: {error_text}") and errors.count(b"\n") == 1
 
     play(scene)
--- a/tests/rules/stage.py
+++ b/tests/rules/stage.py
@@ -1,7 +1,7 @@
-"""One node between clients and servers that a test directs, over either transport.
+"""A node with clients and servers that a test controls, over HTTP or RPC.
 
-Servers read whole requests and do as told; clients see one of three conclusions. The names of the calls go
-through params or headers, so that a test can tell which attempt belongs to which call.
+Servers read complete requests and behave as the test says. Clients see one of three results: served, refused
+or failed. Each call has a name in its params or headers, so that a test can assign attempts to calls.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 from brackenladder.node.operator import Operator, RpcTable
 
 CLASSES = ("view", "invite", "offer")  # safe, unsafe, keyed
-BODY = 60  # bytes of an answer's body at the least, so that it has a middle
-SMALL = 4096  # bytes that a socket holds, where it is to hold few
+BODY = 60  # minimum bytes of a response's body, so that it can be sent in two parts
+SMALL = 4096  # socket buffer size, in bytes, for tests that need small buffers
 LINGER_OFF = struct.pack("ii", 1, 0)
 
 
 @dataclass
 class Conclusion:
-    """`kind`: served, refused or failed; `body`: who served; `after`: seconds from the call."""
+    """A call's result. `kind`: served, refused or failed; `body`: the response; `after`: seconds it took."""
 
     kind: str
     body: str
@@ -43,7 +43,7 @@
 
 
 class Attempt:
-    """A request that came whole to a server."""
+    """A request that a server has received completely."""
 
     def __init__(self, server: Server, name: str, klass: str, connection: Connection, msgid: int) -> None:
         self.server = server
@@ -52,8 +52,8 @@
         self.connection = connection
         self.msgid = msgid
         self.at = time.monotonic()
-        self.turned_away = False  # unseen
-        self.ended: float | None = None  # when its answer went out or its connection ended
+        self.rejected = False  # without running it
+        self.ended: float | None = None  # when its response was sent or its connection ended
 
     def bytes_of(self, how: str) -> bytes:
         body = f"{self.server.name} {self.name}".ljust(BODY, ".")
@@ -67,11 +67,11 @@
     def reply(self, how: str) -> None:
         if self.ended is None:
             self.ended = time.monotonic()
-            self.turned_away = how == "rejected"
+            self.rejected = how == "rejected"
             self.connection.write(self.bytes_of(how))
 
     def half(self) -> None:
-        """The first part of a good answer."""
+        """Sends the first part of a valid response."""
         data = self.bytes_of("served")
         self.connection.write(data[: len(data) - BODY // 2])
         self.connection.stopped = True
@@ -97,12 +97,12 @@
 
 
 class Connection(asyncio.Protocol):
-    """One from the node to a server; requests are read with the transport's own parser."""
+    """A connection from the node to a server."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.open: list[Attempt] = []
-        self.stopped = False  # partway through an answer, so nothing more can follow
+        self.stopped = False  # in the middle of a response, so no other can follow
 
     def write(self, data: bytes) -> None:
         if not self.stopped:
@@ -149,7 +149,7 @@
 
 
 class Server:
-    """`cell`: its pod. `started`: seconds ago; 0: long ago."""
+    """A server. `cell` is its pod. `started`: how many seconds ago it started; 0 means long ago."""
 
     def __init__(self, behave: Behave = SERVES, cell: int = 0, started: float = 0) -> None:
         self.behave = behave
@@ -168,7 +168,7 @@
         self.port: int = self.server.sockets[0].getsockname()[1]
 
     def close_port(self) -> None:
-        """New connections are refused; there are no old ones."""
+        """Makes the server refuse connections. There must be no open ones."""
         assert self.server is not None
         self.server.close()
 
@@ -178,7 +178,7 @@
 
 
 class Stage:
-    """A node whose pool of this transport has the servers."""
+    """A node with these servers in its HTTP or RPC pool."""
 
     def __init__(self, transport: str, *servers: Server, sockets: int = 1024, **changes: Any) -> None:
         self.transport = transport
@@ -224,13 +224,13 @@
         return self
 
     async def say(self, *lines: dict[str, Any], full: bool = False) -> None:
-        """Discovery tells the node, which has taken note when this returns."""
+        """Sends an update from discovery and waits until the node has applied it."""
         self.version += 1
         self.discovery.say(self.version, full, *lines)
         await until(lambda: self.pool.source.version == self.version)  # type: ignore[attr-defined]
 
     def attempts(self, name: str = "") -> list[Attempt]:
-        """All attempts, or a call's, by time."""
+        """All attempts, or those of one call, by time."""
         found = [a for s in self.servers for a in s.attempts if not name or a.name == name]
         return sorted(found, key=lambda a: a.at)
 
@@ -240,7 +240,7 @@
         return f"{next(self.names):016x}"
 
     async def ask(self, klass: str, name: str = "", budget: int = 15000, size: int = 0) -> Conclusion:
-        """A call's conclusion; `budget`: milliseconds. Fails if there is none, or if it is too late."""
+        """Sends a call and returns its result. `budget` is in milliseconds. Fails if it is late."""
         name = name or self.name()
         began = time.monotonic()
         async with asyncio.timeout(PATIENCE):
@@ -258,7 +258,7 @@
         return {200: "served", 503: "refused"}.get(status, "failed"), body.decode()
 
     async def ask_rpc(self, klass: str, name: str, budget: int, size: int) -> tuple[str, str]:
-        """All calls of a stage share one connection."""
+        """Sends an RPC call. All calls of a stage share one connection."""
         if self.rpc is None:
             self.rpc = RpcClient(self.port)
             opened = await self.rpc.open()
@@ -282,12 +282,12 @@
                 return
             client.unpacker.feed(data)
             for message in client.unpacker:
-                # A second answer to a msgid finds nobody: the KeyError fails the test.
+                # A second response to a msgid raises KeyError, which fails the test.
                 self.waiting.pop(message[1]).set_result(message)
 
 
 def _failing(method: Any) -> Any:
-    """The method with the stage's error as a server's failure, as a 500 is in HTTP."""
+    """Returns the method with the servers' error configured as a server failure, like a 500 in HTTP."""
     import msgspec
 
     return msgspec.structs.replace(method, failures=("lost",))
@@ -295,13 +295,13 @@
 
 @contextmanager
 def small_sockets(monkeypatch: Any, upstream: type) -> Any:
-    """The node's connections to servers hold few bytes that the server has not read."""
-    made = upstream.connection_made  # type: ignore[attr-defined]
+    """Gives the node's connections to servers small socket buffers. Returns a listener with a small one."""
+    original = upstream.connection_made  # type: ignore[attr-defined]
 
     def small(self: Any, transport: Any) -> None:
         with socket.socket(fileno=os.dup(transport.get_extra_info("socket").fileno())) as s:
             s.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL)
-        made(self, transport)
+        original(self, transport)
 
     monkeypatch.setattr(upstream, "connection_made", small)
     listener = socket.socket()
--- a/tests/rules/test_rules.py
+++ b/tests/rules/test_rules.py
@@ -1,4 +1,8 @@
-"""The four rules, with the same tests for both transports."""
+"""The same tests of the four service rules for HTTP and RPC.
+
+1: each call has one result, in time. 2: a call that may have run is not repeated if that does harm.
+3: draining servers get no new calls. 4: cold servers get fewer calls.
+"""
 
 from __future__ import annotations
 
@@ -29,19 +33,19 @@
 from brackenladder.policy.limit import GradientController
 from brackenladder.rpc.upstream import Link
 
-DRAIN = 0.25  # seconds after which nothing new may come to a server that drains
-SLACK = 2.0  # seconds beyond a call's time that a busy machine may take
+DRAIN = 0.25  # seconds after which a draining server may get no new call
+SLACK = 2.0  # seconds beyond a call's budget that a busy machine may take
 
 pytestmark = pytest.mark.parametrize("transport", ["http", "rpc"])
 
 
 @pytest.fixture(autouse=True)
 def wide(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module's limit begins at a few calls, and what is tested here are the rules."""
+    """Disables the Balancer's concurrency limit, which starts at a few calls and isn't tested here."""
     monkeypatch.setattr(GradientController, "admits", lambda self, now, spare: True)
 
 
-# What the servers do: what becomes of a call of each class, and how many attempts it may have had.
+# By the servers' behaviour: the expected result for each class, and the minimum and maximum of attempts.
 ENDS: dict[str, tuple[Any, dict[str, tuple[str, int, int]]]] = {
     "serves": (SERVES, {"view": ("served", 1, 1), "invite": ("served", 1, 1), "offer": ("served", 1, 1)}),
     "rejects": (
@@ -56,8 +60,8 @@
 
 @pytest.mark.parametrize("klass", CLASSES)
 @pytest.mark.parametrize("how", ENDS)
-def test_what_becomes_of_a_call(transport: str, how: str, klass: str) -> None:
-    """Rules 1 and 2: one conclusion; what may have run is neither repeated nor refused if that does harm."""
+def test_the_result_of_a_call(transport: str, how: str, klass: str) -> None:
+    """Rules 1 and 2: one result, and no repeat or refusal of a call that may have run if that does harm."""
 
     async def scene() -> None:
         behave, ends = ENDS[how]
@@ -84,15 +88,15 @@
         if klass == "invite":
             assert conclusion.kind == "failed" and len(stage.attempts()) == 1
         for attempt in stage.attempts():
-            attempt.reply("served")  # too late: nobody is told
+            attempt.reply("served")  # too late, and ignored
         assert (await stage.ask("view", budget=200)).after < 0.2 + SLACK
 
     play(scene)
 
 
 @pytest.mark.parametrize("klass", CLASSES)
-def test_what_cannot_have_run_goes_on(transport: str, klass: str) -> None:
-    """Ports that are closed, and servers that turn away: an unsafe call is served by the one that serves."""
+def test_a_call_that_cannot_have_run_is_retried(transport: str, klass: str) -> None:
+    """After refused connections and rejections, even an unsafe call is served by another server."""
 
     async def scene() -> None:
         closed, rejecting, serving = Server(), Server(REJECTS), Server()
@@ -106,8 +110,8 @@
 
 
 @pytest.mark.parametrize("klass", CLASSES)
-def test_a_connection_that_never_comes_up_has_carried_nothing(transport: str, klass: str) -> None:
-    """A stall before the write: after the connect time-out even an unsafe call is served elsewhere."""
+def test_after_a_connect_time_out_the_call_is_retried(transport: str, klass: str) -> None:
+    """Nothing was written, so after the connect time-out even an unsafe call is served elsewhere."""
 
     async def scene() -> None:
         with cut_off() as port:
@@ -125,9 +129,9 @@
 
 
 @pytest.mark.parametrize("end", ["reset", "drain"])
-def test_a_call_that_was_not_written_whole_never_ran(transport: str, end: str, monkeypatch: Any) -> None:
-    """Its server resets in the middle of the write: an unsafe call goes on to another. A drain does not
-    take it back: the write goes on, and its server may run it."""
+def test_a_call_that_was_not_written_completely_never_ran(transport: str, end: str, monkeypatch: Any) -> None:
+    """If its server resets during the write, an unsafe call is retried at another one. If the server only
+    drains, the write continues and the server may run the call."""
     upstream = Link if transport == "rpc" else HttpConnection
 
     async def scene() -> None:
@@ -140,7 +144,7 @@
             asked = asyncio.create_task(stage.ask("invite", size=60_000))
             connection, _ = await asyncio.get_running_loop().sock_accept(listener)
             await until(lambda: any(c.current_attempt for c in stage.pool.host.calls.values()))
-            await asyncio.sleep(0.05)  # in which the system takes what it can hold of it
+            await asyncio.sleep(0.05)  # time for the kernel to take as much as it can buffer
             if end == "drain":
                 await stage.say(half.entry("draining"), other.entry())
                 assert not asked.done() and not other.attempts
@@ -174,7 +178,7 @@
     play(scene)
 
 
-def test_answers_in_any_order_reach_their_callers(transport: str) -> None:
+def test_responses_in_any_order_reach_their_callers(transport: str) -> None:
     async def scene() -> None:
         held: list[Attempt] = []
         stage = await Stage(transport, Server(held.append), Server(held.append)).start()
@@ -192,34 +196,34 @@
 
 @pytest.mark.parametrize("full", [False, True])
 def test_a_drain_with_32_calls_open(transport: str, full: bool) -> None:
-    """Rule 3: nothing new comes after the grace; what was written gets its answer and does not run again."""
+    """Rule 3: no new calls after `DRAIN`; written calls are answered and don't run again."""
 
     async def scene() -> None:
         held: list[Attempt] = []
-        going, staying = Server(held.append), Server()
-        stage = await Stage(transport, going).start()
+        leaving, staying = Server(held.append), Server()
+        stage = await Stage(transport, leaving).start()
         names = [stage.name() for _ in range(32)]
         asked = [asyncio.create_task(stage.ask("invite", name)) for name in names]
         await until(lambda: len(held) == 32)
         await staying.start(transport, "s1")
-        lines = [staying.entry()] if full else [going.entry("draining"), staying.entry()]
+        lines = [staying.entry()] if full else [leaving.entry("draining"), staying.entry()]
         await stage.say(*lines, full=full)
-        told = asyncio.get_running_loop().time()
+        told_at = asyncio.get_running_loop().time()
         more = await asyncio.gather(*(stage.ask(klass) for klass in CLASSES * 10))
         assert {c.kind for c in more} == {"served"} and len(staying.attempts) == 30
-        await asyncio.sleep(max(0, told + DRAIN - asyncio.get_running_loop().time()))
-        assert [a.name for a in held] == [a.name for a in going.attempts] and len(held) == 32
+        await asyncio.sleep(max(0, told_at + DRAIN - asyncio.get_running_loop().time()))
+        assert [a.name for a in held] == [a.name for a in leaving.attempts] and len(held) == 32
         for attempt in held:
             attempt.reply("served")
         assert {c.kind for c in await asyncio.gather(*asked)} == {"served"}
-        await until(lambda: going.lost == len(going.connections))
+        await until(lambda: leaving.lost == len(leaving.connections))
         assert Counter(a.name for a in stage.attempts()) == Counter(names)
 
     play(scene)
 
 
-def test_a_cold_server_is_spared(transport: str) -> None:
-    """Rule 4: of a burst it gets less than an equal share, and gets its share once it is warm."""
+def test_a_cold_server_gets_fewer_calls(transport: str) -> None:
+    """Rule 4: a cold server gets less than an equal share of a burst, and its full share once it is warm."""
 
     async def scene(started: float) -> tuple[int, float]:
         cold, *warm = servers = [Server(started=started), *(Server() for _ in range(4))]
@@ -239,9 +243,9 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_crowd_of_calls_and_servers_that_do_anything(transport: str, seed: int) -> None:
-    """Rules 1 and 2 for 150 calls: one conclusion each, in time; nothing that may have run twice; no two
-    attempts of a call at once."""
+def test_many_calls_with_servers_that_behave_randomly(transport: str, seed: int) -> None:
+    """Rules 1 and 2 for 150 calls: each has one result in time, no unsafe call may run twice, and no two
+    attempts of a call run at the same time."""
 
     async def scene() -> None:
         rng = Random(seed)
@@ -269,7 +273,7 @@
             assert len(attempts) <= 3
             for earlier in attempts[:-1]:
                 assert earlier.ended is not None
-            ran = [a for a in attempts if not a.turned_away]
+            ran = [a for a in attempts if not a.rejected]
             if of == "invite":
                 assert len(ran) <= 1
             if of == "offer":
@@ -278,34 +282,34 @@
     play(scene)
 
 
-def test_silent_clients_in_every_place_let_others_in(transport: str) -> None:
-    """Rule 1: the node's machine accepts a connection, and nobody reads the call on it."""
+def test_silent_clients_on_all_connections_make_room_for_others(transport: str) -> None:
+    """Rule 1: otherwise the kernel would accept a connection, and nobody would read the call on it."""
 
     async def scene() -> None:
         stage = await Stage(transport, Server(), sockets=128).start()
-        most = stage.listener.max_connections
-        silent = [await asyncio.open_connection("127.0.0.1", stage.port) for _ in range(most + 5)]
-        await until(lambda: len(stage.listener.connections) >= most - 1)
+        limit = stage.listener.max_connections
+        silent = [await asyncio.open_connection("127.0.0.1", stage.port) for _ in range(limit + 5)]
+        await until(lambda: len(stage.listener.connections) >= limit - 1)
         for klass in CLASSES:
-            # HTTP refuses in its last places, and closes two silent ones for each that comes.
+            # HTTP refuses requests on its last connections, and closes two silent ones for each new one.
             async with asyncio.timeout(PATIENCE):
                 while (await stage.ask(klass)).kind != "served":
                     pass
-        assert len(stage.listener.connections) <= most and silent
+        assert len(stage.listener.connections) <= limit and silent
 
     play(scene)
 
 
-def test_a_call_that_crosses_the_end_of_a_node_is_answered(transport: str) -> None:
-    """Rule 1: after SIGTERM a connection that is in use stays open until a moment in which it is idle."""
+def test_a_call_during_the_shutdown_of_a_node_is_answered(transport: str) -> None:
+    """Rule 1: after SIGTERM a connection that is in use stays open until it is idle."""
 
     async def scene() -> None:
         stage = await Stage(transport, Server()).start()
         loop = asyncio.get_running_loop()
         await stage.ask("view")
         end = loop.create_task(stage.node.drain())
-        until_ = loop.time() + TAKING + 0.5 if transport == "http" else loop.time() + HANDOVER + 0.3
-        while loop.time() < until_ and (transport == "rpc" or stage.listener.sock is not None):
+        deadline = loop.time() + TAKING + 0.5 if transport == "http" else loop.time() + HANDOVER + 0.3
+        while loop.time() < deadline and (transport == "rpc" or stage.listener.sock is not None):
             assert (await stage.ask("view")).kind == "served"
             await asyncio.sleep(0.02)
         await end
@@ -313,13 +317,13 @@
     play(scene)
 
 
-def test_a_connection_that_comes_up_as_the_loop_is_late_is_used(transport: str, monkeypatch: Any) -> None:
-    """Rule 2: what was written there may run; taken for a connection that never came up, it ran twice."""
+def test_a_connection_established_while_the_loop_is_late_is_used(transport: str, monkeypatch: Any) -> None:
+    """Rule 2: if it counted as never established, the call written on it would run twice."""
     upstream = Link if transport == "rpc" else HttpConnection
-    made = upstream.connection_made
+    original = upstream.connection_made
 
-    def late(self: Any, made_of: Any) -> None:
-        made(self, made_of)
+    def late(self: Any, asyncio_transport: Any) -> None:
+        original(self, asyncio_transport)
         time.sleep(0.4)
 
     monkeypatch.setattr(upstream, "connection_made", late)
@@ -332,7 +336,7 @@
     play(scene)
 
 
-def test_a_node_that_ends_concludes_what_it_has_taken(transport: str) -> None:
+def test_a_node_that_shuts_down_answers_the_accepted_calls(transport: str) -> None:
     async def scene() -> None:
         held: list[Attempt] = []
         stage = await Stage(transport, Server(held.append), Server(held.append)).start()
