--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -69,7 +69,7 @@
     began = perf_counter()
     fleet = Fleet(read, 1, Timed)
     made = perf_counter()
-    result = fleet.go()
+    result = fleet.run()
     ended = perf_counter()
     report = check(result.events, terms_of(read))
     memory = getrusage(RUSAGE_SELF).ru_maxrss / 1024
@@ -78,7 +78,7 @@
         f"{nodes:5} nodes {servers:5} servers {tiers} tiers {rate:5} a second:"
         f" {speed:6.2f} virtual seconds a second,"
         f" {made - began:.1f} s to set up, {memory:.0f} MB, module {share:.0%},"
-        f" checker {perf_counter() - ended:.1f} s, {fleet.queue.done} events,"
+        f" checker {perf_counter() - ended:.1f} s, {fleet.queue.executed} events,"
         f" {result.counts['served']} served, broken {len(report.breaks)}"
     )
 
--- a/benchmarks/fleet_theory.py
+++ b/benchmarks/fleet_theory.py
@@ -31,15 +31,15 @@
     def __init__(self, hall: Hall, name: str, work: int) -> None:
         self.hall = hall
         self.id = name
-        self.shut = self.limited = self.early = False  # it is its own connection, too
-        self.holds: object = None
+        self.closed_at_server = self.over_limit = self.reset_on_request = False  # also its own connection
+        self.attempt_open: object = None
         self.work = work
         self.at = hall.queue.now
 
     def answered(self, how: str, keep: bool) -> None:
         self.hall.left(self)
 
-    def lost(self) -> None:
+    def closed_by_server(self) -> None:
         raise AssertionError("nobody resets")
 
 
@@ -80,7 +80,7 @@
             lambda node: 0,
             lambda plan: None,
         )
-        self.server.rise(0, cold=False)
+        self.server.start(0, cold=False)
         self.queue.after(self.gap(), self.come)
 
     def note(self, event: Event) -> None:
@@ -98,7 +98,7 @@
         self.count(1)
         work = max(1, round(self.rng.expovariate(1 / MEAN)))
         customer = Customer(self, str(work), work)
-        self.server.heard(customer, customer)
+        self.server.receive(customer, customer)
         self.left_over -= 1
         if self.left_over:
             self.queue.after(self.gap(), self.come)
--- a/benchmarks/gate_rogues.py
+++ b/benchmarks/gate_rogues.py
@@ -18,9 +18,9 @@
 from fleet import test_rogues as rogues  # noqa: E402
 
 from brackenladder.fleet import discovery  # noqa: E402
+from brackenladder.fleet.days import day_scenario  # noqa: E402
 from brackenladder.fleet.links import Links  # noqa: E402
 from brackenladder.fleet.model import play  # noqa: E402
-from brackenladder.fleet.standing import day  # noqa: E402
 from brackenladder.policy.balancer import Balancer  # noqa: E402
 from brackenladder.rehearsal.checker import check  # noqa: E402
 from brackenladder.rehearsal.report import terms_of  # noqa: E402
@@ -51,7 +51,7 @@
 
 def played(name: str, kind: str, nodes: int) -> dict[str, int]:
     """How often each rule broke."""
-    scenario = day(kind, 1, nodes)
+    scenario = day_scenario(kind, 1, nodes)
     with pytest.MonkeyPatch.context() as patch:
         if name == "drained":  # the upstream sends nothing to who is not listed, whatever a module says
             patch.setattr(Links, "retire", lambda self, number: None)
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -16,17 +16,22 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from brackenladder.fleet.members import MICRO, Make, Net, Whole  # noqa: E402
-from brackenladder.fleet.rivals.members import Heartbeats, Phi, Swim  # noqa: E402
-
-KINDS: dict[str, Make] = {"this": Whole, "SWIM 2002": Swim, "heartbeats 3 s": Heartbeats, "phi 8": Phi}
+from brackenladder.fleet.detector_network import MICRO, DetectorFactory, DetectorNetwork, ProjectDetector  # noqa: E402
+from brackenladder.fleet.rivals.detectors import HeartbeatDetector, PhiAccrualDetector, SwimDetector  # noqa: E402
+
+KINDS: dict[str, DetectorFactory] = {
+    "this": ProjectDetector,
+    "SWIM 2002": SwimDetector,
+    "heartbeats 3 s": HeartbeatDetector,
+    "phi 8": PhiAccrualDetector,
+}
 SETTLE = 12.0  # seconds, at each start
 DEATHS = 3  # killed one after the other
 TROUBLES = ("loss 0.2", "loss 0.4", "pause 0.2", "pause 2", "pause 5", "pause 20")
 
 
-def settled(kind: str, size: int, seed: int, loss: float = 0.0) -> Net:
-    net = Net(size, seed, loss, make=KINDS[kind])
+def settled(kind: str, size: int, seed: int, loss: float = 0.0) -> DetectorNetwork:
+    net = DetectorNetwork(size, seed, loss, make=KINDS[kind])
     net.start_all()
     net.run(SETTLE)
     return net
@@ -42,7 +47,7 @@
         died = net.queue.now
         net.kill(number)
         net.run(8)
-        known = net.known_dead(number)
+        known = net.detection_times(number)
         took += [(t - died) / MICRO for t in known if t >= died]
         missed += len(net.alive()) - len(known)
     rate = (sum(net.bytes) - before) / size / ((net.queue.now - at) / MICRO)
--- a/brackenladder/cli/experiment.py
+++ b/brackenladder/cli/experiment.py
@@ -25,8 +25,8 @@
     run_of,
 )
 from brackenladder.fleet.figures import FIGURES
-from brackenladder.fleet.jobs import played
-from brackenladder.fleet.model import passed_over
+from brackenladder.fleet.jobs import play_all
+from brackenladder.fleet.model import unsupported
 from brackenladder.fleet.queue import Standstill
 from brackenladder.fleet.results import Results, ResultsError
 from brackenladder.fleet.variants import VariantError, files_of, variant
@@ -88,7 +88,7 @@
     console = Console(highlight=False)
     if not console.is_terminal:
         console = Console(highlight=False, width=PIPE_WIDTH)
-    for text in passed_over(base):
+    for text in unsupported(base):
         console.print(f"passed over in the model: {text}", markup=False)
     try:
         faults = go(console, asked, runs, kept, jobs or 0)
@@ -124,7 +124,7 @@
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task(asked.title, total=len(missing))
         todo: Iterator[tuple[Cell, Run, int]] = iter(missing)
-        for done in played(todo, workers) if missing else ():
+        for done in play_all(todo, workers) if missing else ():
             kept.add(done.cell, done.seed, done.figures, done.series, done.verdicts, done.seconds)
             progress.advance(task)
             if done.faults:
@@ -163,7 +163,7 @@
     for name, (_, more) in FIGURES.items():
         d = difference([(x[name], y[name]) for x, y in pairs])
         verdict = "no difference seen"
-        if d.seen:
+        if d.significant:
             verdict = "better" if (d.mean > 0) == more else "worse"
         interval = f"{d.low:+.4g} to {d.high:+.4g}"
         table.add_row(name, f"{d.a:.4g}", f"{d.b:.4g}", f"{d.mean:+.4g}", interval, verdict)
--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -13,14 +13,14 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from brackenladder.fleet.chase import Corpus, smallest
+from brackenladder.fleet.days import DAYS, LEAST_NODES, day_scenario
 from brackenladder.fleet.experiment import Cell, Run, digest_of
-from brackenladder.fleet.gate import LATE, PLAIN, Judged, Played, judge
-from brackenladder.fleet.hunt import digest
-from brackenladder.fleet.jobs import Done, played
+from brackenladder.fleet.gate import LATE, PLAIN, DayVerdict, PolicyRun, judge_day
+from brackenladder.fleet.jobs import FinishedRun, play_all
 from brackenladder.fleet.results import Results, ResultsError
-from brackenladder.fleet.standing import DAYS, LEAST_NODES, day
-from brackenladder.fleet.variants import OWN, files_of, policies
+from brackenladder.fleet.schedule_search import Corpus, minimal_break
+from brackenladder.fleet.schedules import digest
+from brackenladder.fleet.variants import MODULE_POLICY, files_of, policies
 from brackenladder.rehearsal.checker import RULES
 
 MOST_SEEDS = 10_000  # of one call
@@ -45,7 +45,9 @@
 @click.option("--seeds", default="1-5", help="As 1-50, or 3,7.")
 @click.option("--nodes", type=click.IntRange(LEAST_NODES, MOST_NODES), default=200, help="Of all tiers.")
 @click.option("--day", "days", multiple=True, type=click.Choice(DAYS), help="One day only; several times.")
-@click.option("--policy", type=click.Choice(policies()), default=OWN, help="Who decides in the nodes.")
+@click.option(
+    "--policy", type=click.Choice(policies()), default=MODULE_POLICY, help="Who decides in the nodes."
+)
 @click.option("--jobs", type=click.IntRange(min=1, max=256), default=None, help="Runs at a time; all cores.")
 @click.option("--results", default="", help="An SQLite file that is continued if it is there.")
 @click.option(
@@ -79,7 +81,7 @@
         return written(write, names, numbers, nodes)
     beside = dict.fromkeys((policy, LATE, PLAIN))
     todo: list[tuple[Cell, Run, int]] = [
-        ((("day", name), ("policy", who)), Run(day(name, seed, nodes), who, "", {}), seed)
+        ((("day", name), ("policy", who)), Run(day_scenario(name, seed, nodes), who, "", {}), seed)
         for seed in numbers
         for name in names
         for who in beside
@@ -89,7 +91,7 @@
         kept = Results(results or ":memory:")
         kept.claim(
             f"gate at {nodes} nodes",
-            digest_of(day(DAYS[0], 0, nodes), [path.read_bytes() for path in files_of("")]),
+            digest_of(day_scenario(DAYS[0], 0, nodes), [path.read_bytes() for path in files_of("")]),
         )
         go(console, kept, [job for job in todo if not kept.has(job[0], job[2])], jobs or 0)
         rows = {
@@ -98,11 +100,11 @@
     except ResultsError as e:
         raise click.ClickException(str(e)) from None
     kept.close()
-    verdicts: dict[tuple[str, int], Judged] = {}
+    verdicts: dict[tuple[str, int], DayVerdict] = {}
     for name in names:
         for seed in numbers:
             others = {who: rows[name, who, seed] for who in (LATE, PLAIN) if (name, who, seed) in rows}
-            verdicts[name, seed] = judge(name, rows[name, policy, seed], others)
+            verdicts[name, seed] = judge_day(name, rows[name, policy, seed], others)
             line(console, name, seed, rows[name, policy, seed], verdicts[name, seed])
     summary(console, names, numbers, verdicts)
     if json_file:
@@ -130,7 +132,7 @@
         corpus = Corpus(folder)
         for name in names:
             for seed in seeds:
-                path = corpus.keep(f"{name}-{seed}", msgspec.to_builtins(day(name, seed, nodes)))
+                path = corpus.save(f"{name}-{seed}", msgspec.to_builtins(day_scenario(name, seed, nodes)))
                 click.echo(f"rehearse {path} --in model --seed {seed}")
     except OSError as e:
         raise click.ClickException(f"{e.filename or folder}: {e.strerror}") from None
@@ -143,12 +145,12 @@
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task("gate", total=len(missing))
         jobs: Iterator[tuple[Cell, Run, int]] = iter(missing)
-        for done in played(jobs, workers) if missing else ():
+        for done in play_all(jobs, workers) if missing else ():
             kept.add(done.cell, done.seed, figures(done), {}, done.verdicts, done.seconds)
             progress.advance(task)
 
 
-def figures(done: Done) -> dict[str, float]:
+def figures(done: FinishedRun) -> dict[str, float]:
     """A run's figures as they are kept."""
     table = {"faults": float(done.faults), "nearest": done.figures["cold"]}
     for name, (share, weight) in done.worths.items():
@@ -156,14 +158,14 @@
     return table
 
 
-def read(kept: dict[str, float], verdicts: dict[str, str]) -> Played:
+def read(kept: dict[str, float], verdicts: dict[str, str]) -> PolicyRun:
     """The run that was kept so."""
     names = [key.removeprefix("worth ") for key in kept if key.startswith("worth ")]
     worths = {name: (kept[f"worth {name}"], kept[f"weight {name}"]) for name in names}
-    return Played(worths, verdicts, kept["nearest"], int(kept["faults"]))
+    return PolicyRun(worths, verdicts, kept["nearest"], int(kept["faults"]))
 
 
-def line(console: Console, name: str, seed: int, run: Played, judged: Judged) -> None:
+def line(console: Console, name: str, seed: int, run: PolicyRun, judged: DayVerdict) -> None:
     rules = ", ".join(f"{rule} {run.verdicts[rule]}" for rule in RULES)
     console.print(
         f"{name:5s} {seed:4d}  served {judged.served:.3f} (gate {judged.wanted:.3f})  {rules},"
@@ -173,7 +175,7 @@
 
 
 def summary(
-    console: Console, names: list[str], seeds: list[int], verdicts: dict[tuple[str, int], Judged]
+    console: Console, names: list[str], seeds: list[int], verdicts: dict[tuple[str, int], DayVerdict]
 ) -> None:
     table = Table(title=f"{len(verdicts)} days", title_justify="left")
     for heading in ("day", "seeds", "served, mean", "least", "least above its gate", "failed"):
@@ -202,9 +204,9 @@
             first = next(((n, s) for n, s, wrong in failed if wrong == f"{rule} broke"), None)
             if first is None:
                 continue
-            schedule = msgspec.to_builtins(day(first[0], first[1], nodes))
-            least = smallest(schedule, rule, policy, first[1])
-            path = corpus.keep(f"break-{rule}-{digest(least.schedule)}", least.schedule)
+            schedule = msgspec.to_builtins(day_scenario(first[0], first[1], nodes))
+            least = minimal_break(schedule, rule, policy, first[1])
+            path = corpus.save(f"break-{rule}-{digest(least.schedule)}", least.schedule)
             console.print(f"{rule}: seed {first[1]}, after {least.tried} tries: {path}", soft_wrap=True)
     except OSError as e:
         raise click.ClickException(f"{e.filename or folder}: {e.strerror}") from None
--- a/brackenladder/cli/hunt.py
+++ b/brackenladder/cli/hunt.py
@@ -8,7 +8,7 @@
 import click
 from rich.console import Console
 
-from brackenladder.fleet.chase import Break, Corpus, Hunt
+from brackenladder.fleet.schedule_search import Corpus, MinimalBreak, ScheduleSearch
 from brackenladder.fleet.variants import policies
 from brackenladder.rehearsal.scenario import ScenarioError
 
@@ -27,7 +27,7 @@
     console = Console(highlight=False)
     status = console.status("drawing")
 
-    def told(found: Break, path: Path) -> None:
+    def told(found: MinimalBreak, path: Path) -> None:
         kinds = ", ".join(f["kind"] for f in found.schedule["faults"]) or "no fault"
         console.print(
             f"{found.rule} broke: {kinds}; {found.schedule['nodes']} nodes,"
@@ -42,10 +42,10 @@
 
     number = int(monotonic() * 1000) if seed is None else seed
     try:
-        hunting = Hunt(Corpus(corpus), number, policy, told, progress)
+        hunting = ScheduleSearch(Corpus(corpus), number, policy, told, progress)
         if console.is_terminal:
             status.start()
-        hunting.go(seconds, jobs or 0)
+        hunting.run(seconds, jobs or 0)
     except ScenarioError as e:
         raise click.ClickException(str(e)) from None
     except OSError as e:
--- a/brackenladder/cli/rehearse.py
+++ b/brackenladder/cli/rehearse.py
@@ -92,7 +92,7 @@
         raise click.UsageError("rehearse: name a scenario, or --list")
     try:
         read = load(scenario)
-        read, named = on_sockets(read) if where == "sockets" else (read, passed_over(read))
+        read, named = on_sockets(read) if where == "sockets" else (read, unsupported(read))
         wrong = beyond(read, where)
         if wrong:
             raise ScenarioError(f"{scenario}: {wrong}")
@@ -144,9 +144,9 @@
     return beyond_memory(scenario)
 
 
-def passed_over(scenario: Scenario) -> list[str]:
+def unsupported(scenario: Scenario) -> list[str]:
     """What the model does not play."""
-    from brackenladder.fleet.model import passed_over as by_model
+    from brackenladder.fleet.model import unsupported as by_model
 
     return by_model(scenario)
 
--- a/brackenladder/fleet/clients.py
+++ b/brackenladder/fleet/clients.py
@@ -10,72 +10,72 @@
 from brackenladder.rehearsal.plan import RequestPlan, node_name
 from brackenladder.rehearsal.scenario import Scenario
 
-PATIENCE = 1_000_000  # microseconds of a client beyond its time, as the stand-ins have it
-MASK = 0xFFFFFFFFFFFFFFFF
+GIVE_UP_MARGIN = 1_000_000  # microseconds of a client beyond its time, as the stand-ins have it
+ID_MASK = 0xFFFFFFFFFFFFFFFF
 
 
-class Try:
+class RequestTry:
     """One try of a request: an id of its own."""
 
-    __slots__ = ("clients", "plan", "number", "name", "node", "call", "timer", "sent", "reused", "over")
+    __slots__ = ("clients", "plan", "number", "name", "node", "call", "timer", "sent", "reused", "finished")
 
     def __init__(self, clients: Clients, plan: RequestPlan, number: int) -> None:
         self.clients = clients
         self.plan = plan
         self.number = number
-        self.name = f"{(int(plan.id, 16) + number) & MASK:016x}"
+        self.name = f"{(int(plan.id, 16) + number) & ID_MASK:016x}"
         self.node = ""
         self.call: FleetCall | None = None
         self.timer: Timer | None = None
         self.sent = 0
         self.reused = False
-        self.over = False
+        self.finished = False
 
-    def told(self, status: int, advice: float) -> None:
+    def node_answered(self, status: int, advice: float) -> None:
         """The node has concluded."""
         c = self.clients
-        c.queue.after(c.way, self.answered, status, advice)
+        c.queue.after(c.delay, self.answer_arrived, status, advice)
 
-    def answered(self, status: int, advice: float) -> None:
-        if self.ended():
+    def answer_arrived(self, status: int, advice: float) -> None:
+        if self.finish():
             c = self.clients
-            c.note(Answered(c.queue.now, self.name, status, True, advice))
+            c.record(Answered(c.queue.now, self.name, status, True, advice))
             if not self.plan.drop and not c.nodes[self.node].closing:
-                c.free[self.node] += 1
-            c.over(self, status, advice)
+                c.idle_connections[self.node] += 1
+            c.try_ended(self, status, advice)
 
-    def broken(self) -> None:
+    def node_ended(self) -> None:
         """The node was killed, or had ended when the request came."""
         c = self.clients
-        c.queue.after(c.way, self.cut)
+        c.queue.after(c.delay, self.connection_closed)
 
-    def cut(self) -> None:
+    def connection_closed(self) -> None:
         """The connection's end has come here."""
-        if not self.ended():
+        if not self.finish():
             return
         c = self.clients
-        c.note(Broken(c.queue.now, self.name, False))
+        c.record(Broken(c.queue.now, self.name, False))
         if self.reused and c.queue.now - self.sent < c.slack:
             # It crossed the connection's end, so it goes out once more, under an id of its own.
-            again = Try(c, self.plan, self.number)
-            again.name = f"{int(self.name, 16) ^ (1 << 63):016x}"
-            c.go(again, alone=True)
+            send_retry = RequestTry(c, self.plan, self.number)
+            send_retry.name = f"{int(self.name, 16) ^ (1 << 63):016x}"
+            c.dispatch(send_retry, alone=True)
         else:
-            c.over(self, 0, 0.0)
+            c.try_ended(self, 0, 0.0)
 
     def give_up(self, early: bool) -> None:
         call = self.call
-        if self.ended():
+        if self.finish():
             c = self.clients
-            c.note(GaveUp(c.queue.now, self.name, early))
-            c.queue.after(c.way, c.nodes[self.node].left, call)
-            c.over(self, 0, 0.0)
+            c.record(GaveUp(c.queue.now, self.name, early))
+            c.queue.after(c.delay, c.nodes[self.node].client_left, call)
+            c.try_ended(self, 0, 0.0)
 
-    def ended(self) -> bool:
+    def finish(self) -> bool:
         """Ends it, unless it has ended."""
-        if self.over:
+        if self.finished:
             return False
-        self.over = True
+        self.finished = True
         if self.timer is not None:
             self.timer.cancel()
         self.call = None  # lest the two hold each other
@@ -91,75 +91,89 @@
         queue: Queue,
         begin: int,
         nodes: Mapping[str, Node],
-        note: Callable[[Event], None],
-        way: int,
+        record: Callable[[Event], None],
+        delay: int,
     ) -> None:
         self.scenario = scenario
         self.queue = queue
         self.begin = begin
         self.nodes = nodes
-        self.note = note
-        self.way = way
+        self.record = record
+        self.delay = delay
         self.names = [node_name(i) for i in range(scenario.nodes)]
-        self.taking = dict.fromkeys(self.names, True)  # nodes that the front gives new connections to
-        self.free = dict.fromkeys(self.names, 0)  # kept connections
+        self.accepting = dict.fromkeys(self.names, True)  # nodes that the front gives new connections to
+        self.idle_connections = dict.fromkeys(self.names, 0)  # kept connections
         self.slack = round(scenario.rules.slack_ms * 1000)
-        self.margin = round((scenario.rules.answer_ms + scenario.rules.slack_ms) * 1000) + PATIENCE
+        self.give_up_margin = (
+            round((scenario.rules.answer_ms + scenario.rules.slack_ms) * 1000) + GIVE_UP_MARGIN
+        )
         self.deadlines = [round(c.deadline_ms * 1000) for c in scenario.classes]
         self.counts = {"sent": 0, "served": 0, "refused": 0, "failed": 0, "unreached": 0}
 
-    def first(self, plan: RequestPlan) -> None:
+    def send_first(self, plan: RequestPlan) -> None:
         """A request's time has come."""
-        self.go(Try(self, plan, 0))
+        self.dispatch(RequestTry(self, plan, 0))
 
-    def again(self, plan: RequestPlan, number: int) -> None:
-        self.go(Try(self, plan, number))
+    def send_retry(self, plan: RequestPlan, number: int) -> None:
+        self.dispatch(RequestTry(self, plan, number))
 
-    def deal(self, one: Try, alone: bool) -> str:
+    def choose_node(self, request_try: RequestTry, alone: bool) -> str:
         """The node that a try goes to: the plan's, or the next one that is taken in."""
-        first = one.plan.node + one.number
+        first = request_try.plan.node + request_try.number
         for offset in range(len(self.names)):
             name = self.names[(first + offset) % len(self.names)]
-            if self.taking[name] or (self.free[name] and not alone):
+            if self.accepting[name] or (self.idle_connections[name] and not alone):
                 return name
-        return self.names[one.plan.node]
+        return self.names[request_try.plan.node]
 
-    def go(self, one: Try, alone: bool = False) -> None:
+    def dispatch(self, request_try: RequestTry, alone: bool = False) -> None:
         """Sends a try on a kept connection of its node, or on a new one."""
-        one.node = self.deal(one, alone)
-        if self.free[one.node] and not alone:
-            self.free[one.node] -= 1
-            one.reused = True
-            self.send(one)
+        request_try.node = self.choose_node(request_try, alone)
+        if self.idle_connections[request_try.node] and not alone:
+            self.idle_connections[request_try.node] -= 1
+            request_try.reused = True
+            self.send(request_try)
         else:
-            self.queue.after(2 * self.way, self.connected, one)
+            self.queue.after(2 * self.delay, self.connected, request_try)
 
-    def connected(self, one: Try) -> None:
+    def connected(self, request_try: RequestTry) -> None:
         """A connection has come up, or nobody listens there."""
-        if self.nodes[one.node].up:
-            self.send(one)
+        if self.nodes[request_try.node].up:
+            self.send(request_try)
         else:
-            self.note(Unreached(self.queue.now, one.name, one.node))
-            self.over(one, -1, 0.0)
+            self.record(Unreached(self.queue.now, request_try.name, request_try.node))
+            self.try_ended(request_try, -1, 0.0)
 
-    def send(self, one: Try) -> None:
-        plan, now = one.plan, self.queue.now
+    def send(self, request_try: RequestTry) -> None:
+        plan, now = request_try.plan, self.queue.now
         left = self.begin + plan.at + self.deadlines[plan.klass] - now
-        budget = min(plan.budgets[min(one.number, len(plan.budgets) - 1)], left) // 1000 * 1000
+        budget = min(plan.budgets[min(request_try.number, len(plan.budgets) - 1)], left) // 1000 * 1000
         if budget <= 0:
             return
-        one.sent = now
+        request_try.sent = now
         self.counts["sent"] += 1
-        self.note(Sent(now, one.name, one.node, plan.klass, budget, now, one.reused))
-        early = plan.leave if not one.number else 0
-        one.timer = self.queue.after(early or budget + self.margin, one.give_up, bool(early))
-        call = FleetCall(one.name, plan.klass, plan.tenant, budget, one.number > 0, one.told, one.broken)
-        one.call = call
-        self.queue.after(self.way, self.nodes[one.node].take, call)
-
-    def over(self, one: Try, status: int, advice: float) -> None:
+        self.record(
+            Sent(now, request_try.name, request_try.node, plan.klass, budget, now, request_try.reused)
+        )
+        early = plan.leave if not request_try.number else 0
+        request_try.timer = self.queue.after(
+            early or budget + self.give_up_margin, request_try.give_up, bool(early)
+        )
+        call = FleetCall(
+            request_try.name,
+            plan.klass,
+            plan.tenant,
+            budget,
+            request_try.number > 0,
+            request_try.node_answered,
+            request_try.node_ended,
+        )
+        request_try.call = call
+        self.queue.after(self.delay, self.nodes[request_try.node].receive_call, call)
+
+    def try_ended(self, request_try: RequestTry, status: int, advice: float) -> None:
         """A try has ended: 0 broken or given up, -1 the node was not reached. Perhaps there is another."""
-        plan, number = one.plan, one.number
+        plan, number = request_try.plan, request_try.number
         refused = status == 503
         left = plan.leave and not number and status == 0
         safe = self.scenario.classes[plan.klass].effect == "safe"
@@ -169,8 +183,8 @@
         if harmless and number < self.scenario.clients.retries:
             wait = round(advice * 1e6) or plan.waits[number]
             if self.queue.now + wait < self.begin + plan.at + self.deadlines[plan.klass]:
-                self.queue.after(wait, self.again, plan, number + 1)
+                self.queue.after(wait, self.send_retry, plan, number + 1)
 
-    def ended(self, node: str) -> None:
+    def node_ended(self, node: str) -> None:
         """A node's process has ended, and with it all connections."""
-        self.free[node] = 0
+        self.idle_connections[node] = 0
--- a/brackenladder/fleet/compare.py
+++ b/brackenladder/fleet/compare.py
@@ -10,7 +10,7 @@
 from brackenladder.fleet.experiment import Cell, Value
 
 RESAMPLES = 4000
-LEVEL = 0.95
+CONFIDENCE = 0.95
 LEAST_PAIRS = 5
 
 
@@ -30,12 +30,12 @@
     high: float
 
     @property
-    def seen(self) -> bool:
+    def significant(self) -> bool:
         """Whether the interval leaves 0 out."""
         return self.low > 0 or self.high < 0
 
 
-def side(text: str) -> dict[str, str]:
+def parse_side(text: str) -> dict[str, str]:
     """`key=value[,key=value]`, which names a side."""
     pairs = [part.partition("=") for part in text.split(",")]
     if not all(key and sign for key, sign, _ in pairs):
@@ -43,7 +43,7 @@
     return {key: value for key, _, value in pairs}
 
 
-def chosen(cell: Cell, wanted: Mapping[str, str]) -> tuple[tuple[str, Value], ...] | None:
+def remaining_keys(cell: Cell, wanted: Mapping[str, str]) -> tuple[tuple[str, Value], ...] | None:
     """What is left of a cell that a side names; None if it does not."""
     values = dict(cell)
     if any(key not in values or str(values[key]) != value for key, value in wanted.items()):
@@ -56,12 +56,12 @@
 ) -> list[tuple[dict[str, float], dict[str, float]]]:
     """The figures of runs that differ in nothing but the side."""
     sides: tuple[dict[object, dict[str, float]], ...] = ({}, {})
-    wanted = (side(a), side(b))
+    wanted = (parse_side(a), parse_side(b))
     if set(wanted[0]) != set(wanted[1]):
         raise CompareError(f"'{a}' and '{b}' name different keys")
     for cell, seed, figures, _ in rows:
         for found, want in zip(sides, wanted, strict=True):
-            rest = chosen(cell, want)
+            rest = remaining_keys(cell, want)
             if rest is not None:
                 found[rest, seed] = figures
     for text, found in zip((a, b), sides, strict=True):
@@ -76,9 +76,9 @@
 def difference(pairs: list[tuple[float, float]]) -> Difference:
     """The same for the same pairs: the resamples are drawn from one fixed stream."""
     table = np.array(pairs, dtype=float)
-    apart = table[:, 1] - table[:, 0]
+    differences = table[:, 1] - table[:, 0]
     rng = np.random.default_rng(len(pairs))
-    means = np.sort(rng.choice(apart, (RESAMPLES, len(apart))).mean(axis=1))
-    low, high = np.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    means = np.sort(rng.choice(differences, (RESAMPLES, len(differences))).mean(axis=1))
+    low, high = np.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     a, b = table.mean(axis=0)
-    return Difference(len(pairs), float(a), float(b), float(apart.mean()), float(low), float(high))
+    return Difference(len(pairs), float(a), float(b), float(differences.mean()), float(low), float(high))
--- a/brackenladder/fleet/standing.py
+++ b/brackenladder/fleet/days.py
@@ -15,7 +15,9 @@
 
 DAYS = ("calm", "roll", "herd", "zone", "split", "join")
 TIERS = 3
-FRONT = 6  # one node of so many is a client's; the others stand beside the servers of the first two tiers
+NODES_PER_FRONT = (
+    6  # one node of so many is a client's; the others stand beside the servers of the first two tiers
+)
 LEAST_NODES = 12
 MEAN_WORK_S = 0.33  # of a request over all tiers, by the classes below
 TIER_WORK = (0.41, 0.31, 0.28)
@@ -27,34 +29,34 @@
     {"name": "offer", "effect": "keyed", "work_ms": [150, 820], "aim_ms": 2500, "deadline_ms": 6000},
 )
 CLASS_SHARES = ((0.37, 0.55), (0.27, 0.41), (0.16, 0.24))
-SILENT = 0.25  # of the watches fall silent once, on the day of `join`
+SILENT_WATCH_SHARE = 0.25  # of the watches fall silent once, on the day of `join`
 
-Draw = dict[str, Any]
+Table = dict[str, Any]
 
 
-def day(name: str, seed: int, nodes: int) -> Scenario:
+def day_scenario(name: str, seed: int, nodes: int) -> Scenario:
     """A day of about so many nodes. A ValueError if there is no such day, or too few nodes for one."""
     if name not in DAYS:
         raise ValueError(f"no day '{name}'; there are {', '.join(DAYS)}")
     if nodes < LEAST_NODES:
         raise ValueError(f"{nodes} nodes, {LEAST_NODES} at the least")
     rng = Random(f"standing {name} {seed}")
-    table = common(rng, nodes)
-    TROUBLES[name](rng, table)
+    table = base_table(rng, nodes)
+    DAY_FAULTS[name](rng, table)
     table["title"] = f"standing-{name}"
     table["faults"].sort(key=lambda fault: fault["at_s"])
     return msgspec.convert(table, Scenario)
 
 
-def common(rng: Random, nodes: int) -> Draw:
+def base_table(rng: Random, nodes: int) -> Table:
     """What no trouble changes: tiers, zones, load, limits."""
-    front = max(2, nodes // FRONT)
+    front = max(2, nodes // NODES_PER_FRONT)
     servers = max(4, (nodes - front) // (TIERS - 1))
     zones = rng.choice((["east"], ["east", "west"]))
     speed = sorted(rng.uniform(0.75, 1.35) for _ in range(2))
-    able = servers * 2 * sum(speed) / 2 / (MEAN_WORK_S * max(TIER_WORK))  # first tries a second, of all
+    capacity = servers * 2 * sum(speed) / 2 / (MEAN_WORK_S * max(TIER_WORK))  # first tries a second, of all
     load = rng.uniform(0.95, 1.2)
-    quota = able * rng.uniform(0.47, 0.56)
+    quota = capacity * rng.uniform(0.47, 0.56)
     sent = [s * q for s, q in zip(SHARES, QUOTA, strict=True)]
     return {
         "length_s": 25.0,
@@ -88,7 +90,7 @@
         },
         "discovery": {"late_ms": sorted(round(rng.uniform(330, 2500)) for _ in range(2))},
         "clients": {
-            "rate": round(able * load, 1),
+            "rate": round(capacity * load, 1),
             "retries": rng.randint(0, 2),
             "wait_ms": [0, rng.choice((0, 60, 480))],
             "budget": [round(rng.uniform(0.42, 1), 2), 1.0],
@@ -106,14 +108,14 @@
     }
 
 
-def calm(rng: Random, table: Draw) -> None:
+def calm(rng: Random, table: Table) -> None:
     """A burst of half as much again."""
     at, lasts = rng.uniform(6, 14), rng.uniform(2.4, 6)
     table["clients"]["surges"] = [{"at_s": round(at, 1), "for_s": round(lasts, 1), "times": 1.5}]
 
 
 def release(
-    rng: Random, table: Draw, share: float, lasts: float, at: float = 0.0, drains: float = 2.0
+    rng: Random, table: Table, share: float, lasts: float, at: float = 0.0, drains: float = 2.0
 ) -> float:
     """So much of all servers is replaced in steps, each draining so long; when it begins."""
     at = round(at or rng.uniform(3, 5), 1)
@@ -124,7 +126,7 @@
     return at
 
 
-def roll(rng: Random, table: Draw) -> None:
+def roll(rng: Random, table: Table) -> None:
     """A release while all front nodes are restarted, a tenth at a time; discovery moves meanwhile."""
     lasts = round(rng.uniform(8, 12), 1)
     at = release(rng, table, 0.5, lasts)
@@ -134,7 +136,7 @@
     ]
 
 
-def herd(rng: Random, table: Draw) -> None:
+def herd(rng: Random, table: Table) -> None:
     """A release; seven in ten front nodes are killed; discovery is slow; one of eight servers is bad."""
     at = release(rng, table, 0.3, round(rng.uniform(5, 8), 1))
     count = table["servers"]["count"]
@@ -146,11 +148,11 @@
             "for_s": 1.0,
             "pick": max(1, round(0.7 * table["nodes"])),
         },
-        bad(rng, count, ("error", "reset-late", "slow")),
+        faulty_servers(rng, count, ("error", "reset-late", "slow")),
     ]
 
 
-def bad(rng: Random, count: int, kinds: tuple[str, ...]) -> Draw:
+def faulty_servers(rng: Random, count: int, kinds: tuple[str, ...]) -> Table:
     """One of eight servers does badly for most of the day."""
     kind = rng.choice(kinds)
     share = rng.uniform(0.2, 0.5) if kind == "slow" else rng.uniform(0.2, 0.8)
@@ -158,22 +160,22 @@
     return {"kind": kind, "at_s": 6.0, "for_s": 12.0, "pick": pick, "share": round(share, 2)}
 
 
-def zone(rng: Random, table: Draw) -> None:
+def zone(rng: Random, table: Table) -> None:
     """A zone is lost for 5 s and returns cold; it was cut off before; one of eight servers is bad."""
     at = round(rng.uniform(5, 9), 1)
     count = table["servers"]["count"] * TIERS
     if len(table["zones"]) > 1:
-        lost: Draw = {"zone": "west", "pick": "all"}
+        lost: Table = {"zone": "west", "pick": "all"}
     else:
         lost = {"pick": max(1, round(0.3 * count))}
     table["faults"] += [
-        bad(rng, table["servers"]["count"], ("error", "slow")) | {"at_s": 0.5, "for_s": 3.5},
+        faulty_servers(rng, table["servers"]["count"], ("error", "slow")) | {"at_s": 0.5, "for_s": 3.5},
         {"kind": "vanish", "at_s": at, "for_s": 5.0} | lost,
         {"kind": "cut", "at_s": round(at + 8, 1), "for_s": 2.0, "share": 0.5, "pick": max(1, count // 4)},
     ]
 
 
-def split(rng: Random, table: Draw) -> None:
+def split(rng: Random, table: Table) -> None:
     """For 6 s a part of the servers falls silent or is cut off, lists come late, connections are reset."""
     at = round(rng.uniform(5, 9), 1)
     count = table["servers"]["count"] * TIERS
@@ -186,7 +188,7 @@
     ]
 
 
-def join(rng: Random, table: Draw) -> None:
+def join(rng: Random, table: Table) -> None:
     """Six in ten servers are replaced within 7 s; a quarter of the watches fall silent meanwhile.
 
     Servers drain for long, up to the time in which silence must have shown. Some answers are spoilt; clients
@@ -201,12 +203,12 @@
             "kind": "silent-watch",
             "at_s": round(at + 0.1, 1),  # before discovery knows of the first change
             "for_s": 0.1,
-            "pick": max(1, round(SILENT * table["nodes"])),
+            "pick": max(1, round(SILENT_WATCH_SHARE * table["nodes"])),
         },
     ]
 
 
-TROUBLES: dict[str, Callable[[Random, Draw], None]] = {
+DAY_FAULTS: dict[str, Callable[[Random, Table], None]] = {
     "calm": calm,
     "roll": roll,
     "herd": herd,
--- a/brackenladder/fleet/members.py
+++ b/brackenladder/fleet/detector_network.py
@@ -15,11 +15,11 @@
 
 MICRO = 1_000_000
 BEGIN = 1_000 * MICRO
-WALL = 1_800_000_000  # seconds, when the run begins
-DELAY = (100, 2_000)  # microseconds of a datagram's way
+WALL_CLOCK_START = 1_800_000_000  # seconds, when the run begins
+DATAGRAM_DELAY = (100, 2_000)  # microseconds of a datagram's way
 
 
-class Member(Protocol):
+class DetectorMember(Protocol):
     """What a rival must have to stand in a member's place."""
 
     def tick(self, now: int) -> None: ...
@@ -31,47 +31,52 @@
     def dead(self) -> set[int]: ...
 
 
-class Whole(Detector):
+class ProjectDetector(Detector):
     """This project's detector."""
 
     def dead(self) -> set[int]:
         return {*self.view.in_state(State.DEAD), *self.view.in_state(State.LEFT)}
 
 
-Make = Callable[
-    [int, int, int, int, Random, Callable[[int, bytes], None], Callable[[Transition], None]], Member
+DetectorFactory = Callable[
+    [int, int, int, int, Random, Callable[[int, bytes], None], Callable[[Transition], None]], DetectorMember
 ]
 
 
-class Net:
+class DetectorNetwork:
     """`cut`: pairs (from, to) between which nothing passes.
 
     `loss`: of all datagrams; `twice`: that come twice.
     """
 
     def __init__(
-        self, size: int, seed: int, loss: float = 0.0, twice: float = 0.0, make: Make = Whole
+        self,
+        size: int,
+        seed: int,
+        loss: float = 0.0,
+        duplicated: float = 0.0,
+        make: DetectorFactory = ProjectDetector,
     ) -> None:
         self.queue = Queue(BEGIN)
         self.rng = Random(f"net {seed}")
         self.seed = seed
         self.size = size
         self.loss = loss
-        self.twice = twice
+        self.duplicated = duplicated
         self.make = make
         self.cut: set[tuple[int, int]] = set()
-        self.members: list[Member | None] = [None] * size
-        self.lives = [0] * size  # processes begun
+        self.members: list[DetectorMember | None] = [None] * size
+        self.starts = [0] * size  # processes begun
         self.paused: dict[int, list[tuple[int, bytes]]] = {}  # what waits for whoever is stopped
         self.log: list[tuple[int, Transition]] = []  # who said what
         self.bytes = [0] * size
-        self.skew = [0] * size  # seconds that a machine's wall clock is wrong
+        self.clock_skew = [0] * size  # seconds that a machine's wall clock is wrong
 
-    def start(self, number: int) -> Member:
+    def start(self, number: int) -> DetectorMember:
         """A process of a node begins."""
-        self.lives[number] += 1
-        wall = WALL + (self.queue.now - BEGIN) // MICRO + self.skew[number]
-        rng = Random(f"member {self.seed} {number} {self.lives[number]}")
+        self.starts[number] += 1
+        wall = WALL_CLOCK_START + (self.queue.now - BEGIN) // MICRO + self.clock_skew[number]
+        rng = Random(f"member {self.seed} {number} {self.starts[number]}")
         epoch = epoch_of(wall, rng.getrandbits(24))
         member = self.members[number] = self.make(
             number,
@@ -79,51 +84,51 @@
             epoch,
             self.queue.now,
             rng,
-            lambda to, data: self.carry(number, to, data),
+            lambda to, data: self.send(number, to, data),
             lambda said: self.log.append((number, said)),
         )
-        self.queue.after(rng.randrange(TICK), self.turn, number, member)
+        self.queue.after(rng.randrange(TICK), self.tick_member, number, member)
         return member
 
-    def begin(self, number: int) -> None:
+    def start_member(self, number: int) -> None:
         self.start(number)
 
     def start_all(self, within: int = MICRO) -> None:
         for number in range(self.size):
-            self.queue.after(self.rng.randrange(max(1, within)), self.begin, number)
+            self.queue.after(self.rng.randrange(max(1, within)), self.start_member, number)
 
     def kill(self, number: int) -> None:
         self.members[number] = None
 
-    def turn(self, number: int, member: Member) -> None:
+    def tick_member(self, number: int, member: DetectorMember) -> None:
         """A tick, and the next one."""
         if self.members[number] is not member:
             return
         if number not in self.paused:
             member.tick(self.queue.now)
-            self.queue.after(TICK, self.turn, number, member)
+            self.queue.after(TICK, self.tick_member, number, member)
         else:
-            self.queue.after(TICK // 10, self.turn, number, member)
+            self.queue.after(TICK // 10, self.tick_member, number, member)
 
     def pause(self, number: int, length: int) -> None:
         """The process stands still; what comes waits in its socket."""
         self.paused[number] = []
-        self.queue.after(length, self.wake, number)
+        self.queue.after(length, self.resume, number)
 
-    def wake(self, number: int) -> None:
+    def resume(self, number: int) -> None:
         waiting = self.paused.pop(number, [])
         member = self.members[number]
         for sender, data in waiting if member is not None else ():
             assert member is not None
             member.datagram(sender, data, self.queue.now)
 
-    def carry(self, sender: int, to: int, data: bytes) -> None:
+    def send(self, sender: int, to: int, data: bytes) -> None:
         self.bytes[sender] += len(data)
-        for _ in range(2 if self.twice and self.rng.random() < self.twice else 1):
+        for _ in range(2 if self.duplicated and self.rng.random() < self.duplicated else 1):
             if (sender, to) not in self.cut and self.rng.random() >= self.loss:
-                self.queue.after(self.rng.randint(*DELAY), self.arrive, sender, to, data)
+                self.queue.after(self.rng.randint(*DATAGRAM_DELAY), self.deliver, sender, to, data)
 
-    def arrive(self, sender: int, to: int, data: bytes) -> None:
+    def deliver(self, sender: int, to: int, data: bytes) -> None:
         member = self.members[to]
         if member is None:
             return
@@ -140,16 +145,16 @@
     def alive(self) -> list[int]:
         return [n for n, member in enumerate(self.members) if member is not None]
 
-    def false_deaths(self, since: int, but: Sequence[int] = ()) -> list[tuple[int, Transition]]:
+    def false_deaths(self, since: int, excluding: Sequence[int] = ()) -> list[tuple[int, Transition]]:
         """Deaths said of who was there all along."""
-        down = set(but)
+        down = set(excluding)
         return [
             (who, said)
             for who, said in self.log
             if said.at >= since and said.after == "dead" and said.number != who and said.number not in down
         ]
 
-    def known_dead(self, number: int) -> list[int]:
+    def detection_times(self, number: int) -> list[int]:
         """When each live member first took a node for dead, since the run began."""
         first: dict[int, int] = {}
         for who, said in self.log:
--- a/brackenladder/fleet/discovery.py
+++ b/brackenladder/fleet/discovery.py
@@ -14,20 +14,20 @@
 from brackenladder.rehearsal.events import Asked, Changed, Event, Hushed, Told, Untold
 from brackenladder.rehearsal.plan import MICRO, Step
 
-FETCH_TIME = 6.0  # seconds for the whole list, which comes here in one piece
+FETCH_TIMEOUT = 6.0  # seconds for the whole list, which comes here in one piece
 FIRST_VERSION = (41, 7001)  # of each source of a tier; versions of one say nothing of the other's
-Seen = tuple[tuple[str, str, int], ...]
+ListedLines = tuple[tuple[str, str, int], ...]
 
 
-class Ask:
+class ListCall:
     """A node's call."""
 
-    __slots__ = ("node", "number", "since", "open", "watch", "timer")
+    __slots__ = ("node", "number", "known_version", "open", "watch", "timer")
 
-    def __init__(self, node: str, number: int, since: int, watch: Watch) -> None:
+    def __init__(self, node: str, number: int, known_version: int, watch: Watch) -> None:
         self.node = node
         self.number = number
-        self.since = since
+        self.known_version = known_version
         self.watch = watch
         self.open = False
         self.timer: Timer | None = None
@@ -44,159 +44,171 @@
         number: int,
         seed: int,
         queue: Queue,
-        note: Callable[[Event], None],
+        record: Callable[[Event], None],
         silent: Callable[[str], bool],
         lines_per_s: float,
     ) -> None:
         self.number = number
         self.seed = seed
         self.queue = queue
-        self.note = note
+        self.record = record
         self.silent = silent
         self.lines_per_s = lines_per_s
         self.free_at = 0
         self.version = FIRST_VERSION[number % 2]
         self.lines: dict[str, Line] = {}
-        self.changed: dict[str, int] = {}  # the version in which each line changed last
+        self.changed_in: dict[str, int] = {}  # the version in which each line changed last
         self.snapshots: list[tuple[int, tuple[Line, ...]]] = []
-        self.frozen: tuple[int, tuple[Line, ...]] | None = None  # an old version that is given instead
-        self.half: set[str] | None = None  # ids that whole lists leave out
-        self.waiting: dict[Ask, None] = {}
-        self.answers: dict[int, tuple[Listing, Seen]] = {}  # of the present state, by the version asked from
-        self.written = 0  # lines
-
-    def begin_with(self, lines: list[Line]) -> None:
+        self.old_list: tuple[int, tuple[Line, ...]] | None = None  # an old version that is given instead
+        self.omitted_ids: set[str] | None = None  # ids that whole lists leave out
+        self.waiting: dict[ListCall, None] = {}
+        self.answer_cache: dict[
+            int, tuple[Listing, ListedLines]
+        ] = {}  # by known version
+        self.lines_written = 0  # lines
+
+    def set_initial_lines(self, lines: list[Line]) -> None:
         """What stands before the run."""
         for line in lines:
             self.lines[line.id] = line
-            self.changed[line.id] = self.version
+            self.changed_in[line.id] = self.version
 
-    def put(self, line: Line) -> None:
+    def update_line(self, line: Line) -> None:
         """Discovery knows from now on."""
         if not self.snapshots:  # the oldest is all that a fault gives
-            self.snapshots.append((self.version, self.whole()))
+            self.snapshots.append((self.version, self.full_list()))
         self.version += 1
         self.lines[line.id] = line
-        self.changed[line.id] = self.version
+        self.changed_in[line.id] = self.version
         state, started = line.state.name.lower(), line.started // 1000
-        self.note(Changed(self.queue.now, self.number, self.version, line.id, state, started))
-        self.tell()
+        self.record(Changed(self.queue.now, self.number, self.version, line.id, state, started))
+        self.notify_waiting()
 
-    def whole(self) -> tuple[Line, ...]:
+    def full_list(self) -> tuple[Line, ...]:
         """The whole list: whoever is gone is not on it."""
         return tuple(line for line in self.lines.values() if line.state != State.GONE)
 
-    def tell(self) -> None:
-        self.answers.clear()
-        for ask in list(self.waiting):
-            self.answer(ask, False)
+    def notify_waiting(self) -> None:
+        self.answer_cache.clear()
+        for call in list(self.waiting):
+            self.answer_if_due(call, False)
 
-    def asked(self, ask: Ask, wait: int) -> None:
+    def receive_call(self, call: ListCall, wait: int) -> None:
         """A call has come; one for changes waits so many microseconds for news."""
-        ask.open = True
-        self.note(Asked(self.queue.now, ask.node, ask.number, ask.since, wait))
-        if self.silent(ask.node):
+        call.open = True
+        self.record(Asked(self.queue.now, call.node, call.number, call.known_version, wait))
+        if self.silent(call.node):
             return
-        self.waiting[ask] = None
-        if ask.since >= 0:
-            ask.timer = self.queue.after(wait, self.answer, ask, True)
-        self.answer(ask, ask.since < 0)
+        self.waiting[call] = None
+        if call.known_version >= 0:
+            call.timer = self.queue.after(wait, self.answer_if_due, call, True)
+        self.answer_if_due(call, call.known_version < 0)
 
-    def hung_up(self, ask: Ask) -> None:
+    def call_cancelled(self, call: ListCall) -> None:
         """The node has ended its call."""
-        self.waiting.pop(ask, None)
-        if ask.timer is not None:
-            ask.timer.cancel()
-        if ask.open:
-            ask.open = False
-            self.note(Untold(self.queue.now, ask.node, ask.number))
-
-    def answer(self, ask: Ask, now_or_never: bool) -> None:
+        self.waiting.pop(call, None)
+        if call.timer is not None:
+            call.timer.cancel()
+        if call.open:
+            call.open = False
+            self.record(Untold(self.queue.now, call.node, call.number))
+
+    def answer_if_due(self, call: ListCall, wait_over: bool) -> None:
         """Answers a call if there is news for it, or if its wait is over."""
-        if not ask.open or ask not in self.waiting:
+        if not call.open or call not in self.waiting:
             return
-        frozen = self.frozen
-        news = ask.since != frozen[0] if frozen is not None else ask.since != self.version
-        if news or now_or_never:
-            self.write(ask)
-
-    def listing(self, since: int) -> tuple[Listing, Seen]:
+        old_list = self.old_list
+        news = (
+            call.known_version != old_list[0] if old_list is not None else call.known_version != self.version
+        )
+        if news or wait_over:
+            self.start_answer(call)
+
+    def listing(self, known_version: int) -> tuple[Listing, ListedLines]:
         """What a call from a version is told now, as a listing and as the journal has it."""
-        known = self.answers.get(since)
+        known = self.answer_cache.get(known_version)
         if known is not None:
             return known
         version, kind = self.version, ListKind.CHANGES
-        if self.frozen is not None:
-            version, lines = self.frozen
-            if since == version:
+        if self.old_list is not None:
+            version, lines = self.old_list
+            if known_version == version:
                 lines = ()
             else:
                 kind = ListKind.FULL
-        elif since < 0 or since > version or (self.half is not None and since < version):
+        elif (
+            known_version < 0
+            or known_version > version
+            or (self.omitted_ids is not None and known_version < version)
+        ):
             kind = ListKind.FULL
-            lines = tuple(line for line in self.whole() if self.half is None or line.id not in self.half)
+            lines = tuple(
+                line
+                for line in self.full_list()
+                if self.omitted_ids is None or line.id not in self.omitted_ids
+            )
         else:
-            lines = tuple(line for line in self.lines.values() if self.changed[line.id] > since)
+            lines = tuple(line for line in self.lines.values() if self.changed_in[line.id] > known_version)
         seen = tuple((line.id, line.state.name.lower(), line.started // 1000) for line in lines)
-        known = self.answers[since] = Listing(kind, version, lines), seen
+        known = self.answer_cache[known_version] = Listing(kind, version, lines), seen
         return known
 
-    def write(self, ask: Ask) -> None:
+    def start_answer(self, call: ListCall) -> None:
         """An answer goes out, as fast as discovery can write."""
-        self.waiting.pop(ask, None)
-        if ask.timer is not None:
-            ask.timer.cancel()
-        listing, seen = self.listing(ask.since)
-        self.written += len(seen)
+        self.waiting.pop(call, None)
+        if call.timer is not None:
+            call.timer.cancel()
+        listing, seen = self.listing(call.known_version)
+        self.lines_written += len(seen)
         if not self.lines_per_s:
-            self.wrote(ask, listing, seen)
+            self.finish_answer(call, listing, seen)
             return
         took = round(len(seen) / self.lines_per_s * MICRO)
         self.free_at = max(self.free_at, self.queue.now) + took
-        self.queue.at(self.free_at, self.wrote, ask, listing, seen)
+        self.queue.at(self.free_at, self.finish_answer, call, listing, seen)
 
-    def wrote(self, ask: Ask, listing: Listing, seen: Seen) -> None:
+    def finish_answer(self, call: ListCall, listing: Listing, seen: ListedLines) -> None:
         """The last byte of an answer is written: from this moment on the node can know."""
-        if not ask.open:
+        if not call.open:
             return
-        ask.open = False
+        call.open = False
         full = listing.kind != ListKind.CHANGES
-        self.note(Told(self.queue.now, ask.node, ask.number, self.number, listing.version, full, seen))
-        ask.watch.handed(self.number, listing)
-        self.queue.after(ask.watch.way, ask.watch.answered, ask, listing)
+        self.record(Told(self.queue.now, call.node, call.number, self.number, listing.version, full, seen))
+        call.watch.on_written(self.number, listing)
+        self.queue.after(call.watch.delay, call.watch.answer_arrived, call, listing)
 
     # ---- faults ---------------------------------------------------------------------------------------
 
-    def begin(self, step: Step) -> None:
+    def begin_fault(self, step: Step) -> None:
         if step.kind == "half-list":
-            names = sorted(line.id for line in self.whole())
-            self.half = set(Random(f"half {self.seed} {step.at}").sample(names, len(names) // 2))
+            names = sorted(line.id for line in self.full_list())
+            self.omitted_ids = set(Random(f"half {self.seed} {step.at}").sample(names, len(names) // 2))
             self.version += 1
-            self.tell()
+            self.notify_waiting()
         elif step.kind == "old-list":
-            self.frozen = self.snapshots[0] if self.snapshots else (self.version, self.whole())
-            self.tell()
+            self.old_list = self.snapshots[0] if self.snapshots else (self.version, self.full_list())
+            self.notify_waiting()
         elif step.kind == "silence":
             self.waiting.clear()
 
-    def end(self, step: Step) -> None:
-        if step.kind == "half-list" and self.half is not None:
+    def end_fault(self, step: Step) -> None:
+        if step.kind == "half-list" and self.omitted_ids is not None:
             # The lines that were left out are news again to whoever was given the half.
             self.version += 1
-            for name in self.half:
-                self.changed[name] = self.version
-            self.half = None
-            self.tell()
+            for name in self.omitted_ids:
+                self.changed_in[name] = self.version
+            self.omitted_ids = None
+            self.notify_waiting()
         elif step.kind == "old-list":
-            self.frozen = None
-            self.tell()
+            self.old_list = None
+            self.notify_waiting()
 
-    def drop(self, node: str, hushed: bool = False) -> None:
+    def drop_calls(self, node: str, hushed: bool = False) -> None:
         """The calls that a node has out are not answered any more; `hushed`: discovery itself goes on."""
-        for ask in [ask for ask in self.waiting if ask.node == node]:
-            del self.waiting[ask]
+        for call in [call for call in self.waiting if call.node == node]:
+            del self.waiting[call]
             if hushed:
-                self.note(Hushed(self.queue.now, node, ask.number))
+                self.record(Hushed(self.queue.now, node, call.number))
 
 
 class Watch:
@@ -211,122 +223,122 @@
         source: Source,
         known: Listing,
         nodes: int,
-        way: int,
+        delay: int,
         queue: Queue,
-        told: Callable[[Listing | None], None],
-        handed: Callable[[int, Listing], None],
-        numbers: Callable[[], int],
+        on_list: Callable[[Listing | None], None],
+        on_written: Callable[[int, Listing], None],
+        call_numbers: Callable[[], int],
     ) -> None:
         self.node = node
         self.source = source
-        self.in_hand = CurrentList(known, queue.now / MICRO)
+        self.current = CurrentList(known, queue.now / MICRO)
         self.wait = watch_wait_ms(nodes)
-        self.way = way
+        self.delay = delay
         self.queue = queue
-        self.told = told
-        self.handed = handed
-        self.numbers = numbers
-        self.watching: Ask | None = None
-        self.fetching: Ask | None = None
-        self.timers: dict[Ask, Timer] = {}
+        self.on_list = on_list
+        self.on_written = on_written
+        self.call_numbers = call_numbers
+        self.watching: ListCall | None = None
+        self.fetching: ListCall | None = None
+        self.timers: dict[ListCall, Timer] = {}
         self.closed = False
         self.random = Random(f"watch {node} {queue.now}")
-        self.silence = WatchRetry()
-        self.reopening: Timer | None = None
+        self.retry = WatchRetry()
+        self.reopen_timer: Timer | None = None
 
     def watch(self, on: bool) -> None:
         """Begins or ends the watch. One that is on already stays."""
         if self.closed:
             return
-        if self.reopening is not None:
-            self.reopening.cancel()
-            self.reopening = None
+        if self.reopen_timer is not None:
+            self.reopen_timer.cancel()
+            self.reopen_timer = None
         if on and self.watching is None:
-            self.renew()
+            self.open_watch()
         elif not on and self.watching is not None:
-            self.hang_up(self.watching)
+            self.cancel_call(self.watching)
             self.watching = None
 
-    def renew(self) -> None:
-        version = self.in_hand.version
+    def open_watch(self) -> None:
+        version = self.current.version
         if version is None:
-            self.watching = self.ask(-1, 0, FETCH_TIME)
+            self.watching = self.call(-1, 0, FETCH_TIMEOUT)
         else:
             wait = jittered_wait_ms(self.wait, self.random.random())
-            self.watching = self.ask(version, wait, wait / 1000 + ANSWER_TIMEOUT)
+            self.watching = self.call(version, wait, wait / 1000 + ANSWER_TIMEOUT)
 
     def fetch(self) -> None:
         """Asks for the whole list, unless such a call is out already."""
         if self.fetching is None and not self.closed:
-            self.fetching = self.ask(-1, 0, FETCH_TIME)
+            self.fetching = self.call(-1, 0, FETCH_TIMEOUT)
 
-    def ask(self, since: int, wait: int, time: float) -> Ask:
-        ask = Ask(self.node, self.numbers(), since, self)
-        self.queue.after(self.way, self.source.asked, ask, wait * 1000)
-        self.timers[ask] = self.queue.call_later(time, self.failed, ask)
-        return ask
+    def call(self, known_version: int, wait: int, time: float) -> ListCall:
+        call = ListCall(self.node, self.call_numbers(), known_version, self)
+        self.queue.after(self.delay, self.source.receive_call, call, wait * 1000)
+        self.timers[call] = self.queue.call_later(time, self.call_failed, call)
+        return call
 
-    def hang_up(self, ask: Ask) -> None:
-        timer = self.timers.pop(ask, None)
+    def cancel_call(self, call: ListCall) -> None:
+        timer = self.timers.pop(call, None)
         if timer is not None:
             timer.cancel()
-            self.queue.after(self.way, self.source.hung_up, ask)
+            self.queue.after(self.delay, self.source.call_cancelled, call)
 
-    def failed(self, ask: Ask) -> None:
+    def call_failed(self, call: ListCall) -> None:
         """A call was not answered in time."""
-        self.hang_up(ask)
-        if ask is not self.watching:
+        self.cancel_call(call)
+        if call is not self.watching:
             self.fetching = None
-            self.told(None)
+            self.on_list(None)
             return
         self.watching = None
-        pause = self.silence.failed(True, self.random.random())
+        pause = self.retry.failed(True, self.random.random())
         if pause is None:
-            self.told(None)
+            self.on_list(None)
         elif pause > 0:
-            self.reopening = self.queue.call_later(pause, self.watch, True)
+            self.reopen_timer = self.queue.call_later(pause, self.watch, True)
         else:
             self.watch(True)
 
-    def answered(self, ask: Ask, listing: Listing) -> None:
-        timer = self.timers.pop(ask, None)
+    def answer_arrived(self, call: ListCall, listing: Listing) -> None:
+        timer = self.timers.pop(call, None)
         if timer is None:  # hung up
             return
         timer.cancel()
-        news = self.in_hand.accept(listing, self.queue.now / MICRO)
-        if ask is self.fetching:
+        news = self.current.accept(listing, self.queue.now / MICRO)
+        if call is self.fetching:
             self.fetching = None
-            self.told(news)
+            self.on_list(news)
             return
         if news is None:
             self.watching = None
-            self.told(None)
+            self.on_list(None)
             return
-        self.silence.answered()
-        self.told(news)
-        if self.watching is ask:
-            self.renew()
+        self.retry.answered()
+        self.on_list(news)
+        if self.watching is call:
+            self.open_watch()
 
-    def move(self, source: Source) -> None:
+    def switch_source(self, source: Source) -> None:
         """Asks another discovery from now on: versions are numbered otherwise there."""
-        for ask in (self.watching, self.fetching):
-            if ask is not None:
-                self.hang_up(ask)
+        for call in (self.watching, self.fetching):
+            if call is not None:
+                self.cancel_call(call)
         self.watching = self.fetching = None
         self.source = source
-        self.silence = WatchRetry()
-        self.in_hand = self.in_hand.for_new_discovery(self.queue.now / MICRO)
+        self.retry = WatchRetry()
+        self.current = self.current.for_new_discovery(self.queue.now / MICRO)
         self.watch(True)
 
     def close(self) -> None:
         """The node has ended."""
         self.closed = True
-        for ask in (self.watching, self.fetching):
-            if ask is not None:
-                self.hang_up(ask)
+        for call in (self.watching, self.fetching):
+            if call is not None:
+                self.cancel_call(call)
 
 
-def numbered() -> Callable[[], int]:
+def call_numbering() -> Callable[[], int]:
     """Numbers of the calls of a run."""
-    numbers = count(1)
-    return lambda: next(numbers)
+    call_numbers = count(1)
+    return lambda: next(call_numbers)
--- a/brackenladder/fleet/experiment.py
+++ b/brackenladder/fleet/experiment.py
@@ -22,7 +22,7 @@
 from msgspec import Meta
 
 from brackenladder.fleet.model import too_large
-from brackenladder.fleet.variants import OWN
+from brackenladder.fleet.variants import MODULE_POLICY
 from brackenladder.rehearsal.scenario import Scenario, impossible, told
 
 LARGEST_FILE = 1 << 20  # bytes
@@ -70,7 +70,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as e:
         raise ExperimentError(f"{where}: not TOML: {e}") from None
     try:
-        experiment = msgspec.convert(flat(table), Experiment)
+        experiment = msgspec.convert(flatten_grid(table), Experiment)
     except msgspec.ValidationError as e:
         raise ExperimentError(f"{where}: {told(str(e))}") from None
     for key, values in experiment.grid.items():
@@ -83,7 +83,7 @@
     return experiment
 
 
-def flat(table: Mapping[str, Any]) -> dict[str, Any]:
+def flatten_grid(table: Mapping[str, Any]) -> dict[str, Any]:
     """The grid's keys with their dots: `a.b = []` and `"a.b" = []` are the same."""
     grid: dict[str, Any] = {}
 
@@ -113,7 +113,7 @@
 def run_of(base: Scenario, cell: Cell, where: str) -> Run:
     """A cell's scenario and who decides in it. An ExperimentError names the key."""
     table = msgspec.to_builtins(base)
-    policy, checkout, constants = OWN, "", {}
+    policy, checkout, constants = MODULE_POLICY, "", {}
     for key, value in cell:
         if key == "policy":
             policy = str(value)
@@ -124,7 +124,7 @@
                 raise ExperimentError(f"{where}: grid.{key}: not a number")
             constants[key.removeprefix("module.")] = value
         else:
-            put(table, key, value, where)
+            set_key(table, key, value, where)
     try:
         scenario = msgspec.convert(table, Scenario)
     except msgspec.ValidationError as e:
@@ -135,7 +135,7 @@
     return Run(scenario, policy, checkout, constants)
 
 
-def put(table: dict[str, Any], key: str, value: Value, where: str) -> None:
+def set_key(table: dict[str, Any], key: str, value: Value, where: str) -> None:
     """Sets a scenario's key, `servers.count` or `faults.0.pick`."""
     node: Any = table
     *path, last = key.split(".")
--- a/brackenladder/fleet/figures.py
+++ b/brackenladder/fleet/figures.py
@@ -38,9 +38,9 @@
 LATE_WORTH = 0.2  # of an answer after the aim, as the published settings have it
 EXCESS_WORTH = 0.05  # of what a tenant sends beyond its quota, as they have it
 QUOTA_TIME = 5  # seconds over which a quota is counted
-SETTLED = 5  # seconds after which a run has settled
-AGAIN = 3  # seconds over which goodput must be back...
-BACK = 0.95  # ...at this part of what it was
+WARM_UP = 5  # seconds after which a run has settled
+RECOVERY_WINDOW = 3  # seconds over which goodput must be back...
+RECOVERED_SHARE = 0.95  # ...at this part of what it was
 LEAST_TRIES = 20  # in a second, for it to count as the worst
 
 
@@ -72,8 +72,8 @@
             break
     statuses = Counter(a.status for a in answers.values())
     tries = max(1, len(sent))
-    able = {s.id: s.cores * s.speed for s in result.plan.servers if s.born < 0}
-    loads = [work[name] / size for name, size in able.items()]
+    capacity_of = {s.id: s.cores * s.speed for s in result.plan.servers if s.born < 0}
+    loads = [work[name] / size for name, size in capacity_of.items()]
     return {
         "goodput": sum(good.values()) / max(1, first),
         "served": len(times) / max(1, first),
@@ -146,10 +146,10 @@
     if not spans or not goodput:
         return 0.0
     first, last = min(at for at, _ in spans), max(end for _, end in spans)
-    before = goodput[min(SETTLED, int(first)) : int(first)]
-    wanted = BACK * sum(before) / len(before) if before else BACK
-    for second in range(int(last), len(goodput) - AGAIN + 1):
-        if sum(goodput[second : second + AGAIN]) / AGAIN >= wanted:
+    before = goodput[min(WARM_UP, int(first)) : int(first)]
+    wanted = RECOVERED_SHARE * sum(before) / len(before) if before else RECOVERED_SHARE
+    for second in range(int(last), len(goodput) - RECOVERY_WINDOW + 1):
+        if sum(goodput[second : second + RECOVERY_WINDOW]) / RECOVERY_WINDOW >= wanted:
             return float(max(0.0, second - last))
     return float(max(0.0, scenario.length_s - last))
 
@@ -164,7 +164,7 @@
     by_id = {}
     table = {name: np.zeros(length) for name in SERIES}
     most: list[Counter[str]] = [Counter() for _ in range(length)]
-    able: dict[str, float] = {}  # the processes that serve
+    capacity_of: dict[str, float] = {}  # the processes that serve
     serving: list[dict[str, float]] = [{} for _ in range(length)]  # at some time in the second
     for plan in result.plan.requests:
         table["offered"][plan.at // 1_000_000] += 1
@@ -175,12 +175,12 @@
         second = (event.t - result.begin) // 1_000_000
         while passed < min(second, length - 1):
             passed += 1
-            serving[passed] = dict(able)
+            serving[passed] = dict(capacity_of)
         if isinstance(event, Up):
-            able[event.server] = event.capacity
+            capacity_of[event.server] = event.capacity
             serving[max(0, passed)][event.server] = event.capacity
         elif isinstance(event, Down):
-            able.pop(event.server, None)
+            capacity_of.pop(event.server, None)
         elif isinstance(event, Answered):
             asked = by_id.get(event.id)
             if asked is None:
--- a/brackenladder/fleet/gate.py
+++ b/brackenladder/fleet/gate.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-HALF = 0.5  # of what the late-seeing policy serves
-PLAIN_LESS, LATE_LESS = 0.05, 0.1
-LEAST_CLASS = 0.05  # of the worth asked for: a class with less is not judged by itself
-LEAST_SERVED = 0.3  # of a class by the late-seeing policy, below which it is not judged
+LATE_SHARE = 0.5  # of what the late-seeing policy serves
+PLAIN_MARGIN, LATE_MARGIN = 0.05, 0.1
+MIN_CLASS_WEIGHT = 0.05  # of the worth asked for: a class with less is not judged by itself
+MIN_CLASS_SERVED = 0.3  # of a class by the late-seeing policy, below which it is not judged
 LATE, PLAIN = "late", "least-of-two"  # the policies that stand beside the module
 
 
-class Played(msgspec.Struct, frozen=True):
+class PolicyRun(msgspec.Struct, frozen=True):
     """One run: worth served of what was asked and its weight, for 'all' and by class; verdicts by rule."""
 
     worths: dict[str, tuple[float, float]]
@@ -27,7 +27,7 @@
     faults: int
 
 
-class Judged(msgspec.Struct, frozen=True):
+class DayVerdict(msgspec.Struct, frozen=True):
     """What came of a day. `wrong`: a line for each term that it does not meet."""
 
     served: float
@@ -35,7 +35,7 @@
     wrong: tuple[str, ...]
 
 
-def judge(day: str, module: Played, others: Mapping[str, Played]) -> Judged:
+def judge_day(day: str, module: PolicyRun, others: Mapping[str, PolicyRun]) -> DayVerdict:
     """The verdict on the module's run beside the other policies' runs of the same day.
 
     `others`: LATE, and on a calm day PLAIN.
@@ -44,14 +44,19 @@
     if module.faults:
         wrong.append(f"{module.faults} nodes failed")
     late = others[LATE].worths["all"][0]
-    served, wanted = module.worths["all"][0], HALF * late
+    served, wanted = module.worths["all"][0], LATE_SHARE * late
     if day == "calm":
         plain = others[PLAIN].worths["all"][0]
-        wanted = max(wanted, min(plain - PLAIN_LESS, late - LATE_LESS))
+        wanted = max(wanted, min(plain - PLAIN_MARGIN, late - LATE_MARGIN))
     if served < wanted:
         wrong.append(f"served {served:.3f}, {wanted:.3f} wanted")
     for name, (share, weight) in module.worths.items():
         reached = others[LATE].worths[name][0]
-        if name != "all" and weight >= LEAST_CLASS and reached >= LEAST_SERVED and share < HALF * reached:
-            wrong.append(f"class {name} served {share:.3f}, {HALF * reached:.3f} wanted")
-    return Judged(served, wanted, tuple(wrong))
+        if (
+            name != "all"
+            and weight >= MIN_CLASS_WEIGHT
+            and reached >= MIN_CLASS_SERVED
+            and share < LATE_SHARE * reached
+        ):
+            wrong.append(f"class {name} served {share:.3f}, {LATE_SHARE * reached:.3f} wanted")
+    return DayVerdict(served, wanted, tuple(wrong))
--- a/brackenladder/fleet/jobs.py
+++ b/brackenladder/fleet/jobs.py
@@ -17,10 +17,10 @@
 from brackenladder.rehearsal.checker import check
 from brackenladder.rehearsal.report import terms_of
 
-AHEAD = 4  # runs handed out for each worker: an experiment that is stopped loses no more
+QUEUED_PER_WORKER = 4  # runs handed out for each worker: an experiment that is stopped loses no more
 
 
-class Done(msgspec.Struct, frozen=True):
+class FinishedRun(msgspec.Struct, frozen=True):
     """A run that has ended."""
 
     cell: Cell
@@ -33,7 +33,7 @@
     worths: dict[str, tuple[float, float]] = {}  # served and weight, of all and by class
 
 
-def one(cell: Cell, run: Run, seed: int) -> Done:
+def play_run(cell: Cell, run: Run, seed: int) -> FinishedRun:
     """Plays a run."""
     began = perf_counter()
     result = play(run.scenario, seed, variant(run.policy, run.checkout, run.constants))
@@ -42,24 +42,26 @@
     series = series_of(run.scenario, result)
     verdicts = {str(rule): str(verdict) for rule, verdict in report.verdicts.items()}
     worths = worths_of(run.scenario, result)
-    return Done(cell, seed, figures, series, verdicts, perf_counter() - began, len(result.crashed), worths)
+    return FinishedRun(
+        cell, seed, figures, series, verdicts, perf_counter() - began, len(result.crashed), worths
+    )
 
 
-def played(jobs: Iterator[tuple[Cell, Run, int]], workers: int = 0) -> Iterator[Done]:
+def play_all(jobs: Iterator[tuple[Cell, Run, int]], workers: int = 0) -> Iterator[FinishedRun]:
     """All of them, as they end; in no order that could be relied on."""
     number = workers or os.cpu_count() or 1
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(number, mp_context=context) as pool:
-        out: set[Future[Done]] = set()
+        running: set[Future[FinishedRun]] = set()
         try:
             for cell, run, seed in jobs:
-                out.add(pool.submit(one, cell, run, seed))
-                if len(out) >= AHEAD * number:
-                    done, out = wait(out, return_when=FIRST_COMPLETED)
+                running.add(pool.submit(play_run, cell, run, seed))
+                if len(running) >= QUEUED_PER_WORKER * number:
+                    done, running = wait(running, return_when=FIRST_COMPLETED)
                     yield from (future.result() for future in done)
-            while out:
-                done, out = wait(out, return_when=FIRST_COMPLETED)
+            while running:
+                done, running = wait(running, return_when=FIRST_COMPLETED)
                 yield from (future.result() for future in done)
         finally:
-            for future in out:
+            for future in running:
                 future.cancel()
--- a/brackenladder/fleet/links.py
+++ b/brackenladder/fleet/links.py
@@ -15,22 +15,22 @@
 from brackenladder.interface import ListKind, Outcome, State
 from brackenladder.membership.listing import Line
 
-IDLE_MARGIN = 300_000  # microseconds before the server would close an idle connection
-SWEEP = 500_000  # between two looks at idle connections
+IDLE_CLOSE_MARGIN = 300_000  # microseconds before the server would close an idle connection
+SWEEP_INTERVAL = 500_000  # between two looks at idle connections
 OUTCOMES = {"served": Outcome.OK, "error": Outcome.ERROR, "rejected": Outcome.REJECTED}
 
 
 class Endpoint:
     """One process of a server as a node knows it, and the node's idle connections there."""
 
-    __slots__ = ("server", "started", "ready", "idle", "way")
+    __slots__ = ("server", "started", "ready", "idle", "delay")
 
-    def __init__(self, server: Server, started: int, way: int) -> None:
+    def __init__(self, server: Server, started: int, delay: int) -> None:
         self.server = server
         self.started = started
         self.ready = True
         self.idle: list[Link] = []  # the most recently used last
-        self.way = way
+        self.delay = delay
 
 
 class Link:
@@ -39,17 +39,27 @@
     `gone`: its end is known at the node; `shut`: it is over at the server.
     """
 
-    __slots__ = ("links", "endpoint", "exchange", "gone", "shut", "limited", "early", "holds", "idle_since")
+    __slots__ = (
+        "links",
+        "endpoint",
+        "exchange",
+        "closed_at_node",
+        "closed_at_server",
+        "over_limit",
+        "reset_on_request",
+        "attempt_open",
+        "idle_since",
+    )
 
     def __init__(self, links: Links, endpoint: Endpoint) -> None:
         self.links = links
         self.endpoint = endpoint
         self.exchange: Exchange | None = None
-        self.gone = False
-        self.shut = False
-        self.limited = False  # beyond what the server takes: it turns away what comes
-        self.early = False  # reset as soon as something comes
-        self.holds: object = None  # the server's attempt on it
+        self.closed_at_node = False
+        self.closed_at_server = False
+        self.over_limit = False  # beyond what the server takes: it turns away what comes
+        self.reset_on_request = False  # reset as soon as something comes
+        self.attempt_open: object = None  # the server's attempt on it
         self.idle_since = 0
 
     @property
@@ -58,16 +68,16 @@
 
     def close(self) -> None:
         """The node ends it."""
-        if not self.gone:
-            self.gone = True
+        if not self.closed_at_node:
+            self.closed_at_node = True
             self.links.open -= 1
-            self.links.queue.after(self.endpoint.way, self.endpoint.server.hung_up, self)
+            self.links.queue.after(self.endpoint.delay, self.endpoint.server.client_closed, self)
 
-    def lost(self) -> None:
+    def closed_by_server(self) -> None:
         """The server's end has come here."""
-        if self.gone:
+        if self.closed_at_node:
             return
-        self.gone = True
+        self.closed_at_node = True
         self.links.open -= 1
         if self in self.endpoint.idle:
             self.endpoint.idle.remove(self)
@@ -86,11 +96,11 @@
         "call",
         "expires",
         "done",
-        "over",
+        "ended",
         "link",
-        "opening",
+        "connecting",
         "timer",
-        "up",
+        "connect_timer",
     )
 
     def __init__(self, links: Links, endpoint: Endpoint, call: Call, expires: int, done: Done) -> None:
@@ -101,61 +111,61 @@
         self.call = call
         self.expires = expires
         self.done = done
-        self.over = False
+        self.ended = False
         self.link: Link | None = None
-        self.opening: Link | None = None  # that has not come up
+        self.connecting: Link | None = None  # that has not come up
         self.timer: Timer | None = None
-        self.up: Timer | None = None  # by when a connection must have come up
+        self.connect_timer: Timer | None = None  # by when a connection must have come up
 
     def start(self, timeout: float) -> None:
         links = self.links
         self.timer = links.queue.call_later(timeout, self.expire)
-        link = links.take(self.endpoint)
+        link = links.take_idle(self.endpoint)
         if link is not None:
-            self.use(link)
-        elif links.has_room():
+            self.send_request(link)
+        elif links.make_room():
             links.open += 1
             links.handshakes += 1
-            link = self.opening = Link(links, self.endpoint)
-            self.up = links.queue.after(links.connect_time, self.not_up)
-            links.queue.after(self.endpoint.way, self.knock, link)
+            link = self.connecting = Link(links, self.endpoint)
+            self.connect_timer = links.queue.after(links.connect_time, self.connect_timed_out)
+            links.queue.after(self.endpoint.delay, self.handshake_arrived, link)
         else:
             self.end(Outcome.CONNECT_FAILED)
 
-    def knock(self, link: Link) -> None:
+    def handshake_arrived(self, link: Link) -> None:
         """The handshake's first part has come to the server."""
-        answer = None if link.gone else self.endpoint.server.accept(link)
+        answer = None if link.closed_at_node else self.endpoint.server.accept(link)
         if answer is True:
-            self.links.queue.after(self.endpoint.way, self.came_up, link)
+            self.links.queue.after(self.endpoint.delay, self.connected, link)
         elif answer is False:
-            self.links.queue.after(self.endpoint.way, self.refused, link)
+            self.links.queue.after(self.endpoint.delay, self.refused, link)
 
-    def came_up(self, link: Link) -> None:
-        if not link.gone:
-            self.opening = None
-            self.use(link)
+    def connected(self, link: Link) -> None:
+        if not link.closed_at_node:
+            self.connecting = None
+            self.send_request(link)
 
     def refused(self, link: Link) -> None:
-        self.opening = None
-        link.lost()
+        self.connecting = None
+        link.closed_by_server()
         self.end(Outcome.CONNECT_FAILED)
 
-    def not_up(self) -> None:
+    def connect_timed_out(self) -> None:
         """The connect time-out."""
         self.end(Outcome.CONNECT_FAILED)
 
-    def use(self, link: Link) -> None:
+    def send_request(self, link: Link) -> None:
         """Writes the request, if it may still be written."""
-        if self.up is not None:
-            self.up.cancel()
+        if self.connect_timer is not None:
+            self.connect_timer.cancel()
         now = self.links.queue.now
         if not self.endpoint.ready or not self.call.open or self.expires <= now:
-            self.links.keep(link)
+            self.links.keep_idle(link)
             self.end(Outcome.NOT_SENT)
             return
         self.link = link
         link.exchange = self
-        self.links.queue.after(self.endpoint.way, self.endpoint.server.heard, link, self)
+        self.links.queue.after(self.endpoint.delay, self.endpoint.server.receive, link, self)
 
     def expire(self) -> None:
         """The time is up. A connection that never came up has carried nothing."""
@@ -163,39 +173,39 @@
 
     def stop(self, outcome: Outcome) -> None:
         """Gives it up, and with it the connection, so that no late answer meets another request."""
-        if self.over:
+        if self.ended:
             return
         if self.link is not None:
             self.link.exchange = None
             self.link.close()
         self.end(outcome)
 
-    def answered(self, how: str, keep: bool) -> None:
+    def answered(self, how: str, keep_idle: bool) -> None:
         """The last byte of the answer has come."""
         link = self.link
-        if self.over or link is None or link.gone:
+        if self.ended or link is None or link.closed_at_node:
             return
         link.exchange = None
-        if keep:
-            self.links.keep(link)
+        if keep_idle:
+            self.links.keep_idle(link)
         else:
             link.close()
         self.end(OUTCOMES[how])
 
     def end(self, outcome: Outcome) -> None:
-        if self.over:
+        if self.ended:
             return
-        self.drop()
-        self.links.turn(self.done, outcome, None, ())
+        self.discard()
+        self.links.schedule_event(self.done, outcome, None, ())
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Nothing more comes of it."""
-        self.over = True
-        for timer in (self.timer, self.up):
+        self.ended = True
+        for timer in (self.timer, self.connect_timer):
             if timer is not None:
                 timer.cancel()
-        if self.opening is not None:
-            self.opening.close()
+        if self.connecting is not None:
+            self.connecting.close()
 
 
 class Links:
@@ -206,27 +216,27 @@
         node: str,
         zone: str,
         queue: Queue,
-        standing: Mapping[str, Server],
-        way: Callable[[str, str], int],
-        most: int,
+        servers_by_id: Mapping[str, Server],
+        delay: Callable[[str, str], int],
+        max_connections: int,
         connect_time: int,
         idle_time: int,
-        turn: Callable[..., None],
+        schedule_event: Callable[..., None],
     ) -> None:
         self.node = node
         self.zone = zone
         self.queue = queue
-        self.standing = standing  # all processes by their id
-        self.way = way
-        self.most = most
+        self.servers_by_id = servers_by_id  # all processes by their id
+        self.delay = delay
+        self.max_connections = max_connections
         self.connect_time = connect_time
-        self.idle_time = max(idle_time - IDLE_MARGIN, idle_time // 2)
-        self.turn = turn  # the node's processor: what it does with an event
+        self.idle_time = max(idle_time - IDLE_CLOSE_MARGIN, idle_time // 2)
+        self.schedule_event = schedule_event  # the node's processor: what it does with an event
         self.endpoints: dict[int, Endpoint] = {}
         self.open = 0
         self.handshakes = 0
-        self.sweeping = False
-        self.dead = False
+        self.sweep_scheduled = False
+        self.killed = False
 
     # ---- the list -------------------------------------------------------------------------------------
 
@@ -240,25 +250,25 @@
                 self.retire(number)
             elif known is None or known.started != line.started:
                 self.retire(number)
-                server = self.standing[line.id]
-                way = self.way(self.zone, server.plan.zone)
-                self.endpoints[number] = Endpoint(server, line.started, way)
+                server = self.servers_by_id[line.id]
+                delay = self.delay(self.zone, server.plan.zone)
+                self.endpoints[number] = Endpoint(server, line.started, delay)
 
     def retire(self, number: int) -> None:
         """Nothing new goes there; what is out may finish."""
         endpoint = self.endpoints.pop(number, None)
         if endpoint is not None:
             endpoint.ready = False
-            self.drop(endpoint)
+            self.discard(endpoint)
 
-    def drop(self, endpoint: Endpoint) -> None:
+    def discard(self, endpoint: Endpoint) -> None:
         for link in endpoint.idle:
             link.close()
         endpoint.idle.clear()
 
     # ---- connections ----------------------------------------------------------------------------------
 
-    def take(self, endpoint: Endpoint) -> Link | None:
+    def take_idle(self, endpoint: Endpoint) -> Link | None:
         """The most recently used idle connection that is still good."""
         while endpoint.idle:
             link = endpoint.idle.pop()
@@ -267,30 +277,30 @@
             link.close()
         return None
 
-    def keep(self, link: Link) -> None:
-        if self.dead or not link.endpoint.ready:
+    def keep_idle(self, link: Link) -> None:
+        if self.killed or not link.endpoint.ready:
             link.close()
             return
         link.idle_since = self.queue.now
         link.endpoint.idle.append(link)
-        if not self.sweeping:
-            self.sweeping = True
-            self.queue.after(SWEEP, self.sweep)
+        if not self.sweep_scheduled:
+            self.sweep_scheduled = True
+            self.queue.after(SWEEP_INTERVAL, self.close_expired)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Closes what has stood idle for long, before the server does."""
-        most = self.queue.now - max(self.idle_time - SWEEP, self.idle_time // 2)
-        self.sweeping = False
+        max_connections = self.queue.now - max(self.idle_time - SWEEP_INTERVAL, self.idle_time // 2)
+        self.sweep_scheduled = False
         for endpoint in self.endpoints.values():
-            while endpoint.idle and endpoint.idle[0].idle_since < most:
+            while endpoint.idle and endpoint.idle[0].idle_since < max_connections:
                 endpoint.idle.pop(0).close()
-            self.sweeping = self.sweeping or bool(endpoint.idle)
-        if self.sweeping:
-            self.queue.after(SWEEP, self.sweep)
+            self.sweep_scheduled = self.sweep_scheduled or bool(endpoint.idle)
+        if self.sweep_scheduled:
+            self.queue.after(SWEEP_INTERVAL, self.close_expired)
 
-    def has_room(self) -> bool:
+    def make_room(self) -> bool:
         """Whether one more fits; the one that was idle longest makes room."""
-        if self.open < self.most:
+        if self.open < self.max_connections:
             return True
         held = [e for e in self.endpoints.values() if e.idle]
         if held:
@@ -301,25 +311,25 @@
 
     def attempt(self, server: int, call: Call, expires: int, done: Done) -> Exchange | None:
         endpoint = self.endpoints.get(server)
-        if endpoint is None or self.dead:
+        if endpoint is None or self.killed:
             return None
         return Exchange(self, endpoint, call, expires, done)
 
     def probe(self, server: int, done: Probed) -> None:
         endpoint = self.endpoints.get(server)
-        way = endpoint.way if endpoint is not None else 0
-        self.queue.after(2 * way, done, endpoint is not None and endpoint.server.alive, ())
+        delay = endpoint.delay if endpoint is not None else 0
+        self.queue.after(2 * delay, done, endpoint is not None and endpoint.server.alive, ())
 
     def close_idle(self, server: int) -> None:
         endpoint = self.endpoints.get(server)
         if endpoint is not None:
-            self.drop(endpoint)
+            self.discard(endpoint)
 
-    def die(self, out: list[Exchange]) -> None:
+    def kill(self, out: list[Exchange]) -> None:
         """The process is killed: the system closes its connections, and nobody hears of what was out."""
-        self.dead = True
+        self.killed = True
         for exchange in out:
-            exchange.drop()
+            exchange.discard()
             if exchange.link is not None:
                 exchange.link.close()
         for number in list(self.endpoints):
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -16,13 +16,13 @@
 from brackenladder.core.host import EXPIRY_DELAY, Host
 from brackenladder.core.roster import number_of
 from brackenladder.fleet.clients import Clients
-from brackenladder.fleet.discovery import Source, numbered
-from brackenladder.fleet.nodes import BOOT, Caller, FleetCall, Module, Node, Surroundings
+from brackenladder.fleet.discovery import Source, call_numbering
+from brackenladder.fleet.nodes import START_TIME, Caller, FleetCall, Module, Node, RunContext
 from brackenladder.fleet.queue import Queue
-from brackenladder.fleet.rivals.late import Late
+from brackenladder.fleet.random_streams import RandomStreams
 from brackenladder.fleet.rivals.oracle import Oracle
+from brackenladder.fleet.rivals.stale_oracle import StaleOracle
 from brackenladder.fleet.servers import Server
-from brackenladder.fleet.streams import Streams
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 from brackenladder.policy.balancer import Balancer
@@ -41,20 +41,20 @@
 from brackenladder.settings import settings_of
 
 BEGIN = 1_000_000_000_000_000  # of the run, in the queue's time: Unix time, so that starts can be told
-MOST_MEMORY = 4 << 30  # bytes that a run may be expected to take
-BYTES_A_SERVER = 900  # at each node, seen
-BYTES_A_REQUEST = 6_000  # of a run, seen
-SHARES = (10, 50, 90)  # percentiles over the nodes
-NEVER = 1 << 60  # microseconds until a server that has gone serves
+MAX_MEMORY = 4 << 30  # bytes that a run may be expected to take
+BYTES_PER_SERVER = 900  # at each node, seen
+BYTES_PER_REQUEST = 6_000  # of a run, seen
+PERCENTILES = (10, 50, 90)  # percentiles over the nodes
+UNAVAILABLE_WAIT = 1 << 60  # microseconds until a server that has gone serves
 SETTLE = 10 * MICRO  # after the schedule's end, for all that is open
-FALLEN = 2 * MICRO  # from a server's fall to its next process
-PASSING = (1_000, 10_000)  # microseconds that a datagram takes
-LATE = 500_000  # and a late one
-SWAPPED = 50_000  # and one that others overtake
+RESTART_DELAY = 2 * MICRO  # from a server's fall to its next process
+DATAGRAM_DELAY = (1_000, 10_000)  # microseconds that a datagram takes
+LATE_DATAGRAM_DELAY = 500_000  # and a late one
+SWAPPED_DATAGRAM_DELAY = 50_000  # and one that others overtake
 
-KNOWN = 2_850_000  # microseconds until a death is known: the median of `benchmarks/members.py`
-LIVING_EVERY = 500_000  # between two counts of the living
-NOT_PLAYED = frozenset(("silent-clients", "node-pause", "node-stall", *LINK_FAULTS))
+DEATH_KNOWN_AFTER = 2_850_000  # microseconds until a death is known: the median of `benchmarks/members.py`
+MEMBER_COUNT_INTERVAL = 500_000  # between two counts of the living
+UNSUPPORTED_FAULTS = frozenset(("silent-clients", "node-pause", "node-stall", *LINK_FAULTS))
 
 
 class TrueState:
@@ -62,16 +62,16 @@
 
     def __init__(self, fleet: Fleet, host: Host) -> None:
         self.host = host
-        self.servers = {number_of(name): server for name, server in fleet.standing.items()}
+        self.servers = {number_of(name): server for name, server in fleet.servers_by_id.items()}
 
     def wait(self, server: int) -> int:
-        standing = self.servers[server]
-        return standing.time_to_core() if standing.alive else NEVER
+        state = self.servers[server]
+        return state.time_to_core() if state.alive else UNAVAILABLE_WAIT
 
     def work(self, request: int, server: int) -> int:
         call = cast(FleetCall, self.host.calls[request])
-        standing = self.servers[server]
-        return round(standing.work_for(call.klass, call.name) / standing.speed())
+        state = self.servers[server]
+        return round(state.work_for(call.klass, call.name) / state.speed())
 
     def room(self, server: int, share: float) -> bool:
         return self.servers[server].room(share)
@@ -85,13 +85,13 @@
         self.seed = seed
         self.module = module
         self.plan = plan_of(scenario, seed)
-        self.streams = Streams(seed)
+        self.streams = RandomStreams(seed)
         self.queue = Queue(BEGIN - MICRO)
         self.events: list[Event] = []
-        self.note = self.events.append
+        self.record = self.events.append
         self.numbers = count()
-        self.near = round(1000 * scenario.network.near_ms)
-        self.far = round(1000 * scenario.network.far_ms)
+        self.near_delay = round(1000 * scenario.network.near_ms)
+        self.far_delay = round(1000 * scenario.network.far_ms)
         self.plans = {plan.id: plan for plan in self.plan.servers}
         self.steps: dict[str, list[Step]] = {}
         for step in self.plan.steps:
@@ -101,52 +101,58 @@
                 number,
                 seed,
                 self.queue,
-                self.note,
-                lambda node, number=number: self.silent(number, node),  # type: ignore[misc]
+                self.record,
+                lambda node, number=number: self.is_silent(number, node),  # type: ignore[misc]
                 scenario.discovery.lines_per_s,
             )
             for number in range(2 * scenario.tiers)
         ]
-        self.late = self.streams.of("discovery")
-        self.datagrams = self.streams.of("datagrams")
-        self.last: dict[str, int] = {}  # when discovery hears of a server's latest change
-        self.moved: set[str] = set()
-        self.was_up: dict[str, int] = {}  # when each node was up last
-        self.leaving: set[str] = set()  # servers that drain or were replaced: they do not come back
+        self.listing_delays = self.streams.stream("discovery")
+        self.datagram_draws = self.streams.stream("datagrams")
+        self.listed_at: dict[str, int] = {}  # when discovery hears of a server's latest change
+        self.moved_nodes: set[str] = set()
+        self.last_up: dict[str, int] = {}  # when each node was up last
+        self.not_returning: set[str] = set()  # servers that drain or were replaced: they do not come back
         self.zone_of = {node_name(i): scenario.zones[i % len(scenario.zones)] for i in range(scenario.nodes)}
-        self.standing: dict[str, Server] = {}
-        self.below: dict[str, Node] = {}  # the node of a server, before the next tier
-        around = Surroundings(
-            self.queue, self.note, self.standing, scenario.zones, self.way, numbered(), self.carry
+        self.servers_by_id: dict[str, Server] = {}
+        self.server_nodes: dict[str, Node] = {}  # the node of a server, before the next tier
+        context = RunContext(
+            self.queue,
+            self.record,
+            self.servers_by_id,
+            scenario.zones,
+            self.link_delay,
+            call_numbering(),
+            self.send_datagram,
         )
         for plan in self.plan.servers:
-            self.standing[plan.id] = self.server(plan)
+            self.servers_by_id[plan.id] = self.new_server(plan)
         first = [plan for plan in self.plan.servers if plan.born < 0]
         known = []
         for tier in range(scenario.tiers):
-            lines = [self.line(plan, State.READY, -1) for plan in first if plan.tier == tier]
+            lines = [self.list_line(plan, State.READY, -1) for plan in first if plan.tier == tier]
             known.append(Listing(ListKind.CACHED, 0, tuple(lines)))
             for source in self.sources[2 * tier : 2 * tier + 2]:
-                source.begin_with(lines)
+                source.set_initial_lines(lines)
         self.nodes = {
-            node_name(i): self.node(
-                node_name(i), i, 0, scenario.zones[i % len(scenario.zones)], around, known
+            node_name(i): self.new_node(
+                node_name(i), i, 0, scenario.zones[i % len(scenario.zones)], context, known
             )
             for i in range(scenario.nodes)
         }
         for plan in self.plan.servers:
             if plan.tier + 1 < scenario.tiers:
                 self.zone_of[plan.id] = plan.zone
-                node = self.node(
-                    plan.id, plan.place % scenario.servers.count, plan.tier + 1, plan.zone, around, known
+                node = self.new_node(
+                    plan.id, plan.place % scenario.servers.count, plan.tier + 1, plan.zone, context, known
                 )
-                self.below[plan.id] = node
-                self.standing[plan.id].below = Caller(node, self.note)
-        self.clients = Clients(scenario, self.queue, BEGIN, self.nodes, self.note, self.near)
+                self.server_nodes[plan.id] = node
+                self.servers_by_id[plan.id].next_tier = Caller(node, self.record)
+        self.clients = Clients(scenario, self.queue, BEGIN, self.nodes, self.record, self.near_delay)
         self.counts = self.clients.counts
         self.samples: dict[str, list[float]] = {}
 
-    def server(self, plan: ServerPlan) -> Server:
+    def new_server(self, plan: ServerPlan) -> Server:
         s = self.scenario
         return Server(
             plan,
@@ -156,14 +162,14 @@
             self.steps.get(plan.id, []),
             self.queue,
             BEGIN,
-            self.note,
+            self.record,
             lambda: next(self.numbers),
-            lambda node, zone=plan.zone: self.way(zone, self.zone_of[node]),  # type: ignore[misc]
-            self.fell,
+            lambda node, zone=plan.zone: self.link_delay(zone, self.zone_of[node]),  # type: ignore[misc]
+            self.on_cold_server_overloaded,
         )
 
-    def node(
-        self, name: str, index: int, tier: int, zone: str, around: Surroundings, known: list[Listing]
+    def new_node(
+        self, name: str, index: int, tier: int, zone: str, context: RunContext, known: list[Listing]
     ) -> Node:
         """A node that sends to a tier: a client's, or the one of a server of the tier before."""
         s = self.scenario
@@ -178,7 +184,7 @@
             zone,
             settings_of(table),
             Random(f"node {self.seed} {index if not tier else name}"),
-            around,
+            context,
             self.sources[2 * tier : 2 * tier + 2],
             known[tier],
             self.module,
@@ -188,21 +194,21 @@
             s.limits.event_us,
             s.limits.line_us,
         )
-        self.show(node)
+        self.give_true_state(node)
         return node
 
-    def show(self, node: Node) -> None:
+    def give_true_state(self, node: Node) -> None:
         """The true state, to a new process whose policy is to see it."""
-        if isinstance(node.host.balancer, Oracle | Late):
-            node.host.balancer.sight = TrueState(self, node.host)
+        if isinstance(node.host.balancer, Oracle | StaleOracle):
+            node.host.balancer.true_state = TrueState(self, node.host)
 
     # ---- what is between ------------------------------------------------------------------------------
 
-    def way(self, one: str, other: str) -> int:
+    def link_delay(self, one: str, other: str) -> int:
         """Microseconds from a machine in one zone to one in another."""
-        return self.near if one == other else self.far
+        return self.near_delay if one == other else self.far_delay
 
-    def step(self, *kinds: str, target: str = "") -> Step | None:
+    def active_fault(self, *kinds: str, target: str = "") -> Step | None:
         """The fault of these kinds, and at this target if one is named, that is on now."""
         time = self.queue.now - BEGIN
         for name in (target,) if target else self.steps:
@@ -211,219 +217,219 @@
                     return step
         return None
 
-    def silent(self, source: int, node: str) -> bool:
+    def is_silent(self, source: int, node: str) -> bool:
         """Whether a node's calls to a discovery go without an answer now."""
         return (
-            self.step("silence", target="discovery") is not None
-            or self.step("unheard", target=node) is not None
-            or (source % 2 == 0 and node in self.moved)
+            self.active_fault("silence", target="discovery") is not None
+            or self.active_fault("unheard", target=node) is not None
+            or (source % 2 == 0 and node in self.moved_nodes)
         )
 
-    def carry(self, sender: Node, peer: int, data: bytes) -> None:
+    def send_datagram(self, sender: Node, peer: int, data: bytes) -> None:
         """A datagram from a client's node to others, as the fault of the moment lets it."""
         for number, name in enumerate(self.nodes):
             if name == sender.name or peer not in (-1, number) or sender.name not in self.nodes:
                 continue
-            step = self.step(*DATAGRAM_FAULTS, target="relay")
-            fate, delays = "passed", [round(self.datagrams.uniform(*PASSING))]
-            if step is not None and self.datagrams.random() < step.share:
+            step = self.active_fault(*DATAGRAM_FAULTS, target="relay")
+            fate, delays = "passed", [round(self.datagram_draws.uniform(*DATAGRAM_DELAY))]
+            if step is not None and self.datagram_draws.random() < step.share:
                 fate = step.kind.removeprefix("datagrams-")
                 if fate == "late":
-                    delays = [LATE]
+                    delays = [LATE_DATAGRAM_DELAY]
                 elif fate == "twice":
                     delays *= 2
                 elif fate == "swapped":
-                    delays = [SWAPPED if self.datagrams.random() < 0.5 else 0]
+                    delays = [SWAPPED_DATAGRAM_DELAY if self.datagram_draws.random() < 0.5 else 0]
                 else:
                     delays = []
-            self.note(Datagram(self.queue.now, sender.name, name, len(data), fate))
+            self.record(Datagram(self.queue.now, sender.name, name, len(data), fate))
             source = list(self.nodes).index(sender.name)
             for delay in delays:
-                self.queue.after(delay, self.deliver, self.nodes[name], source, data)
+                self.queue.after(delay, self.deliver_datagram, self.nodes[name], source, data)
 
-    def deliver(self, node: Node, source: int, data: bytes) -> None:
+    def deliver_datagram(self, node: Node, source: int, data: bytes) -> None:
         if node.up:
-            node.turn(node.host.peer_message, source, data)
+            node.schedule_event(node.host.peer_message, source, data)
 
     # ---- servers --------------------------------------------------------------------------------------
 
-    def line(self, plan: ServerPlan, state: State, born: int) -> Line:
+    def list_line(self, plan: ServerPlan, state: State, born: int) -> Line:
         """`born`: of its process, in the plan's time; -1: long ago."""
         started = 0 if born < 0 else BEGIN + born
         return Line(plan.id, "model", 1, plan.zone, "std", plan.cell, state, 1.0, started // 1000 * 1000)
 
-    def know(self, plan: ServerPlan, state: State, born: int, late: bool = True) -> None:
+    def schedule_listing(self, plan: ServerPlan, state: State, born: int, delayed: bool = True) -> None:
         """Discovery hears of a change some time from now, and of a server's changes in their order."""
         low, high = self.scenario.discovery.late_ms
-        time = self.queue.now + (round(1000 * self.late.uniform(low, high)) if late else 0)
-        time = self.last[plan.id] = max(time, self.last.get(plan.id, 0) + 1)
-        self.queue.at(time, self.learn, plan.tier, self.line(plan, state, born))
+        time = self.queue.now + (round(1000 * self.listing_delays.uniform(low, high)) if delayed else 0)
+        time = self.listed_at[plan.id] = max(time, self.listed_at.get(plan.id, 0) + 1)
+        self.queue.at(time, self.publish_line, plan.tier, self.list_line(plan, state, born))
 
-    def learn(self, tier: int, line: Line) -> None:
+    def publish_line(self, tier: int, line: Line) -> None:
         for source in self.sources[2 * tier : 2 * tier + 2]:
-            source.put(line)
+            source.update_line(line)
 
-    def rise(self, plan: ServerPlan, born: int) -> None:
+    def start_server(self, plan: ServerPlan, born: int) -> None:
         """A server's process starts, cold unless it stood before the run; so does its node."""
-        self.standing[plan.id].rise((BEGIN + born) // 1000 if born >= 0 else 0, cold=born >= 0)
-        node = self.below.get(plan.id)
+        self.servers_by_id[plan.id].start((BEGIN + born) // 1000 if born >= 0 else 0, cold=born >= 0)
+        node = self.server_nodes.get(plan.id)
         if node is not None:
             if node.ended:
-                node.make()
-                self.show(node)
+                node.new_process()
+                self.give_true_state(node)
             node.start()
 
-    def born(self, plan: ServerPlan, at: int) -> None:
-        if plan.id not in self.leaving and not self.standing[plan.id].alive:
-            self.rise(plan, at)
-            self.know(plan, State.READY, at)
+    def restart_server(self, plan: ServerPlan, at: int) -> None:
+        if plan.id not in self.not_returning and not self.servers_by_id[plan.id].alive:
+            self.start_server(plan, at)
+            self.schedule_listing(plan, State.READY, at)
 
-    def gone(self, plan: ServerPlan) -> None:
+    def kill_server_node(self, plan: ServerPlan) -> None:
         """A server's process has ended, and with it its node."""
-        node = self.below.get(plan.id)
+        node = self.server_nodes.get(plan.id)
         if node is not None:
             node.kill()
 
-    def fell(self, plan: ServerPlan) -> None:
+    def on_cold_server_overloaded(self, plan: ServerPlan) -> None:
         """A cold server that was pushed over starts anew."""
-        self.gone(plan)
-        self.know(plan, State.GONE, plan.born)
-        at = self.queue.now + FALLEN - BEGIN
-        self.queue.after(FALLEN, self.born, plan, at)
+        self.kill_server_node(plan)
+        self.schedule_listing(plan, State.GONE, plan.born)
+        at = self.queue.now + RESTART_DELAY - BEGIN
+        self.queue.after(RESTART_DELAY, self.restart_server, plan, at)
 
-    def begin(self, step: Step) -> None:
+    def begin_fault(self, step: Step) -> None:
         """A step's time has come."""
-        self.note(Fault(self.queue.now, BEGIN + step.end, step.kind, step.target))
+        self.record(Fault(self.queue.now, BEGIN + step.end, step.kind, step.target))
         plan = self.plans.get(step.target)
         if plan is not None:
-            self.strike(step, plan)
+            self.apply_server_fault(step, plan)
         elif step.target in self.nodes:
-            self.strike_node(step, self.nodes[step.target])
+            self.apply_node_fault(step, self.nodes[step.target])
         elif step.kind in DISCOVERY_FAULTS:
             for source in self.sources:
-                source.begin(step)
-                self.queue.at(BEGIN + step.end, source.end, step)
+                source.begin_fault(step)
+                self.queue.at(BEGIN + step.end, source.end_fault, step)
 
-    def strike(self, step: Step, plan: ServerPlan) -> None:
-        server, end = self.standing[plan.id], BEGIN + step.end
+    def apply_server_fault(self, step: Step, plan: ServerPlan) -> None:
+        server, end = self.servers_by_id[plan.id], BEGIN + step.end
         if step.kind in ("restart", "replace", "vanish"):
             if step.kind == "vanish":
                 server.vanish()
             else:
-                server.die()
-            self.gone(plan)
-            self.know(plan, State.GONE, plan.born)
+                server.crash()
+            self.kill_server_node(plan)
+            self.schedule_listing(plan, State.GONE, plan.born)
             if step.kind == "replace":
-                self.leaving.add(plan.id)
+                self.not_returning.add(plan.id)
             else:
-                self.queue.at(end, self.born, plan, step.end)
+                self.queue.at(end, self.restart_server, plan, step.end)
         elif step.kind in ("drain", "drain-answering"):
-            self.leaving.add(plan.id)
-            self.know(plan, State.DRAINING, plan.born, late=step.kind == "drain")
-            self.queue.at(end, self.ended, plan)
+            self.not_returning.add(plan.id)
+            self.schedule_listing(plan, State.DRAINING, plan.born, delayed=step.kind == "drain")
+            self.queue.at(end, self.finish_drain, plan)
         elif step.kind in ("closed", "backlog", "reset-early"):
-            server.drop_idle()
+            server.reset_idle()
 
-    def ended(self, plan: ServerPlan) -> None:
+    def finish_drain(self, plan: ServerPlan) -> None:
         """A drained server's end. Its node ends once what it holds is finished: it is asked nothing more."""
-        self.standing[plan.id].retire()
-        self.know(plan, State.GONE, plan.born)
+        self.servers_by_id[plan.id].stop_accepting()
+        self.schedule_listing(plan, State.GONE, plan.born)
 
-    def strike_node(self, step: Step, node: Node) -> None:
+    def apply_node_fault(self, step: Step, node: Node) -> None:
         """A fault of a client's node."""
         end = BEGIN + step.end
         if step.kind in ("unheard", "silent-watch"):
             for source in self.sources:
-                source.drop(node.name, hushed=step.kind == "silent-watch")
+                source.drop_calls(node.name, hushed=step.kind == "silent-watch")
         elif step.kind == "node-move":
-            self.moved.add(node.name)
-            self.sources[0].drop(node.name)
-            node.move()
+            self.moved_nodes.add(node.name)
+            self.sources[0].drop_calls(node.name)
+            node.reload_other_source()
         elif step.kind == "node-kill":
             node.kill()
-            self.clients.ended(node.name)
+            self.clients.node_ended(node.name)
             notice = round(self.scenario.clients.notice_s * MICRO)
-            self.queue.after(notice, self.out, node.name)
-            self.queue.at(max(end, self.queue.now + notice), self.again, node)
+            self.queue.after(notice, self.stop_new_connections, node.name)
+            self.queue.at(max(end, self.queue.now + notice), self.restart_node, node)
         elif step.kind == "node-term":
-            self.queue.after(round(FRONT_NOTICE * MICRO), self.out, node.name)
+            self.queue.after(round(FRONT_NOTICE * MICRO), self.stop_new_connections, node.name)
 
             def ended() -> None:
-                self.clients.ended(node.name)
-                self.queue.at(end, self.again, node)
+                self.clients.node_ended(node.name)
+                self.queue.at(end, self.restart_node, node)
 
             node.terminate(ended)
 
-    def out(self, node: str) -> None:
+    def stop_new_connections(self, node: str) -> None:
         """The front gives a node no new connections."""
-        self.clients.taking[node] = False
+        self.clients.accepting[node] = False
 
-    def again(self, node: Node) -> None:
+    def restart_node(self, node: Node) -> None:
         """A node that has ended starts again; the front takes it in once it is ready."""
         node.boot()
-        self.show(node)
-        self.queue.after(BOOT, self.clients.taking.__setitem__, node.name, True)
+        self.give_true_state(node)
+        self.queue.after(START_TIME, self.clients.accepting.__setitem__, node.name, True)
 
     # ---- the run --------------------------------------------------------------------------------------
 
-    def look(self) -> None:
+    def sample_nodes(self) -> None:
         """Each second: how limits and calls in flight lie over the clients' nodes. It changes nothing."""
         balancers = [node.host.balancer for node in self.nodes.values()]
         stats = [balancer.stats() for balancer in balancers if hasattr(balancer, "stats")]
         for key, name in (("limit", "concurrency_limit"), ("in_flight", "in_flight")):
             values = [float(figures[name]) for figures in stats]
-            for share in SHARES:
-                found = float(np.percentile(values, share)) if values else 0.0
-                self.samples.setdefault(f"{key} p{share}", []).append(found)
-        passing = sum(figures["min_rtt_calculation_active"] for figures in stats)
-        self.samples.setdefault("in pass", []).append(passing / max(1, len(stats)))
+            for percentile in PERCENTILES:
+                found = float(np.percentile(values, percentile)) if values else 0.0
+                self.samples.setdefault(f"{key} p{percentile}", []).append(found)
+        measuring = sum(figures["min_rtt_calculation_active"] for figures in stats)
+        self.samples.setdefault("in pass", []).append(measuring / max(1, len(stats)))
         if self.queue.now + MICRO < BEGIN + self.plan.length:
-            self.queue.after(MICRO, self.look)
+            self.queue.after(MICRO, self.sample_nodes)
 
-    def count_living(self) -> None:
+    def update_member_counts(self) -> None:
         """What the members know of one another, as `cluster/share.py` counts them, a death after KNOWN.
 
         The detector itself is played by `fleet/members.py`: here its word comes after its usual time.
         """
         now = self.queue.now
         for name, node in self.nodes.items():
-            self.was_up[name] = now if node.up else self.was_up.get(name, now)
-        there = sum(now - at < KNOWN + ABSENCE_TIME for at in self.was_up.values())
-        there = max(there, ceil(MIN_COUNTED_PART * len(self.nodes)))
+            self.last_up[name] = now if node.up else self.last_up.get(name, now)
+        instances = sum(now - at < DEATH_KNOWN_AFTER + ABSENCE_TIME for at in self.last_up.values())
+        instances = max(instances, ceil(MIN_COUNTED_PART * len(self.nodes)))
         for node in self.nodes.values():
-            if node.up and node.host.settings.instances != there:
-                node.host.set_instances(there)
-        if now + LIVING_EVERY < BEGIN + self.plan.length:
-            self.queue.after(LIVING_EVERY, self.count_living)
+            if node.up and node.host.settings.instances != instances:
+                node.host.set_instances(instances)
+        if now + MEMBER_COUNT_INTERVAL < BEGIN + self.plan.length:
+            self.queue.after(MEMBER_COUNT_INTERVAL, self.update_member_counts)
 
-    def feed(self) -> None:
+    def schedule_next_request(self) -> None:
         """The next request that will come; one at a time, so that the queue stays short."""
-        request = next(self.coming, None)
+        request = next(self.remaining_requests, None)
         if request is not None:
-            self.queue.at(BEGIN + request.at, self.come, request)
+            self.queue.at(BEGIN + request.at, self.start_request, request)
 
-    def come(self, request: RequestPlan) -> None:
-        self.clients.first(request)
-        self.feed()
+    def start_request(self, request: RequestPlan) -> None:
+        self.clients.send_first(request)
+        self.schedule_next_request()
 
-    def go(self) -> Result:
+    def run(self) -> Result:
         """The whole run. A Standstill if time does not go on."""
         began = perf_counter()
         for plan in self.plan.servers:
             if plan.born < 0:
-                self.rise(plan, -1)
+                self.start_server(plan, -1)
             else:
-                self.queue.at(BEGIN + plan.born, self.born, plan, plan.born)
+                self.queue.at(BEGIN + plan.born, self.restart_server, plan, plan.born)
         for node in self.nodes.values():
             node.start()
         for step in self.plan.steps:
-            if step.kind not in NOT_PLAYED:
-                self.queue.at(BEGIN + step.at, self.begin, step)
-        self.queue.at(BEGIN, self.look)
+            if step.kind not in UNSUPPORTED_FAULTS:
+                self.queue.at(BEGIN + step.at, self.begin_fault, step)
+        self.queue.at(BEGIN, self.sample_nodes)
         if self.scenario.members:
-            self.queue.at(BEGIN, self.count_living)
-        self.coming = iter(self.plan.requests)
-        self.feed()
+            self.queue.at(BEGIN, self.update_member_counts)
+        self.remaining_requests = iter(self.plan.requests)
+        self.schedule_next_request()
         collects = gc.isenabled()
         gc.disable()  # what a run keeps is its events, and what it lets go holds no cycles
         try:
@@ -432,7 +438,7 @@
             if collects:
                 gc.enable()
         events: list[AnyEvent] = self.events  # type: ignore[assignment]
-        everyone = [*self.nodes.values(), *self.below.values()]
+        everyone = [*self.nodes.values(), *self.server_nodes.values()]
         return Result(
             plan=self.plan,
             events=events,
@@ -451,18 +457,18 @@
     Every node knows every server, and every event is kept until the end.
     """
     nodes = scenario.nodes + (scenario.tiers - 1) * scenario.servers.count
-    servers = nodes * scenario.servers.count * BYTES_A_SERVER
-    requests = scenario.clients.rate * scenario.length_s * scenario.tiers * BYTES_A_REQUEST
-    if servers > MOST_MEMORY:
+    servers = nodes * scenario.servers.count * BYTES_PER_SERVER
+    requests = scenario.clients.rate * scenario.length_s * scenario.tiers * BYTES_PER_REQUEST
+    if servers > MAX_MEMORY:
         return f"nodes: with {scenario.servers.count} servers they would take {servers / 2**30:.0f} GB"
-    if requests > MOST_MEMORY:
+    if requests > MAX_MEMORY:
         return f"clients.rate: one run would take {requests / 2**30:.0f} GB"
     return ""
 
 
-def passed_over(scenario: Scenario) -> list[str]:
+def unsupported(scenario: Scenario) -> list[str]:
     """What of a scenario this model does not play, named."""
-    kinds = sorted({fault.kind for fault in scenario.faults} & NOT_PLAYED)
+    kinds = sorted({fault.kind for fault in scenario.faults} & UNSUPPORTED_FAULTS)
     named = [f"faults of kind '{kind}'" for kind in kinds]
     if scenario.transport != "http":
         named.append(f"transport = '{scenario.transport}': one call a connection, as over http")
@@ -477,4 +483,4 @@
 
 def play(scenario: Scenario, seed: int, module: Module = Balancer) -> Result:
     """A scenario in virtual time."""
-    return Fleet(scenario, seed, module).go()
+    return Fleet(scenario, seed, module).run()
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -25,10 +25,10 @@
 if TYPE_CHECKING:
     import asyncio
 
-BOOT = 300_000  # microseconds from a process's start until it is ready
-LOOK = 20_000  # between two looks of a node that ends at what is left
-MOST_READ = 64  # lists that are kept as read
-RESERVED = 64  # descriptors that are neither clients' nor servers'
+START_TIME = 300_000  # microseconds from a process's start until it is ready
+EXIT_POLL_INTERVAL = 20_000  # between two looks of a node that ends at what is left
+MAX_PARSED_LISTS = 64  # lists that are kept as read
+RESERVED_DESCRIPTORS = 64  # descriptors that are neither clients' nor servers'
 STATUS = {Failure.GIVEN_UP: 502, Failure.EXPIRED: 504, Failure.FAULT: 500}
 
 Module = Callable[[Settings, int, Actions], Events]
@@ -50,7 +50,7 @@
     `broken` hears instead that the node was killed.
     """
 
-    __slots__ = ("name", "told", "broken")
+    __slots__ = ("name", "on_result", "on_broken")
 
     def __init__(
         self,
@@ -59,66 +59,66 @@
         tenant: int,
         left: int,
         repeat: bool,
-        told: Callable[[int, float], None],
-        broken: Callable[[], None],
+        on_result: Callable[[int, float], None],
+        on_broken: Callable[[], None],
     ) -> None:
         super().__init__(klass, tenant, left, repeat)
         self.name = name
-        self.told = told
-        self.broken = broken
+        self.on_result = on_result
+        self.on_broken = on_broken
 
     def served(self, answer: object) -> None:
-        self.told(200, 0.0)
+        self.on_result(200, 0.0)
 
     def refused(self, retry_after: int) -> None:
-        self.told(503, max(0, retry_after) / 1e6)
+        self.on_result(503, max(0, retry_after) / 1e6)
 
     def failed(self, why: Failure) -> None:
-        self.told(STATUS[why], 0.0)
+        self.on_result(STATUS[why], 0.0)
 
 
-Read = tuple[Mapping[int, Line], Sequence[ServerEntry]]
+ParsedList = tuple[Mapping[int, Line], Sequence[ServerEntry]]
 
 
 class SharedRoster(Roster):
     """Reads each list once for all nodes, whose zones and kinds have the same numbers."""
 
     def __init__(
-        self, host: Host, upstream: Links, zones: Sequence[str], known: dict[int, tuple[Listing, Read]]
+        self, host: Host, upstream: Links, zones: Sequence[str], parsed: dict[int, tuple[Listing, ParsedList]]
     ) -> None:
         super().__init__(host, upstream, zones, ("std",))
-        self.known = known
+        self.parsed = parsed
 
-    def read(self, listing: Listing) -> Read:
-        found = self.known.get(id(listing))
+    def read(self, listing: Listing) -> ParsedList:
+        found = self.parsed.get(id(listing))
         if found is None or found[0] is not listing:
-            if len(self.known) >= MOST_READ:
-                self.known.clear()
-            found = self.known[id(listing)] = listing, super().read(listing)
+            if len(self.parsed) >= MAX_PARSED_LISTS:
+                self.parsed.clear()
+            found = self.parsed[id(listing)] = listing, super().read(listing)
         return found[1]
 
 
-class Surroundings:
+class RunContext:
     """What all nodes of a run share."""
 
     def __init__(
         self,
         queue: Queue,
-        note: Callable[[Event], None],
-        standing: Mapping[str, Server],
+        record: Callable[[Event], None],
+        servers_by_id: Mapping[str, Server],
         zones: Sequence[str],
-        way: Callable[[str, str], int],
-        numbers: Callable[[], int],
-        tell: Callable[[Node, int, bytes], None],
+        delay: Callable[[str, str], int],
+        call_numbers: Callable[[], int],
+        send_datagram: Callable[[Node, int, bytes], None],
     ) -> None:
         self.queue = queue
-        self.note = note
-        self.standing = standing
+        self.record = record
+        self.servers_by_id = servers_by_id
         self.zones = zones
-        self.way = way
-        self.numbers = numbers
-        self.tell = tell
-        self.read: dict[int, tuple[Listing, Read]] = {}  # lists by their identity
+        self.delay = delay
+        self.call_numbers = call_numbers
+        self.send_datagram = send_datagram
+        self.parsed_lists: dict[int, tuple[Listing, ParsedList]] = {}  # lists by their identity
 
 
 class Node:
@@ -133,8 +133,8 @@
         name: str,
         zone: str,
         settings: Settings,
-        seeds: Random,
-        around: Surroundings,
+        seed_source: Random,
+        context: RunContext,
         sources: Sequence[Source],
         known: Listing,
         module: Module = Balancer,
@@ -147,15 +147,15 @@
         self.name = name
         self.zone = zone
         self.settings = settings
-        self.seeds = seeds
-        self.around = around
-        self.queue = around.queue
+        self.seed_source = seed_source
+        self.context = context
+        self.queue = context.queue
         self.sources = sources
         self.source = 0
         self.known = known  # what a process begins with: the list as the node last had it
-        self.kept, self.kept_of = LatestList(known), sources[0].number
+        self.stored_list, self.stored_list_source = LatestList(known), sources[0].number
         self.module = module
-        self.most = (sockets - RESERVED) // 2
+        self.max_connections = (sockets - RESERVED_DESCRIPTORS) // 2
         self.connect_time = connect_time
         self.idle_time = idle_time
         self.event_us = event_us
@@ -168,43 +168,43 @@
         self.starts = 0
         self.host: Host
         self.watch: Watch
-        self.make()
+        self.new_process()
 
     # ---- processes ------------------------------------------------------------------------------------
 
-    def make(self) -> None:
+    def new_process(self) -> None:
         """A new process. Its configuration gives the list as the node last had it."""
         self.up, self.ended, self.closing = False, False, False
-        self.known = self.kept.merged()
+        self.known = self.stored_list.merged()
         self.starts += 1
         self.upstream = Links(
             self.name,
             self.zone,
             self.queue,
-            self.around.standing,
-            self.around.way,
-            self.most,
+            self.context.servers_by_id,
+            self.context.delay,
+            self.max_connections,
             self.connect_time,
             self.idle_time,
-            self.turn,
+            self.schedule_event,
         )
         loop = cast("asyncio.AbstractEventLoop", self.queue)  # of which the Host asks for call_later alone
-        seed = self.seeds.getrandbits(64)
+        seed = self.seed_source.getrandbits(64)
         clock = VirtualClock(self.queue)
         self.host = Host(self.settings, seed, loop, self.upstream, self.log, clock, self.module)
-        self.roster = SharedRoster(self.host, self.upstream, self.around.zones, self.around.read)
+        self.roster = SharedRoster(self.host, self.upstream, self.context.zones, self.context.parsed_lists)
         source = self.sources[self.source]
-        way = self.around.way(self.zone, self.zone)
+        delay = self.context.delay(self.zone, self.zone)
         self.watch = Watch(
             self.name,
             source,
             self.known,
             self.settings.instances,
-            way,
+            delay,
             self.queue,
-            self.told,
-            self.handed,
-            self.around.numbers,
+            self.list_received,
+            self.list_written,
+            self.context.call_numbers,
         )
         self.host.directory = self.watch
         self.host.messenger = self
@@ -212,32 +212,32 @@
     def start(self) -> None:
         """The process is ready."""
         self.up = True
-        self.around.note(NodeUp(self.queue.now, self.name))
+        self.context.record(NodeUp(self.queue.now, self.name))
         self.host.start()
-        self.told(self.known)
+        self.list_received(self.known)
 
     def boot(self) -> None:
         """A further process starts, and is ready some time later."""
-        self.make()
-        self.queue.after(BOOT, self.start)
+        self.new_process()
+        self.queue.after(START_TIME, self.start)
 
     def kill(self) -> None:
         """The process ends at once, with all that it holds."""
         if not self.up:
             return
         self.signal("kill")
-        self.end(-9)
+        self.process_ended(-9)
 
     def signal(self, name: str) -> None:
-        self.around.note(NodeSignal(self.queue.now, self.name, name))
+        self.context.record(NodeSignal(self.queue.now, self.name, name))
 
-    def end(self, code: int) -> None:
+    def process_ended(self, code: int) -> None:
         """The process has ended. What it held is its clients' to hear of."""
         self.up, self.ended = False, True
-        self.around.note(NodeEnded(self.queue.now, self.name, code, True))
+        self.context.record(NodeEnded(self.queue.now, self.name, code, True))
         host = self.host
         calls = [call for call in host.calls.values() if call.open]
-        self.upstream.die(
+        self.upstream.kill(
             [
                 exchange_of(call.current_attempt)
                 for call in host.calls.values()
@@ -248,7 +248,7 @@
         host.calls.clear()
         for call in calls:
             call.open = False
-            cast(FleetCall, call).broken()
+            cast(FleetCall, call).on_broken()
 
     def terminate(self, ended: Callable[[], None]) -> None:
         """SIGTERM: what is taken is answered, then the process ends, or is killed when its time is over."""
@@ -258,73 +258,73 @@
         self.signal("term")
         self.host.conclude_by = last_moment(self.queue.now, self.settings.classes)
         by = self.queue.now + kill_after(self.settings.classes)
-        closes = self.queue.now + round(handover(self.settings.classes) * MICRO)
+        closes_at = self.queue.now + round(handover(self.settings.classes) * MICRO)
 
         def look() -> None:
             if not self.up:
                 ended()
                 return
-            self.closing = self.queue.now >= closes
+            self.closing = self.queue.now >= closes_at
             if self.queue.now >= by:
                 self.kill()
                 ended()
             elif self.closing and not any(call.open for call in self.host.calls.values()):
-                self.end(0)
+                self.process_ended(0)
                 ended()
             else:
-                self.queue.after(LOOK, look)
+                self.queue.after(EXIT_POLL_INTERVAL, look)
 
         look()
 
-    def move(self) -> None:
+    def reload_other_source(self) -> None:
         """SIGHUP, with the other discovery in its configuration."""
         self.source = (self.source + 1) % len(self.sources)
         if self.up:
             self.signal("hup")
-            self.watch.move(self.sources[self.source])
+            self.watch.switch_source(self.sources[self.source])
 
     # ---- events ---------------------------------------------------------------------------------------
 
-    def turn(self, action: Callable[..., None], *args: Any, cost: float = 0.0) -> None:
+    def schedule_event(self, action: Callable[..., None], *args: Any, cost: float = 0.0) -> None:
         """An event comes to the node, which handles it when its processor gets there."""
         took = self.event_us + cost
         if not took:
             action(*args)
             return
         self.busy_until = max(self.queue.now, self.busy_until) + round(took)
-        self.queue.at(self.busy_until, self.handle, self.host, action, args)
+        self.queue.at(self.busy_until, self.run_event, self.host, action, args)
 
-    def handle(self, host: Host, action: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def run_event(self, host: Host, action: Callable[..., None], args: tuple[Any, ...]) -> None:
         if host is self.host and self.up:
             action(*args)
 
-    def take(self, call: FleetCall) -> None:
+    def receive_call(self, call: FleetCall) -> None:
         """A client's request has come whole."""
         if self.up:
-            self.turn(self.host.take, call)
+            self.schedule_event(self.host.take, call)
         else:
-            call.broken()
+            call.on_broken()
 
-    def left(self, call: Call) -> None:
+    def client_left(self, call: Call) -> None:
         """A client has gone."""
         if self.up:
-            self.turn(self.host.client_left, call)
+            self.schedule_event(self.host.client_left, call)
 
-    def handed(self, source: int, listing: Listing) -> None:
+    def list_written(self, source: int, listing: Listing) -> None:
         """A source has written a list to the node; the highest version holds, as for the checker."""
-        if source != self.kept_of or listing.version >= self.kept.version:
-            self.kept_of = source
-            self.kept.apply(listing)
+        if source != self.stored_list_source or listing.version >= self.stored_list.version:
+            self.stored_list_source = source
+            self.stored_list.apply(listing)
 
-    def told(self, listing: Listing | None) -> None:
+    def list_received(self, listing: Listing | None) -> None:
         """News from discovery."""
         if self.up:
             cost = self.line_us * len(self.upstream.endpoints) if listing is not None else 0.0
-            self.turn(self.roster.apply_listing, listing, cost=cost)
+            self.schedule_event(self.roster.apply_listing, listing, cost=cost)
 
     def tell(self, peer: int, data: bytes) -> None:
         """A message to the others, from the host."""
-        self.around.tell(self, peer, data)
+        self.context.send_datagram(self, peer, data)
 
     def log(self, text: str) -> None:
         """What the host catches so that other calls go on is a fault of the run."""
@@ -335,27 +335,27 @@
 class Caller:
     """A server's calls to the next tier, through its own node. They are judged as any client's are."""
 
-    def __init__(self, node: Node, note: Callable[[Event], None]) -> None:
+    def __init__(self, node: Node, record: Callable[[Event], None]) -> None:
         self.node = node
-        self.note = note
+        self.record = record
         self.queue = node.queue
 
-    def call(self, attempt: Attempt, told: Callable[[bool], None]) -> Callable[[], None]:
+    def call(self, attempt: Attempt, on_result: Callable[[bool], None]) -> Callable[[], None]:
         """Passes a request on, with the time that is left of it."""
-        visitor = attempt.visitor
-        left = max(0, visitor.expires - self.queue.now) // 1000 * 1000
+        request = attempt.request
+        left = max(0, request.expires - self.queue.now) // 1000 * 1000
         # An id of its own, of which server and client can both say whose it is.
-        name = f"{attempt.number:x}.{visitor.id}"
+        name = f"{attempt.number:x}.{request.id}"
         over = False
 
         def answered(status: int, advice: float) -> None:
             nonlocal over
             if not over:
                 over = True
-                self.note(Answered(self.queue.now, name, status, True, advice))
-                told(status == 200)
+                self.record(Answered(self.queue.now, name, status, True, advice))
+                on_result(status == 200)
 
-        def broken() -> None:
+        def on_broken() -> None:
             """The node dies with its server."""
             nonlocal over
             over = True
@@ -364,10 +364,10 @@
             nonlocal over
             if not over:
                 over = True
-                self.note(GaveUp(self.queue.now, name, True))
-                self.node.left(call)
+                self.record(GaveUp(self.queue.now, name, True))
+                self.node.client_left(call)
 
-        call = FleetCall(name, visitor.klass, 0, left, False, answered, broken)
-        self.note(Sent(self.queue.now, name, self.node.name, visitor.klass, left, self.queue.now, False))
-        self.node.take(call)
+        call = FleetCall(name, request.klass, 0, left, False, answered, on_broken)
+        self.record(Sent(self.queue.now, name, self.node.name, request.klass, left, self.queue.now, False))
+        self.node.receive_call(call)
         return give_up
--- /dev/null
+++ b/brackenladder/fleet/overload.py
@@ -0,0 +1,89 @@
+"""A server that turns slow once it was crowded, and stays so until it rested: pure, the time is an argument.
+
+Crowded: in the mean of `over_s` more than cores + `at` x root of cores requests run or wait. From then on it
+works `slower` times slower, until its cores were busy under `below` in the mean of `rest_s`, or `most_s` is
+over. It happens once in a process's life.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from math import sqrt
+
+from brackenladder.rehearsal.plan import MICRO
+from brackenladder.rehearsal.scenario import Choke as ChokeTable
+
+
+class MovingAverage:
+    """The mean of a level over the last `span` microseconds; before it has lasted so long, 0 counts."""
+
+    __slots__ = ("span", "segments", "weighted_sum", "changed_at", "level")
+
+    def __init__(self, span: int, now: int) -> None:
+        self.span = span
+        self.segments: deque[tuple[int, int, int]] = deque()  # from, to, level
+        self.weighted_sum = 0
+        self.changed_at = now
+        self.level = 0
+
+    def update(self, now: int, level: int) -> float:
+        """The mean at `now`; from then on the level is this."""
+        if now > self.changed_at:
+            self.segments.append((self.changed_at, now, self.level))
+            self.weighted_sum += (now - self.changed_at) * self.level
+            self.changed_at = now
+        self.level = level
+        begin, segments = now - self.span, self.segments
+        while segments and segments[0][0] < begin:
+            start, end, was = segments.popleft()
+            self.weighted_sum -= (min(end, begin) - start) * was
+            if end > begin:
+                segments.appendleft((begin, end, was))
+                break
+        return self.weighted_sum / self.span
+
+
+class OverloadState:
+    """Of one process."""
+
+    __slots__ = (
+        "settings",
+        "threshold",
+        "held_average",
+        "busy_average",
+        "cores",
+        "slow_since",
+        "rested_from",
+        "finished",
+    )
+
+    def __init__(self, settings: ChokeTable, cores: int, now: int) -> None:
+        self.settings = settings
+        self.cores = cores
+        self.threshold = cores + settings.at * sqrt(cores)  # requests
+        self.held_average = MovingAverage(round(settings.over_s * MICRO), now)
+        self.busy_average = MovingAverage(round(settings.rest_s * MICRO), now)
+        self.slow_since = -1  # since when it is slow
+        self.finished = False
+
+    def observe(self, now: int, held: int, busy: int) -> None:
+        """From now on it holds so many requests, and so many cores work."""
+        if self.finished:
+            return
+        busy_mean = self.busy_average.update(now, busy) / self.cores
+        if self.slow_since < 0:
+            if self.held_average.update(now, held) > self.threshold:
+                self.slow_since = now
+        elif now - self.slow_since >= self.settings.most_s * MICRO or (
+            now - self.slow_since >= self.busy_average.span and busy_mean < self.settings.below
+        ):
+            self.finished = True
+
+    @property
+    def slow(self) -> bool:
+        return self.slow_since >= 0 and not self.finished
+
+    @property
+    def speed(self) -> float:
+        """The part of its speed that is left."""
+        return 1 / self.settings.slower if self.slow else 1.0
--- a/brackenladder/fleet/page.py
+++ b/brackenladder/fleet/page.py
@@ -17,8 +17,8 @@
 MOST_LINES = 8  # cells in one plot
 BAND = (10, 90)  # percentiles over the seeds
 SIZE = (9.0, 2.6)  # inches of a plot
-SWEPT = ("goodput", "refused", "attempts", "p99_ms", "cold")  # figures that a sweep shows
-COURSES: Mapping[str, tuple[str, ...]] = {  # plots by second: title and their series
+SWEEP_FIGURES = ("goodput", "refused", "attempts", "p99_ms", "cold")  # figures that a sweep shows
+SERIES_PLOTS: Mapping[str, tuple[str, ...]] = {  # plots by second: title and their series
     "Goodput: share of first tries answered in time": ("goodput",),
     "Worth earned, of what was offered": ("worth",),
     "Attempts at servers for each first try": ("attempts",),
@@ -34,22 +34,22 @@
 }
 
 Row = tuple[Cell, int, dict[str, float], dict[str, str]]
-Course = tuple[Cell, dict[str, list[float]]]
+RunSeries = tuple[Cell, dict[str, list[float]]]
 
 
-def page(asked: Experiment, rows: Sequence[Row], courses: Iterable[Course]) -> str:
+def page(experiment: Experiment, rows: Sequence[Row], run_series: Iterable[RunSeries]) -> str:
     """The page: figures by cell, verdicts, courses by second, sweeps over numbers."""
     environment = jinja2.Environment(autoescape=True, trim_blocks=True, lstrip_blocks=True)
     text = (files("brackenladder.fleet") / "page.html.j2").read_text()
-    cells = [cell for cell in asked.cells() if any(row[0] == cell for row in rows)]
-    with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": asked.title, "font.size": 8}):
+    cells = [cell for cell in experiment.cells() if any(row[0] == cell for row in rows)]
+    with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": experiment.title, "font.size": 8}):
         return environment.from_string(text).render(
-            title=asked.title,
-            scenario=asked.scenario,
+            title=experiment.title,
+            scenario=experiment.scenario,
             figures={name: what for name, (what, _) in FIGURES.items()},
             cells=[(name_of(cell), table(rows, cell), verdicts(rows, cell)) for cell in cells],
-            plots=list(by_second(cells, list(courses))),
-            sweeps=list(sweeps(asked, rows)),
+            plots=list(by_second(cells, list(run_series))),
+            sweeps=list(sweeps(experiment, rows)),
             most=MOST_LINES,
             left_out=max(0, len(cells) - MOST_LINES),
         )
@@ -72,21 +72,21 @@
     return out
 
 
-def drawn(figure: Figure) -> str:
+def svg_of(figure: Figure) -> str:
     """A figure as an SVG element, the same for the same data."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None, "Creator": None}, bbox_inches="tight")
     return out.getvalue()[out.getvalue().index("<svg") :]
 
 
-def by_second(cells: Sequence[Cell], courses: Sequence[Course]) -> Iterable[tuple[str, str]]:
+def by_second(cells: Sequence[Cell], run_series: Sequence[RunSeries]) -> Iterable[tuple[str, str]]:
     """Plots over the run: the mean over seeds; where one line is left, or for nodes, a band."""
-    for title, (name, *band) in COURSES.items():
+    for title, (name, *band) in SERIES_PLOTS.items():
         figure = Figure(figsize=SIZE)
         axes = figure.add_subplot()
         shown = 0
         for cell in cells[:MOST_LINES]:
-            mine = [found for at, found in courses if at == cell and found.get(name)]
+            mine = [found for at, found in run_series if at == cell and found.get(name)]
             if not mine:
                 continue
             shown += 1
@@ -104,23 +104,23 @@
         axes.set_ylim(bottom=0)
         axes.grid(alpha=0.3)
         axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
-        yield title, drawn(figure)
+        yield title, svg_of(figure)
 
 
-def stacked(courses: Sequence[Mapping[str, Sequence[float]]], name: str) -> np.ndarray:
+def stacked(run_series: Sequence[Mapping[str, Sequence[float]]], name: str) -> np.ndarray:
     """Seeds by seconds, cut to the shortest."""
-    length = min(len(course[name]) for course in courses)
-    return np.array([course[name][:length] for course in courses], dtype=float)
+    length = min(len(course[name]) for course in run_series)
+    return np.array([course[name][:length] for course in run_series], dtype=float)
 
 
-def sweeps(asked: Experiment, rows: Sequence[Row]) -> Iterable[tuple[str, str]]:
+def sweeps(experiment: Experiment, rows: Sequence[Row]) -> Iterable[tuple[str, str]]:
     """For each key with several numbers a plot of figures against it, a line for each rest of the grid."""
-    for key, values in asked.grid.items():
+    for key, values in experiment.grid.items():
         if len(values) < 2 or not all(isinstance(v, int | float) and not isinstance(v, bool) for v in values):
             continue
-        figure = Figure(figsize=(SIZE[0], 2.2 * len(SWEPT)))
-        for place, name in enumerate(SWEPT):
-            axes = figure.add_subplot(len(SWEPT), 1, place + 1)
+        figure = Figure(figsize=(SIZE[0], 2.2 * len(SWEEP_FIGURES)))
+        for place, name in enumerate(SWEEP_FIGURES):
+            axes = figure.add_subplot(len(SWEEP_FIGURES), 1, place + 1)
             lines: dict[Cell, dict[Value, list[float]]] = {}
             for cell, _, figures, _ in rows:
                 rest = tuple(pair for pair in cell if pair[0] != key)
@@ -141,4 +141,4 @@
             if not place:
                 axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
         axes.set_xlabel(key)
-        yield key, drawn(figure)
+        yield key, svg_of(figure)
--- a/brackenladder/fleet/queue.py
+++ b/brackenladder/fleet/queue.py
@@ -6,8 +6,8 @@
 from heapq import heappop, heappush
 from typing import Any
 
-MOST_AT_ONCE = 100_000  # events at one instant, after which time counts as standing still
-NAMED = 5  # of the events that keep it there
+MAX_EVENTS_PER_INSTANT = 100_000  # events at one instant, after which time counts as standing still
+NAMED_EVENTS = 5  # of the events that keep it there
 
 
 class Standstill(Exception):
@@ -35,14 +35,14 @@
     def __init__(self, now: int = 0) -> None:
         self.now = now
         self.heap: list[tuple[int, int, Timer]] = []
-        self.asked = 0
-        self.done = 0  # events that have happened
+        self.sequence = 0
+        self.executed = 0  # events that have happened
 
     def at(self, time: int, action: Callable[..., None], *args: Any) -> Timer:
         """An event at a time; now if it is over."""
         timer = Timer(action, args)
-        self.asked += 1
-        heappush(self.heap, (time if time > self.now else self.now, self.asked, timer))
+        self.sequence += 1
+        heappush(self.heap, (time if time > self.now else self.now, self.sequence, timer))
         return timer
 
     def after(self, delay: int, action: Callable[..., None], *args: Any) -> Timer:
@@ -56,26 +56,26 @@
     def run(self, until: int) -> None:
         """All events up to a time, which is then now. A Standstill if they do not get there."""
         heap = self.heap
-        here = 0
+        at_this_instant = 0
         while heap and heap[0][0] <= until:
             time, _, timer = heappop(heap)
             action = timer.action
             if action is None:
                 continue
             if time > self.now:
-                self.now, here = time, 0
-            here += 1
-            if here > MOST_AT_ONCE:
-                self.stuck(action)
-            self.done += 1
+                self.now, at_this_instant = time, 0
+            at_this_instant += 1
+            if at_this_instant > MAX_EVENTS_PER_INSTANT:
+                self.raise_standstill(action)
+            self.executed += 1
             action(*timer.args)
         self.now = max(self.now, until)
 
-    def stuck(self, action: Callable[..., None]) -> None:
+    def raise_standstill(self, action: Callable[..., None]) -> None:
         """Names what happens at this instant over and over."""
         names = [getattr(action, "__qualname__", str(action))]
-        for time, _, timer in sorted(self.heap[:NAMED]):
+        for time, _, timer in sorted(self.heap[:NAMED_EVENTS]):
             if time == self.now and timer.action is not None:
                 names.append(getattr(timer.action, "__qualname__", str(timer.action)))
         told = ", ".join(dict.fromkeys(names))
-        raise Standstill(f"time stands still at {self.now} us after {MOST_AT_ONCE} events: {told}")
+        raise Standstill(f"time stands still at {self.now} us after {MAX_EVENTS_PER_INSTANT} events: {told}")
--- a/brackenladder/fleet/streams.py
+++ b/brackenladder/fleet/random_streams.py
@@ -10,13 +10,13 @@
 import numpy as np
 
 
-class Streams:
+class RandomStreams:
     """Of one seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
 
-    def of(self, name: str) -> np.random.Generator:
+    def stream(self, name: str) -> np.random.Generator:
         """The stream of a component, from its beginning: the same in every process and on every machine."""
         word = int.from_bytes(blake2b(name.encode(), digest_size=16).digest(), "big")
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence([self.seed, word])))
--- a/brackenladder/fleet/rivals/__init__.py
+++ b/brackenladder/fleet/rivals/__init__.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable
 
-from brackenladder.fleet.rivals.base import Rival
-from brackenladder.fleet.rivals.cluster import Cluster
-from brackenladder.fleet.rivals.late import Late
+from brackenladder.fleet.rivals.base import BaselinePolicy
+from brackenladder.fleet.rivals.envoy_like import EnvoyLike
 from brackenladder.fleet.rivals.oracle import Oracle
 from brackenladder.fleet.rivals.simple import LeastOfTwo, RandomChoice, RoundRobin
+from brackenladder.fleet.rivals.stale_oracle import StaleOracle
 
-RIVALS: dict[str, Callable[..., Rival]] = {
+BASELINE_POLICIES: dict[str, Callable[..., BaselinePolicy]] = {
     "random": RandomChoice,
     "round-robin": RoundRobin,
     "least-of-two": LeastOfTwo,
-    "cluster": Cluster,
+    "cluster": EnvoyLike,
     "oracle": Oracle,
-    "late": Late,
+    "late": StaleOracle,
 }
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -19,7 +19,7 @@
 )
 
 
-class Sight(Protocol):
+class TrueStateView(Protocol):
     """The true state of the servers, for the rivals that are shown it. Times in microseconds."""
 
     def wait(self, server: int) -> int:
@@ -32,21 +32,21 @@
         """Whether it holds less than this share of what turns it slow."""
 
 
-class Member:
+class KnownServer:
     """A server as a rival knows it."""
 
-    __slots__ = ("entry", "in_flight", "seen_at", "fails_in_row", "ejected_until", "ejections")
+    __slots__ = ("entry", "in_flight", "known_since", "consecutive_failures", "ejected_until", "ejections")
 
     def __init__(self, entry: ServerEntry, now: int) -> None:
         self.entry = entry
         self.in_flight = 0
-        self.seen_at = now
-        self.fails_in_row = 0
+        self.known_since = now
+        self.consecutive_failures = 0
         self.ejected_until = 0
         self.ejections = 0
 
 
-class Open:
+class OpenRequest:
     """An open request."""
 
     __slots__ = ("id", "klass", "effect", "until", "attempts", "out", "ran_on", "ran_at", "sent_at")
@@ -57,42 +57,46 @@
         self.effect = effect
         self.until = until
         self.attempts = 0
-        self.out: Member | None = None
-        self.ran_on: Member | None = None
+        self.out: KnownServer | None = None
+        self.ran_on: KnownServer | None = None
         self.ran_at = 0
         self.sent_at = 0
 
 
-class Rival:
+class BaselinePolicy:
     """Sends each request to whom `pick` names, as often as the settings and its effect allow.
 
     `sight` is for the oracle and the one that sees late; all others are given none.
     """
 
-    def __init__(self, settings: Settings, seed: int, actions: Actions, sight: Sight | None = None) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, actions: Actions, true_state: TrueStateView | None = None
+    ) -> None:
         self.settings = settings
         self.actions = actions
         self.rng = Random(seed)
-        self.sight = sight
-        self.members: dict[int, Member] = {}  # those that are listed as ready
-        self.all: dict[int, Member] = {}  # and those that still have calls
-        self.requests: dict[int, Open] = {}
+        self.true_state = true_state
+        self.members: dict[int, KnownServer] = {}  # those that are listed as ready
+        self.all: dict[int, KnownServer] = {}  # and those that still have calls
+        self.requests: dict[int, OpenRequest] = {}
 
     # ---- what a rival decides -------------------------------------------------------------------------
 
-    def admits(self, now: int, r: Open) -> bool:
+    def admits(self, now: int, r: OpenRequest) -> bool:
         """Whether a first attempt is made at all."""
         return True
 
-    def may_retry(self, now: int, r: Open) -> bool:
+    def may_retry(self, now: int, r: OpenRequest) -> bool:
         """Whether a further attempt is made, where it is allowed."""
         return True
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         """One of the members, in the order of their numbers; None to refuse."""
         raise NotImplementedError
 
-    def ended(self, now: int, r: Open | None, member: Member, outcome: Outcome, latency: int) -> None:
+    def ended(
+        self, now: int, r: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
+    ) -> None:
         """An attempt ended."""
 
     # ---- events ---------------------------------------------------------------------------------------
@@ -112,14 +116,14 @@
             if entry.state == State.READY:
                 known = self.all.get(entry.server)
                 if known is None or known.entry.ready_at != entry.ready_at:
-                    known = Member(entry, now)
+                    known = KnownServer(entry, now)
                 self.members[entry.server] = self.all[entry.server] = known
         for number in [n for n, m in self.all.items() if n not in self.members and not m.in_flight]:
             del self.all[number]
         self.members = dict(sorted(self.members.items()))
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        r = Open(request, klass, self.settings.classes[klass].effect, now + time_left)
+        r = OpenRequest(request, klass, self.settings.classes[klass].effect, now + time_left)
         self.requests[request] = r
         if self.admits(now, r):
             self.attempt(now, r)
@@ -177,7 +181,7 @@
 
     # ---- a request's life -----------------------------------------------------------------------------
 
-    def among(self, r: Open) -> list[Member]:
+    def among(self, r: OpenRequest) -> list[KnownServer]:
         """The members that this request may go to."""
         first = r.ran_on
         if first is None or r.effect != Effect.KEYED:
@@ -194,7 +198,7 @@
             )
         ]
 
-    def attempt(self, now: int, r: Open) -> None:
+    def attempt(self, now: int, r: OpenRequest) -> None:
         among = self.among(r)
         member = self.pick(now, r, among) if among else None
         if member is None:
@@ -206,7 +210,7 @@
         r.attempts += 1
         self.actions.send(r.id, member.entry.server, r.until - now)
 
-    def finish(self, r: Open, refuse: bool) -> None:
+    def finish(self, r: OpenRequest, refuse: bool) -> None:
         del self.requests[r.id]
         if refuse:
             wait = self.settings.classes[r.klass].aim // 8 if self.settings.retry_after else 0
--- a/brackenladder/fleet/rivals/members.py
+++ b/brackenladder/fleet/rivals/detectors.py
@@ -16,16 +16,16 @@
 from brackenladder.cluster.suspicion import Suspicion
 from brackenladder.cluster.view import State
 
-EVERY = 1_000_000  # microseconds between two heartbeats
-FIXED = 3_000_000  # of silence that is death
-BEAT = bytes(31)  # as long as a frame without messages
+HEARTBEAT_INTERVAL = 1_000_000  # microseconds between two heartbeats
+DEATH_SILENCE = 3_000_000  # of silence that is death
+HEARTBEAT = bytes(31)  # as long as a frame without messages
 SAMPLES = 50  # gaps between heartbeats that phi looks at
 PHI = 8.0  # the authors' usual threshold
 LEAST_DEVIATION = 100_000.0  # microseconds
-SUSPECTED = 2_150_000  # SWIM's fixed time, the least of this project's
+SWIM_SUSPICION_TIME = 2_150_000  # SWIM's fixed time, the least of this project's
 
 
-class Heartbeats:
+class HeartbeatDetector:
     """All to all; who is silent for FIXED is dead, until it is heard again."""
 
     def __init__(
@@ -42,22 +42,22 @@
         self.send, self.changed = send, changed
         self.heard = [now] * size
         self.gone: set[int] = set()
-        self.next = now + rng.randrange(EVERY)
+        self.next = now + rng.randrange(HEARTBEAT_INTERVAL)
 
     def tick(self, now: int) -> None:
         if now < self.next:
             return
-        self.next = max(self.next + EVERY, now)
+        self.next = max(self.next + HEARTBEAT_INTERVAL, now)
         for number in range(self.size):
             if number == self.own:
                 continue
-            self.send(number, BEAT)
+            self.send(number, HEARTBEAT)
             if number not in self.gone and self.silent(number, now):
                 self.gone.add(number)
                 self.changed(Transition(now, number, "alive", "dead", 0, 0, "silence"))
 
     def silent(self, number: int, now: int) -> bool:
-        return now - self.heard[number] > FIXED
+        return now - self.heard[number] > DEATH_SILENCE
 
     def datagram(self, number: int, data: bytes, now: int) -> None:
         self.heard[number] = now
@@ -70,7 +70,7 @@
         return set(self.gone)
 
 
-class Phi(Heartbeats):
+class PhiAccrualDetector(HeartbeatDetector):
     """The same heartbeats, and a time that follows how regular they were."""
 
     def __init__(
@@ -84,7 +84,7 @@
         changed: Callable[[Transition], None],
     ) -> None:
         super().__init__(own, size, epoch, now, rng, send, changed)
-        self.gaps: list[deque[int]] = [deque([EVERY], maxlen=SAMPLES) for _ in range(size)]
+        self.gaps: list[deque[int]] = [deque([HEARTBEAT_INTERVAL], maxlen=SAMPLES) for _ in range(size)]
 
     def datagram(self, number: int, data: bytes, now: int) -> None:
         self.gaps[number].append(now - self.heard[number])
@@ -102,10 +102,10 @@
     """One time for all, whoever confirms."""
 
     def deadline(self, queue_time: int = 0) -> int:
-        return self.since + SUSPECTED
+        return self.since + SWIM_SUSPICION_TIME
 
 
-class Swim(Detector):
+class SwimDetector(Detector):
     """No local health, a fixed time, the suspect is not told first.
 
     Whoever wakes believes what it had believed.
@@ -119,7 +119,7 @@
         for number, suspicion in self.suspicions.items():
             if not isinstance(suspicion, FixedSuspicion):
                 self.suspicions[number] = FixedSuspicion(suspicion.since, self.own, 0)
-        self.next_dead = self.next_sync = now + EVERY
+        self.next_dead = self.next_sync = now + HEARTBEAT_INTERVAL
         self.heard_at.clear()  # only an answer counts
         super().tick(now)
 
--- a/brackenladder/fleet/rivals/cluster.py
+++ b/brackenladder/fleet/rivals/envoy_like.py
@@ -5,7 +5,7 @@
 
 from math import ceil, sqrt
 
-from brackenladder.fleet.rivals.base import Member, Open, Rival
+from brackenladder.fleet.rivals.base import BaselinePolicy, KnownServer, OpenRequest
 from brackenladder.interface import Outcome
 
 EJECT_AFTER = 5  # failures in a row
@@ -24,7 +24,7 @@
 GRADIENT = (0.5, 2.0)
 
 
-class Cluster(Rival):
+class EnvoyLike(BaselinePolicy):
     """The source of this project's design, as it is meant: one node, alone before a cluster."""
 
     limit = float(MIN_RTT_LIMIT)
@@ -41,16 +41,16 @@
         self.retrying: set[int] = set()
         self.window_at = self.measured_at = now
 
-    def admits(self, now: int, r: Open) -> bool:
+    def admits(self, now: int, r: OpenRequest) -> bool:
         return self.open < (MIN_RTT_LIMIT if self.measuring else int(self.limit))
 
-    def may_retry(self, now: int, r: Open) -> bool:
+    def may_retry(self, now: int, r: OpenRequest) -> bool:
         if len(self.retrying) >= max(RETRY_LEAST, RETRY_BUDGET * len(self.requests)):
             return False
         self.retrying.add(r.id)
         return True
 
-    def weight(self, now: int, member: Member) -> float:
+    def weight(self, now: int, member: KnownServer) -> float:
         """Slow start over the time in which a server gets warm."""
         window = self.settings.cold_time
         age = now - member.entry.ready_at
@@ -58,7 +58,7 @@
             return 1.0
         return max(SLOW_START_LEAST, age / window)
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         able = [m for m in among if m.ejected_until <= now] or among
         first, second = (able[int(self.rng.random() * len(able))] for _ in range(2))
         a = (first.in_flight + 1) / self.weight(now, first)
@@ -66,19 +66,21 @@
         self.open += 1
         return first if a <= b else second
 
-    def ended(self, now: int, r: Open | None, member: Member, outcome: Outcome, latency: int) -> None:
+    def ended(
+        self, now: int, r: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
+    ) -> None:
         self.open -= 1
         if r is not None and (outcome == Outcome.OK or r.attempts > 1):
             self.retrying.discard(r.id)
         if outcome in (Outcome.OK, Outcome.REJECTED):
-            member.fails_in_row = 0
+            member.consecutive_failures = 0
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            member.fails_in_row += 1
+            member.consecutive_failures += 1
             out = sum(m.ejected_until > now for m in self.members.values())
-            if member.fails_in_row >= EJECT_AFTER and out < max(1, EJECT_SHARE * len(self.members)):
+            if member.consecutive_failures >= EJECT_AFTER and out < max(1, EJECT_SHARE * len(self.members)):
                 member.ejections += 1
                 member.ejected_until = now + EJECT_TIME * member.ejections
-                member.fails_in_row = 0
+                member.consecutive_failures = 0
         if outcome == Outcome.OK:
             self.sample(now, latency)
 
--- a/brackenladder/fleet/rivals/simple.py
+++ b/brackenladder/fleet/rivals/simple.py
@@ -2,31 +2,31 @@
 
 from __future__ import annotations
 
-from brackenladder.fleet.rivals.base import Member, Open, Rival
+from brackenladder.fleet.rivals.base import BaselinePolicy, KnownServer, OpenRequest
 
 
-class RandomChoice(Rival):
+class RandomChoice(BaselinePolicy):
     """Any member, all alike."""
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         return among[int(self.rng.random() * len(among))]
 
 
-class RoundRobin(Rival):
+class RoundRobin(BaselinePolicy):
     """One after another, from a drawn place on."""
 
     turn = -1
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         if self.turn < 0:
             self.turn = int(self.rng.random() * len(among))
         self.turn += 1
         return among[self.turn % len(among)]
 
 
-class LeastOfTwo(Rival):
+class LeastOfTwo(BaselinePolicy):
     """Of two drawn members the one with fewer of this node's calls (Mitzenmacher, 2001)."""
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         first, second = (among[int(self.rng.random() * len(among))] for _ in range(2))
         return first if first.in_flight <= second.in_flight else second
--- a/brackenladder/fleet/rivals/late.py
+++ b/brackenladder/fleet/rivals/stale_oracle.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from brackenladder.fleet.rivals.base import Member, Open, Rival
+from brackenladder.fleet.rivals.base import BaselinePolicy, KnownServer, OpenRequest
 
-LATE = 400_000  # microseconds between two looks at a server
-LOOKED_AT = 6  # servers that a request may go to: all of them would send it where all others go
-ROOM = 0.7  # of what turns a server slow may be held there
+STALENESS = 400_000  # microseconds between two looks at a server
+SAMPLED_SERVERS = 6  # servers that a request may go to: all of them would send it where all others go
+ROOM_SHARE = 0.7  # of what turns a server slow may be held there
 
 
-class Late(Rival):
+class StaleOracle(BaselinePolicy):
     """Of a few servers drawn the one whose queue was shortest when last seen; refused where none is in time.
 
     It keeps servers below what turns them slow. Of the time left it leaves each further tier an equal part.
@@ -21,23 +21,23 @@
         """A server's wait and whether it has room, as last seen, with what this node sent there since."""
         if not hasattr(self, "seen"):
             self.seen = {}
-        at, wait, room = self.seen.get(server, (-LATE, 0, True))
-        if now - at >= LATE:
-            assert self.sight is not None
-            at, wait, room = now, self.sight.wait(server), self.sight.room(server, ROOM)
+        at, wait, room = self.seen.get(server, (-STALENESS, 0, True))
+        if now - at >= STALENESS:
+            assert self.true_state is not None
+            at, wait, room = now, self.true_state.wait(server), self.true_state.room(server, ROOM_SHARE)
             self.seen[server] = at, wait, room
         return max(0, wait - (now - at)), room
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
-        assert self.sight is not None
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
+        assert self.true_state is not None
         s = self.settings
-        drawn = among if len(among) <= LOOKED_AT else self.rng.sample(among, LOOKED_AT)
-        best: tuple[int, int, Member] | None = None
+        drawn = among if len(among) <= SAMPLED_SERVERS else self.rng.sample(among, SAMPLED_SERVERS)
+        best: tuple[int, int, KnownServer] | None = None
         for m in drawn:
             number = m.entry.server
             wait, room = self.look(now, number)
             if room:
-                work = self.sight.work(r.id, number)
+                work = self.true_state.work(r.id, number)
                 end = (wait + work * (1 + m.in_flight), number, m)
                 if best is None or end[:2] < best[:2]:
                     best = end
@@ -46,5 +46,5 @@
         if best is None or best[0] > left / (s.tiers - s.tier):
             return None
         at, wait, room = self.seen[best[1]]
-        self.seen[best[1]] = at, wait + self.sight.work(r.id, best[1]) // 2, room
+        self.seen[best[1]] = at, wait + self.true_state.work(r.id, best[1]) // 2, room
         return best[2]
--- a/brackenladder/fleet/chase.py
+++ b/brackenladder/fleet/schedule_search.py
@@ -16,22 +16,22 @@
 import msgspec
 import tomli_w
 
-from brackenladder.fleet.hunt import Schedule, digest, drawn, mutated, readable, shrunk
 from brackenladder.fleet.model import play
 from brackenladder.fleet.queue import Standstill
+from brackenladder.fleet.schedules import Schedule, digest, mutate, random_schedule, shrink, to_scenario
 from brackenladder.fleet.variants import variant
 from brackenladder.rehearsal.checker import check
 from brackenladder.rehearsal.report import terms_of
 from brackenladder.rehearsal.scenario import LARGEST_FILE, ScenarioError
 
 SEED = 1  # of every run of a hunt: what differs stands in the schedule, so that its file replays it
-KEPT = 48  # schedules that came nearest, from which others are made
-FRESH = 0.3  # of the schedules are drawn anew
-LEAST_SHRINK = 20.0  # seconds for a break that is found as the hunt ends
-AHEAD = 2  # schedules handed out for each worker
+MAX_POPULATION = 48  # schedules that came nearest, from which others are made
+NEW_SHARE = 0.3  # of the schedules are drawn anew
+MIN_SHRINK_TIME = 20.0  # seconds for a break that is found as the hunt ends
+QUEUED_PER_WORKER = 2  # schedules handed out for each worker
 
 
-class Judged(msgspec.Struct, frozen=True):
+class PlayedSchedule(msgspec.Struct, frozen=True):
     """A schedule and what came of it: how near it was to a break, and the rules that broke, or `fault`."""
 
     schedule: Schedule
@@ -40,7 +40,7 @@
     valid: bool = True
 
 
-class Break(msgspec.Struct, frozen=True):
+class MinimalBreak(msgspec.Struct, frozen=True):
     """A break, as small as it could be made."""
 
     rule: str
@@ -49,32 +49,34 @@
     tried: int
 
 
-def judged(schedule: Schedule, policy: str, seed: int = SEED) -> Judged:
+def play_schedule(schedule: Schedule, policy: str, seed: int = SEED) -> PlayedSchedule:
     """Plays a schedule."""
-    scenario = readable(schedule)
+    scenario = to_scenario(schedule)
     if scenario is None:
-        return Judged(schedule, (), 0.0, valid=False)
+        return PlayedSchedule(schedule, (), 0.0, valid=False)
     try:
         result = play(scenario, seed, variant(policy, "", {}))
     except ScenarioError:  # more targets than there are
-        return Judged(schedule, (), 0.0, valid=False)
+        return PlayedSchedule(schedule, (), 0.0, valid=False)
     except Standstill:
-        return Judged(schedule, ("standstill",), 1.0)
+        return PlayedSchedule(schedule, ("standstill",), 1.0)
     report = check(result.events, terms_of(scenario))
     broke = [str(rule) for rule, ruling in report.rulings.items() if ruling.broken]
     if result.crashed:
         broke.append("fault")
     edges = sum(ruling.edges for ruling in report.rulings.values())
     near = max(report.rulings["cold"].nearest, min(0.9, 0.3 * edges))
-    return Judged(schedule, tuple(broke), near)
+    return PlayedSchedule(schedule, tuple(broke), near)
 
 
-def smallest(schedule: Schedule, rule: str, policy: str, seed: int = SEED, until: float = inf) -> Break:
+def minimal_break(
+    schedule: Schedule, rule: str, policy: str, seed: int = SEED, until: float = inf
+) -> MinimalBreak:
     """Shrinks a schedule that breaks a rule; what it has come to by `until` (of `monotonic`) stands."""
-    least, tried = shrunk(
-        schedule, lambda s: rule in judged(s, policy, seed).broke, lambda: monotonic() < until
+    smallest, tried = shrink(
+        schedule, lambda s: rule in play_schedule(s, policy, seed).broke, lambda: monotonic() < until
     )
-    return Break(rule, least, schedule, tried)
+    return MinimalBreak(rule, smallest, schedule, tried)
 
 
 def without_none(value: Any) -> Any:
@@ -101,19 +103,19 @@
             except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as e:
                 raise ScenarioError(f"{path}: not TOML: {e}") from None
             full = {"length_s", "nodes", "zones", "servers", "discovery", "clients", "faults"}
-            if not full <= set(schedule) or readable(schedule) is None:
+            if not full <= set(schedule) or to_scenario(schedule) is None:
                 raise ScenarioError(f"{path}: not a schedule of a hunt")
             found.append(schedule)
         return found
 
-    def keep(self, name: str, schedule: Schedule) -> Path:
+    def save(self, name: str, schedule: Schedule) -> Path:
         path = self.folder / f"{name}.toml"
         new = path.with_suffix(".new")
         new.write_bytes(tomli_w.dumps(without_none(schedule)).encode())
         os.replace(new, path)
         return path
 
-    def keep_near(self, population: list[Judged]) -> None:
+    def save_nearest(self, population: list[PlayedSchedule]) -> None:
         """Those that came nearest, in place of those that were kept before."""
         names = {f"near-{digest(j.schedule)}": j.schedule for j in population}
         for path in self.folder.glob("near-*.toml"):
@@ -121,15 +123,15 @@
                 path.unlink()
         for name, schedule in names.items():
             if not (self.folder / f"{name}.toml").exists():
-                self.keep(name, schedule)
+                self.save(name, schedule)
 
 
-def opaque(future: Future[Any]) -> Future[Any]:
+def as_any(future: Future[Any]) -> Future[Any]:
     """For a set of futures of several results."""
     return future
 
 
-class Hunt:
+class ScheduleSearch:
     """One hunt. `told` hears of each break once it is small, `progress` of the counts."""
 
     def __init__(
@@ -137,61 +139,67 @@
         corpus: Corpus,
         seed: int,
         policy: str,
-        told: Callable[[Break, Path], None],
+        on_break: Callable[[MinimalBreak, Path], None],
         progress: Callable[[int, float, float], None],
     ) -> None:
         self.corpus = corpus
         self.rng = Random(f"hunt {seed}")
         self.policy = policy
-        self.told = told
+        self.on_break = on_break
         self.progress = progress
-        self.population: list[Judged] = []
+        self.population: list[PlayedSchedule] = []
         self.played = self.invalid = 0
         self.broken: dict[str, int] = {}
 
-    def next(self) -> Schedule:
-        if not self.population or self.rng.random() < FRESH:
-            return drawn(self.rng)
-        return mutated(self.rng.choice(self.population).schedule, self.rng)
+    def next_schedule(self) -> Schedule:
+        if not self.population or self.rng.random() < NEW_SHARE:
+            return random_schedule(self.rng)
+        return mutate(self.rng.choice(self.population).schedule, self.rng)
 
-    def go(self, seconds: float, jobs: int) -> None:
+    def run(self, seconds: float, jobs: int) -> None:
         """Hunts for so long, and LEAST_SHRINK more if a break is found near the end."""
-        known = self.corpus.load()
+        loaded = self.corpus.load()
         number = jobs or os.cpu_count() or 1
         until = monotonic() + seconds
-        out: set[Future[Judged]] = set()
-        shrinking: set[Future[Break]] = set()
+        running: set[Future[PlayedSchedule]] = set()
+        shrinking: set[Future[MinimalBreak]] = set()
         with ProcessPoolExecutor(number, mp_context=multiprocessing.get_context("spawn")) as pool:
             while True:
-                while len(out) < AHEAD * number and monotonic() < until:
-                    out.add(pool.submit(judged, known.pop() if known else self.next(), self.policy))
-                if not out and not shrinking:
+                while len(running) < QUEUED_PER_WORKER * number and monotonic() < until:
+                    running.add(
+                        pool.submit(
+                            play_schedule, loaded.pop() if loaded else self.next_schedule(), self.policy
+                        )
+                    )
+                if not running and not shrinking:
                     break
-                wait({*map(opaque, out), *map(opaque, shrinking)}, return_when=FIRST_COMPLETED)
-                for future in [f for f in out if f.done()]:
-                    out.discard(future)
+                wait({*map(as_any, running), *map(as_any, shrinking)}, return_when=FIRST_COMPLETED)
+                for future in [f for f in running if f.done()]:
+                    running.discard(future)
                     found = future.result()
-                    self.learn(found)
+                    self.record(found)
                     for rule in found.broke:
                         # One of each rule at a time: most of what breaks it is the same.
                         if self.broken.setdefault(rule, 0) == 0:
-                            by = max(until, monotonic() + LEAST_SHRINK)
-                            shrinking.add(pool.submit(smallest, found.schedule, rule, self.policy, SEED, by))
+                            by = max(until, monotonic() + MIN_SHRINK_TIME)
+                            shrinking.add(
+                                pool.submit(minimal_break, found.schedule, rule, self.policy, SEED, by)
+                            )
                         self.broken[rule] += 1
-                for small in [f for f in shrinking if f.done()]:
-                    shrinking.discard(small)
-                    least = small.result()
-                    name = f"break-{least.rule}-{digest(least.schedule)}"
-                    self.told(least, self.corpus.keep(name, least.schedule))
+                for shrunk in [f for f in shrinking if f.done()]:
+                    shrinking.discard(shrunk)
+                    smallest = shrunk.result()
+                    name = f"break-{smallest.rule}-{digest(smallest.schedule)}"
+                    self.on_break(smallest, self.corpus.save(name, smallest.schedule))
                 nearest = max((j.near for j in self.population), default=0.0)
                 self.progress(self.played, nearest, until - monotonic())
-        self.corpus.keep_near(self.population)
+        self.corpus.save_nearest(self.population)
 
-    def learn(self, found: Judged) -> None:
+    def record(self, found: PlayedSchedule) -> None:
         """Keeps a schedule that came near; one that broke is kept elsewhere."""
         self.played += found.valid
         self.invalid += not found.valid
         if found.valid and not found.broke and found.near > 0:
             self.population.append(found)
             self.population.sort(key=lambda j: (-j.near, digest(j.schedule)))
-            del self.population[KEPT:]
+            del self.population[MAX_POPULATION:]
--- a/brackenladder/fleet/hunt.py
+++ b/brackenladder/fleet/schedules.py
@@ -53,7 +53,7 @@
 SMALL = 0.05  # a shorter time than this, in seconds, is not worth a try
 
 
-def drawn(rng: Random) -> Schedule:
+def random_schedule(rng: Random) -> Schedule:
     """A new schedule."""
     servers, cores, nodes = rng.randint(*SERVERS), rng.choice((1, 2, 4)), rng.randint(*NODES)
     length = round(rng.uniform(*LENGTH_S), 1)
@@ -83,15 +83,16 @@
             "leave": rng.choice((0.0, 0.0, 0.05, 0.3)),
             "drop": rng.choice((0.0, 0.1)),
             "hot": rng.choice((0.0, 0.0, 0.3)),
-            "surges": surges(rng, length),
+            "surges": random_surges(rng, length),
         },
         "faults": sorted(
-            (fault(rng, length, servers, nodes) for _ in range(rng.randint(*FAULTS))), key=lambda f: f["at_s"]
+            (random_fault(rng, length, servers, nodes) for _ in range(rng.randint(*FAULTS))),
+            key=lambda f: f["at_s"],
         ),
     }
 
 
-def surges(rng: Random, length: float) -> list[Schedule]:
+def random_surges(rng: Random, length: float) -> list[Schedule]:
     """None, or one."""
     if rng.random() < 0.7:
         return []
@@ -99,7 +100,7 @@
     return [{"at_s": round(at, 2), "for_s": round(lasts, 2), "times": round(times, 2)}]
 
 
-def fault(rng: Random, length: float, servers: int, nodes: int) -> Schedule:
+def random_fault(rng: Random, length: float, servers: int, nodes: int) -> Schedule:
     kind = rng.choice(sorted(KINDS))
     lasts, share = KINDS[kind]
     return {
@@ -111,15 +112,15 @@
     }
 
 
-def mutated(schedule: Schedule, rng: Random) -> Schedule:
+def mutate(schedule: Schedule, rng: Random) -> Schedule:
     """One to three changes: a fault more, less or other, or another figure from a fresh draw."""
     new = deepcopy(schedule)
-    fresh = drawn(rng)
+    fresh = random_schedule(rng)
     for _ in range(rng.randint(1, 3)):
         what = rng.choice(("add", "remove", "move", "figure", "figure", "load"))
         faults = new["faults"]
         if what == "add" and len(faults) < 2 * FAULTS[1]:
-            faults.append(fault(rng, new["length_s"], new["servers"]["count"], new["nodes"]))
+            faults.append(random_fault(rng, new["length_s"], new["servers"]["count"], new["nodes"]))
         elif what == "remove" and len(faults) > 1:
             faults.pop(rng.randrange(len(faults)))
         elif what == "move":
@@ -138,7 +139,7 @@
     return new
 
 
-def readable(schedule: Schedule) -> Scenario | None:
+def to_scenario(schedule: Schedule) -> Scenario | None:
     """The scenario, unless its parts do not go together."""
     try:
         scenario = msgspec.convert(schedule, Scenario)
@@ -147,7 +148,7 @@
     return None if impossible(scenario) else scenario
 
 
-def smaller(schedule: Schedule) -> Iterator[Schedule]:
+def reductions(schedule: Schedule) -> Iterator[Schedule]:
     """Schedules with less in them, the greatest steps first."""
 
     def but(change: Callable[[Schedule], None]) -> Schedule:
@@ -198,17 +199,17 @@
             yield but(lambda s, i=i: s["faults"][i].__setitem__("share", 1.0))  # type: ignore[misc]
 
 
-def shrunk(
+def shrink(
     schedule: Schedule, shows: Callable[[Schedule], bool], may_go_on: Callable[[], bool] = lambda: True
 ) -> tuple[Schedule, int]:
     """The smallest schedule on the way that still shows it, and how many were tried."""
     tried = 0
     while True:
-        for less in smaller(schedule):
+        for less in reductions(schedule):
             if tried >= MOST_SHRINKS or not may_go_on():
                 return schedule, tried
             tried += 1
-            if readable(less) is not None and shows(less):
+            if to_scenario(less) is not None and shows(less):
                 schedule = less
                 break
         else:
