--- a/brackenladder/fleet/servers.py
+++ b/brackenladder/fleet/servers.py
@@ -12,38 +12,38 @@
 from random import Random
 from typing import Protocol
 
-from brackenladder.fleet.choke import Choke
+from brackenladder.fleet.overload import OverloadState
 from brackenladder.fleet.queue import Queue
 from brackenladder.rehearsal.checker import capacity_between
 from brackenladder.rehearsal.events import Arrived, Begun, Closed, Down, Event, Replied, Up
 from brackenladder.rehearsal.plan import MICRO, ServerPlan, Step, work_of
 from brackenladder.rehearsal.scenario import Class, Rules
-from brackenladder.rehearsal.scenario import Servers as ServersTable
+from brackenladder.rehearsal.scenario import Servers as ServerSettings
 
-CUT = 5_000  # microseconds in which the first part of an answer goes out before the reset
-DRIP = 20_000  # between two bytes of an answer that drips
+RESET_DELAY = 5_000  # microseconds in which the first part of an answer goes out before the reset
+DRIP_INTERVAL = 20_000  # between two bytes of an answer that drips
 ANSWER_BYTES = 180  # of an answer, as the stand-ins write it
-HELD_BEFORE = 300_000  # microseconds before a drain that answers are held back for
-SHUT = ("closed", "backlog", "reset-early")
+HELD_BEFORE_DRAIN = 300_000  # microseconds before a drain that answers are held back for
+REFUSING_FAULTS = ("closed", "backlog", "reset-early")
 
 
 class Connection(Protocol):
     """A node's connection, as its server sees it."""
 
-    shut: bool
-    limited: bool
-    early: bool
-    holds: object
+    closed_at_server: bool
+    over_limit: bool
+    reset_on_request: bool
+    attempt_open: object
 
     @property
     def node(self) -> str:
         """Whose it is."""
 
-    def lost(self) -> None:
+    def closed_by_server(self) -> None:
         """The server's end has come to the node."""
 
 
-class Visitor(Protocol):
+class IncomingRequest(Protocol):
     """A node's attempt, as its server sees it."""
 
     id: str
@@ -54,25 +54,25 @@
         """The last byte of the answer has come: served, error or rejected. `keep`: the connection stays."""
 
 
-class Below(Protocol):
+class NextTier(Protocol):
     """The server's own node, before the next tier."""
 
-    def call(self, attempt: Attempt, told: Callable[[bool], None]) -> Callable[[], None]:
+    def call(self, attempt: Attempt, on_result: Callable[[bool], None]) -> Callable[[], None]:
         """Calls there; `told` hears once whether it was served. What is returned gives the call up."""
 
 
 class Attempt:
     """A request that has come whole."""
 
-    __slots__ = ("number", "visitor", "link", "work", "done", "give_up", "called")
+    __slots__ = ("number", "request", "link", "work", "done", "give_up", "next_tier_answered")
 
-    def __init__(self, number: int, visitor: Visitor, link: Connection, work: int) -> None:
+    def __init__(self, number: int, request: IncomingRequest, link: Connection, work: int) -> None:
         self.number = number
-        self.visitor = visitor
+        self.request = request
         self.link = link
         self.work = work
         self.done = False
-        self.called = False  # the next tier has answered
+        self.next_tier_answered = False  # the next tier has answered
         self.give_up: Callable[[], None] | None = None  # of its call to the next tier
 
 
@@ -82,75 +82,75 @@
     def __init__(
         self,
         plan: ServerPlan,
-        table: ServersTable,
+        settings: ServerSettings,
         rules: Rules,
         classes: Sequence[Class],
         steps: list[Step],
         queue: Queue,
         begin: int,
-        note: Callable[[Event], None],
+        record: Callable[[Event], None],
         number: Callable[[], int],
-        way: Callable[[str], int],
-        fell: Callable[[ServerPlan], None],
+        delay_to: Callable[[str], int],
+        on_overloaded: Callable[[ServerPlan], None],
     ) -> None:
         self.plan = plan
-        self.table = table
+        self.settings = settings
         self.rules = rules
         self.classes = classes
         self.steps = steps
         self.queue = queue
         self.begin = begin
-        self.note = note
+        self.record = record
         self.number = number
-        self.way = way  # microseconds to a node by its name
-        self.fell = fell
-        self.below: Below | None = None
+        self.delay_to = delay_to  # microseconds to a node by its name
+        self.on_overloaded = on_overloaded
+        self.next_tier: NextTier | None = None
         self.alive = False  # takes connections
         self.vanished = False
-        self.life = 0
+        self.incarnation = 0
         self.cold_since = -1
-        self.up: Up | None = None
-        self.running = 0
+        self.up_event: Up | None = None
+        self.busy_cores = 0
         self.slow = False
-        self.choke: Choke | None = None
-        self.slots = table.slots
-        self.inside = 0  # slots that are taken
-        self.ready: deque[Attempt] = deque()  # in a slot, and waiting for a core
+        self.overload: OverloadState | None = None
+        self.slots = settings.slots
+        self.slots_taken = 0  # slots that are taken
+        self.slot_queue: deque[Attempt] = deque()  # in a slot, and waiting for a core
         self.busy_until: list[int] = []  # of the cores that work
         self.waiting: deque[Attempt] = deque()
-        self.open: set[Attempt] = set()
+        self.open_attempts: set[Attempt] = set()
         self.links: dict[Connection, None] = {}
-        self.came: deque[tuple[int, int]] = deque()  # to a cold process: time and work
-        self.came_work = 0
-        self.cuts = [step for step in steps if step.kind == "cut"]
+        self.cold_arrivals: deque[tuple[int, int]] = deque()  # to a cold process: time and work
+        self.cold_arrived_work = 0
+        self.cut_faults = [step for step in steps if step.kind == "cut"]
 
     # ---- life -----------------------------------------------------------------------------------------
 
-    def rise(self, started_ms: int, cold: bool) -> None:
+    def start(self, started_ms: int, cold: bool) -> None:
         """The process starts."""
         self.alive, self.vanished, self.slow = True, False, False
-        self.life += 1
+        self.incarnation += 1
         self.cold_since = self.queue.now if cold else -1
-        self.running = self.inside = 0
+        self.busy_cores = self.slots_taken = 0
         self.busy_until.clear()
-        if self.table.choke is not None:
-            self.choke = Choke(self.table.choke, self.plan.cores, self.queue.now)
-        self.came.clear()
-        self.came_work = 0
-        warm = round(self.table.warm_s * MICRO)
+        if self.settings.choke is not None:
+            self.overload = OverloadState(self.settings.choke, self.plan.cores, self.queue.now)
+        self.cold_arrivals.clear()
+        self.cold_arrived_work = 0
+        warm = round(self.settings.warm_s * MICRO)
         tier = f"t{self.plan.tier}" * (self.plan.tier > 0)
-        self.up = Up(
+        self.up_event = Up(
             self.queue.now,
             self.plan.id,
             f"{tier}{self.plan.zone}/{self.plan.cell}",
             started_ms,
             self.plan.cores * self.plan.speed,
-            self.table.cold_share if cold else 1.0,
+            self.settings.cold_share if cold else 1.0,
             warm if cold else 0,
         )
-        self.note(self.up)
+        self.record(self.up_event)
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """The process ends: every connection is reset."""
         if not self.alive:
             return
@@ -163,27 +163,27 @@
         if self.alive:
             self.end()
             self.vanished = True
-            for attempt in sorted(self.open, key=lambda a: a.number):
-                self.left(attempt, "server")
+            for attempt in sorted(self.open_attempts, key=lambda a: a.number):
+                self.abort(attempt, "server")
             self.links.clear()
 
     def end(self) -> None:
         self.alive = False
-        self.life += 1
+        self.incarnation += 1
         self.waiting.clear()
-        self.ready.clear()
-        self.note(Down(self.queue.now, self.plan.id))
+        self.slot_queue.clear()
+        self.record(Down(self.queue.now, self.plan.id))
 
-    def retire(self) -> None:
+    def stop_accepting(self) -> None:
         """It takes no connections any more, and finishes what it holds."""
         if self.alive:
             self.alive = False
-            self.note(Down(self.queue.now, self.plan.id))
-            self.drop_idle()
+            self.record(Down(self.queue.now, self.plan.id))
+            self.reset_idle()
 
     # ---- faults ---------------------------------------------------------------------------------------
 
-    def fault(self, *kinds: str) -> Step | None:
+    def active_fault(self, *kinds: str) -> Step | None:
         """The fault of these kinds that is on now."""
         if not self.steps:
             return None
@@ -193,9 +193,9 @@
                 return step
         return None
 
-    def touched(self, *kinds: str, name: str) -> Step | None:
+    def fault_hitting(self, *kinds: str, name: str) -> Step | None:
         """The fault of these kinds that is on, if it touches this request, as in the stand-ins."""
-        step = self.fault(*kinds)
+        step = self.active_fault(*kinds)
         if step is not None and (step.share >= 1 or Random(f"{step.at} {name}").random() < step.share):
             return step
         return None
@@ -205,21 +205,21 @@
         time = self.queue.now - self.begin
         return any(
             step.at <= time < step.end and Random(f"{step.at} {node}").random() < step.share
-            for step in self.cuts
+            for step in self.cut_faults
         )
 
-    def unheard(self, node: str) -> bool:
-        return self.vanished or bool(self.cuts and self.cut_from(node))
+    def unreachable_from(self, node: str) -> bool:
+        return self.vanished or bool(self.cut_faults and self.cut_from(node))
 
     # ---- speed ----------------------------------------------------------------------------------------
 
     def speed(self) -> float:
         """Of a core now, against the standard one."""
-        t = self.table
+        t = self.settings
         speed = self.plan.speed * (t.slow_speed if self.slow else 1.0)
-        if self.choke is not None:
-            speed *= self.choke.speed
-        step = self.fault("slow")
+        if self.overload is not None:
+            speed *= self.overload.speed
+        step = self.active_fault("slow")
         if step is not None:
             speed *= step.share
         if self.cold_since < 0 or not t.warm_s:
@@ -233,192 +233,200 @@
         free = [0] * (self.plan.cores - len(self.busy_until))
         free += [max(0, until - self.queue.now) for until in self.busy_until]
         heapify(free)
-        for attempt in (*self.ready, *self.waiting):
+        for attempt in (*self.slot_queue, *self.waiting):
             if not attempt.done:
                 heapreplace(free, free[0] + round(attempt.work / speed))
         return free[0]
 
     def room(self, share: float) -> bool:
         """Whether it holds less than this share of what turns it slow."""
-        return self.choke is None or len(self.open) < share * self.choke.crowd
+        return self.overload is None or len(self.open_attempts) < share * self.overload.threshold
 
     def work_for(self, klass: int, name: str) -> int:
         """Microseconds on a standard core; the stand-ins draw the same for this request."""
-        work, parts = work_of(self.classes[klass], name), self.table.tier_work
+        work, parts = work_of(self.classes[klass], name), self.settings.tier_work
         return round(work * parts[self.plan.tier]) if parts else work
 
     # ---- connections ----------------------------------------------------------------------------------
 
     def accept(self, link: Connection) -> bool | None:
         """A handshake has begun: taken, refused, or (None) nobody answers."""
-        if self.unheard(link.node):
+        if self.unreachable_from(link.node):
             return None
         if not self.alive:
             return False
-        step = self.fault(*SHUT)
+        step = self.active_fault(*REFUSING_FAULTS)
         if step is not None and step.kind != "reset-early":
             return None if step.kind == "backlog" else False
-        link.early = step is not None
-        link.limited = len(self.links) >= self.table.connections
+        link.reset_on_request = step is not None
+        link.over_limit = len(self.links) >= self.settings.connections
         self.links[link] = None
         return True
 
-    def hung_up(self, link: Connection) -> None:
+    def client_closed(self, link: Connection) -> None:
         """The node has ended a connection; what waits for a core is dropped."""
-        if not link.shut:
-            link.shut = True
+        if not link.closed_at_server:
+            link.closed_at_server = True
             self.links.pop(link, None)
-            if isinstance(link.holds, Attempt):
-                self.left(link.holds, "node")
+            if isinstance(link.attempt_open, Attempt):
+                self.abort(link.attempt_open, "node")
 
     def reset(self, link: Connection) -> None:
         """Ends a connection, and with it what is open there."""
-        if not link.shut:
-            link.shut = True
+        if not link.closed_at_server:
+            link.closed_at_server = True
             self.links.pop(link, None)
-            if isinstance(link.holds, Attempt):
-                self.left(link.holds, "server")
-            self.queue.after(self.way(link.node), link.lost)
+            if isinstance(link.attempt_open, Attempt):
+                self.abort(link.attempt_open, "server")
+            self.queue.after(self.delay_to(link.node), link.closed_by_server)
 
-    def drop_idle(self) -> None:
-        for link in [link for link in self.links if link.holds is None]:
+    def reset_idle(self) -> None:
+        for link in [link for link in self.links if link.attempt_open is None]:
             self.reset(link)
 
     # ---- requests -------------------------------------------------------------------------------------
 
-    def heard(self, link: Connection, visitor: Visitor) -> None:
+    def receive(self, link: Connection, request: IncomingRequest) -> None:
         """A request's bytes have come, unless something is between."""
-        if self.unheard(link.node):
+        if self.unreachable_from(link.node):
             return
-        if link.shut:
-            self.queue.after(self.way(link.node), link.lost)
+        if link.closed_at_server:
+            self.queue.after(self.delay_to(link.node), link.closed_by_server)
             return
-        work = self.work_for(visitor.klass, visitor.id)
-        attempt = Attempt(self.number(), visitor, link, work)
-        link.holds = attempt
-        self.open.add(attempt)
+        work = self.work_for(request.klass, request.id)
+        attempt = Attempt(self.number(), request, link, work)
+        link.attempt_open = attempt
+        self.open_attempts.add(attempt)
         now = self.queue.now
-        self.note(Arrived(now, now, self.plan.id, attempt.number, visitor.id, work, False))
-        if link.early or not self.alive or self.touched("reset-late", name=visitor.id):
+        self.record(Arrived(now, now, self.plan.id, attempt.number, request.id, work, False))
+        if link.reset_on_request or not self.alive or self.fault_hitting("reset-late", name=request.id):
             self.reset(link)
-        elif self.touched("reject", name=visitor.id) or link.limited or len(self.waiting) >= self.table.queue:
+        elif (
+            self.fault_hitting("reject", name=request.id)
+            or link.over_limit
+            or len(self.waiting) >= self.settings.queue
+        ):
             self.reply(attempt, "rejected")
         else:
             self.waiting.append(attempt)
-            if self.table.slow_queue and len(self.waiting) >= self.table.slow_queue:
+            if self.settings.slow_queue and len(self.waiting) >= self.settings.slow_queue:
                 self.slow = True
-            self.work()
-        if self.table.falls and self.cold_since >= 0 and self.alive:
-            self.pushed(work)
+            self.dispatch()
+        if self.settings.falls and self.cold_since >= 0 and self.alive:
+            self.check_cold_overload(work)
 
-    def pushed(self, work: int) -> None:
+    def check_cold_overload(self, work: int) -> None:
         """A cold process that is sent more than the rule's figures for their time falls over."""
-        assert self.up is not None
+        assert self.up_event is not None
         now, span = self.queue.now, round(self.rules.fall_s * MICRO)
-        self.came.append((now, work))
-        self.came_work += work
-        while self.came[0][0] < now - span:
-            self.came_work -= self.came.popleft()[1]
-        start = max(self.up.t, now - span)
-        warming = now - span < self.up.t + self.up.warm
+        self.cold_arrivals.append((now, work))
+        self.cold_arrived_work += work
+        while self.cold_arrivals[0][0] < now - span:
+            self.cold_arrived_work -= self.cold_arrivals.popleft()[1]
+        start = max(self.up_event.t, now - span)
+        warming = now - span < self.up_event.t + self.up_event.warm
         multiple = self.rules.fall_multiple
-        if warming and self.came_work > work + multiple * capacity_between(self.up, start, start + span):
-            self.die()
-            self.fell(self.plan)
+        if warming and self.cold_arrived_work > work + multiple * capacity_between(
+            self.up_event, start, start + span
+        ):
+            self.crash()
+            self.on_overloaded(self.plan)
 
-    def work(self) -> None:
+    def dispatch(self) -> None:
         """Gives waiting requests to free slots and cores."""
         if self.slots:
-            while self.waiting and self.inside < self.slots:
+            while self.waiting and self.slots_taken < self.slots:
                 attempt = self.waiting.popleft()
                 if not attempt.done:
-                    self.inside += 1
-                    self.ready.append(attempt)
-        queue = self.ready if self.slots else self.waiting
-        while queue and self.running < self.plan.cores:
+                    self.slots_taken += 1
+                    self.slot_queue.append(attempt)
+        queue = self.slot_queue if self.slots else self.waiting
+        while queue and self.busy_cores < self.plan.cores:
             attempt = queue.popleft()
             if attempt.done:
-                self.inside -= self.slots > 0
+                self.slots_taken -= self.slots > 0
             else:
-                self.running += 1
+                self.busy_cores += 1
                 part = (
-                    2 if self.slots and self.below is not None else 1
+                    2 if self.slots and self.next_tier is not None else 1
                 )  # as much before the call as after it
                 time = round(attempt.work / part / self.speed())
                 self.busy_until.append(self.queue.now + time)
-                self.queue.after(time, self.worked, attempt, self.life)
+                self.queue.after(time, self.core_done, attempt, self.incarnation)
         if not self.waiting:
             self.slow = False
-        if self.choke is not None:
-            self.choke.note(self.queue.now, len(self.open), self.running)
+        if self.overload is not None:
+            self.overload.observe(self.queue.now, len(self.open_attempts), self.busy_cores)
 
-    def worked(self, attempt: Attempt, life: int) -> None:
+    def core_done(self, attempt: Attempt, incarnation: int) -> None:
         """A core has done its part, if the process is still the one whose core it was."""
-        if life != self.life:
+        if incarnation != self.incarnation:
             return
-        if self.below is None or attempt.done or attempt.called:
-            self.freed()
-            self.inside -= self.slots > 0
+        if self.next_tier is None or attempt.done or attempt.next_tier_answered:
+            self.release_core()
+            self.slots_taken -= self.slots > 0
             if not attempt.done:
                 self.finish(attempt)
-            self.work()
+            self.dispatch()
             return
 
-        def told(served: bool) -> None:
-            if life != self.life or attempt.give_up is None:
+        def on_result(served: bool) -> None:
+            if incarnation != self.incarnation or attempt.give_up is None:
                 return
             attempt.give_up = None
             if not self.slots:
-                self.freed()
+                self.release_core()
             elif served and not attempt.done:
-                attempt.called = True
-                self.ready.append(attempt)
-                self.work()
+                attempt.next_tier_answered = True
+                self.slot_queue.append(attempt)
+                self.dispatch()
                 return
             else:
-                self.inside -= 1
+                self.slots_taken -= 1
             if not attempt.done:
                 self.finish(attempt, "served" if served else "error")
-            self.work()
+            self.dispatch()
 
         attempt.give_up = lambda: None  # the call may be concluded before it is made
         if self.slots:
-            self.freed()
-        give_up = self.below.call(attempt, told)
+            self.release_core()
+        give_up = self.next_tier.call(attempt, on_result)
         if attempt.give_up is not None:
             attempt.give_up = give_up
         if self.slots:
-            self.work()
+            self.dispatch()
 
-    def freed(self) -> None:
+    def release_core(self) -> None:
         """A core is free."""
-        self.running -= 1
+        self.busy_cores -= 1
         self.busy_until.remove(min(self.busy_until))
 
     def finish(self, attempt: Attempt, how: str = "served") -> None:
         """The answer is ready; it goes out as the faults of the moment let it."""
         if attempt.done:
             return
-        name = attempt.visitor.id
+        name = attempt.request.id
         for coming in self.steps:
             if coming.kind == "drain-answering":
                 at = self.begin + coming.at
-                if at - HELD_BEFORE <= self.queue.now < at:
+                if at - HELD_BEFORE_DRAIN <= self.queue.now < at:
                     self.queue.at(at, self.finish, attempt, how)
                     return
-        step = self.touched("stall", "stall-head", "stall-body", "drip", "reset-answer", "error", name=name)
+        step = self.fault_hitting(
+            "stall", "stall-head", "stall-body", "drip", "reset-answer", "error", name=name
+        )
         if step is None or how != "served":
             self.reply(attempt, how)
             return
         end = self.begin + step.end
         if step.kind not in ("stall", "error"):
-            self.note(Begun(self.queue.now, self.plan.id, attempt.number, name, 1))
+            self.record(Begun(self.queue.now, self.plan.id, attempt.number, name, 1))
         if step.kind == "error":
             self.reply(attempt, "error")
         elif step.kind == "reset-answer":
-            self.queue.after(CUT, self.reset, attempt.link)
+            self.queue.after(RESET_DELAY, self.reset, attempt.link)
         elif step.kind == "drip":
-            self.queue.at(min(end, self.queue.now + DRIP * ANSWER_BYTES), self.reply, attempt, how)
+            self.queue.at(min(end, self.queue.now + DRIP_INTERVAL * ANSWER_BYTES), self.reply, attempt, how)
         else:
             self.queue.at(end, self.reply, attempt, how)
 
@@ -427,32 +435,32 @@
         if attempt.done:
             return
         attempt.done = True
-        self.open.discard(attempt)
+        self.open_attempts.discard(attempt)
         link, node = attempt.link, attempt.link.node
-        link.holds = None
-        self.note(Replied(self.queue.now, self.plan.id, attempt.number, attempt.visitor.id, how))
+        link.attempt_open = None
+        self.record(Replied(self.queue.now, self.plan.id, attempt.number, attempt.request.id, how))
         # Kept, it would go on serving as if the port were shut or the process gone.
-        keep = self.alive and not link.limited and self.fault(*SHUT) is None
-        if not self.unheard(node):
-            self.queue.after(self.way(node), attempt.visitor.answered, how, keep)
+        keep = self.alive and not link.over_limit and self.active_fault(*REFUSING_FAULTS) is None
+        if not self.unreachable_from(node):
+            self.queue.after(self.delay_to(node), attempt.request.answered, how, keep)
         if not keep:
-            link.shut = True
+            link.closed_at_server = True
             self.links.pop(link, None)
 
-    def left(self, attempt: Attempt, by: str) -> None:
+    def abort(self, attempt: Attempt, by: str) -> None:
         """The connection has ended before the whole answer; what waits for a core is dropped."""
         if attempt.done:
             return
         attempt.done = True
-        attempt.link.holds = None
-        self.open.discard(attempt)
-        self.note(Closed(self.queue.now, self.plan.id, attempt.number, attempt.visitor.id, by))
+        attempt.link.attempt_open = None
+        self.open_attempts.discard(attempt)
+        self.record(Closed(self.queue.now, self.plan.id, attempt.number, attempt.request.id, by))
         give_up, attempt.give_up = attempt.give_up, None
         if give_up is not None:
             give_up()
             if by == "node":
                 if self.slots:
-                    self.inside -= 1
+                    self.slots_taken -= 1
                 else:
-                    self.freed()
-                self.work()
+                    self.release_core()
+                self.dispatch()
--- a/brackenladder/fleet/variants.py
+++ b/brackenladder/fleet/variants.py
@@ -11,11 +11,11 @@
 from types import ModuleType
 
 from brackenladder.fleet.nodes import Module
-from brackenladder.fleet.rivals import RIVALS
+from brackenladder.fleet.rivals import BASELINE_POLICIES
 from brackenladder.policy.balancer import Balancer
 
-OWN = "module"
-NUMBERS = count()
+MODULE_POLICY = "module"
+VARIANT_NUMBERS = count()
 
 
 class VariantError(Exception):
@@ -24,7 +24,7 @@
 
 def policies() -> list[str]:
     """The names that may decide."""
-    return [OWN, *RIVALS]
+    return [MODULE_POLICY, *BASELINE_POLICIES]
 
 
 def variant(policy: str, checkout: str, constants: Mapping[str, float]) -> Module:
@@ -32,24 +32,24 @@
 
     The module is loaded apart, so that changed constants reach this variant alone.
     """
-    if policy != OWN:
-        if policy not in RIVALS:
+    if policy != MODULE_POLICY:
+        if policy not in BASELINE_POLICIES:
             raise VariantError(f"policy: no '{policy}'; there are {', '.join(policies())}")
         if checkout or constants:
             raise VariantError(f"policy: '{policy}' has no checkout and no constants")
-        return RIVALS[policy]
+        return BASELINE_POLICIES[policy]
     if not checkout and not constants:
         return Balancer
-    rooms = loaded(checkout)
+    modules = load_modules(checkout)
     for name, value in constants.items():
-        having = [room for room in rooms if name in vars(room)]
-        old = vars(having[0])[name] if having else None
+        owners = [module for module in modules if name in vars(module)]
+        old = vars(owners[0])[name] if owners else None
         if not name.isupper() or isinstance(old, bool) or not isinstance(old, int | float):
             raise VariantError(f"module.{name}: the module has no number of that name")
-        for room in having:  # those that import it have it as their own
-            setattr(room, name, int(value) if isinstance(old, int) and value == int(value) else value)
-    made: Module = rooms[0].Balancer
-    return made
+        for module in owners:  # those that import it have it as their own
+            setattr(module, name, int(value) if isinstance(old, int) and value == int(value) else value)
+    balancer_class: Module = modules[0].Balancer
+    return balancer_class
 
 
 def files_of(checkout: str) -> list[Path]:
@@ -59,27 +59,27 @@
     return [old] if old.is_file() else sorted((package / "policy").glob("*.py"))
 
 
-def loaded(checkout: str) -> list[ModuleType]:
+def load_modules(checkout: str) -> list[ModuleType]:
     """The decision module of a checkout under a name of its own: the file with Balancer, and its rooms."""
     files = files_of(checkout)
     if not files:
         raise VariantError(f"checkout: no {checkout}/brackenladder/policy")
     first = files[0]  # of a package `__init__.py`, in the order of names
-    name = f"brackenladder_variant_{next(NUMBERS)}"
-    rooms = [str(first.parent)] if first.name == "__init__.py" else None
-    spec = importlib.util.spec_from_file_location(name, first, submodule_search_locations=rooms)
+    name = f"brackenladder_variant_{next(VARIANT_NUMBERS)}"
+    modules = [str(first.parent)] if first.name == "__init__.py" else None
+    spec = importlib.util.spec_from_file_location(name, first, submodule_search_locations=modules)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     try:
         spec.loader.exec_module(module)
-        if rooms:
+        if modules:
             module = importlib.import_module(f"{name}.balancer")
     except Exception as e:  # another checkout's code may do anything
         raise VariantError(f"checkout: {first}: {type(e).__name__}: {e}") from None
     finally:
         ours = [key for key in sys.modules if key == name or key.startswith(f"{name}.")]
-        others = [sys.modules.pop(key) for key in ours]
+        submodules = [sys.modules.pop(key) for key in ours]
     if not callable(getattr(module, "Balancer", None)):
         raise VariantError(f"checkout: {first}: no Balancer")
-    return [module, *(room for room in others if room is not module)]
+    return [module, *(module for module in submodules if module is not module)]
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -13,8 +13,8 @@
 from brackenladder.platform_settings import DEFAULT_BOUNDS
 from brackenladder.soak import events as seen
 from brackenladder.soak.configuration import CALLS, HOSTS, IDEMPOTENT
+from brackenladder.soak.contact import Troubles
 from brackenladder.soak.site import SoakLayout
-from brackenladder.soak.touch import Troubles
 from brackenladder.soak.versions import Versions, fault_of_orders
 
 DRAIN = round(DEFAULT_BOUNDS.drain_ms * 1000)  # microseconds
--- a/tests/cluster/test_detector.py
+++ b/tests/cluster/test_detector.py
@@ -6,18 +6,18 @@
 
 from brackenladder.cluster.detector import Detector
 from brackenladder.cluster.view import Record, State, epoch_above
-from brackenladder.fleet.members import MICRO, Net
+from brackenladder.fleet.detector_network import MICRO, DetectorNetwork
 
 
-def settled_net(size: int, seed: int = 1, **more: float) -> Net:
-    net = Net(size, seed, **more)
+def settled_net(size: int, seed: int = 1, **more: float) -> DetectorNetwork:
+    net = DetectorNetwork(size, seed, **more)
     net.start_all()
     net.run(8)
     assert not net.false_deaths(0) and net.agreed()
     return net
 
 
-def detector(net: Net, number: int) -> Detector:
+def detector(net: DetectorNetwork, number: int) -> Detector:
     member = net.members[number]
     assert isinstance(member, Detector)
     return member
@@ -29,14 +29,14 @@
     at = net.queue.now
     net.kill(1)
     net.run(bound)
-    assert len(net.known_dead(1)) == size - 1 and not net.false_deaths(at, [1])
+    assert len(net.detection_times(1)) == size - 1 and not net.false_deaths(at, [1])
     if size == 24 and not loss:
-        assert sorted(net.known_dead(1))[size // 2] - at < 3.5 * MICRO
+        assert sorted(net.detection_times(1))[size // 2] - at < 3.5 * MICRO
 
 
 @pytest.mark.parametrize("trouble", ["pauses", "loss", "ring"])
 def test_no_reachable_member_is_declared_dead(trouble):
-    net = settled_net(24, loss=0.3 if trouble == "loss" else 0.0, twice=0.2)
+    net = settled_net(24, loss=0.3 if trouble == "loss" else 0.0, duplicated=0.2)
     at = net.queue.now
     if trouble == "ring":  # one link per member is cut in one direction; indirect probes still work
         net.cut = {(n, (n + 1) % 24) for n in range(24)}
@@ -94,7 +94,7 @@
     net = settled_net(12)
     old = detector(net, 4).me.epoch
     net.kill(4)
-    net.skew[4] = -3_600
+    net.clock_skew[4] = -3_600
     net.run(0.05)
     net.start(4)
     net.run(6)
@@ -123,7 +123,7 @@
 
 
 def test_a_node_never_exceeds_its_byte_budget():
-    net = settled_net(24, loss=0.4, twice=0.3)
+    net = settled_net(24, loss=0.4, duplicated=0.3)
     for _ in range(5):
         for number in range(0, 24, 2):
             net.pause(number, 3 * MICRO)
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -107,13 +107,13 @@
     noise = rng.normal(0, 0.5, (2, 40))
     noise -= noise.mean(axis=1, keepdims=True)
     d = difference(list(zip(noise[0], noise[1] + shift, strict=True)))
-    assert d.seen == seen and d.low <= d.mean <= d.high and abs(d.mean - shift) < 1e-9
+    assert d.significant == seen and d.low <= d.mean <= d.high and abs(d.mean - shift) < 1e-9
 
 
 def test_chance_is_taken_for_a_difference_about_as_often_as_it_says():
     """Scaled down: 300 comparisons of nothing with nothing, of 20 pairs each."""
     rng = np.random.default_rng(11)
-    wrong = sum(difference(list(rng.normal(0, 1, (20, 2)))).seen for _ in range(300))
+    wrong = sum(difference(list(rng.normal(0, 1, (20, 2)))).significant for _ in range(300))
     assert wrong / 300 < 0.11  # 5% is meant; a bootstrap of so few pairs is a little bold
 
 
--- a/tests/fleet/test_gate.py
+++ b/tests/fleet/test_gate.py
@@ -7,11 +7,11 @@
 import pytest
 
 from brackenladder.cli.main import main
-from brackenladder.fleet.choke import Choke
+from brackenladder.fleet.days import DAYS, TIERS, day_scenario
 from brackenladder.fleet.figures import worths_of
-from brackenladder.fleet.gate import LATE, PLAIN, Played, judge
+from brackenladder.fleet.gate import LATE, PLAIN, PolicyRun, judge_day
 from brackenladder.fleet.model import play
-from brackenladder.fleet.standing import DAYS, TIERS, day
+from brackenladder.fleet.overload import OverloadState
 from brackenladder.rehearsal.plan import MICRO, plan_of
 from brackenladder.rehearsal.scenario import Choke as ChokeTable
 from brackenladder.rehearsal.scenario import load, parse
@@ -29,12 +29,12 @@
     ],
 )
 def test_a_server_turns_slow_by_its_mean_crowd(held, slow_at):
-    choke = Choke(TABLE, 4, 0)
+    overload = OverloadState(TABLE, 4, 0)
     slow = None
     for tenth in range(60):
         level = [count for at, count in held if at * 10 <= tenth][-1]
-        choke.note(tenth * MICRO // 10, level, min(4, level))
-        if choke.slow and slow is None:
+        overload.observe(tenth * MICRO // 10, level, min(4, level))
+        if overload.slow and slow is None:
             slow = tenth / 10
     assert slow == slow_at
 
@@ -43,18 +43,18 @@
 def test_it_rests_when_its_cores_were_nearly_idle_or_its_time_is_over_and_does_not_choke_again(
     busy, rested_at
 ):
-    choke = Choke(TABLE, 4, 0)
+    overload = OverloadState(TABLE, 4, 0)
     for tenth in range(40):
-        choke.note(tenth * MICRO // 10, 24, 4)
-    assert choke.speed == 1 / TABLE.slower
+        overload.observe(tenth * MICRO // 10, 24, 4)
+    assert overload.speed == 1 / TABLE.slower
     tenth = 40
-    while choke.slow:
-        choke.note(tenth * MICRO // 10, 1, busy)
+    while overload.slow:
+        overload.observe(tenth * MICRO // 10, 1, busy)
         tenth += 1
-    assert tenth / 10 == pytest.approx(rested_at, abs=0.5) and choke.speed == 1
+    assert tenth / 10 == pytest.approx(rested_at, abs=0.5) and overload.speed == 1
     for later in range(tenth, tenth + 60):
-        choke.note(later * MICRO // 10, 24, 4)
-    assert choke.speed == 1
+        overload.observe(later * MICRO // 10, 24, 4)
+    assert overload.speed == 1
 
 
 SLOTS = """title = "slots"
@@ -94,15 +94,15 @@
 @pytest.mark.parametrize("name", DAYS)
 def test_days_are_drawn_by_their_seed_inside_the_deployments_ranges(name):
     for seed in range(4):
-        scenario = day(name, seed, 200)
-        assert scenario == day(name, seed, 200) != day(name, seed + 1, 200)
+        scenario = day_scenario(name, seed, 200)
+        assert scenario == day_scenario(name, seed, 200) != day_scenario(name, seed + 1, 200)
         assert plan_of(scenario, seed).steps or name == "calm"
         with_nodes = scenario.nodes + (TIERS - 1) * scenario.servers.count
         assert 195 <= with_nodes <= 200 and 0.12 <= scenario.servers.cold_share <= 0.36
     with pytest.raises(ValueError, match="no day"):
-        day("monday", 1, 200)
+        day_scenario("monday", 1, 200)
     with pytest.raises(ValueError, match="at the least"):
-        day(name, 1, 3)
+        day_scenario(name, 1, 3)
 
 
 def run(share, *, weight=0.2, klass=None, broke="", faults=0):
@@ -110,7 +110,7 @@
     verdicts = dict.fromkeys(("lost", "effect", "drain", "cold"), "held") | (
         {broke: "broke"} if broke else {}
     )
-    return Played(worths, verdicts, 0.5, faults)
+    return PolicyRun(worths, verdicts, 0.5, faults)
 
 
 @pytest.mark.parametrize(
@@ -134,7 +134,7 @@
     ],
 )
 def test_the_verdict_is_the_operators(name, module, late, plain, wrong):
-    assert judge(name, module, {LATE: late} | ({PLAIN: plain} if plain else {})).wrong == wrong
+    assert judge_day(name, module, {LATE: late} | ({PLAIN: plain} if plain else {})).wrong == wrong
 
 
 def test_the_command_passes_the_module_and_convicts_who_spares_no_cold_server(tmp_path, capsys):
@@ -154,4 +154,4 @@
     assert main(["gate", "--write", str(tmp_path), "--seeds", "1-3", "--nodes", "30"]) == 0
     for name in DAYS:
         for seed in (1, 2, 3):
-            assert load(str(tmp_path / f"{name}-{seed}.toml")) == day(name, seed, 30)
+            assert load(str(tmp_path / f"{name}-{seed}.toml")) == day_scenario(name, seed, 30)
--- a/tests/fleet/test_hunt.py
+++ b/tests/fleet/test_hunt.py
@@ -11,8 +11,8 @@
 from hypothesis import strategies as st
 
 from brackenladder.cli.main import main
-from brackenladder.fleet.chase import Corpus, Judged, judged, smallest
-from brackenladder.fleet.hunt import digest, drawn, mutated, readable, shrunk, smaller
+from brackenladder.fleet.schedule_search import Corpus, PlayedSchedule, minimal_break, play_schedule
+from brackenladder.fleet.schedules import digest, mutate, random_schedule, reductions, shrink, to_scenario
 from brackenladder.policy.balancer import Balancer
 from brackenladder.rehearsal.scenario import ScenarioError
 
@@ -22,13 +22,13 @@
 @given(st.integers(0, 10**9))
 @settings(max_examples=100, deadline=None)
 def test_what_is_drawn_or_changed_can_be_read_and_is_drawn_again_by_its_seed(seed):
-    schedule = drawn(Random(seed))
-    assert readable(schedule) is not None and drawn(Random(seed)) == schedule
+    schedule = random_schedule(Random(seed))
+    assert to_scenario(schedule) is not None and random_schedule(Random(seed)) == schedule
     before = repr(schedule)
-    changed = [mutated(schedule, Random(seed + i)) for i in range(5)]
+    changed = [mutate(schedule, Random(seed + i)) for i in range(5)]
     assert repr(schedule) == before  # in a copy
-    assert sum(readable(c) is not None for c in changed) >= 1
-    for less in smaller(schedule):
+    assert sum(to_scenario(c) is not None for c in changed) >= 1
+    for less in reductions(schedule):
         assert less != schedule
 
 
@@ -40,10 +40,10 @@
     def shows(schedule):
         return schedule["servers"]["count"] >= 3 and any(f["kind"] == "restart" for f in schedule["faults"])
 
-    schedule = drawn(Random(seed))
+    schedule = random_schedule(Random(seed))
     schedule["faults"][0]["kind"] = "restart"
     schedule["servers"]["count"] = max(3, schedule["servers"]["count"])
-    least, tried = shrunk(schedule, shows)
+    least, tried = shrink(schedule, shows)
     assert shows(least) and tried <= 300
     assert len(least["faults"]) == 1 and least["servers"]["count"] == 3 and least["nodes"] == 1
 
@@ -58,31 +58,33 @@
 
 def test_a_planted_fault_is_found_and_shrunk(monkeypatch):
     """Scaled down: the first break of at most 200 schedules, made smaller in 40 steps at most."""
-    monkeypatch.setattr("brackenladder.fleet.hunt.MOST_SHRINKS", 40)
+    monkeypatch.setattr("brackenladder.fleet.schedules.MOST_SHRINKS", 40)
     monkeypatch.setattr(Balancer, "draw", floods)
     rng = Random(1)
-    found = next(j for j in (judged(drawn(rng), "module") for _ in range(200)) if "cold" in j.broke)
-    least = smallest(found.schedule, "cold", "module")
-    assert "cold" in judged(least.schedule, "module").broke
+    found = next(
+        j for j in (play_schedule(random_schedule(rng), "module") for _ in range(200)) if "cold" in j.broke
+    )
+    least = minimal_break(found.schedule, "cold", "module")
+    assert "cold" in play_schedule(least.schedule, "module").broke
     assert len(least.schedule["faults"]) <= 2 and least.schedule["nodes"] <= found.schedule["nodes"]
-    assert smallest(found.schedule, "cold", "module", until=0.0).schedule == found.schedule
+    assert minimal_break(found.schedule, "cold", "module", until=0.0).schedule == found.schedule
     monkeypatch.undo()
-    assert "cold" not in judged(least.schedule, "module").broke
+    assert "cold" not in play_schedule(least.schedule, "module").broke
 
 
 @pytest.mark.parametrize("path", sorted(FOUND.glob("*.toml")), ids=lambda p: p.stem)
 def test_what_a_hunt_once_found_holds(path):
-    found = judged(tomllib.loads(path.read_text()), "module")
+    found = play_schedule(tomllib.loads(path.read_text()), "module")
     assert found.valid and found.broke == ()
 
 
 def test_a_corpus_is_gone_on_from_and_keeps_the_nearest(tmp_path):
     corpus = Corpus(str(tmp_path / "hunt"))
-    schedules = [drawn(Random(i)) for i in range(3)]
-    corpus.keep_near([Judged(s, (), 0.5) for s in schedules])
-    corpus.keep("break-cold-x", schedules[0])
+    schedules = [random_schedule(Random(i)) for i in range(3)]
+    corpus.save_nearest([PlayedSchedule(s, (), 0.5) for s in schedules])
+    corpus.save("break-cold-x", schedules[0])
     assert sorted(map(digest, corpus.load())) == sorted(map(digest, [*schedules, schedules[0]]))
-    corpus.keep_near([Judged(schedules[1], (), 0.9)])
+    corpus.save_nearest([PlayedSchedule(schedules[1], (), 0.9)])
     assert len(corpus.load()) == 2
     for text, wrong in (("{", "not TOML"), ('title = "x"', "not a schedule of a hunt")):
         (tmp_path / "hunt" / "near-bad.toml").write_text(text)
@@ -94,7 +96,7 @@
     """Scaled down: a second, which begins with what the corpus holds."""
     folder = tmp_path / "hunt"
     for i in range(3):
-        Corpus(str(folder)).keep(f"near-{i}", drawn(Random(i)))
+        Corpus(str(folder)).save(f"near-{i}", random_schedule(Random(i)))
     assert main(["hunt", "--for", "1", "--jobs", "1", "--corpus", str(folder), "--seed", "3"]) in (0, 1)
     assert int(capsys.readouterr().out.split(" schedules, ")[0].split()[-1]) >= 1
     (folder / "near-bad.toml").write_text("{")
--- a/tests/fleet/test_model.py
+++ b/tests/fleet/test_model.py
@@ -11,7 +11,7 @@
 
 from brackenladder.cli.main import main
 from brackenladder.core.host import Host
-from brackenladder.fleet.model import Fleet, passed_over, play
+from brackenladder.fleet.model import Fleet, play, unsupported
 from brackenladder.interface import Outcome
 from brackenladder.policy.balancer import Balancer
 from brackenladder.rehearsal.checker import check
@@ -101,7 +101,7 @@
     monkeypatch.setattr(Balancer, "request", lambda *args: None)
     scenario = load("refuse")
     fleet = Fleet(scenario, 1)
-    result = fleet.go()
+    result = fleet.run()
     assert set(result.crashed) == {"n0", "n1"}  # the guard is a fault of the run
     answers = {e.id: e for e in result.events if isinstance(e, Answered)}
     sent = {e.id: e for e in result.events if isinstance(e, Sent)}
@@ -137,8 +137,8 @@
 
 
 def test_what_is_not_played_is_named():
-    assert passed_over(load("silent-clients")) == ["faults of kind 'silent-clients'"]
-    assert any("transport" in text for text in passed_over(load("refuse-rpc")))
+    assert unsupported(load("silent-clients")) == ["faults of kind 'silent-clients'"]
+    assert any("transport" in text for text in unsupported(load("refuse-rpc")))
 
 
 def test_the_host_is_the_nodes_own():
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from brackenladder.fleet.model import Fleet
-from brackenladder.fleet.streams import Streams
+from brackenladder.fleet.random_streams import RandomStreams
 from brackenladder.rehearsal.checker import check
 from brackenladder.rehearsal.events import (
     Answered,
@@ -47,7 +47,7 @@
         plain = plain.replace(key, key + lines) if key in plain else f"{plain}{key}{lines}"
     scenario = parse((plain + text).encode(), "here")
     fleet = Fleet(scenario, seed)
-    result = fleet.go()
+    result = fleet.run()
     report = check(result.events, terms_of(scenario))
     assert report.breaks == () and not result.crashed
     return fleet, result
@@ -200,7 +200,7 @@
     fleet.queue.at(result.begin + MICRO, node.host.tell, -1, b"lost")
     fleet.queue.at(result.begin + 4 * MICRO, node.host.tell, -1, b"all")
     fleet.queue.at(result.begin + 4 * MICRO, node.host.tell, 2, b"one")
-    fates = Counter(e.fate for e in of(fleet.go(), Datagram))
+    fates = Counter(e.fate for e in of(fleet.run(), Datagram))
     assert fates == {"lost": 3, "passed": 4}
     assert sorted(heard) == [(0, 1), (2, 1), (2, 1), (3, 1)]
 
@@ -217,11 +217,11 @@
 
     text = PLAIN.replace("rate = 40", "rate = 90") + fault("restart", at=1.0, length=0.5)
     scenario = parse(text.replace("count = 6", "count = 6\nfalls = true").encode(), "here")
-    result = Fleet(scenario, 1, RoundRobin).go()
+    result = Fleet(scenario, 1, RoundRobin).run()
     (target,) = {s.target for s in result.plan.steps}
     assert len([e for e in of(result, Down) if e.server == target]) >= 2
     assert len([e for e in of(result, Up) if e.server == target]) >= 3
-    assert len(of(Fleet(scenario, 1).go(), Down)) == 1  # the module does not push it
+    assert len(of(Fleet(scenario, 1).run(), Down)) == 1  # the module does not push it
 
 
 def test_a_long_queue_slows_a_server_until_it_is_empty():
@@ -237,7 +237,7 @@
 def test_a_slow_state_ends_with_its_queue():
     busy = PLAIN.replace("rate = 40", "rate = 10\nsurges = [{at_s = 0.5, for_s = 1, times = 30.0}]")
     fleet, _ = run("", busy, servers="slow_queue = 2\nslow_speed = 0.5\n")
-    assert not any(server.slow for server in fleet.standing.values())
+    assert not any(server.slow for server in fleet.servers_by_id.values())
 
 
 def test_a_node_that_starts_in_silence_is_not_answered():
@@ -252,7 +252,7 @@
     fleet, result = run(
         plain=PLAIN.replace("nodes = 4", "nodes = 4\ntiers = 3").replace("rate = 40", "rate = 12")
     )
-    assert len(fleet.below) == 12  # two tiers of servers that call on
+    assert len(fleet.server_nodes) == 12  # two tiers of servers that call on
     spans = {e.id: [e.t, 0] for e in of(result, Arrived)}
     for e in of(result, Replied):
         spans[e.id][1] = e.t
@@ -260,7 +260,7 @@
     for name in served:
         below = [s for n, s in spans.items() if n.endswith("." + name)]
         assert len(below) >= 2 and all(spans[name][0] < a < b < spans[name][1] for a, b in below if b)
-    assert {e.node for e in of(result, Sent)} >= set(fleet.below)
+    assert {e.node for e in of(result, Sent)} >= set(fleet.server_nodes)
 
 
 def test_a_server_that_is_back_calls_the_next_tier_again():
@@ -305,9 +305,9 @@
 
 
 def test_streams_are_apart_and_the_same_everywhere():
-    one, again, other = (Streams(s).of(n) for s, n in ((1, "a"), (1, "a"), (1, "b")))
+    one, again, other = (RandomStreams(s).stream(n) for s, n in ((1, "a"), (1, "a"), (1, "b")))
     assert list(one.random(4)) == list(again.random(4)) != list(other.random(4))
-    assert Streams(1).of("discovery").integers(1 << 30) == 445940766
+    assert RandomStreams(1).stream("discovery").integers(1 << 30) == 445940766
 
 
 def test_what_sockets_cannot_play_is_named_and_left_out():
--- a/tests/fleet/test_queue.py
+++ b/tests/fleet/test_queue.py
@@ -35,7 +35,7 @@
 
 def test_time_that_stands_still_is_found_and_named(monkeypatch):
     """Failure prevented: events that cause each other at one instant are looped on for ever."""
-    monkeypatch.setattr(queues, "MOST_AT_ONCE", 1000)
+    monkeypatch.setattr(queues, "MAX_EVENTS_PER_INSTANT", 1000)
     queue = Queue()
 
     def again() -> None:
--- a/tests/fleet/test_rivals.py
+++ b/tests/fleet/test_rivals.py
@@ -10,9 +10,9 @@
 
 from brackenladder.fleet.figures import figures_of
 from brackenladder.fleet.model import play
-from brackenladder.fleet.rivals import RIVALS
-from brackenladder.fleet.rivals.base import Member, Open
-from brackenladder.fleet.rivals.cluster import EJECT_AFTER, MIN_RTT_CALLS, MIN_RTT_LIMIT, Cluster
+from brackenladder.fleet.rivals import BASELINE_POLICIES
+from brackenladder.fleet.rivals.base import KnownServer, OpenRequest
+from brackenladder.fleet.rivals.envoy_like import EJECT_AFTER, MIN_RTT_CALLS, MIN_RTT_LIMIT, EnvoyLike
 from brackenladder.fleet.variants import VariantError, policies, variant
 from brackenladder.interface import ClassSettings, Effect, ListKind, Outcome, ServerEntry, Settings, State
 from brackenladder.rehearsal.checker import check
@@ -48,7 +48,7 @@
     return figures_of(scenario, result, report), report.verdicts, result
 
 
-@pytest.mark.parametrize("policy", RIVALS)
+@pytest.mark.parametrize("policy", BASELINE_POLICIES)
 def test_a_rival_loses_nothing_and_repeats_nothing(policy):
     _, verdicts, result = judged(policy, "rolling-deploy")
     assert not result.crashed
@@ -69,11 +69,11 @@
 
 
 def test_turns_are_even_and_the_less_busy_of_two_is_taken():
-    made, recorder = rival(RIVALS["round-robin"])
+    made, recorder = rival(BASELINE_POLICIES["round-robin"])
     for i in range(40):
         made.request(i, i, 0, 0, 1_000_000, False)
     assert Counter(server for _, _, server, _ in recorder.done) == dict.fromkeys(range(4), 10)
-    made, recorder = rival(RIVALS["least-of-two"], servers=2)
+    made, recorder = rival(BASELINE_POLICIES["least-of-two"], servers=2)
     for i in range(200):
         made.request(i, i, 0, 0, 1_000_000, False)
     counts = Counter(server for _, _, server, _ in recorder.done)
@@ -87,7 +87,7 @@
 )
 @settings(max_examples=200, deadline=None)
 def test_an_unsafe_call_that_may_have_run_is_never_sent_again(policy, outcomes, klass):
-    made, recorder = rival(RIVALS[policy])
+    made, recorder = rival(BASELINE_POLICIES[policy])
     made.request(0, 7, klass, 0, 3_000_000, False)
     may_have_run = False
     for number, outcome in enumerate(outcomes):
@@ -106,7 +106,7 @@
 
 
 def test_a_cluster_limits_ejects_and_starts_slowly():
-    made, recorder = rival(Cluster, servers=20, cold_time=10_000_000)
+    made, recorder = rival(EnvoyLike, servers=20, cold_time=10_000_000)
     for i in range(MIN_RTT_LIMIT + 1):
         made.request(0, i, 0, 0, 1_000_000, False)
     assert [d[0] for d in recorder.done].count("refuse") == 1  # a pass is on
@@ -123,19 +123,19 @@
         bad.in_flight = 1
         made.open += 1
         made.ended(300_000, None, bad, Outcome.ERROR, 1000)
-    r = Open(99, 0, Effect.SAFE, 1_000_000)
+    r = OpenRequest(99, 0, Effect.SAFE, 1_000_000)
     picked = {made.pick(300_001, r, list(made.members.values())).entry.server for _ in range(300)}
     assert 3 not in picked and len(picked) == 19
-    cold = Member(ServerEntry(50, ready_at=300_000), 300_000)
+    cold = KnownServer(ServerEntry(50, ready_at=300_000), 300_000)
     assert made.weight(300_000, cold) == 0.1 and made.weight(5_300_000, cold) == 0.5
     assert made.weight(20_000_000, cold) == 1.0
 
 
 def test_a_list_takes_servers_away_and_a_new_process_is_a_new_member():
-    made, recorder = rival(RIVALS["round-robin"], servers=3)
-    made.members[0].fails_in_row = 4
+    made, recorder = rival(BASELINE_POLICIES["round-robin"], servers=3)
+    made.members[0].consecutive_failures = 4
     made.server_list(1, ListKind.CHANGES, [ServerEntry(0, ready_at=5), ServerEntry(1, State.DRAINING)])
-    assert sorted(made.members) == [0, 2] and made.members[0].fails_in_row == 0
+    assert sorted(made.members) == [0, 2] and made.members[0].consecutive_failures == 0
     made.server_list(2, ListKind.FULL, [])
     made.request(3, 1, 0, 0, 1_000_000, False)
     assert recorder.done[-1][0] == "refuse"
--- a/tests/fleet/test_rogues.py
+++ b/tests/fleet/test_rogues.py
@@ -12,18 +12,18 @@
 from rehearsal.cases import FAULTS, RIGHT, ROGUES
 
 from brackenladder.core.call import Failure
-from brackenladder.fleet.clients import Try
+from brackenladder.fleet.clients import RequestTry
 from brackenladder.fleet.links import Exchange, Links
 from brackenladder.fleet.model import play
 from brackenladder.fleet.nodes import FleetCall
-from brackenladder.fleet.rivals.base import Rival
+from brackenladder.fleet.rivals.base import BaselinePolicy
 from brackenladder.interface import NEVER_RAN, Effect, ListKind, Outcome, State
 from brackenladder.rehearsal.checker import check
 from brackenladder.rehearsal.events import Again, Answered
 from brackenladder.rehearsal.report import terms_of
 
 
-class Right(Rival):
+class Right(BaselinePolicy):
     """Each warm server in turn."""
 
     turn = 0
@@ -162,9 +162,9 @@
 class Stray(Exchange):
     """An attempt that nobody asked for, which the model's own checks would not let out."""
 
-    def use(self, link):
+    def send_request(self, link):
         self.link, link.exchange = link, self
-        self.links.queue.after(self.endpoint.way, self.endpoint.server.heard, link, self)
+        self.links.queue.after(self.endpoint.delay, self.endpoint.server.receive, link, self)
 
 
 def stray(links, call, endpoint=None):
@@ -211,10 +211,10 @@
 def answers_twice(monkeypatch):
     def answered(self, status, advice):
         ANSWERED(self, status, advice)
-        self.clients.note(Again(self.clients.queue.now, self.name))
+        self.clients.record(Again(self.clients.queue.now, self.name))
 
-    ANSWERED = Try.answered
-    monkeypatch.setattr(Try, "answered", answered)
+    ANSWERED = RequestTry.answer_arrived
+    monkeypatch.setattr(RequestTry, "answer_arrived", answered)
 
 
 def late(monkeypatch):
--- a/tests/soak/test_soak_checker.py
+++ b/tests/soak/test_soak_checker.py
@@ -11,6 +11,7 @@
 
 from brackenladder.soak.checker import Rule, judge
 from brackenladder.soak.configuration import HOME_HOST, MOVING_HOST, PLAIN_HOST, changed, initial
+from brackenladder.soak.contact import CONTACT
 from brackenladder.soak.events import (
     Arrived,
     Evacuated,
@@ -31,7 +32,6 @@
     encode,
 )
 from brackenladder.soak.site import SoakLayout
-from brackenladder.soak.touch import CONTACT
 
 SECOND = 1_000_000
 LAYOUT = SoakLayout("127.99.1", Path("/nowhere"))
