--- a/brackenladder/transport/record.py
+++ b/brackenladder/transport/record_codec.py
@@ -1,4 +1,4 @@
-"""The plan by which instances of one attrs class become arrays and arrays become instances."""
+"""Conversion between instances of one attrs class and msgpack arrays."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 Convert = Callable[[Any], Any]
 
 
-class Record:
-    """Encodes and decodes one class; `add` its fields in order, then `complete`.
+class RecordCodec:
+    """Encodes and decodes one class. Call `add_field` for its fields in order, then `complete`.
 
-    An array may be shorter than the class has fields (the rest take their defaults) or longer (the surplus
-    is ignored), so that two versions of a class understand each other.
+    For compatibility between versions of a class, an array may have fewer items than the class has fields
+    (the missing ones take their defaults) or more (the surplus is ignored).
     """
 
     def __init__(self, message_type: type) -> None:
@@ -25,43 +25,45 @@
         self._fields: list[attrs.Attribute[Any]] = []
         self._encoders: list[Convert | None] = []
         self._decoders: list[Convert] = []
-        self._plain: list[type | None] = []
+        self._exact_types: list[type | None] = []
         self._make: Callable[..., object] = message_type
         self._read: Callable[[Any], tuple[Any, ...]] = _nothing
         self._to_encode: tuple[tuple[int, Convert], ...] = ()
         self._to_decode: tuple[tuple[int, Convert], ...] = ()
-        self._plain_values: Callable[[Any], tuple[Any, ...]] = _nothing
-        self._plain_types: tuple[type, ...] = ()
+        self._exact_values: Callable[[Any], tuple[Any, ...]] = _nothing
+        self._required_exact_types: tuple[type, ...] = ()
         self._required = 0
         self._count = 0
 
-    def add(
-        self, field: attrs.Attribute[Any], encode: Convert | None, decode: Convert, plain: type | None
+    def add_field(
+        self, field: attrs.Attribute[Any], encode: Convert | None, decode: Convert, exact_type: type | None
     ) -> None:
-        """The next field. `plain`: the exact type to check when the value is taken as it is."""
+        """Adds the next field. `exact_type` is set if a value only needs a type check and no decoding."""
         self._fields.append(field)
         self._encoders.append(encode)
         self._decoders.append(decode)
-        self._plain.append(plain)
+        self._exact_types.append(exact_type)
         if field.default is attrs.NOTHING:
             self._required = len(self._fields)
 
     def complete(self) -> None:
-        """All fields are known: prepare what each message needs."""
+        """Prepares the conversion once all fields have been added."""
         self._count = len(self._fields)
         self._read = _reader([each.name for each in self._fields])
         if any(each.kw_only for each in self._fields):
             self._make = _by_keyword(self.message_type, [each.alias or each.name for each in self._fields])
         encoders = enumerate(self._encoders)
         self._to_encode = tuple((index, encode) for index, encode in encoders if encode is not None)
-        decoders = enumerate(zip(self._decoders, self._plain, strict=True))
-        plain = [(index, each) for index, each in enumerate(self._plain) if each is not None]
-        self._plain_values = _picker([index for index, _ in plain])
-        self._plain_types = tuple(each for _, each in plain)
-        self._to_decode = tuple((index, decode) for index, (decode, plain) in decoders if plain is None)
+        decoders = enumerate(zip(self._decoders, self._exact_types, strict=True))
+        exact_type = [(index, each) for index, each in enumerate(self._exact_types) if each is not None]
+        self._exact_values = _picker([index for index, _ in exact_type])
+        self._required_exact_types = tuple(each for _, each in exact_type)
+        self._to_decode = tuple(
+            (index, decode) for index, (decode, exact_type) in decoders if exact_type is None
+        )
 
     def to_wire(self, message: Any) -> tuple[Any, ...] | list[Any]:
-        """The fields in order, as msgpack takes them."""
+        """Returns the field values in order, in types that msgpack can encode."""
         values = self._read(message)
         if not self._to_encode:
             return values
@@ -71,7 +73,7 @@
         return converted
 
     def from_wire(self, values: Any) -> object:
-        """An instance; DecodeError when the array does not fit the class."""
+        """Builds an instance. Raises DecodeError if the array doesn't match the class."""
         if type(values) is not tuple:
             found = type(values).__name__
             raise DecodeError(DecodeFault.WRONG_TYPE, f"{found} instead of {self.message_type.__qualname__}")
@@ -81,13 +83,16 @@
         return self._instance(self._checked(values[: self._count]))
 
     def _checked(self, values: tuple[Any, ...]) -> list[Any]:
-        if len(values) < self._count or tuple(map(type, self._plain_values(values))) != self._plain_types:
+        if (
+            len(values) < self._count
+            or tuple(map(type, self._exact_values(values))) != self._required_exact_types
+        ):
             self._check_each(values)
         return self._converted(list(values))
 
     def _check_each(self, values: tuple[Any, ...]) -> None:
-        """The slow way: for an array with fields missing, or to say which of them is wrong."""
-        for index, (value, expected) in enumerate(zip(values, self._plain, strict=False)):
+        """Checks the fields one by one: if some are missing, or to report which one has the wrong type."""
+        for index, (value, expected) in enumerate(zip(values, self._exact_types, strict=False)):
             if expected is not None and type(value) is not expected:
                 raise self._wrong(index, value, expected)
 
@@ -99,16 +104,16 @@
         return values
 
     def _wrong(self, index: int, value: object, expected: type) -> DecodeError:
-        place = f"{self.message_type.__qualname__}.{self._fields[index].name}"
+        location = f"{self.message_type.__qualname__}.{self._fields[index].name}"
         found = f"{type(value).__name__} instead of {expected.__name__}"
-        return DecodeError(DecodeFault.WRONG_TYPE, f"{place}: {found}")
+        return DecodeError(DecodeFault.WRONG_TYPE, f"{location}: {found}")
 
     def _instance(self, values: list[Any]) -> object:
         try:
             return self._make(*values)
         except (ValueError, TypeError, LookupError, ArithmeticError) as fault:
-            place = self.message_type.__qualname__
-            raise DecodeError(DecodeFault.REFUSED_VALUE, f"{place}: {fault}") from fault
+            location = self.message_type.__qualname__
+            raise DecodeError(DecodeFault.REFUSED_VALUE, f"{location}: {fault}") from fault
 
 
 def _nothing(source: Any) -> tuple[Any, ...]:
@@ -116,7 +121,7 @@
 
 
 def _reader(names: list[str]) -> Callable[[Any], tuple[Any, ...]]:
-    """Reads the named attributes as a tuple (attrgetter of one name gives no tuple)."""
+    """Returns a function that reads the attributes as a tuple (attrgetter returns no tuple for one name)."""
     if not names:
         return _nothing
     if len(names) > 1:
@@ -126,7 +131,7 @@
 
 
 def _picker(indexes: list[int]) -> Callable[[Any], tuple[Any, ...]]:
-    """Picks the items of a sequence as a tuple (itemgetter of one index gives no tuple)."""
+    """Returns a function that picks items as a tuple (itemgetter returns no tuple for one index)."""
     if not indexes:
         return _nothing
     if len(indexes) > 1:
