--- a/brackenladder/fleet/variants.py
+++ b/brackenladder/fleet/variants.py
@@ -66,14 +66,14 @@
         raise VariantError(f"checkout: no {checkout}/brackenladder/policy")
     first = files[0]  # of a package `__init__.py`, in the order of names
     name = f"brackenladder_variant_{next(VARIANT_NUMBERS)}"
-    modules = [str(first.parent)] if first.name == "__init__.py" else None
-    spec = importlib.util.spec_from_file_location(name, first, submodule_search_locations=modules)
+    search_path = [str(first.parent)] if first.name == "__init__.py" else None
+    spec = importlib.util.spec_from_file_location(name, first, submodule_search_locations=search_path)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     try:
         spec.loader.exec_module(module)
-        if modules:
+        if search_path:
             module = importlib.import_module(f"{name}.balancer")
     except Exception as e:  # another checkout's code may do anything
         raise VariantError(f"checkout: {first}: {type(e).__name__}: {e}") from None
@@ -82,4 +82,4 @@
         submodules = [sys.modules.pop(key) for key in ours]
     if not callable(getattr(module, "Balancer", None)):
         raise VariantError(f"checkout: {first}: no Balancer")
-    return [module, *(module for module in submodules if module is not module)]
+    return [module, *(submodule for submodule in submodules if submodule is not module)]
