--- a/brackenladder/soak/__init__.py
+++ b/brackenladder/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: real processes on loopback under overlapping troubles, judged from what actors saw."""
+"""Soak test: real processes on loopback under overlapping faults, checked against recorded events."""
--- a/brackenladder/soak/actors.py
+++ b/brackenladder/soak/actors.py
@@ -1,7 +1,9 @@
-"""One actor's process: `python -m brackenladder.soak.actors ROLE REGION SEED NETWORK FOLDER SIZE`.
+"""Process of one actor (servers, clients or relay).
 
-Orders come as JSON lines on standard input; it ends at `stop` or at the end of the input. What it does and
-sees goes into its journal in the folder.
+Usage: `python -m brackenladder.soak.actors ROLE REGION SEED NETWORK FOLDER SIZE`.
+
+It reads orders as JSON lines from standard input and exits on `stop` or at the end of the input. It writes
+the events it causes and observes to its journal in the folder.
 """
 
 from __future__ import annotations
@@ -15,44 +17,44 @@
 from typing import Protocol
 
 from brackenladder.soak.clients import Clients
-from brackenladder.soak.events import MICROSECONDS, Journal, Lagged, Order, Tell, now
+from brackenladder.soak.events import MICROSECONDS, Journal, Lagged, Order, Record, now
 from brackenladder.soak.relay import Relay
-from brackenladder.soak.servers import ServerFarm
+from brackenladder.soak.servers import ServerGroup
 from brackenladder.soak.site import Size, SoakLayout
 
 READY = "ready"
-BEAT_SECONDS = 0.05
-NOTABLE_LAG_SECONDS = 0.25
+LAG_CHECK_SECONDS = 0.05
+MIN_RECORDED_LAG_SECONDS = 0.25
 FLUSH_SECONDS = 1.0
 
 
 class Actor(Protocol):
-    """What a process of this module does."""
+    """Behaviour of an actor process."""
 
     async def start(self) -> None:
-        """Begins."""
+        """Starts the actor."""
 
     def order(self, order: Order) -> Awaitable[None] | None:
-        """Does as the player says; what takes time is returned."""
+        """Executes an order of the soak runner; returns an awaitable if it takes time."""
 
     async def stop(self) -> None:
-        """Ends."""
+        """Stops the actor."""
 
 
-ACTORS: dict[str, Callable[[SoakLayout, str, str, Tell], Actor]] = {
-    "servers": ServerFarm,
+ACTORS: dict[str, Callable[[SoakLayout, str, str, Record], Actor]] = {
+    "servers": ServerGroup,
     "clients": Clients,
     "relay": Relay,
 }
 
 
 def actor_name(role: str, region: str) -> str:
-    """The name of its process."""
+    """Name of the process of a role in a region."""
     return f"{role}-{region}"
 
 
 async def run_actor(role: str, layout: SoakLayout, region: str, seed: str) -> None:
-    """Until the orders end."""
+    """Runs an actor until its input ends or it is told to stop."""
     name = actor_name(role, region)
     journal = Journal(layout.folder / f"{name}.jsonl")
     actor = ACTORS[role](layout, region, seed, journal.add)
@@ -62,7 +64,7 @@
     )
     await actor.start()
     print(READY, flush=True)
-    watch = asyncio.create_task(_watch(name, journal))
+    watch = asyncio.create_task(_record_lags(name, journal))
     under_way: set[asyncio.Future[None]] = set()
     while (line := await reader.readline()) and (order := json.loads(line))["do"] != "stop":
         work = actor.order(order)
@@ -80,18 +82,18 @@
 
 
 def _report(task: asyncio.Future[None]) -> None:
-    """An order that fails is a fault of the soak itself: its trace goes to the log, which is looked at."""
+    """Prints the traceback of a failed order to the log, which the soak searches for tracebacks."""
     if not task.cancelled() and (error := task.exception()) is not None:
         traceback.print_exception(error)
 
 
-async def _watch(name: str, journal: Journal) -> None:
-    """Notes when this process did not run."""
+async def _record_lags(name: str, journal: Journal) -> None:
+    """Records periods in which this process was not scheduled; flushes the journal regularly."""
     flushed = before = now()
     while True:
-        await asyncio.sleep(BEAT_SECONDS)
+        await asyncio.sleep(LAG_CHECK_SECONDS)
         moment = now()
-        if moment - before > (BEAT_SECONDS + NOTABLE_LAG_SECONDS) * MICROSECONDS:
+        if moment - before > (LAG_CHECK_SECONDS + MIN_RECORDED_LAG_SECONDS) * MICROSECONDS:
             journal.add(Lagged(before, moment, name))
         before = moment
         if moment - flushed > FLUSH_SECONDS * MICROSECONDS:
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -1,4 +1,4 @@
-"""The verdict on a soak: what must hold of the events that actors saw. Pure: no I/O, no clock."""
+"""Checks the recorded events of a soak against the rules. Pure: no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from brackenladder.platform_settings import DEFAULT_BOUNDS
 from brackenladder.soak import events as seen
 from brackenladder.soak.configuration import CALLS, HOSTS, IDEMPOTENT
-from brackenladder.soak.contact import Troubles
+from brackenladder.soak.contact import FaultTimeline
 from brackenladder.soak.site import SoakLayout
-from brackenladder.soak.versions import Versions, fault_of_orders
+from brackenladder.soak.versions import Versions, first_order_violation
 
 DRAIN = round(DEFAULT_BOUNDS.drain_ms * 1000)  # microseconds
 EVACUATE = round(DEFAULT_BOUNDS.evacuate_ms * 1000)
 LOSS_SLACK = round(DEFAULT_BOUNDS.loss_slack_ms * 1000)
-SPENT_SHARE = 0.7  # of its deadline: a request that has used so much is not lost by planned work
-SERVED_SECONDS = 3_000_000  # microseconds after the recovery in which clients are served
+USED_DEADLINE_SHARE = 0.7  # of a deadline; a connection closed after that is not blamed on planned work
+SERVED_WINDOW = 3_000_000  # microseconds after a recovery in which clients must be served
 SERVED_SHARE = 0.25
 T = TypeVar("T")
 
 
 class Rule(Enum):
-    """What must hold."""
+    """Rules that the events of a soak must satisfy."""
 
     HOME = "HOME"
     TWICE = "TWICE"
@@ -46,16 +46,19 @@
 
 @frozen
 class Breach:
-    """One violation."""
+    """A violation of a rule."""
 
     rule: Rule
-    at: int  # microseconds of the monotonic clock; 0: of no moment
+    at: int  # microseconds of the monotonic clock; 0 if it has no time
     detail: str
 
 
 @define
 class Verdict:
-    """What was found. `checked` counts what each rule was held against, `excused` what a fault explains."""
+    """Result of the check.
+
+    `checked` counts the cases checked for each rule, `excused` those that an injected fault explains.
+    """
 
     breaches: list[Breach] = field(factory=list)
     checked: Counter[str] = field(factory=Counter)
@@ -65,21 +68,21 @@
 
     @property
     def held(self) -> bool:
-        """Whether nothing was broken."""
+        """Whether no rule was violated."""
         return not self.breaches
 
     def add(self, rule: Rule, at: int, detail: str) -> None:
-        """One more violation."""
+        """Adds a violation."""
         self.breaches.append(Breach(rule, at, detail))
 
 
 def judge(events: list[seen.Event], layout: SoakLayout) -> Verdict:
-    """Holds every rule against the events."""
-    return _Judge(events, layout).verdict()
+    """Checks every rule against the events."""
+    return _Checker(events, layout).verdict()
 
 
-class _Judge:
-    """The events by their kinds, and a method for each rule."""
+class _Checker:
+    """Indexes of the events, with one check method per rule or group of rules."""
 
     def __init__(self, events: list[seen.Event], layout: SoakLayout) -> None:
         self._events = events
@@ -87,18 +90,18 @@
         self._servers = layout.servers()
         self._gateways = {machine.front: machine for machine in layout.gateways}
         self._directories = {machine.directory: machine.name for machine in layout.control}
-        self._tries = {one.request: one for one in self._of(seen.Tried)}
-        self._arrivals: defaultdict[str, list[seen.Arrived]] = defaultdict(list)
-        for arrival in self._of(seen.Arrived):
-            self._arrivals[arrival.request].append(arrival)
-        self._ran = Counter(one.request for one in self._of(seen.Handled) if not one.refusal)
-        self._refusals = {(one.request, one.server): one.refusal for one in self._of(seen.Handled)}
-        self._troubles = Troubles(events, [machine.name for machine in layout.control])
-        self._versions = Versions(self._of(seen.Ordered))
+        self._tries = {one.request: one for one in self._events_of(seen.Tried)}
+        self._arrivals_by_request: defaultdict[str, list[seen.Arrived]] = defaultdict(list)
+        for arrival in self._events_of(seen.Arrived):
+            self._arrivals_by_request[arrival.request].append(arrival)
+        self._run_counts = Counter(one.request for one in self._events_of(seen.Handled) if not one.refusal)
+        self._refusals = {(one.request, one.server): one.refusal for one in self._events_of(seen.Handled)}
+        self._troubles = FaultTimeline(events, [machine.name for machine in layout.control])
+        self._versions = Versions(self._events_of(seen.Ordered))
         self._verdict = Verdict()
 
     def verdict(self) -> Verdict:
-        """All rules."""
+        """Runs all checks."""
         found = self._verdict
         found.outcomes.update(one.outcome for one in self._tries.values())
         found.began = min((one.began for one in self._tries.values()), default=0)
@@ -118,11 +121,11 @@
         found.breaches.sort(key=lambda breach: breach.at)
         return found
 
-    def _of(self, kind: type[T]) -> Iterable[T]:
+    def _events_of(self, kind: type[T]) -> Iterable[T]:
         return (event for event in self._events if isinstance(event, kind))
 
     def _gateway(self, request: str) -> str:
-        """The name of the gateway that took a request."""
+        """Name of the gateway that a request was sent to."""
         tried = self._tries.get(request)
         machine = self._gateways.get(tried.gateway) if tried else None
         return machine.name if machine else ""
@@ -130,40 +133,40 @@
     # -- requests
 
     def _check_arrivals(self) -> None:
-        """HOME, CONFIG and UNASKED: a request reaches a server that a configuration allows."""
-        for arrivals in self._arrivals.values():
+        """HOME, CONFIG and UNASKED: each request at a server was sent by a client and is allowed there."""
+        for arrivals in self._arrivals_by_request.values():
             for arrival in arrivals:
                 tried = self._tries.get(arrival.request)
                 if tried is None or tried.path != arrival.path:
-                    detail = f"request {arrival.request} {arrival.path} reached {arrival.server}: no client's"
+                    detail = f"unknown request {arrival.request} {arrival.path} reached {arrival.server}"
                     self._verdict.add(Rule.UNASKED, arrival.at, detail)
                     continue
                 self._check_arrival(arrival, tried)
 
     def _check_arrival(self, arrival: seen.Arrived, tried: seen.Tried) -> None:
-        in_touch = self._troubles.in_touch(self._gateway(arrival.request), arrival.at)
+        in_contact = self._troubles.in_contact(self._gateway(arrival.request), arrival.at)
         route = (tried.host, tried.path)
-        rules = self._versions.rules(route, tried.began, arrival.at, in_touch)
-        self._verdict.checked[Rule.CONFIG.value] += in_touch
+        rules = self._versions.rules(route, tried.began, arrival.at, in_contact)
+        self._verdict.checked[Rule.CONFIG.value] += in_contact
         if not any(arrival.service in rule.services for rule in rules):
-            detail = f"{_name(tried)} ran at {arrival.server} of {arrival.service} by {tried.gateway}"
+            detail = f"{_name(tried)} ran at {arrival.server} of {arrival.service} through {tried.gateway}"
             self._verdict.add(Rule.CONFIG, arrival.at, detail)
         region = self._regions[arrival.zone]
         self._verdict.checked[Rule.HOME.value] += any(rule.homes for rule in rules)
         if not any(not rule.homes or region in rule.homes for rule in rules):
             homes = sorted(set().union(*(rule.homes for rule in rules)))
             detail = f"{_name(tried)} with homes {homes} reached {arrival.server} in {region}"
-            self._verdict.add(Rule.HOME, arrival.at, f"{detail} by {tried.gateway}")
+            self._verdict.add(Rule.HOME, arrival.at, f"{detail} through {tried.gateway}")
 
     def _check_directory(self) -> None:
-        """HOME: a client is led to gateways of its own region and of the host's homes."""
-        for answer in self._of(seen.Resolved):
-            in_touch = self._troubles.in_touch(self._directories.get(answer.directory, ""), answer.at)
+        """HOME: a directory names only gateways in the client's region or in the host's home regions."""
+        for answer in self._events_of(seen.Resolved):
+            in_contact = self._troubles.in_contact(self._directories.get(answer.directory, ""), answer.at)
             routes = [(call.host, call.path) for call in CALLS if call.host == answer.host]
             rules = [
                 rule
                 for route in routes
-                for rule in self._versions.rules(route, answer.at, answer.at, in_touch)
+                for rule in self._versions.rules(route, answer.at, answer.at, in_contact)
             ]
             if not rules or any(not rule.homes for rule in rules):
                 continue
@@ -171,145 +174,146 @@
             allowed = {answer.region}.union(*(rule.homes for rule in rules))
             regions = {self._gateways[address].region for address in answer.addresses}
             if regions - allowed:
-                detail = f"{answer.directory} leads a client of {answer.region} for {answer.host}"
+                detail = f"{answer.directory} sends a client in {answer.region} for {answer.host}"
                 detail += f" (homes {sorted(allowed - {answer.region})}) to {sorted(regions - allowed)}"
                 self._verdict.add(Rule.HOME, answer.at, detail)
 
     def _check_runs(self) -> None:
-        """TWICE and REFUSED: what may not be repeated runs at most once, and never after a refusal."""
+        """TWICE and REFUSED: a non-idempotent request runs at most once, and not at all if it was refused."""
         for tried in self._tries.values():
             if IDEMPOTENT[tried.host, tried.path]:
                 continue
             self._verdict.checked[Rule.TWICE.value] += 1
-            runs = self._ran[tried.request]
+            runs = self._run_counts[tried.request]
             if runs > 1:
                 self._verdict.add(Rule.TWICE, tried.ended, f"{_name(tried)} ran {runs} times")
             if tried.outcome == seen.Outcome.REFUSED:
                 self._verdict.checked[Rule.REFUSED.value] += 1
                 if runs:
-                    detail = f"{_name(tried)} got {tried.status} by {tried.gateway} and has run"
+                    detail = f"{_name(tried)} got {tried.status} from {tried.gateway} but ran"
                     self._verdict.add(Rule.REFUSED, tried.ended, detail)
 
     def _check_answers(self) -> None:
-        """MIXED and DENIED: an answer is the server's, and proper requests are not turned away for good."""
+        """MIXED: an answer belongs to its request. DENIED: no valid request gets a non-retryable error."""
         for tried in self._tries.values():
             if tried.outcome == seen.Outcome.MIXED:
                 self._verdict.add(Rule.MIXED, tried.ended, f"{_name(tried)}: {tried.detail}")
             elif tried.outcome == seen.Outcome.SERVED:
                 self._verdict.checked[Rule.MIXED.value] += 1
-                servers = {arrival.server for arrival in self._arrivals[tried.request]}
-                if not self._ran[tried.request] or tried.detail not in servers:
-                    detail = f"{_name(tried)} was answered for {tried.detail}, which did not run it"
+                servers = {arrival.server for arrival in self._arrivals_by_request[tried.request]}
+                if not self._run_counts[tried.request] or tried.detail not in servers:
+                    detail = f"{_name(tried)} was answered by {tried.detail}, which did not run it"
                     self._verdict.add(Rule.MIXED, tried.ended, detail)
             elif tried.outcome == seen.Outcome.FAILED and tried.detail:
-                detail = f"{_name(tried)} got {tried.status} by {tried.gateway}"
+                detail = f"{_name(tried)} got {tried.status} from {tried.gateway}"
                 self._verdict.add(Rule.DENIED, tried.ended, detail)
 
     # -- servers that leave
 
     def _check_leaves(self) -> None:
-        """DRAIN: nothing reaches a server later than DrainMs after its leave was acknowledged."""
-        leaves = {one.server: one.at for one in self._of(seen.LeaveAcknowledged)}
+        """DRAIN: no request reaches a server more than DrainMs after its leave was acknowledged."""
+        leaves = {one.server: one.at for one in self._events_of(seen.LeaveAcknowledged)}
         self._verdict.checked[Rule.DRAIN.value] = len(leaves)
-        for arrival in self._of(seen.Arrived):
+        for arrival in self._events_of(seen.Arrived):
             left = leaves.get(arrival.server)
             if left is not None and arrival.at > left + DRAIN:
                 late = (arrival.at - left) / 1000
                 self._late(Rule.DRAIN, arrival, f"{late:.0f} ms after its leave was acknowledged")
 
     def _check_evacuations(self) -> None:
-        """EVAC: nothing reaches a zone later than EvacuateMs after its evacuation was acknowledged."""
+        """EVAC: no request reaches a zone more than EvacuateMs after its evacuation was acknowledged."""
         spans: defaultdict[str, list[tuple[int, int | None]]] = defaultdict(list)
-        for order in sorted(self._of(seen.Evacuated), key=lambda one: one.invoked):
+        for order in sorted(self._events_of(seen.Evacuated), key=lambda one: one.invoked):
             known = spans[order.zone]
             if order.begin and order.acknowledged:
                 known.append((order.ended, None))
             elif not order.begin and known and known[-1][1] is None:
                 known[-1] = (known[-1][0], order.invoked)
                 self._verdict.checked[Rule.EVAC.value] += order.invoked > known[-1][0] + EVACUATE
-        for arrival in self._of(seen.Arrived):
+        for arrival in self._events_of(seen.Arrived):
             for began, ended in spans[arrival.zone]:
                 if arrival.at > began + EVACUATE and (ended is None or arrival.at < ended):
                     late = (arrival.at - began) / 1000
                     self._late(Rule.EVAC, arrival, f"{late:.0f} ms after the evacuation of {arrival.zone}")
 
     def _late(self, rule: Rule, arrival: seen.Arrived, detail: str) -> None:
-        """A late arrival, unless the gateway was out of touch or the server's process held up."""
+        """Adds a violation for a late arrival.
+
+        Excused if the gateway was out of contact or the server's actor was delayed.
+        """
         if self._refusals.get((arrival.request, arrival.server)) == HTTPStatus.MISDIRECTED_REQUEST:
             return
         gateway = self._gateway(arrival.request)
         actor = f"servers-{self._regions[arrival.zone]}"
-        if not self._troubles.in_touch(gateway, arrival.at) or self._troubles.held_up(actor, arrival.at):
+        if not self._troubles.in_contact(gateway, arrival.at) or self._troubles.delayed(actor, arrival.at):
             self._verdict.excused[rule.value] += 1
             return
-        detail = f"request {arrival.request} by {gateway} reached {arrival.server} {detail}"
+        detail = f"request {arrival.request} through {gateway} reached {arrival.server} {detail}"
         self._verdict.add(rule, arrival.at, detail)
 
     # -- operators
 
     def _check_orders(self) -> None:
         """CONFIG: orders and reads are one history; what was acknowledged is acknowledged again."""
-        orders, reads = list(self._of(seen.Ordered)), list(self._of(seen.ReadBack))
+        orders, reads = list(self._events_of(seen.Ordered)), list(self._events_of(seen.ReadBack))
         self._verdict.checked["CONFIG orders"] = len(orders)
         self._verdict.checked["CONFIG reads"] = len(reads)
-        fault = fault_of_orders(orders, reads)
+        fault = first_order_violation(orders, reads)
         if fault is not None:
             self._verdict.add(Rule.CONFIG, 0, str(fault))
         if orders and not any(read.final for read in reads):
             self._verdict.add(Rule.CONFIG, 0, "no configuration could be read at the end")
         for order in orders:
             if order.repeat_status not in (0, HTTPStatus.OK):
-                detail = (
-                    f"order {order.number} was acknowledged, and got {order.repeat_status} when it came again"
-                )
+                detail = f"order {order.number} was acknowledged, but got {order.repeat_status} when repeated"
                 self._verdict.add(Rule.CONFIG, order.ended, detail)
 
     # -- planned work
 
     def _check_losses(self) -> None:
-        """LOST: without unplanned trouble near, a request that was read gets a whole answer."""
+        """LOST: a completely sent request gets a complete answer unless unplanned faults are near."""
         for tried in self._tries.values():
             if not tried.read:
                 continue
-            if not self._troubles.calm(tried.began, tried.ended):
+            if not self._troubles.undisturbed(tried.began, tried.ended):
                 self._verdict.excused[Rule.LOST.value] += tried.outcome == seen.Outcome.CLOSED
                 continue
             self._verdict.checked[Rule.LOST.value] += 1
             self._verdict.checked[f"calm {tried.outcome}"] += 1
-            spent = (tried.ended - tried.began) / 1000 > SPENT_SHARE * tried.deadline_ms
-            if tried.outcome != seen.Outcome.CLOSED or spent:
+            deadline_used = (tried.ended - tried.began) / 1000 > USED_DEADLINE_SHARE * tried.deadline_ms
+            if tried.outcome != seen.Outcome.CLOSED or deadline_used:
                 continue
-            passed_on = bool(self._arrivals[tried.request])
+            forwarded = bool(self._arrivals_by_request[tried.request])
             late = tried.ended - tried.read > LOSS_SLACK
-            if passed_on or (late and not self._troubles.lagged(f"clients-{tried.region}", *_span(tried))):
+            if forwarded or (late and not self._troubles.lagged(f"clients-{tried.region}", *_span(tried))):
                 detail = f"{_name(tried)} to {tried.gateway}: closed after status {tried.status}"
                 detail += f" {(tried.ended - tried.read) / 1000:.0f} ms after it was sent"
-                detail += ", passed on" if passed_on else ", not passed on"
-                detail += ", first on its connection" if tried.fresh else ", on a kept connection"
+                detail += ", forwarded" if forwarded else ", not forwarded"
+                detail += ", first on its connection" if tried.fresh else ", on a reused connection"
                 self._verdict.add(Rule.LOST, tried.ended, detail)
 
     # -- processes
 
     def _check_processes(self) -> None:
-        """ENDED and LOG: processes end when they are made to, and nothing in their logs says otherwise."""
-        for end in self._of(seen.ProcessEnded):
+        """ENDED and LOG: processes exit only when told to, and their logs hold no forbidden lines."""
+        for end in self._events_of(seen.ProcessEnded):
             self._verdict.checked[Rule.ENDED.value] += 1
             if end.fault:
                 self._verdict.add(Rule.ENDED, end.at, f"{end.process} {end.fault} (status {end.status})")
-        for fault in self._of(seen.LogFault):
+        for fault in self._events_of(seen.LogFault):
             self._verdict.add(Rule.LOG, 0, f"{fault.process}: {fault.line}")
 
     def _check_recovery(self) -> None:
-        """RECOVER: after healing all is back in a bounded time, and clients of each region are served."""
-        for recovery in self._of(seen.Recovery):
+        """RECOVER: once faults end, the system recovers in time and clients in each region are served."""
+        for recovery in self._events_of(seen.Recovery):
             self._verdict.checked[Rule.RECOVER.value] += 1
             for missing in recovery.missing:
-                self._verdict.add(Rule.RECOVER, recovery.ended, f"{missing}, though all was healed")
+                self._verdict.add(Rule.RECOVER, recovery.ended, f"{missing}, though all faults had ended")
             if not recovery.missing:
                 self._check_served(recovery.ended)
 
-    def _has_server(self, tried: seen.Tried) -> bool:
-        """Whether a server that may take the request, by each version that may hold, was there to stay."""
+    def _had_eligible_server(self, tried: seen.Tried) -> bool:
+        """Whether every configuration that may be in force had an eligible server that was not leaving."""
         rules = self._versions.rules((tried.host, tried.path), tried.began, tried.ended, True)
         return all(
             any(
@@ -329,10 +333,10 @@
                     for one in self._tries.values()
                     if one.region == region
                     and one.host == host
-                    and since <= one.began <= since + SERVED_SECONDS
+                    and since <= one.began <= since + SERVED_WINDOW
                     and one.outcome != seen.Outcome.UNREACHED
                 ]
-                possible = [one for one in tries if self._has_server(one)]
+                possible = [one for one in tries if self._had_eligible_server(one)]
                 if tries and not possible:
                     self._verdict.excused[Rule.RECOVER.value] += 1
                     continue
@@ -344,7 +348,7 @@
 
 
 def _name(tried: seen.Tried) -> str:
-    return f"{tried.kind} request {tried.request} on {tried.host}{tried.path} from {tried.region}"
+    return f"{tried.kind} request {tried.request} on {tried.host}{tried.path} from region {tried.region}"
 
 
 def _span(tried: seen.Tried) -> tuple[int, int]:
--- a/brackenladder/soak/configuration.py
+++ b/brackenladder/soak/configuration.py
@@ -1,4 +1,4 @@
-"""The configurations of a soak: hosts with and without homes, and how each version differs from the last."""
+"""Configurations of a soak: hosts with and without home regions, and random changes between versions."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from brackenladder.soak.site import CARDS, FORMS, REGIONS
 
 PLAIN_HOST, HOME_HOST, MOVING_HOST = "plain.soak", "home.soak", "moving.soak"
-FIRST_HOMES = {HOME_HOST: ("north",), MOVING_HOST: ("south",)}  # those of the first host never change
+FIRST_HOMES = {HOME_HOST: ("north",), MOVING_HOST: ("south",)}  # home regions of home.soak never change
 COLD = {"ColdStartS": 2.0, "ColdPerS": 20.0, "MaxConnections": 400}
 Document = dict[str, Any]
 
 
 @frozen
 class Call:
-    """A request that clients send: to which route, and what a repeat may do."""
+    """A kind of request that clients send, and whether it may be repeated."""
 
     host: str
     path: str
@@ -48,7 +48,7 @@
 
 
 def initial(number: int, version: int) -> Document:
-    """The configuration that a soak begins with: the local system's, with the soak's routes and services."""
+    """The first configuration: that of the local site, with the soak's routes and services."""
     document = deepcopy(first_configuration())
     model, plain = document["Services"]
     services = [model, plain, plain | {"Name": FORMS}]
@@ -59,20 +59,22 @@
 
 
 def changed(base: Document, number: int, version: int, random: Random) -> tuple[Document, Document]:
-    """A next configuration, and the update that makes it of `base`."""
+    """A random successor of `base`, and the update document that turns `base` into it."""
     document = deepcopy(base)
     document["Version"] = version
     routes = {route["Name"]: route for route in document["Routes"]}
     routes["marker"].update(_marker(number))
     touched = {"marker"}
-    for change in random.sample((_flip, _split, _move_homes, _retime), random.randint(1, 2)):
+    for change in random.sample(
+        (_change_backend, _change_split, _move_homes, _change_timeout), random.randint(1, 2)
+    ):
         touched |= change(routes, random)
     upsert = [route for route in document["Routes"] if route["Name"] in touched]
     return document, {"Version": version, "Upsert": {"Routes": upsert}, "Remove": {}}
 
 
 def invalid(base: Document, number: int, version: int) -> Document:
-    """A configuration whose route names a service that there isn't."""
+    """A configuration with a route to a service that does not exist."""
     document = deepcopy(base) | {"Version": version}
     next(route for route in document["Routes"] if route["Name"] == "marker").update(
         _marker(number) | {"Backend": "none"}
@@ -82,14 +84,14 @@
 
 @frozen
 class RouteRule:
-    """What one version lets become of the requests of a route."""
+    """Where one configuration version allows the requests of a route to run."""
 
     services: frozenset[str]
-    homes: frozenset[str]  # empty: every region
+    homes: frozenset[str]  # home regions; empty: any region
 
 
 def rules_of(whole: str) -> dict[tuple[str, str], RouteRule]:
-    """The rules of a configuration by host and path of `CALLS`."""
+    """The rules of a configuration (JSON) for the host and path of each entry of `CALLS`."""
     routes = json.loads(whole)["Routes"]
     found = {}
     for call in CALLS:
@@ -104,15 +106,15 @@
     return found
 
 
-def _flip(routes: dict[str, Document], random: Random) -> set[str]:
-    """A route goes to the other service."""
+def _change_backend(routes: dict[str, Document], random: Random) -> set[str]:
+    """Sends a route to the other service."""
     route = routes[f"{PLAIN_HOST}/flip/"]
     route["Backend"] = FORMS if route["Backend"] == CARDS else CARDS
     return {route["Name"]}
 
 
-def _split(routes: dict[str, Document], random: Random) -> set[str]:
-    """The weights of a split change."""
+def _change_split(routes: dict[str, Document], random: Random) -> set[str]:
+    """Changes the weights of a traffic split."""
     route = routes[f"{PLAIN_HOST}/split/"]
     weight = random.choice((0, 10, 50, 90, 100))
     route["TrafficSplit"] = _split_parts(weight)
@@ -120,7 +122,7 @@
 
 
 def _move_homes(routes: dict[str, Document], random: Random) -> set[str]:
-    """The homes of a host's routes move."""
+    """Changes the home regions of all routes of one host."""
     homes = sorted(random.sample(REGIONS, random.randint(1, 2)))
     names = {name for name, route in routes.items() if route["Hostname"] == MOVING_HOST}
     for name in names:
@@ -128,8 +130,8 @@
     return names
 
 
-def _retime(routes: dict[str, Document], random: Random) -> set[str]:
-    """A route's time-out changes."""
+def _change_timeout(routes: dict[str, Document], random: Random) -> set[str]:
+    """Changes the timeout of a route."""
     route = routes[f"{PLAIN_HOST}/cards/"]
     route["TimeoutMs"] = random.randint(2500, 3500)
     return {route["Name"]}
@@ -159,5 +161,5 @@
 
 
 def _marker(number: int) -> Document:
-    """The route that tells which order made a configuration."""
+    """A route whose path holds the number of the order that made the configuration."""
     return _route(Call("marker.soak", f"{MARKER}{number}/1", "safe")) | {"Name": "marker"}
--- a/brackenladder/soak/connection.py
+++ b/brackenladder/soak/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: HTTP/1.1 as far as a soak needs it, and strict about what an answer may be."""
+"""Minimal HTTP/1.1 client connection for soaks, strict about malformed answers."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 
 
 class AnswerError(Exception):
-    """The bytes are no answer in the protocol."""
+    """The received bytes are not a valid HTTP/1.1 answer."""
 
 
-class Ended(Exception):
-    """The connection has ended before the answer was whole."""
+class ConnectionEnded(Exception):
+    """The connection ended before the answer was complete."""
 
 
 @frozen
 class Head:
-    """The beginning of an answer; names of headers in lower case."""
+    """Status and headers of an answer; header names in lower case."""
 
     status: int
     headers: dict[str, str]
 
     @property
-    def keeps(self) -> bool:
-        """Whether the connection may be used again."""
+    def keeps_connection(self) -> bool:
+        """Whether the connection may be reused after this answer."""
         return self.headers.get("connection", "").lower() != "close"
 
 
 class Connection:
-    """One connection; one request at a time."""
+    """A connection that carries one request at a time."""
 
     def __init__(self, address: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.address = address
@@ -46,29 +46,29 @@
 
     @classmethod
     async def open(cls, address: str, seconds: float) -> Connection:
-        """An OSError, a TimeoutError among them, if there is none in time."""
+        """Connects; raises OSError (including TimeoutError) on failure."""
         host, _, port = address.rpartition(":")
         async with asyncio.timeout(seconds):
             reader, writer = await asyncio.open_connection(host, int(port), limit=LARGEST_LINE)
         return cls(address, reader, writer)
 
     @property
-    def gone(self) -> bool:
-        """Whether the other end has closed it."""
+    def closed_by_peer(self) -> bool:
+        """Whether the peer has closed the connection."""
         return self._reader.at_eof() or self._reader.exception() is not None
 
     async def send(self, method: str, path: str, headers: dict[str, str], body: bytes = b"") -> None:
-        """Sends a request; `Ended` if the connection is gone."""
+        """Sends a request; raises ConnectionEnded if the connection is closed."""
         self.requests += 1
         lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
         if body:
             lines.append(f"Content-Length: {len(body)}")
-        with _showing_its_end():
+        with _raising_connection_ended():
             self._writer.write("\r\n".join([*lines, "", ""]).encode() + body)
             await self._writer.drain()
 
     async def head(self) -> Head:
-        """The beginning of the answer."""
+        """Reads the status line and headers of the answer."""
         status_line = (await self._line()).split(" ", 2)
         if len(status_line) < 2 or status_line[0] != "HTTP/1.1" or not status_line[1].isdigit():
             raise AnswerError(f"status line {' '.join(status_line)!r}")
@@ -81,19 +81,19 @@
         return Head(int(status_line[1]), headers)
 
     async def body(self, head: Head) -> AsyncIterator[bytes]:
-        """The pieces of the body as they come."""
+        """Yields the pieces of the body as they arrive."""
         if head.headers.get("transfer-encoding", "").lower() == "chunked":
             async for piece in self._chunks():
                 yield piece
             return
         length = head.headers.get("content-length", "")
         if not length.isdigit():
-            raise AnswerError("a body of no length")
+            raise AnswerError("answer has neither a content length nor chunks")
         if int(length):
             yield await self._exactly(int(length))
 
     def close(self) -> None:
-        """Ends it."""
+        """Closes the connection."""
         self._writer.close()
 
     async def _chunks(self) -> AsyncIterator[bytes]:
@@ -106,42 +106,42 @@
             if size:
                 yield await self._exactly(size)
             if await self._line():
-                raise AnswerError("no line end after a chunk")
+                raise AnswerError("chunk is not followed by a line end")
             if not size:
                 return
 
     async def _line(self) -> str:
         try:
-            with _showing_its_end():
+            with _raising_connection_ended():
                 line = await self._reader.readuntil(b"\r\n")
         except asyncio.LimitOverrunError as error:
-            raise AnswerError("an endless line") from error
+            raise AnswerError("header line exceeds the limit") from error
         return line[:-2].decode("latin-1")
 
     async def _exactly(self, size: int) -> bytes:
-        with _showing_its_end():
+        with _raising_connection_ended():
             return await self._reader.readexactly(size)
 
 
 @contextmanager
-def _showing_its_end() -> Iterator[None]:
-    """Raises `Ended` if the connection ends."""
+def _raising_connection_ended() -> Iterator[None]:
+    """Turns the end of the connection into ConnectionEnded."""
     try:
         yield
     except (asyncio.IncompleteReadError, OSError) as error:
-        raise Ended(str(error)) from error
+        raise ConnectionEnded(str(error)) from error
 
 
 @frozen
 class Reply:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
 
     @property
     def document(self) -> Any:
-        """Its JSON object; a ValueError if it holds none."""
+        """The body decoded as JSON; raises ValueError if it is not JSON."""
         return json.loads(self.body)
 
 
@@ -154,9 +154,9 @@
     seconds: float = CALL_SECONDS,
     lost_after: float | None = None,
 ) -> Reply | None:
-    """One call on a connection of its own; None without an answer.
+    """Makes one call on a new connection; returns None if no answer comes.
 
-    `lost_after`: the answer is lost, and the connection ends so many seconds after the call was sent.
+    `lost_after`: closes the connection this many seconds after sending, without reading the answer.
     """
     connection = None
     length = {"Content-Length": "0"} if method == "POST" and not body else {}
@@ -169,7 +169,7 @@
                 return None
             head = await connection.head()
             return Reply(head.status, b"".join([piece async for piece in connection.body(head)]))
-    except (OSError, Ended, AnswerError):
+    except (OSError, ConnectionEnded, AnswerError):
         return None
     finally:
         if connection is not None:
--- a/brackenladder/soak/contact.py
+++ b/brackenladder/soak/contact.py
@@ -1,4 +1,4 @@
-"""When a machine was in touch, as the rules say it: so far bounds of time hold for it."""
+"""Timeline of faults: when a machine was in contact with the control plane, so that time bounds apply."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from brackenladder.soak.events import Event, Lagged, Trouble
 
 CONTACT = round(DEFAULT_BOUNDS.contact_ms * 1000)  # microseconds
-LAG_SLACK = 100_000  # microseconds in which an actor that was held up works off what has waited
+LAG_SLACK = 100_000  # microseconds an actor needs after a lag to process its backlog
 RELOAD = "reload"
 Span = tuple[int, int]
 
 
-class Troubles:
-    """The troubles of a soak, by what they were done to."""
+class FaultTimeline:
+    """Faults and planned operations of a soak, by target."""
 
     def __init__(self, events: Iterable[Event], control: Iterable[str]) -> None:
         self._by_target: defaultdict[str, list[Span]] = defaultdict(list)
@@ -26,7 +26,7 @@
                 self._add(event)
             elif isinstance(event, Lagged):
                 self._lags[event.process].append((event.began, event.ended + LAG_SLACK))
-        self._core = [span for name in control for span in self._by_target[name]]
+        self._control_spans = [span for name in control for span in self._by_target[name]]
 
     def _add(self, trouble: Trouble) -> None:
         span = (trouble.began, trouble.ended)
@@ -36,38 +36,38 @@
             for target in trouble.targets:
                 self._by_target[target].append(span)
 
-    def in_touch(self, machine: str, at: int) -> bool:
-        """Whether neither the machine nor the core had trouble in the ContactMs before."""
-        return not _meets(self._by_target[machine], at - CONTACT, at) and not _meets(
-            self._core, at - CONTACT, at
+    def in_contact(self, machine: str, at: int) -> bool:
+        """Whether neither the machine nor any control node was disturbed in the last ContactMs."""
+        return not _overlaps(self._by_target[machine], at - CONTACT, at) and not _overlaps(
+            self._control_spans, at - CONTACT, at
         )
 
-    def held_up(self, actor: str, at: int) -> bool:
-        """Whether what an actor saw at this moment may have reached it earlier."""
-        return _meets(self._by_target[actor], at - CONTACT, at) or _meets(self._lags[actor], at, at)
+    def delayed(self, actor: str, at: int) -> bool:
+        """Whether an actor may have recorded an event later than it arrived."""
+        return _overlaps(self._by_target[actor], at - CONTACT, at) or _overlaps(self._lags[actor], at, at)
 
     def leaving(self, server: str, began: int, ended: int) -> bool:
-        """Whether a server, in any incarnation, was being taken away or had just come back in this time."""
+        """Whether a server, in any incarnation, was leaving or had just returned in this period."""
         name = _server_name(server)
         return any(
-            _meets(spans, began - CONTACT, ended)
+            _overlaps(spans, began - CONTACT, ended)
             for target, spans in self._by_target.items()
             if _server_name(target) == name
         )
 
-    def calm(self, began: int, ended: int) -> bool:
-        """Whether no unplanned trouble was there from ContactMs before `began` until `ended`."""
-        return not _meets(self._unplanned, began - CONTACT, ended)
+    def undisturbed(self, began: int, ended: int) -> bool:
+        """Whether no unplanned fault was active from ContactMs before `began` until `ended`."""
+        return not _overlaps(self._unplanned, began - CONTACT, ended)
 
     def lagged(self, actor: str, began: int, ended: int) -> bool:
-        """Whether an actor was held up by the machine in this time."""
-        return _meets(self._lags[actor], began, ended)
+        """Whether an actor's process was not scheduled at some time in this period."""
+        return _overlaps(self._lags[actor], began, ended)
 
 
 def _server_name(server: str) -> str:
-    """Without the number of the incarnation."""
+    """The server's name without its incarnation number."""
     return server.partition(".")[0]
 
 
-def _meets(spans: list[Span], began: int, ended: int) -> bool:
+def _overlaps(spans: list[Span], began: int, ended: int) -> bool:
     return any(first <= ended and last >= began for first, last in spans)
--- a/brackenladder/soak/events.py
+++ b/brackenladder/soak/events.py
@@ -1,6 +1,6 @@
-"""What the actors of a soak have done and seen: typed events, one JSON line each.
+"""Typed events that soak actors record, one JSON line each.
 
-Times are microseconds of the machine's monotonic clock, which all processes of a machine share.
+Times are microseconds of the monotonic clock, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def now() -> int:
-    """Microseconds of the monotonic clock."""
+    """Current time in microseconds of the monotonic clock."""
     return monotonic_ns() // 1000
 
 
 class Event:
-    """What is written down; each kind is known by its name."""
+    """Base of all events; `kinds` maps each class name to its class."""
 
     kinds: ClassVar[dict[str, type[Any]]] = {}
 
@@ -32,13 +32,13 @@
         Event.kinds[cls.__name__] = cls
 
 
-Tell = Callable[[Event], None]  # writes down
-Order = dict[str, Any]  # what the player tells an actor's process: `do`, and its details
+Record = Callable[[Event], None]  # writes an event to the journal
+Order = dict[str, Any]  # from the soak runner to an actor: `do`, and its arguments
 
 
 @frozen
 class Resolved(Event):
-    """A directory has told a client where to go."""
+    """A directory answered a client's look-up with gateway addresses."""
 
     at: int
     region: str
@@ -50,7 +50,7 @@
 
 @define
 class Tried(Event):
-    """One try of a client, written down at its end; each has an id of its own."""
+    """One request of a client, recorded when it ends; each has a unique id."""
 
     began: int
     request: str
@@ -61,7 +61,7 @@
     kind: str  # of the route
     deadline_ms: int
     ended: int = 0
-    read: int = 0  # the last byte of the request was sent; 0: it never was
+    read: int = 0  # when the last byte of the request was sent; 0: never
     outcome: str = ""  # see `Outcome`
     status: int = 0
     detail: str = ""
@@ -69,20 +69,20 @@
 
 
 class Outcome:
-    """How a try ends."""
+    """How a request of a client ends."""
 
-    SERVED = "served"  # a whole answer of a server
-    REFUSED = "refused"  # the promise that it has not run
-    FAILED = "failed"  # another status
-    UNREACHED = "unreached"  # no connection
-    CLOSED = "closed"  # the connection ended before the whole answer, and the answer shows it
-    OVERDUE = "overdue"  # the client's time was over
-    MIXED = "mixed"  # an answer that is not the request's, or not whole though it looks so
+    SERVED = "served"  # complete answer of a server
+    REFUSED = "refused"  # status that promises the request has not run
+    FAILED = "failed"  # any other status
+    UNREACHED = "unreached"  # no connection could be made
+    CLOSED = "closed"  # connection ended within an answer that is visibly incomplete
+    OVERDUE = "overdue"  # the deadline passed
+    MIXED = "mixed"  # answer of another request, or incomplete but looking complete
 
 
 @frozen
 class Arrived(Event):
-    """A request has reached a server."""
+    """A request reached a server."""
 
     at: int
     request: str
@@ -94,7 +94,7 @@
 
 @frozen
 class Handled(Event):
-    """A server has begun to work on a request, or says with a status that it does not run it."""
+    """A server started to run a request, or refused to run it with the status `refusal`."""
 
     at: int
     request: str
@@ -104,7 +104,7 @@
 
 @frozen
 class LeaveAcknowledged(Event):
-    """A server has been told that its drain, or its end, is known."""
+    """The control plane acknowledged a server's drain or deregistration."""
 
     at: int
     server: str
@@ -112,7 +112,7 @@
 
 @frozen
 class Trouble(Event):
-    """Something that was done to processes, from its beginning until it was over."""
+    """A fault or planned operation on processes, from start to end."""
 
     began: int
     ended: int
@@ -123,7 +123,7 @@
 
 @frozen
 class ProcessEnded(Event):
-    """A process has ended. `fault`: why that is against the rules; empty if it was made to end."""
+    """A process exited. `fault`: why the exit violates the rules; empty if it was requested."""
 
     at: int
     process: str
@@ -133,39 +133,39 @@
 
 @frozen
 class Ordered(Event):
-    """An operator's configuration and what became of it; written down at its end."""
+    """An operator's configuration order and its outcome, recorded when it ends."""
 
     number: int
     operator: str
     base: int
     version: int
-    body: str  # the order as it was sent
-    whole: str  # the configuration that it makes
+    body: str  # request body of the order
+    whole: str  # complete configuration that results, as JSON
     update: bool
     valid: bool
     invoked: int
     ended: int
-    outcome: str  # name of the simulation's `Outcome`
+    outcome: str  # member name of the simulation's `Outcome`
     told_version: int
-    repeat_status: int = 0  # an acknowledged order came again, and got this
+    repeat_status: int = 0  # status of an acknowledged order that was sent again; 0: not sent again
 
 
 @frozen
 class ReadBack(Event):
-    """A configuration that an operator has read."""
+    """A configuration that an operator read."""
 
     operator: str
     invoked: int
     ended: int
     version: int
-    number: int  # of the order that made it
+    number: int  # of the order that created it
     node: str
     final: bool = False  # after the last order
 
 
 @frozen
 class Evacuated(Event):
-    """An operator's evacuation of a zone, or the end of one."""
+    """The start (`begin`) or end of an operator's evacuation of a zone."""
 
     zone: str
     begin: bool
@@ -176,7 +176,7 @@
 
 @frozen
 class Recovery(Event):
-    """What came back after all troubles were healed; an empty `missing` is all of it."""
+    """State after all faults ended; `missing` lists what did not recover."""
 
     healed: int
     ended: int
@@ -185,7 +185,7 @@
 
 @frozen
 class LogFault(Event):
-    """A line of a process's log that must not be there."""
+    """A forbidden line in a process's log."""
 
     process: str
     line: str
@@ -193,7 +193,7 @@
 
 @frozen
 class Lagged(Event):
-    """An actor's own process did not run for a while: what it saw then was seen late."""
+    """An actor's process was not scheduled for a while, so it recorded events of that time late."""
 
     began: int
     ended: int
@@ -204,30 +204,30 @@
 
 
 def encode(event: Event) -> str:
-    """One line."""
+    """Encodes an event as one JSON line."""
     return json.dumps({TYPE_FIELD: type(event).__name__} | _CONVERTER.unstructure(event))
 
 
 def decode(line: str) -> Event:
-    """The event of a line; a ValueError or KeyError if it is none."""
+    """Decodes a line; raises ValueError or KeyError if it is not an event."""
     table = json.loads(line)
     event: Event = _CONVERTER.structure(table, Event.kinds[table.pop(TYPE_FIELD)])
     return event
 
 
 class Journal:
-    """A file of events that one process writes."""
+    """Event file of one process."""
 
     def __init__(self, path: Path) -> None:
         self.file: TextIO = path.open("a")
 
     def add(self, event: Event) -> None:
-        """Writes an event down."""
+        """Writes an event."""
         self.file.write(encode(event) + "\n")
 
 
 def read_journals(paths: Iterable[Path]) -> Iterator[Event]:
-    """All events of these files."""
+    """Yields all events of the files."""
     for path in paths:
         with path.open() as lines:
             yield from (decode(line) for line in lines)
--- a/brackenladder/soak/operators.py
+++ b/brackenladder/soak/operators.py
@@ -1,4 +1,4 @@
-"""Operators: changes that race, orders whose answers are lost and that are sent again, evacuations, reads."""
+"""Operators: concurrent configuration changes, retries after lost answers, evacuations and reads."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from brackenladder.simulation.history import Outcome
 from brackenladder.soak.configuration import Document, changed, initial, invalid
 from brackenladder.soak.connection import Reply, call
-from brackenladder.soak.events import MICROSECONDS, Evacuated, Ordered, ReadBack, Tell, now
+from brackenladder.soak.events import MICROSECONDS, Evacuated, Ordered, ReadBack, Record, now
 
-CALL_SECONDS = 3.0  # for one call
-PATIENCE_SECONDS = 12.0  # for which a configuration without a clear answer is sent again
-EVACUATION_SECONDS = 5.0  # AckMs: for which an evacuation is sent again
+CALL_SECONDS = 3.0  # timeout of one call
+PATIENCE_SECONDS = 12.0  # time over which a configuration order without a definite answer is retried
+EVACUATION_SECONDS = 5.0  # AckMs: time over which an evacuation is retried
 FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS = 0.1, 1.0
 MEAN_PAUSE_SECONDS = 0.7  # between two actions of one operator
-LOST_SHARE = 0.15  # of answers
-LOST_AFTER_SECONDS = 0.5  # at most, the connection of a lost answer ends
+LOST_SHARE = 0.15  # share of answers that are dropped
+LOST_AFTER_SECONDS = 0.5  # longest time until the connection of a dropped answer is closed
 READ_SHARE, REPEAT_SHARE, INVALID_SHARE, UPDATE_SHARE = 0.2, 0.25, 0.1, 0.5
 OUTCOMES = {
     HTTPStatus.OK: Outcome.ACKNOWLEDGED,
@@ -34,19 +34,19 @@
 
 
 @define
-class Office:
-    """What the operators of a soak share: nodes, and each order's configuration by its number."""
+class OperatorContext:
+    """State that the operators share: control nodes, and the configuration of each order by number."""
 
     nodes: tuple[str, ...]
     random: Random
-    tell: Tell
-    lossy: bool = False  # answers are lost
+    record: Record
+    lose_answers: bool = False  # whether a share of answers is dropped
     documents: dict[int, Document] = field(factory=dict)
     numbers: count[int] = field(factory=lambda: count(1))
 
     async def call(self, method: str, path: str, body: bytes = b"", base: int | None = None) -> Reply | None:
-        """One call of one node; None without an answer."""
-        lost = self.lossy and self.random.random() < LOST_SHARE
+        """Makes one call to a random node; returns None if no answer comes."""
+        lost = self.lose_answers and self.random.random() < LOST_SHARE
         return await call(
             self.random.choice(self.nodes),
             method,
@@ -57,10 +57,10 @@
             lost_after=self.random.uniform(0.0, LOST_AFTER_SECONDS) if lost else None,
         )
 
-    async def insist(
+    async def retry_until_clear(
         self, path: str, clear: Container[int], patience: float, body: bytes = b"", base: int | None = None
     ) -> Reply | None:
-        """Sends an order again, with growing pauses, until an answer is clear or the time is over."""
+        """Retries an order with growing pauses until a status in `clear` comes or the time is over."""
         until = now() + patience * MICROSECONDS
         pause = FIRST_PAUSE_SECONDS
         while now() < until:
@@ -72,27 +72,27 @@
         return None
 
     async def evacuate(self, zone: str, begin: bool, patience: float = EVACUATION_SECONDS) -> bool:
-        """Begins or finishes an evacuation; whether that was acknowledged."""
+        """Begins or finishes an evacuation; returns whether it was acknowledged."""
         invoked = now()
         path = f"/-/Evacuations.{'Begin' if begin else 'Finish'}/{zone}"
-        done = await self.insist(path, {HTTPStatus.OK}, patience) is not None
-        self.tell(Evacuated(zone, begin, invoked, now(), done))
+        done = await self.retry_until_clear(path, {HTTPStatus.OK}, patience) is not None
+        self.record(Evacuated(zone, begin, invoked, now(), done))
         return done
 
 
 class Operator:
-    """One operator, who builds on the newest configuration that is known to it."""
+    """An operator that bases its changes on the newest configuration it knows."""
 
-    def __init__(self, name: str, office: Office) -> None:
+    def __init__(self, name: str, context: OperatorContext) -> None:
         self.name = name
-        self._office = office
-        self._random = Random(f"{office.random.random()} {name}")
+        self._context = context
+        self._random = Random(f"{context.random.random()} {name}")
         self._version = 0
-        self._number = 0  # of the order that made that version
+        self._number = 0  # number of the order that created that version; 0: unknown
         self._active = True
 
     async def work(self) -> None:
-        """Acts until it is stopped."""
+        """Reads and changes the configuration until stopped."""
         while self._active:
             await asyncio.sleep(self._random.expovariate(1 / MEAN_PAUSE_SECONDS))
             if not self._number or self._random.random() < READ_SHARE:
@@ -101,20 +101,20 @@
                 await self.configure()
 
     def stop(self) -> None:
-        """Acts no more after what is under way."""
+        """Stops after the current action."""
         self._active = False
 
-    async def first(self) -> bool:
-        """Puts the first configuration in force."""
-        number = next(self._office.numbers)
+    async def submit_first(self) -> bool:
+        """Submits the first configuration; returns whether it was acknowledged."""
+        number = next(self._context.numbers)
         document = initial(number, 1)
         return await self._submit(number, document, document, update=False)
 
     async def configure(self, invalid_share: float = INVALID_SHARE) -> bool:
-        """Changes the configuration; whether it was acknowledged."""
+        """Changes the configuration; returns whether that was acknowledged."""
         random = self._random
-        number, version = next(self._office.numbers), self._version + random.randint(1, 3)
-        base = self._office.documents[self._number]
+        number, version = next(self._context.numbers), self._version + random.randint(1, 3)
+        base = self._context.documents[self._number]
         if random.random() < invalid_share:
             document = invalid(base, number, version)
             return await self._submit(number, document, document, update=False, valid=False)
@@ -123,32 +123,32 @@
         return await self._submit(number, document, update if as_update else document, as_update)
 
     async def read(self, final: bool = False) -> bool:
-        """Reads the configuration back; whether a node told it."""
+        """Reads the configuration; returns whether a node answered."""
         invoked = now()
-        reply = await self._office.call("GET", "/-/Config.Fetch")
+        reply = await self._context.call("GET", "/-/Config.Fetch")
         if reply is None or reply.status != HTTPStatus.OK:
             return False
         version, number = read_back(reply.body)
-        self._office.tell(ReadBack(self.name, invoked, now(), version, number, "", final))
-        if number in self._office.documents:
+        self._context.record(ReadBack(self.name, invoked, now(), version, number, "", final))
+        if number in self._context.documents:
             self._version, self._number = version, number
         return True
 
     async def _submit(
         self, number: int, whole: Document, body: Document, update: bool, valid: bool = True
     ) -> bool:
-        office, base, version = self._office, self._version, int(whole["Version"])
-        office.documents[number] = whole
+        context, base, version = self._context, self._version, int(whole["Version"])
+        context.documents[number] = whole
         data, path = json.dumps(body).encode(), f"/-/Config.{'Update' if update else 'Replace'}"
         invoked = now()
-        reply = await office.insist(path, OUTCOMES, PATIENCE_SECONDS, data, base)
+        reply = await context.retry_until_clear(path, OUTCOMES, PATIENCE_SECONDS, data, base)
         outcome = Outcome.UNCLEAR if reply is None else OUTCOMES[HTTPStatus(reply.status)]
         told = 0 if reply is None else int(reply.document.get("Version", 0))
         ended, repeated = now(), None
         if outcome is Outcome.ACKNOWLEDGED and self._random.random() < REPEAT_SHARE:
-            repeated = await office.call("POST", path, data, base)
+            repeated = await context.call("POST", path, data, base)
         again = repeated.status if repeated is not None and repeated.status in OUTCOMES else 0
         order = (base, version, data.decode(), json.dumps(whole), update, valid)
-        office.tell(Ordered(number, self.name, *order, invoked, ended, outcome.name, told, again))
+        context.record(Ordered(number, self.name, *order, invoked, ended, outcome.name, told, again))
         self._version, self._number = version, number if outcome is Outcome.ACKNOWLEDGED else 0
-        return bool(self._number)  # without: it reads before it builds again
+        return bool(self._number)  # if 0, it reads the configuration before its next change
--- a/brackenladder/soak/processes.py
+++ b/brackenladder/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: roles that are signalled, held down and started again, and actors."""
+"""Processes of a soak: roles that are signalled, kept down and restarted, and actors."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from brackenladder.local_site.layout import GRACE_S, Machine
 from brackenladder.local_site.processes import PACKAGE_ROOT
 from brackenladder.soak.actors import READY, actor_name
-from brackenladder.soak.events import ProcessEnded, Tell, Trouble, now
+from brackenladder.soak.events import ProcessEnded, Record, Trouble, now
 from brackenladder.soak.relayed_role import PORT_VARIABLE
 from brackenladder.soak.site import SoakLayout
 
-KILL_MARGIN_SECONDS = 2.0  # after the grace
-ACTOR_SECONDS = 30.0  # for an actor to start, or to end
+KILL_MARGIN_SECONDS = 2.0  # after the grace period
+ACTOR_SECONDS = 30.0  # for an actor to start or to exit
 POLL_SECONDS = 0.02
-DEADLY = frozenset({signal.SIGTERM, signal.SIGHUP})  # to a program that has not said what it does with them
+TERMINATING_SIGNALS = frozenset({signal.SIGTERM, signal.SIGHUP})  # end a process that has no handler
 
 
 class ManagedProcess:
-    """A process of ours and its pauses, which may overlap."""
+    """A child process that can be paused; pauses may overlap."""
 
-    def __init__(self, name: str, log: Path, tell: Tell) -> None:
+    def __init__(self, name: str, log: Path, record: Record) -> None:
         self.name = name
         self._log = log
-        self._tell = tell
+        self._record = record
         self._process: Process | None = None
         self._pauses = 0
 
@@ -52,7 +52,7 @@
         return self._process
 
     async def pause(self, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after so many seconds."""
+        """Stops the process by SIGSTOP for so many seconds."""
         began = now()
         self._pauses += 1
         self._send(signal.SIGSTOP)
@@ -62,7 +62,7 @@
             self._pauses -= 1
             if not self._pauses:
                 self._send(signal.SIGCONT)
-            self._tell(Trouble(began, now(), "pause", (self.name,), planned=False))
+            self._record(Trouble(began, now(), "pause", (self.name,), planned=False))
 
     def _send(self, number: signal.Signals) -> None:
         if self._process is not None:
@@ -71,28 +71,28 @@
 
 
 class Role(ManagedProcess):
-    """The process of one machine. It runs while nothing holds it down; troubles may overlap."""
+    """The process of one machine. It runs while no fault keeps it down; faults may overlap."""
 
-    def __init__(self, layout: SoakLayout, machine: Machine, relayed: bool, tell: Tell) -> None:
-        super().__init__(machine.name, layout.log_path(machine), tell)
+    def __init__(self, layout: SoakLayout, machine: Machine, relayed: bool, record: Record) -> None:
+        super().__init__(machine.name, layout.log_path(machine), record)
         self._machine = machine
         self._layout = layout
         self._relayed = relayed
         self._watch: asyncio.Task[None] | None = None
-        self._holds = 0  # troubles that want it down
+        self._down_requests = 0  # number of faults that keep it down
         self._bootstrap = True
         self._starting = asyncio.Lock()
-        self._loading = False  # at the last signal: the program had not come to heed it
+        self._handler_missing = False  # the program had no handler yet for the last signal
 
     @property
     def running(self) -> bool:
-        """Whether its process has not ended."""
+        """Whether the process runs."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Starts it, unless it runs or something holds it down."""
+        """Starts the process unless it runs or a fault keeps it down."""
         async with self._starting:
-            if self._holds or self.running:
+            if self._down_requests or self.running:
                 return
             self._write_settings()
             self._bootstrap = False
@@ -106,24 +106,24 @@
             self._watch = asyncio.create_task(self._notice_end(process))
 
     def reload(self) -> None:
-        """The settings file is written anew, and SIGHUP tells so."""
+        """Rewrites the settings file and sends SIGHUP."""
         if self.running:
             self._write_settings()
             self._send(signal.SIGHUP)
-            self._tell(Trouble(now(), now(), "reload", (self.name,), planned=True))
+            self._record(Trouble(now(), now(), "reload", (self.name,), planned=True))
 
-    async def end(self) -> None:
-        """SIGTERM for good."""
-        self._holds += 1
+    async def terminate(self) -> None:
+        """Terminates the process for good."""
+        self._down_requests += 1
         async with self._starting:
-            pass  # a process that is being started is there after that
+            pass  # waits for a start in progress
         await self._terminate()
 
-    async def down(self, kind: str, away: float, planned: bool) -> None:
-        """SIGTERM if that is planned, else SIGKILL, and down for so many seconds after that."""
+    async def take_down(self, kind: str, away: float, planned: bool) -> None:
+        """Ends the process by SIGTERM if planned, else by SIGKILL, and keeps it down for `away` seconds."""
         began = now()
-        self._holds += 1
-        async with self._starting:  # a process that is being started is there after that
+        self._down_requests += 1
+        async with self._starting:  # waits for a start in progress
             process = self._process
         try:
             if planned:
@@ -132,14 +132,14 @@
                 self._send(signal.SIGKILL)
             await asyncio.sleep(away)
         finally:
-            self._holds -= 1
+            self._down_requests -= 1
             if process is not None:
                 await process.wait()
             await self.start()
-            self._tell(Trouble(began, now(), kind, (self.name,), planned))
+            self._record(Trouble(began, now(), kind, (self.name,), planned))
 
     async def _terminate(self) -> None:
-        """SIGTERM; SIGKILL if it has not ended within its grace, of which pauses are no part."""
+        """Sends SIGTERM, then SIGKILL after the grace period; pauses do not count towards it."""
         process = self._process
         if process is None:
             return
@@ -149,17 +149,17 @@
             await asyncio.sleep(POLL_SECONDS)
             left -= 0 if self._pauses else POLL_SECONDS
         if process.returncode is None:
-            self._tell(ProcessEnded(now(), self.name, 0, "has not ended within its grace"))
+            self._record(ProcessEnded(now(), self.name, 0, "did not exit within its grace period"))
             self._send(signal.SIGKILL)
             await process.wait()
 
     def _send(self, number: signal.Signals) -> None:
-        if self.running and number in DEADLY:
-            self._loading = not self._heeds(number)
+        if self.running and number in TERMINATING_SIGNALS:
+            self._handler_missing = not self._handles(number)
         super()._send(number)
 
-    def _heeds(self, number: signal.Signals) -> bool:
-        """Whether the process catches a signal, or holds it until it does."""
+    def _handles(self, number: signal.Signals) -> bool:
+        """Whether the process catches or blocks a signal."""
         assert self._process is not None
         try:
             lines = Path(f"/proc/{self._process.pid}/status").read_text().splitlines()
@@ -169,19 +169,20 @@
         return any(mask >> (number - 1) & 1 for mask in masks)
 
     async def _notice_end(self, process: Process) -> None:
-        """Nothing but a trouble that holds it down may end a process; SIGTERM ends it with status 0.
+        """Records the exit of the process and restarts it.
 
-        A signal that comes before the program heeds it ends the process itself.
+        Only a fault that keeps it down may end it, and after SIGTERM the status must be 0. A signal that
+        arrives before the program installed its handler ends the process directly.
         """
         status = await process.wait()
         fault = ""
-        if self._loading and -status in DEADLY:
+        if self._handler_missing and -status in TERMINATING_SIGNALS:
             status = 0
-        elif not self._holds:
-            fault = "ended by itself"
+        elif not self._down_requests:
+            fault = "exited by itself"
         elif status not in (0, -signal.SIGKILL):
-            fault = "ended with a fault"
-        self._tell(ProcessEnded(now(), self.name, status, fault))
+            fault = "exited with an error"
+        self._record(ProcessEnded(now(), self.name, status, fault))
         await self.start()
 
     def _write_settings(self) -> None:
@@ -190,15 +191,15 @@
 
 
 class ActorProcess(ManagedProcess):
-    """A process of stand-ins; orders go to its standard input."""
+    """An actor's process; it gets orders on its standard input."""
 
-    def __init__(self, layout: SoakLayout, role: str, region: str, seed: str, tell: Tell) -> None:
+    def __init__(self, layout: SoakLayout, role: str, region: str, seed: str, record: Record) -> None:
         name = actor_name(role, region)
-        super().__init__(name, layout.folder / f"{name}.log", tell)
+        super().__init__(name, layout.folder / f"{name}.log", record)
         self._arguments = (role, region, seed, layout.network, str(layout.folder), layout.size.value)
 
     async def start(self) -> None:
-        """Returns once it is ready; an OSError, a TimeoutError among them, if it does not come."""
+        """Returns once the actor is ready; raises OSError (including TimeoutError) otherwise."""
         process = await self._spawn("brackenladder.soak.actors", *self._arguments, piped=True)
         assert process.stdout is not None
         async with asyncio.timeout(ACTOR_SECONDS):
@@ -207,13 +208,13 @@
             raise OSError(f"{self.name} did not start")
 
     def order(self, do: str, **details: Any) -> None:
-        """Sends an order."""
+        """Sends an order to the actor."""
         if self._process is not None and self._process.stdin is not None:
             with suppress(OSError):
                 self._process.stdin.write(json.dumps({"do": do} | details).encode() + b"\n")
 
     async def stop(self) -> None:
-        """Lets it end in order, and ends it if it doesn't."""
+        """Asks the actor to stop, and kills it if it does not exit in time."""
         if self._process is None:
             return
         self.order("stop")
@@ -224,4 +225,4 @@
             self._process.kill()
             status = await self._process.wait()
         if status:
-            self._tell(ProcessEnded(now(), self.name, status, "a stand-in has not ended in order"))
+            self._record(ProcessEnded(now(), self.name, status, "actor did not exit cleanly"))
--- a/brackenladder/soak/relay.py
+++ b/brackenladder/soak/relay.py
@@ -1,4 +1,4 @@
-"""A relay between nodes: what one sends another can be held up, in one direction or both, or cut off."""
+"""TCP relay between nodes that can delay traffic in one or both directions, or reset connections."""
 
 from __future__ import annotations
 
@@ -7,58 +7,58 @@
 from contextlib import suppress
 
 from brackenladder.local_site.layout import INTERNAL_PORTS, Machine
-from brackenladder.soak.events import Order, Tell
+from brackenladder.soak.events import Order, Record
 from brackenladder.soak.site import SoakLayout
 
 PIECE = 64 * 1024  # bytes read at a time
 CONNECT_SECONDS = 1.0
-LOOK_SECONDS = 0.02  # between two looks at whether a hold is over
+POLL_SECONDS = 0.02  # between two checks whether a hold has ended
 Direction = tuple[str, str]  # names of the sender and the receiver
 
 
 class Relay:
-    """All links from nodes to control nodes."""
+    """Relays all connections from nodes to control nodes."""
 
-    def __init__(self, layout: SoakLayout, _region: str, _seed: str, _tell: Tell) -> None:
+    def __init__(self, layout: SoakLayout, _region: str, _seed: str, _record: Record) -> None:
         self._layout = layout
-        self._holds: Counter[Direction] = Counter()  # troubles that hold up a direction
+        self._holds: Counter[Direction] = Counter()  # number of faults that delay a direction
         self._servers: list[asyncio.Server] = []
         self._links: dict[asyncio.Task[None], Direction] = {}
 
     async def start(self) -> None:
-        """Listens for every node that may dial a control node."""
+        """Opens a listener for each pair of a node and a control node that it may dial."""
         for target in self._layout.control:
             for source in self._layout.machines:
                 if source is not target:
                     await self._listen(source, target)
 
     def order(self, order: Order) -> None:
-        """`hold` (what is sent in these directions arrives late), `release`, or `reset` of links."""
-        for one, other in order["pairs"]:
+        """Applies `hold` (delays these directions), `release` or `reset` (closes connections) to pairs."""
+        for source_name, target_name in order["pairs"]:
             if order["do"] == "reset":
-                self._reset(one, other)
+                self._reset(source_name, target_name)
             elif order["do"] == "hold":
-                self._holds[one, other] += 1
+                self._holds[source_name, target_name] += 1
             else:
-                self._holds[one, other] -= 1
+                self._holds[source_name, target_name] -= 1
 
     async def stop(self) -> None:
-        """Ends all."""
+        """Closes all listeners and connections."""
         for server in self._servers:
             server.close()
         for task in tuple(self._links):
             task.cancel()
         await asyncio.gather(*self._links, return_exceptions=True)
 
-    def _reset(self, one: str, other: str) -> None:
+    def _reset(self, source_name: str, target_name: str) -> None:
         for task, direction in tuple(self._links.items()):
-            if set(direction) == {one, other}:
+            if set(direction) == {source_name, target_name}:
                 task.cancel()
 
-    async def _passed(self, direction: Direction) -> None:
-        """Returns once nothing holds up this direction."""
+    async def _wait_until_released(self, direction: Direction) -> None:
+        """Returns once no fault delays this direction."""
         while self._holds[direction] > 0:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
     async def _listen(self, source: Machine, target: Machine) -> None:
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -76,30 +76,30 @@
     async def _link(
         self, source: Machine, target: Machine, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Until one side ends."""
+        """Relays one connection until a side closes it."""
         forth, back = (source.name, target.name), (target.name, source.name)
-        await self._passed(forth)
+        await self._wait_until_released(forth)
         try:
             async with asyncio.timeout(CONNECT_SECONDS):
                 inner, outer = await asyncio.open_connection(target.ip, INTERNAL_PORTS[0])
         except OSError:
             return
-        pumps = [
-            asyncio.create_task(self._pump(reader, outer, forth)),
-            asyncio.create_task(self._pump(inner, writer, back)),
+        copies = [
+            asyncio.create_task(self._copy(reader, outer, forth)),
+            asyncio.create_task(self._copy(inner, writer, back)),
         ]
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(copies, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for pump in pumps:
-                pump.cancel()
+            for copy in copies:
+                copy.cancel()
             outer.transport.abort()
 
-    async def _pump(
+    async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
         with suppress(OSError):
             while data := await reader.read(PIECE):
-                await self._passed(direction)
+                await self._wait_until_released(direction)
                 writer.write(data)
                 await writer.drain()
--- a/brackenladder/soak/relayed_role.py
+++ b/brackenladder/soak/relayed_role.py
@@ -1,6 +1,6 @@
-"""Starts a role whose links to control nodes go through the soak's relay: `serve` in all else.
+"""Starts a role like `brackenladder.serve`, but with its links to control nodes through the soak's relay.
 
-The role dials the address it knows, with the port that the relay keeps for it.
+The role dials the usual address on the port at which the relay listens for this role.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RelayedDialer(TcpDialer):
-    """Dials the relay in place of the node."""
+    """Dials the relay's port instead of the node's."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
--- a/brackenladder/soak/run.py
+++ b/brackenladder/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak of one seed: start, planned work, a storm, healing, planned work again, the verdict."""
+"""Runs a soak of one seed: start, planned work, random faults, recovery, planned work again, check."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from brackenladder.soak.site import Size, SoakLayout
 from brackenladder.soak.system import SoakError, SoakSystem
 
-RECOVERY_SECONDS = 20.0  # after healing: RecoveryS, and the start of processes
-STEP_SECONDS = 90.0  # the last step is healed by then
+RECOVERY_SECONDS = 20.0  # after all faults ended: RecoveryS, and the start of processes
+STEP_SECONDS = 90.0  # longest time after a phase until its last step has ended
 PLAYER = "player"
 BAD_LINES = ("Traceback", "invariant broken", "fault in a request")
 
 
 @frozen
 class SoakPlan:
-    """What is to be played."""
+    """Parameters of a soak."""
 
     seed: int
     seconds: float
@@ -31,7 +31,7 @@
 
 
 async def run_soak(plan: SoakPlan) -> Verdict:
-    """Plays a seed, and judges what was seen."""
+    """Runs the soak and checks the recorded events."""
     layout = SoakLayout(plan.network, plan.folder, plan.size)
     schedule = make_schedule(plan.seed, layout, plan.seconds)
     journal = Journal(plan.folder / f"{PLAYER}.jsonl")
@@ -45,7 +45,7 @@
         await _play(system, schedule.late)
         await _recover(system, journal)
         await asyncio.sleep(CALM_SECONDS)
-        await system.rest()
+        await system.stop_operators()
         await _read_back(system)
     finally:
         await system.stop()
@@ -57,16 +57,16 @@
 
 
 async def _play(system: SoakSystem, phase: Phase) -> None:
-    """All steps, until the last one is healed; never shorter than the phase is."""
+    """Runs all steps of a phase until the last one has ended, and at least for the phase's length."""
     try:
         async with asyncio.timeout(phase.seconds + STEP_SECONDS):
             await asyncio.gather(asyncio.sleep(phase.seconds), *(system.play(step) for step in phase.steps))
     except TimeoutError:
-        raise SoakError(f"a step was not healed {STEP_SECONDS:g} s after its phase") from None
+        raise SoakError(f"a step had not ended {STEP_SECONDS:g} s after its phase") from None
 
 
 async def _recover(system: SoakSystem, journal: Journal) -> None:
-    """All is healed: within a bounded time everything is back."""
+    """Waits a bounded time until the system has recovered, and records what is missing."""
     healed = now()
     missing = await system.missing()
     while missing and now() < healed + RECOVERY_SECONDS * MICROSECONDS:
@@ -76,7 +76,7 @@
 
 
 async def _read_back(system: SoakSystem) -> None:
-    """The configuration at the end, more than once: any node may answer."""
+    """Reads the final configuration several times, since any node may answer."""
     until = now() + RECOVERY_SECONDS * MICROSECONDS
     reads = 0
     while reads < 2 * len(system.layout.control) and now() < until:
@@ -84,7 +84,7 @@
 
 
 def _log_faults(folder: Path) -> list[LogFault]:
-    """Lines that must not be in any log."""
+    """Forbidden lines found in the logs."""
     return [
         LogFault(path.stem, line.strip())
         for path in sorted(folder.glob("*.log"))
--- a/brackenladder/soak/site.py
+++ b/brackenladder/soak/site.py
@@ -1,4 +1,4 @@
-"""Who runs where in a soak: sizes, zones, processes and servers."""
+"""Layout of a soak: sizes, zones, processes and servers."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 ZONES = {"north-a": "north", "south-a": "south", "east-a": "east", "north-b": "north", "south-b": "south"}
 REGIONS = ("north", "south", "east")
 CHAT, CARDS, FORMS = "chat", "cards", "forms"
-FIRST_SERVER = 101  # last number of the first server's address
-RELAY_PORT = 17_000  # a node that dials through the relay uses this port, and its own number above it
+FIRST_SERVER = 101  # last octet of the first server's address
+RELAY_PORT = 17_000  # first relay port; a node dials this plus its index among the machines
 ENGINE = EngineSettings()
 
 
 @frozen
 class Shape:
-    """How many of each there are."""
+    """Numbers of control nodes, gateways, servers and clients."""
 
     control: int
     gateways_a_zone: int
-    servers: tuple[tuple[str, int], ...]  # by service: in each zone
-    lanes: int  # connections of the clients of a zone at one time
+    servers: tuple[tuple[str, int], ...]  # servers of each service in each zone
+    clients_per_zone: int  # concurrent clients in a zone
 
 
 class Size(Enum):
-    """How large a soak is."""
+    """Size of a soak."""
 
     SMALL = "small"
     LARGE = "large"
 
 
 SHAPES = {
-    Size.SMALL: Shape(3, 1, ((CHAT, 1), (CARDS, 1), (FORMS, 1)), lanes=5),
-    Size.LARGE: Shape(5, 8, ((CHAT, 3), (CARDS, 3), (FORMS, 2)), lanes=12),
+    Size.SMALL: Shape(3, 1, ((CHAT, 1), (CARDS, 1), (FORMS, 1)), clients_per_zone=5),
+    Size.LARGE: Shape(5, 8, ((CHAT, 3), (CARDS, 3), (FORMS, 2)), clients_per_zone=12),
 }
 
 
@@ -73,7 +73,7 @@
 
     @property
     def machines(self) -> tuple[Machine, ...]:
-        """All machines of roles; a machine's place here is its number for the relay."""
+        """All machines that run roles; the relay derives ports from the order."""
         return (*self.control, *self.gateways)
 
     @property
@@ -82,7 +82,7 @@
         return ZONES
 
     def servers(self) -> tuple[ServerSettings, ...]:
-        """The stand-in servers of the first start."""
+        """Settings of the initial stand-in servers."""
         places = [
             (service, zone)
             for service, number in SHAPES[self.size].servers
@@ -101,10 +101,10 @@
         )
 
     def relay_address(self, source: Machine, target: Machine) -> tuple[str, int]:
-        """Where `source` reaches the inner listener of `target` through the relay."""
+        """Relay address at which `source` reaches the internal listener of `target`."""
         return target.ip, RELAY_PORT + self.machines.index(source)
 
     def directories_near(self, region: str, zone: str) -> tuple[str, ...]:
-        """The directories, nearest first."""
+        """Directory addresses, nearest first."""
         ranked = sorted(self.control, key=lambda node: (node.zone != zone, node.region != region))
         return tuple(node.directory for node in ranked)
--- a/brackenladder/soak/versions.py
+++ b/brackenladder/soak/versions.py
@@ -1,4 +1,4 @@
-"""Which configurations may be in force at a moment, from the operators' orders."""
+"""Determines from the operators' orders which configurations may be in force at a given time."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @frozen
 class Version:
-    """A configuration that was sent and not refused."""
+    """A configuration that was submitted and not refused."""
 
     version: int
     invoked: int
-    superseded: int | None  # when a later one had been acknowledged
+    superseded: int | None  # when a later version was acknowledged
     rules: Rules
 
 
 class Versions:
-    """All of them."""
+    """All configurations that may have taken effect."""
 
     def __init__(self, orders: Iterable[Ordered]) -> None:
         sent = [one for one in orders if one.valid and one.outcome not in ("CONFLICT", "INVALID")]
@@ -44,21 +44,22 @@
             for one in sent
         ]
 
-    def rules(self, route: tuple[str, str], since: int, until: int, in_touch: bool) -> list[RouteRule]:
-        """What may hold for a request sent at `since` and seen at `until`.
+    def rules(self, route: tuple[str, str], since: int, until: int, in_contact: bool) -> list[RouteRule]:
+        """Rules that may apply to a request sent at `since` and recorded at `until`.
 
-        A machine in touch has taken a version ConfigMs after its acknowledgement; another may hold any.
+        A machine in contact applies a version within ConfigMs of its acknowledgement; one out of contact may
+        still use any older version.
         """
         return [
             one.rules[route]
             for one in self._versions
             if one.invoked <= until
-            and not (in_touch and one.superseded is not None and one.superseded + CONFIG < since)
+            and not (in_contact and one.superseded is not None and one.superseded + CONFIG < since)
         ]
 
 
-def fault_of_orders(orders: list[Ordered], reads: list[ReadBack]) -> Violation | None:
-    """The first fault of orders and reads against one another."""
+def first_order_violation(orders: list[Ordered], reads: list[ReadBack]) -> Violation | None:
+    """The first violation among orders and reads, or None."""
     numbered = {one.number: one for one in orders}
     history = History()
     for number in range(1, max(numbered, default=0) + 1):
@@ -75,7 +76,7 @@
 
 
 def _record(number: int, order: Ordered | None) -> OrderRecord:
-    """As the simulation keeps it; an order that was never written down has no version."""
+    """Converts an order for the simulation's checks; an order that was never recorded has version 0."""
     if order is None:
         return OrderRecord(number, "", ReplaceConfiguration(0, b""), 0, 0)
     kind = UpdateConfiguration if order.update else ReplaceConfiguration
--- a/tests/soak/test_soak_actors.py
+++ b/tests/soak/test_soak_actors.py
@@ -1,4 +1,4 @@
-"""The soak's own parts on sockets: the relay, the client's connection, and a client before a server."""
+"""Parts of the soak on real sockets: the relay, the client connection, and a client with a server."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from brackenladder.local_site.layout import INTERNAL_PORTS, Machine
 from brackenladder.rehearsal.nodes import free_port, own_address
 from brackenladder.rehearsal.standins.model_server import ServerSettings
-from brackenladder.soak.clients import Lane, Place
+from brackenladder.soak.clients import Client, ClientLocation
 from brackenladder.soak.configuration import PLAIN_HOST
-from brackenladder.soak.connection import AnswerError, Connection, Ended, call
+from brackenladder.soak.connection import AnswerError, Connection, ConnectionEnded, call
 from brackenladder.soak.events import Arrived, Event, Handled, Outcome, Resolved, Tried
 from brackenladder.soak.relay import Relay
 from brackenladder.soak.servers import RecordingServer
 from brackenladder.soak.site import ENGINE, SoakLayout
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
-ROUNDS = 20  # on a link that is not held up, while another one is
+TIMEOUT = 20.0  # seconds; reached only on failure
+ROUNDS = 20  # exchanges on an undelayed link while another one is delayed
 
 
 class Echo(asyncio.Protocol):
-    """Sends back what comes."""
+    """Echoes received data."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -49,22 +49,22 @@
         self.links = [await self.link(source) for source in self.layout.gateways[:2]]
 
     async def link(self, source: Machine) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """From a gateway to the node."""
+        """Connects a gateway to the control node through the relay."""
         reader, writer = await asyncio.open_connection(*self.layout.relay_address(source, self.node))
         self.addCleanup(writer.close)
         return reader, writer
 
     async def echo(self, data: bytes, link: int = 0) -> bytes:
-        """What comes back."""
+        """Sends data on a link and returns the echo."""
         reader, writer = self.links[link]
         writer.write(data)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             return await reader.readexactly(len(data))
 
     def order(self, do: str, *pair: str) -> None:
         self.relay.order({"do": do, "pairs": [pair]})
 
-    async def test_what_is_held_up_comes_late(self) -> None:
+    async def test_held_data_arrives_after_the_release(self) -> None:
         self.assertEqual(await self.echo(b"one"), b"one")
         for pair in ((self.gateway.name, self.node.name), (self.node.name, self.gateway.name)):
             self.order("hold", *pair)
@@ -86,7 +86,7 @@
 
 class ConnectionTest(IsolatedAsyncioTestCase):
     async def body_of(self, answer: bytes) -> bytes:
-        """What the connection makes of an answer after which the server closes."""
+        """Body that the connection reads from an answer after which the server closes."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -96,20 +96,20 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
         host, port = server.sockets[0].getsockname()
-        connection = await Connection.open(f"{host}:{port}", PATIENCE)
+        connection = await Connection.open(f"{host}:{port}", TIMEOUT)
         self.addCleanup(connection.close)
         await connection.send("GET", "/", {"Host": "x"})
         head = await connection.head()
         return b"".join([piece async for piece in connection.body(head)])
 
-    async def test_whole_answers(self) -> None:
+    async def test_complete_answers(self) -> None:
         for answer in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n",
         ):
             self.assertEqual(await self.body_of(answer), b"ok")
 
-    async def test_answers_that_break_off_show_it(self) -> None:
+    async def test_truncated_answers_raise_connection_ended(self) -> None:
         for answer in (
             b"",
             b"HTTP/1.1 200 OK\r\nConte",
@@ -117,10 +117,10 @@
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\no\r\n0\r\n",
         ):
-            with self.assertRaises(Ended):
+            with self.assertRaises(ConnectionEnded):
                 await self.body_of(answer)
 
-    async def test_what_is_no_answer(self) -> None:
+    async def test_malformed_answers_are_rejected(self) -> None:
         for answer in (
             b"nonsense\r\n\r\n",
             b"HTTP/1.1 200 OK\r\nno header\r\n\r\n",
@@ -131,12 +131,12 @@
             with self.assertRaises(AnswerError):
                 await self.body_of(answer)
 
-    async def test_no_answer(self) -> None:
+    async def test_call_without_a_listener_returns_none(self) -> None:
         host = own_address(Random())
         self.assertIsNone(await call(f"{host}:{free_port(host, socket.SOCK_STREAM)}", "GET", "/"))
 
 
-class LaneTest(IsolatedAsyncioTestCase):
+class ClientTest(IsolatedAsyncioTestCase):
     async def test_a_client_and_a_server_record_the_same_request(self) -> None:
         host = own_address(Random())
         address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
@@ -146,12 +146,14 @@
         await server.start()
         self.addAsyncCleanup(server.crash)
         directory = await self.directory(address)
-        lane = Lane(Place("north", "north-a", (directory,)), PLAIN_HOST, Random(1), events.append)
-        running = asyncio.create_task(lane.run())
-        async with asyncio.timeout(PATIENCE):
+        client = Client(
+            ClientLocation("north", "north-a", (directory,)), PLAIN_HOST, Random(1), events.append
+        )
+        running = asyncio.create_task(client.run())
+        async with asyncio.timeout(TIMEOUT):
             while not any(isinstance(event, Tried) and event.path == "/chat/1" for event in events):
                 await asyncio.sleep(0)
-        lane.stopping = True
+        client.stopping = True
         await running
         tried = next(event for event in events if isinstance(event, Tried) and event.path == "/chat/1")
         self.assertEqual((tried.outcome, tried.detail), (Outcome.SERVED, "chat-0.1"))
@@ -161,7 +163,7 @@
         self.assertTrue(any(isinstance(event, Resolved) for event in events))
 
     async def directory(self, address: str) -> str:
-        """Names one address."""
+        """Starts a directory that answers with one address; returns the directory's address."""
         body = json.dumps({"Addresses": [address], "TtlS": 1}).encode()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/soak/test_soak_checker.py
+++ b/tests/soak/test_soak_checker.py
@@ -1,4 +1,4 @@
-"""The checker convicts a history with a planted violation, and acquits what a trouble explains."""
+"""The checker reports planted violations, and excuses those that a recorded fault explains."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 SECOND = 1_000_000
 LAYOUT = SoakLayout("127.99.1", Path("/nowhere"))
-GATEWAY = LAYOUT.gateways[0]  # of north-a
+GATEWAY = LAYOUT.gateways[0]  # in north-a
 BEGAN = 100 * SECOND
 
 
 def order(number: int, base: int, version: int, at: int, outcome: str = "ACKNOWLEDGED") -> Ordered:
-    """A configuration whose first version moves nothing."""
+    """An acknowledged order of the initial configuration."""
     whole = json.dumps(initial(number, version))
     return Ordered(
         number, "o", base, version, whole, whole, False, True, at, at + SECOND // 10, outcome, version
@@ -51,7 +51,7 @@
 
 
 def tried(request: str, host: str = PLAIN_HOST, path: str = "/pay/1", kind: str = "unsafe") -> Tried:
-    """A request that a client of the north sent to a gateway of the north, and that was served."""
+    """A request of a client in north that a gateway in north served."""
     return Tried(
         BEGAN,
         request,
@@ -70,16 +70,16 @@
 
 
 def arrived(request: str, zone: str = "north-a", service: str = "cards", path: str = "/pay/1") -> Arrived:
-    """It reached a server 10 ms later."""
+    """Arrival of the request at a server 10 ms later."""
     return Arrived(BEGAN + SECOND // 100, request, "cards-5.1", service, zone, path)
 
 
 def ran(request: str) -> Handled:
-    """And was run there."""
+    """The server ran the request."""
     return Handled(BEGAN + SECOND // 100, request, "cards-5.1")
 
 
-SOUND: list[Event] = [
+VALID_HISTORY: list[Event] = [
     FIRST,
     ReadBack("o", 1000 * SECOND, 1001 * SECOND, 1, 1, "", final=True),
     tried("r"),
@@ -89,37 +89,37 @@
 
 
 def trouble(kind: str, target: str, planned: bool = False, at: int = BEGAN - SECOND) -> Trouble:
-    """For a tenth of a second."""
+    """A fault of 0.1 s on one target."""
     return Trouble(at, at + SECOND // 10, kind, (target,), planned)
 
 
 class CheckerTest(unittest.TestCase):
     def broken(self, *events: Event, without: type[Event] | None = None) -> set[Rule]:
-        """The rules that a sound history with these events breaks."""
-        kept = [event for event in SOUND if without is None or not isinstance(event, without)]
+        """Rules violated by the valid history plus these events."""
+        kept = [event for event in VALID_HISTORY if without is None or not isinstance(event, without)]
         return {breach.rule for breach in judge([*kept, *events], LAYOUT).breaches}
 
     def broken_by(self, **changes: object) -> set[Rule]:
-        """The rules that the sound request breaks if its try went otherwise."""
+        """Rules violated if the valid history's request ended with these changes."""
         return self.broken(evolve(tried("r"), **changes), without=Tried)
 
-    def test_a_sound_history_is_acquitted(self) -> None:
+    def test_a_valid_history_breaks_no_rule(self) -> None:
         self.assertEqual(self.broken(), set())
 
-    def test_events_are_read_as_they_were_written(self) -> None:
-        for event in SOUND:
+    def test_events_survive_encoding(self) -> None:
+        for event in VALID_HISTORY:
             self.assertEqual(decode(encode(event)), event)
 
     # -- homes
 
     def test_home_by_server(self) -> None:
-        strayed = [tried("h", HOME_HOST), arrived("h", "south-a"), ran("h")]
-        self.assertEqual(self.broken(*strayed), {Rule.HOME})
+        misrouted = [tried("h", HOME_HOST), arrived("h", "south-a"), ran("h")]
+        self.assertEqual(self.broken(*misrouted), {Rule.HOME})
 
     def test_home_is_excused_by_no_trouble(self) -> None:
-        strayed = [tried("h", HOME_HOST), arrived("h", "south-a"), ran("h")]
+        misrouted = [tried("h", HOME_HOST), arrived("h", "south-a"), ran("h")]
         excuses = [trouble("kill", GATEWAY.name), trouble("pause", "control-0")]
-        self.assertEqual(self.broken(*strayed, *excuses), {Rule.HOME})
+        self.assertEqual(self.broken(*misrouted, *excuses), {Rule.HOME})
 
     def test_home_by_directory(self) -> None:
         answer = Resolved(BEGAN, "east", "east-a", HOME_HOST, LAYOUT.control[0].directory, (GATEWAY.front,))
@@ -128,19 +128,19 @@
         self.assertEqual(self.broken(evolve(answer, addresses=(GATEWAY.front, south))), {Rule.HOME})
         self.assertEqual(self.broken(evolve(answer, addresses=(south,), host=PLAIN_HOST)), set())
 
-    def test_homes_that_have_moved_bind_a_gateway_in_touch(self) -> None:
+    def test_changed_homes_apply_to_a_gateway_in_contact(self) -> None:
         document = initial(2, 2)
         for route in document["Routes"]:
             if route["Hostname"] == MOVING_HOST:
                 route["HomeRegions"] = ["north"]
         moved = evolve(order(2, 1, 2, BEGAN - 10 * SECOND), whole=json.dumps(document))
-        strayed = [moved, tried("m", MOVING_HOST), arrived("m", "south-a"), ran("m")]
+        misrouted = [moved, tried("m", MOVING_HOST), arrived("m", "south-a"), ran("m")]
         read = ReadBack("o", 1000 * SECOND, 1001 * SECOND, 2, 2, "", final=True)
-        self.assertEqual(self.broken(*strayed, read, without=ReadBack), {Rule.HOME})
-        out_of_touch = trouble("pause", GATEWAY.name)
-        self.assertEqual(self.broken(*strayed, read, out_of_touch, without=ReadBack), set())
-        late = evolve(moved, ended=BEGAN - SECOND)  # less than ConfigMs before
-        self.assertEqual(self.broken(late, *strayed[1:], read, without=ReadBack), set())
+        self.assertEqual(self.broken(*misrouted, read, without=ReadBack), {Rule.HOME})
+        out_of_contact = trouble("pause", GATEWAY.name)
+        self.assertEqual(self.broken(*misrouted, read, out_of_contact, without=ReadBack), set())
+        late = evolve(moved, ended=BEGAN - SECOND)  # acknowledged less than ConfigMs earlier
+        self.assertEqual(self.broken(late, *misrouted[1:], read, without=ReadBack), set())
 
     # -- requests
 
@@ -173,7 +173,7 @@
         self.assertEqual(self.broken(left), {Rule.DRAIN})
         self.assertEqual(self.broken(evolve(left, at=BEGAN - 2 * SECOND)), set())
 
-    def test_drain_binds_machines_in_touch_and_servers_that_run(self) -> None:
+    def test_drain_applies_to_machines_in_contact_and_running_servers(self) -> None:
         left = LeaveAcknowledged(BEGAN - 4 * SECOND, "cards-5.1")
         for target in (GATEWAY.name, "control-1", "servers-north"):
             self.assertEqual(self.broken(left, trouble("pause", target)), set(), target)
@@ -188,8 +188,9 @@
         left = LeaveAcknowledged(BEGAN - 4 * SECOND, "cards-5.1")
         turned = Handled(BEGAN, "o", "cards-5.1", 421)
         refused = evolve(tried("o"), outcome=Outcome.REFUSED, status=503)
-        self.assertEqual(self.broken(left, refused, arrived("o"), turned), {Rule.DRAIN})  # by the sound one
-        verdict = judge([*SOUND, left, refused, arrived("o"), turned], LAYOUT)
+        # Only the valid history's request is late.
+        self.assertEqual(self.broken(left, refused, arrived("o"), turned), {Rule.DRAIN})
+        verdict = judge([*VALID_HISTORY, left, refused, arrived("o"), turned], LAYOUT)
         self.assertEqual(len(verdict.breaches), 1)
 
     def test_evacuation(self) -> None:
@@ -208,7 +209,8 @@
         self.assertEqual(self.broken(*events), {Rule.CONFIG})
 
     def test_an_order_that_is_lost(self) -> None:
-        self.assertEqual(self.broken(order(2, 1, 2, 10 * SECOND)), {Rule.CONFIG})  # version 1 is read later
+        # A later read still returns version 1.
+        self.assertEqual(self.broken(order(2, 1, 2, 10 * SECOND)), {Rule.CONFIG})
 
     def test_two_orders_on_one_base(self) -> None:
         orders = [order(2, 1, 2, 10 * SECOND), order(3, 1, 3, 10 * SECOND)]
@@ -233,7 +235,7 @@
     def test_lost(self) -> None:
         self.assertEqual(self.broken_by(outcome=Outcome.CLOSED), {Rule.LOST})
 
-    def test_lost_by_planned_work(self) -> None:
+    def test_only_unplanned_faults_excuse_a_lost_request(self) -> None:
         closed = evolve(tried("r"), outcome=Outcome.CLOSED)
         for planned, rules in ((True, {Rule.LOST}), (False, set())):
             near = trouble("roll", GATEWAY.name, planned)
@@ -241,9 +243,11 @@
 
     def test_not_lost(self) -> None:
         closed = evolve(tried("n"), outcome=Outcome.CLOSED, ended=BEGAN + SECOND // 100)
-        self.assertEqual(self.broken(closed), set())  # it crossed the close, and was not passed on
+        # Sent while the connection was closing, and not forwarded.
+        self.assertEqual(self.broken(closed), set())
         self.assertEqual(self.broken(evolve(closed, ended=BEGAN + SECOND)), {Rule.LOST})
-        self.assertEqual(self.broken(evolve(closed, ended=BEGAN + 3 * SECOND)), set())  # its time was over
+        # By then most of its deadline was used.
+        self.assertEqual(self.broken(evolve(closed, ended=BEGAN + 3 * SECOND)), set())
 
     # -- processes
 
@@ -272,7 +276,7 @@
         self.assertEqual(self.broken(back, *served, *support), set())
         self.assertEqual(self.broken(back, *served[:-1], *support[:-2]), {Rule.RECOVER})
         self.assertEqual(self.broken(evolve(back, missing=("gateway-0 is not ready",))), {Rule.RECOVER})
-        # Only where all servers of the homes are being taken away nobody can be served.
+        # A host without served requests is excused only if all servers in its home regions are leaving.
         refused = [
             evolve(one, outcome=Outcome.REFUSED, status=503) if one.host == MOVING_HOST else one
             for one in served
--- a/tests/soak/test_soak_processes.py
+++ b/tests/soak/test_soak_processes.py
@@ -1,4 +1,4 @@
-"""A process that is to be down while it is being started is ended all the same, and started again."""
+"""A role that is taken down while it starts is still killed, and started again afterwards."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from brackenladder.soak.processes import Role
 from brackenladder.soak.site import SoakLayout
 
-PATIENCE = 30.0  # seconds; only a failure waits so long
+TIMEOUT = 30.0  # seconds; reached only on failure
 
 
 class RoleTest(IsolatedAsyncioTestCase):
-    async def test_down_while_it_is_started(self) -> None:
+    async def test_taken_down_while_starting(self) -> None:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         layout = SoakLayout("127.99.3", folder)
         events: list[Event] = []
@@ -36,13 +36,13 @@
         with patch("asyncio.create_subprocess_exec", slow):
             first = asyncio.create_task(role.start())
             await asyncio.sleep(0)
-            downs = [asyncio.create_task(role.down("kill", 0.0, planned=False)) for _ in range(2)]
+            downs = [asyncio.create_task(role.take_down("kill", 0.0, planned=False)) for _ in range(2)]
             await asyncio.sleep(0)
             go_on.set()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TIMEOUT):
                 await asyncio.gather(first, *downs)
         self.assertEqual(started[0].returncode, -signal.SIGKILL)
         self.assertEqual(len(started), 2)
         self.assertTrue(role.running)
         self.assertEqual(sum(isinstance(event, Trouble) for event in events), 2)
-        await role.end()
+        await role.terminate()
