--- a/brackenladder/cli/control.py
+++ b/brackenladder/cli/control.py
@@ -14,8 +14,16 @@
 from rich.text import Text
 
 from brackenladder.control.diff import differences
-from brackenladder.control.plan import LARGEST_PLAN, Live, Plan, Refused, planned, read, written
-from brackenladder.control.state import LARGEST_FILE, StateError, parse, warnings
+from brackenladder.control.plan import (
+    MAX_PLAN_BYTES,
+    LiveState,
+    Plan,
+    PlanRefused,
+    encode_plan,
+    make_plan,
+    parse_plan,
+)
+from brackenladder.control.state import MAX_FILE_BYTES, StateError, parse_state, warnings
 
 PROTOCOL_VERSION = 1
 ANSWER_TIMEOUT_SECONDS = 20.0
@@ -58,9 +66,9 @@
     return answer
 
 
-def fetch_live(node: str) -> Live:
+def fetch_live(node: str) -> LiveState:
     try:
-        return msgspec.convert(call_node(node, "live")["live"], Live)
+        return msgspec.convert(call_node(node, "live")["live"], LiveState)
     except msgspec.ValidationError as e:
         raise NodeError(f"{node}: the answer of another build: {e}") from None
 
@@ -121,7 +129,7 @@
     """
     try:
         with open(file, "rb") as input_file:
-            desired = parse(input_file.read(LARGEST_FILE + 1))
+            desired = parse_state(input_file.read(MAX_FILE_BYTES + 1))
         live_states = {node: fetch_live(node) for node in nodes}
         first, *others = live_states
         for node in others:
@@ -129,7 +137,7 @@
             if differing:
                 keys = ", ".join(".".join(change.key) for change in differing[:5])
                 raise NodeError(f"{node} differs from {first}: {keys}: one plan cannot apply to both")
-        plans = {node: planned(live, desired, allow_empty) for node, live in live_states.items()}
+        plans = {node: make_plan(live, desired, allow_empty) for node, live in live_states.items()}
     except (StateError, NodeError) as e:
         return report_error("plan", f"{file}: {e}" if isinstance(e, StateError) else str(e))
     except OSError as e:
@@ -137,7 +145,7 @@
     # One plan is reported for all nodes: one with findings, if any node has findings.
     chosen_plan = next((node_plan for node_plan in plans.values() if node_plan.findings), plans[first])
     if as_json:
-        click.echo(written(chosen_plan).decode().rstrip())
+        click.echo(encode_plan(chosen_plan).decode().rstrip())
     else:
         console = Console(highlight=False)
         for text in warnings(desired):
@@ -153,7 +161,7 @@
             console.print(f"refused: {finding.text}", markup=False, soft_wrap=True)
     if out and not chosen_plan.findings:
         try:
-            Path(out).write_bytes(written(chosen_plan))
+            Path(out).write_bytes(encode_plan(chosen_plan))
         except OSError as e:
             return report_error("plan", f"{out}: {e.strerror}")
     if chosen_plan.findings:
@@ -172,11 +180,11 @@
     """
     try:
         with open(file, "rb") as input_file:
-            data = input_file.read(LARGEST_PLAN + 1)
-        change_plan: Plan = read(data)
+            data = input_file.read(MAX_PLAN_BYTES + 1)
+        change_plan: Plan = parse_plan(data)
     except OSError as e:
         return report_error("apply", f"{file}: {e.strerror}")
-    except Refused as e:
+    except PlanRefused as e:
         return report_error("apply", f"{file}: {e}")
     console = Console(highlight=False)
     console.print(format_changes(change_plan.changes), end="", soft_wrap=True)
