--- a/brackenladder/simulation/campaign.py
+++ b/brackenladder/simulation/campaign.py
@@ -14,7 +14,7 @@
 from brackenladder.simulation.mutants.known import MUTANTS
 from brackenladder.simulation.mutants.mutant import Mutant
 from brackenladder.simulation.run import RunResult
-from brackenladder.simulation.schedules import play
+from brackenladder.simulation.schedules import run_schedule
 
 CHUNK = 4  # schedules handed to a worker at a time
 MOST_STRIKES = 200  # faults of one schedule that shrinking tries to leave out
@@ -39,7 +39,7 @@
     elections: int = 0
     broken: list[RunResult] = field(factory=list)
     faults: Counter[str] = field(factory=Counter)
-    meetings: Counter[str] = field(factory=Counter)
+    faults_by_role: Counter[str] = field(factory=Counter)
     seconds: float = 0.0
 
     def add(self, result: RunResult) -> None:
@@ -50,13 +50,13 @@
         self.acknowledged += result.acknowledged
         self.elections += result.elections
         self.faults.update(result.faults)
-        self.meetings.update(result.meetings)
+        self.faults_by_role.update(result.faults_by_role)
         if result.rule:
             self.broken.append(result)
 
 
 @frozen
-class Conviction:
+class MutantResult:
     """What the simulation found of a planted fault; `rule` is empty if it was not convicted."""
 
     mutant: str
@@ -91,40 +91,40 @@
         yield summary
 
 
-def convict_all(mutants: Iterable[str], tries: int, jobs: int) -> Iterator[Conviction]:
+def detect_mutants(mutants: Iterable[str], tries: int, jobs: int) -> Iterator[MutantResult]:
     """Each planted fault, under the schedules of its profile."""
     wanted = [(name, tries) for name in mutants]
     if jobs == 1:
-        yield from map(_convict, wanted)
+        yield from map(_detect_mutant, wanted)
         return
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield from pool.map(_convict, wanted)
+        yield from pool.map(_detect_mutant, wanted)
 
 
-def convict(mutant: Mutant, tries: int) -> Conviction:
+def detect_mutant(mutant: Mutant, tries: int) -> MutantResult:
     """Plays schedules until a rule that is named for the planted fault breaks."""
     others: list[str] = []
     with mutant.plant():
         for seed in range(tries):
-            result = play(mutant.profile, seed)
+            result = run_schedule(mutant.profile, seed)
             if result.rule in mutant.rules:
-                return Conviction(
+                return MutantResult(
                     mutant.name, mutant.profile, seed + 1, result.rule, result.detail, tuple(others)
                 )
             if result.rule:
                 others.append(result.rule)
-    return Conviction(mutant.name, mutant.profile, tries, "", "", tuple(others))
+    return MutantResult(mutant.name, mutant.profile, tries, "", "", tuple(others))
 
 
 def shrink(schedule: Schedule) -> tuple[frozenset[int], RunResult]:
     """Leaves out faults one by one, from the last, as long as the same rule still breaks."""
-    result = play(schedule.profile, schedule.seed)
+    result = run_schedule(schedule.profile, schedule.seed)
     skipped: frozenset[int] = frozenset()
     if not result.rule:
         return skipped, result
     for number in reversed(range(_strikes(schedule, result))):
         fewer = skipped | {number}
-        shorter = play(schedule.profile, schedule.seed, skipped=fewer)
+        shorter = run_schedule(schedule.profile, schedule.seed, skipped=fewer)
         if shorter.rule == result.rule:
             skipped, result = fewer, shorter
     return skipped, result
@@ -142,13 +142,13 @@
     if number >= MOST_STRIKES:
         return True
     later = frozenset(range(number, MOST_STRIKES))
-    return play(schedule.profile, schedule.seed, skipped=later).rule == rule
+    return run_schedule(schedule.profile, schedule.seed, skipped=later).rule == rule
 
 
 def _play(schedule: Schedule) -> RunResult:
-    return play(schedule.profile, schedule.seed)
+    return run_schedule(schedule.profile, schedule.seed)
 
 
-def _convict(wanted: tuple[str, int]) -> Conviction:
+def _detect_mutant(wanted: tuple[str, int]) -> MutantResult:
     name, tries = wanted
-    return convict(MUTANTS[name], tries)
+    return detect_mutant(MUTANTS[name], tries)
--- a/brackenladder/simulation/checks.py
+++ b/brackenladder/simulation/checks.py
@@ -56,8 +56,10 @@
         key=lambda order: order.ended_at or 0,
     )
     for order in ends:
-        if order.told_version != order.version:
-            raise Violation("wrong-answer", f"order {order.number} for {order.version}: {order.told_version}")
+        if order.reply_version != order.version:
+            raise Violation(
+                "wrong-answer", f"order {order.number} for {order.version}: {order.reply_version}"
+            )
     position = 0
     for order in sorted(ends, key=lambda order: order.invoked_at):
         while position < len(ends) and (ends[position].ended_at or 0) < order.invoked_at:
@@ -80,10 +82,10 @@
             newest = max(newest, settled[position][1])
             position += 1
         if order.outcome is Outcome.CONFLICT and (
-            order.told_version < newest or order.told_version == _base(order)
+            order.reply_version < newest or order.reply_version == _base(order)
         ):
             detail = (
-                f"order {order.number} on {_base(order)}: {order.told_version} is current, after {newest}"
+                f"order {order.number} on {_base(order)}: {order.reply_version} is current, after {newest}"
             )
             raise Violation("wrong-refusal", detail)
         if order.outcome is Outcome.INVALID and order.valid and _base(order) > newest:
--- a/brackenladder/simulation/exchange/run.py
+++ b/brackenladder/simulation/exchange/run.py
@@ -23,7 +23,9 @@
 from brackenladder.simulation.turn_order import TurnOrder
 
 NAME = "exchange"
-ABOUT = "gateways between clients and servers on byte streams that break anywhere, while all else changes"
+DESCRIPTIONS = (
+    "gateways between clients and servers on byte streams that break anywhere, while all else changes"
+)
 START_SECONDS = 1.5
 TROUBLE_SECONDS = 10.0
 CALM_SECONDS = 2.0  # of traffic after the trouble
@@ -35,7 +37,7 @@
 LEAST_SERVED = 0.6  # of the requests in the calm at the end that are not given up
 
 
-def play(
+def run_schedule(
     seed: int, trace: Callable[[str], None] | None = None, skipped: frozenset[int] = frozenset()
 ) -> RunResult:
     """Plays one schedule; `trace` takes what is logged; `skipped` faults do not come."""
@@ -45,19 +47,19 @@
         # a process may end between the making of a task and its first step
         warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
         try:
-            return _play_in(loop, seed, skipped)
+            return _run_in(loop, seed, skipped)
         finally:
             gc.collect()  # ends what waits for ever, while the loop still takes its last calls
             loop.close()
 
 
-def _play_in(loop: StreamEventLoop, seed: int, skipped: frozenset[int]) -> RunResult:
+def _run_in(loop: StreamEventLoop, seed: int, skipped: frozenset[int]) -> RunResult:
     world = World(loop, seed)
     rule = detail = ""
     try:
         before = VIOLATIONS.total
         with VIOLATIONS.apart():
-            loop.run_until_complete(_play(world, Random(f"{NAME} {seed}"), skipped))
+            loop.run_until_complete(_run_phases(world, Random(f"{NAME} {seed}"), skipped))
             if VIOLATIONS.total > before:
                 raise Violation("invariant", str(VIOLATIONS.violations()))
     except SimulationError as error:
@@ -70,7 +72,7 @@
     return _result(seed, world, rule, detail)
 
 
-async def _play(world: World, random: Random, skipped: frozenset[int]) -> None:
+async def _run_phases(world: World, random: Random, skipped: frozenset[int]) -> None:
     await world.boot()
     await asyncio.sleep(START_SECONDS)
     clients = world.loop.create_task(world.clients.work(PAUSE_SECONDS))
@@ -143,5 +145,5 @@
         elections=0,
         strikes=world.coverage.strikes,
         faults=dict(world.coverage.faults),
-        meetings=dict(world.coverage.faults),
+        faults_by_role=dict(world.coverage.faults),
     )
--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -31,7 +31,7 @@
     valid: bool = True
     outcome: Outcome = Outcome.UNCLEAR
     ended_at: int | None = None
-    told_version: int = 0  # by the answer
+    reply_version: int = 0  # by the answer
     answered_by: str = ""
     answered_at: int = 0  # when the node decided on its answer
     calls: int = 0
--- a/brackenladder/simulation/mutants/exchange.py
+++ b/brackenladder/simulation/mutants/exchange.py
@@ -189,8 +189,8 @@
     return replaced(Gateway, drain=drain)
 
 
-def _mutant(name: str, about: str, rules: set[str], plant: Any) -> Mutant:
-    return Mutant(name=name, about=about, profile="exchange", rules=frozenset(rules), plant=plant)
+def _mutant(name: str, description: str, rules: set[str], plant: Any) -> Mutant:
+    return Mutant(name=name, description=description, profile="exchange", rules=frozenset(rules), plant=plant)
 
 
 EXCHANGE_MUTANTS = (
--- a/brackenladder/simulation/mutants/mutant.py
+++ b/brackenladder/simulation/mutants/mutant.py
@@ -28,7 +28,7 @@
     """A fault, the profile that brings it out and the rules of which one has to convict it."""
 
     name: str
-    about: str
+    description: str
     profile: str
     rules: frozenset[str]
     plant: Callable[[], Fault]
--- a/brackenladder/simulation/mutants/snapshots.py
+++ b/brackenladder/simulation/mutants/snapshots.py
@@ -41,21 +41,21 @@
 SNAPSHOTS_MUTANTS = (
     Mutant(
         name="transfer-begun-anew",
-        about="each new snapshot begins the transfer of the last one anew",
+        description="each new snapshot begins the transfer of the last one anew",
         profile="snapshots",
         rules=frozenset({"behind", "no-recovery"}),
         plant=_transfer_begun_anew,
     ),
     Mutant(
         name="snapshot-within-command",
-        about="a snapshot is taken between the parts of a large order",
+        description="a snapshot is taken between the parts of a large order",
         profile="large",
         rules=LOST_ORDER_RULES | {"no-recovery", "behind"},
         plant=_snapshot_within_a_command,
     ),
     Mutant(
         name="older-revision",
-        about="a gateway takes an older catalog after a new link",
+        description="a gateway takes an older catalog after a new link",
         profile="isolation",
         rules=frozenset({"gateway-back", "config-late"}),
         plant=_older_revision_taken,
--- a/brackenladder/simulation/mutants/waits.py
+++ b/brackenladder/simulation/mutants/waits.py
@@ -20,7 +20,7 @@
 WAITS_MUTANTS = (
     Mutant(
         name="cancellation-dropped",
-        about="a wait for another leader drops the cancellation that comes in the turn of its end",
+        description="a wait for another leader drops the cancellation that comes in the turn of its end",
         profile="turns",
         rules=frozenset({"call-held"}),
         plant=_cancellation_dropped,
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -41,7 +41,7 @@
 
 
 @frozen
-class Habits:
+class OperatorSettings:
     """What operators do. Shares are of all their actions."""
 
     pause: float = 0.5  # mean seconds between two actions
@@ -75,12 +75,12 @@
         network: SimulatedNetwork,
         machines: list[ControlMachine],
         history: History,
-        habits: Habits,
+        operator_settings: OperatorSettings,
         random: Random,
         observer: OrderObserver,
     ) -> None:
         self.name = name
-        self.habits = habits
+        self.operator_settings = operator_settings
         self.active = True
         self._network = network
         self._machines = machines
@@ -95,9 +95,9 @@
         """Acts until `active` is taken away; then ends what is under way."""
         under_way: set[asyncio.Task[None]] = set()
         while self.active:
-            if len(under_way) < self.habits.in_flight:
+            if len(under_way) < self.operator_settings.in_flight:
                 under_way.add(asyncio.get_running_loop().create_task(self._act()))
-            await asyncio.sleep(self.habits.pause * self._random.uniform(0.3, 1.7))
+            await asyncio.sleep(self.operator_settings.pause * self._random.uniform(0.3, 1.7))
             under_way = {task for task in under_way if not task.done()}
         await asyncio.gather(*under_way)
 
@@ -119,33 +119,33 @@
     async def configure(self, size: int = 0) -> OrderRecord:
         """Sends one configuration on top of the newest version that this operator knows."""
         record = self._configuration(size)
-        await self._insist(record, self.habits.patience)
+        await self._insist(record, self.operator_settings.patience)
         return record
 
     async def _act(self) -> None:
-        habits = self.habits
+        operator_settings = self.operator_settings
         draw = self._random.random()
-        if draw < habits.reads:
+        if draw < operator_settings.reads:
             await self.read()
-        elif draw < habits.reads + habits.evacuations:
+        elif draw < operator_settings.reads + operator_settings.evacuations:
             await self._evacuate()
-        elif draw < habits.reads + habits.evacuations + habits.repeats:
+        elif draw < operator_settings.reads + operator_settings.evacuations + operator_settings.repeats:
             await self._repeat()
         else:
-            await self.configure(self._random.randint(0, habits.largest))
+            await self.configure(self._random.randint(0, operator_settings.largest))
 
     # -- orders
 
     def _configuration(self, size: int) -> OrderRecord:
-        random, habits = self._random, self.habits
+        random, operator_settings = self._random, self.operator_settings
         base = self._known_version
         version = base + random.randint(1, 3)
         number = len(self._history.orders) + 1
-        valid = random.random() >= habits.invalid
+        valid = random.random() >= operator_settings.invalid
         order: Order
         if not valid:
             order = ReplaceConfiguration(base, invalid(number, version))
-        elif base and random.random() < habits.updates:
+        elif base and random.random() < operator_settings.updates:
             order = UpdateConfiguration(base, update(number, version))
         else:
             order = ReplaceConfiguration(base, replacement(number, version, size))
@@ -182,7 +182,7 @@
             return
         record.outcome = outcome
         record.ended_at = self._now()
-        record.told_version = reply.version
+        record.reply_version = reply.version
         record.answered_by = machine.name
         record.answered_at = call.answered_at
         if outcome is not Outcome.INVALID:
@@ -193,7 +193,7 @@
     ) -> tuple[OrderReply | None, Call[OrderReply]]:
         size = ORDER_BYTES + len(encode_order(order))
         call = self._call(machine, lambda node: self._decide(node, order))
-        call.answer_lost = self._random.random() < self.habits.answers_lost
+        call.answer_lost = self._random.random() < self.operator_settings.answers_lost
         transfer = size * BITS_PER_BYTE / (machine.place.megabits * MICROSECONDS)
         return await make_call(call, size, PATIENCE_SECONDS + 4 * transfer), call
 
--- a/brackenladder/simulation/profiles.py
+++ b/brackenladder/simulation/profiles.py
@@ -9,12 +9,7 @@
 from attrs import field, frozen
 
 from brackenladder.consensus.timing import Timing
-from brackenladder.simulation.faults import Faults
-from brackenladder.simulation.machines import ControlMachine, Site
-from brackenladder.simulation.operators import Habits
-from brackenladder.simulation.scenario import Scenario
-from brackenladder.simulation.servers import Lives
-from brackenladder.simulation.strikes import (
+from brackenladder.simulation.fault_actions import (
     Strike,
     absent,
     cut_during_change,
@@ -42,6 +37,11 @@
     throttle_one,
     trouble_disk,
 )
+from brackenladder.simulation.faults import Faults
+from brackenladder.simulation.machines import ControlMachine, Site
+from brackenladder.simulation.operators import OperatorSettings
+from brackenladder.simulation.scenario import Scenario
+from brackenladder.simulation.servers import ServerLifetimes
 
 
 @frozen
@@ -49,7 +49,7 @@
     """A scenario and its faults. `strikes` are drawn by weight; `calm`: seconds between two of them."""
 
     name: str
-    about: str
+    description: str
     scenario: Scenario
     strikes: tuple[tuple[float, Strike], ...] = field(repr=False)
     calm: tuple[float, float] = (0.2, 6.0)
@@ -101,8 +101,8 @@
             "isolation",
             "a control machine is cut off or stands still for some twenty seconds",
             Scenario(
-                habits=Habits(pause=0.6, evacuations=0.25),
-                lives=Lives(shortest=3.0, longest=10.0),
+                operator_settings=OperatorSettings(pause=0.6, evacuations=0.25),
+                server_lifetimes=ServerLifetimes(shortest=3.0, longest=10.0),
                 trouble=60.0,
             ),
             (
@@ -122,7 +122,9 @@
             "orders",
             "operators race on one version, lose answers and send again while leaders change",
             Scenario(
-                habits=Habits(pause=0.15, in_flight=4, evacuations=0.3, answers_lost=0.3, repeats=0.15),
+                operator_settings=OperatorSettings(
+                    pause=0.15, in_flight=4, evacuations=0.3, answers_lost=0.3, repeats=0.15
+                ),
                 servers=0,
                 trouble=30.0,
             ),
@@ -142,7 +144,7 @@
         Profile(
             "members",
             "disks and machines are lost as soon as the last loss is repaired",
-            Scenario(Site(control_nodes=4), Habits(pause=0.3), servers=0, trouble=50.0),
+            Scenario(Site(control_nodes=4), OperatorSettings(pause=0.3), servers=0, trouble=50.0),
             (
                 (4.0, lose_disk),
                 (2.0, lose_oldest_disk),
@@ -160,7 +162,9 @@
         Profile(
             "losses",
             "losses overlap: halves cut apart, disks gone, and all that is left without power",
-            Scenario(Site(control_nodes=5), Habits(pause=0.3, evacuations=0.2, reads=0.3), trouble=60.0),
+            Scenario(
+                Site(control_nodes=5), OperatorSettings(pause=0.3, evacuations=0.2, reads=0.3), trouble=60.0
+            ),
             (
                 (3.0, disks_and_power_of_all),
                 (3.0, losses_in_halves),
@@ -184,7 +188,7 @@
                         compact_entries=5, kept_bytes=1_024, snapshot_chunk=1_024, snapshot_window=2_048
                     ),
                 ),
-                Habits(
+                OperatorSettings(
                     pause=0.05,
                     in_flight=6,
                     largest=60_000,
@@ -212,7 +216,7 @@
             "configurations of megabytes over ten megabits, while members are away",
             Scenario(
                 Site(control_nodes=3, gateways=1, megabits=10.0),
-                Habits(
+                OperatorSettings(
                     pause=1.5,
                     in_flight=1,
                     updates=0.0,
@@ -234,7 +238,9 @@
             "answers",
             "many orders at a time are passed on between nodes whose links and leaders change",
             Scenario(
-                habits=Habits(pause=0.05, in_flight=8, evacuations=0.1, reads=0.3, answers_lost=0.05),
+                operator_settings=OperatorSettings(
+                    pause=0.05, in_flight=8, evacuations=0.1, reads=0.3, answers_lost=0.05
+                ),
                 servers=2,
                 trouble=25.0,
             ),
@@ -246,8 +252,10 @@
             "turns",
             "busy turns: much comes due at once, in any order, while leaders change and callers give up",
             Scenario(
-                habits=Habits(pause=0.08, in_flight=6, evacuations=0.3, reads=0.2, answers_lost=0.05),
-                lives=Lives(shortest=1.0, longest=4.0),
+                operator_settings=OperatorSettings(
+                    pause=0.08, in_flight=6, evacuations=0.3, reads=0.2, answers_lost=0.05
+                ),
+                server_lifetimes=ServerLifetimes(shortest=1.0, longest=4.0),
                 servers=6,
                 trouble=25.0,
                 late_turns=0.3,
@@ -268,7 +276,9 @@
         Profile(
             "mixed",
             "all kinds of faults",
-            Scenario(Site(control_nodes=5), Habits(pause=0.3, in_flight=3), trouble=60.0, catch_up=6.0),
+            Scenario(
+                Site(control_nodes=5), OperatorSettings(pause=0.3, in_flight=3), trouble=60.0, catch_up=6.0
+            ),
             tuple(
                 (1.0, strike)
                 for strike in (
--- a/brackenladder/simulation/run.py
+++ b/brackenladder/simulation/run.py
@@ -44,7 +44,7 @@
     elections: int
     strikes: int  # faults that came, or would have come; 0 where the run broke before the end of the trouble
     faults: dict[str, int]
-    meetings: dict[str, int]
+    faults_by_role: dict[str, int]
 
 
 def run(
@@ -185,5 +185,5 @@
         elections=len(world.coverage.terms),
         strikes=world.coverage.strikes,
         faults=dict(world.coverage.faults),
-        meetings=dict(world.coverage.meetings),
+        faults_by_role=dict(world.coverage.faults_by_role),
     )
--- a/brackenladder/simulation/scenario.py
+++ b/brackenladder/simulation/scenario.py
@@ -7,8 +7,8 @@
 from attrs import define, field, frozen
 
 from brackenladder.simulation.machines import Site
-from brackenladder.simulation.operators import Habits
-from brackenladder.simulation.servers import Lives
+from brackenladder.simulation.operators import OperatorSettings
+from brackenladder.simulation.servers import ServerLifetimes
 from brackenladder.simulation.virtual_loop import MICROSECONDS
 
 SECOND = MICROSECONDS
@@ -19,8 +19,8 @@
     """What a run consists of, beside its faults. Times are seconds."""
 
     site: Site = Site()
-    habits: Habits = Habits()
-    lives: Lives = Lives()
+    operator_settings: OperatorSettings = OperatorSettings()
+    server_lifetimes: ServerLifetimes = ServerLifetimes()
     operators: int = 2
     servers: int = 2
     trouble: float = 40.0  # for which faults come
@@ -35,6 +35,6 @@
     """What a run has brought about."""
 
     faults: Counter[str] = field(factory=Counter)
-    meetings: Counter[str] = field(factory=Counter)  # a kind of fault and the role that it met
+    faults_by_role: Counter[str] = field(factory=Counter)  # a kind of fault and the role that it met
     strikes: int = 0
     terms: set[int] = field(factory=set)
--- a/brackenladder/simulation/schedules.py
+++ b/brackenladder/simulation/schedules.py
@@ -8,13 +8,13 @@
 from brackenladder.simulation.profiles import PROFILES
 from brackenladder.simulation.run import RunResult, run
 
-ABOUT: dict[str, str] = {
-    **{name: profile.about for name, profile in PROFILES.items()},
-    exchange.NAME: exchange.ABOUT,
+DESCRIPTIONS: dict[str, str] = {
+    **{name: profile.description for name, profile in PROFILES.items()},
+    exchange.NAME: exchange.DESCRIPTIONS,
 }
 
 
-def play(
+def run_schedule(
     profile: str,
     seed: int,
     trace: Callable[[str], None] | None = None,
@@ -22,5 +22,5 @@
 ) -> RunResult:
     """Plays one schedule; `trace` takes what is logged, line by line; `skipped` faults do not come."""
     if profile == exchange.NAME:
-        return exchange.play(seed, trace, skipped)
+        return exchange.run_schedule(seed, trace, skipped)
     return run(PROFILES[profile], seed, trace=trace, skipped=skipped)
--- a/brackenladder/simulation/servers.py
+++ b/brackenladder/simulation/servers.py
@@ -26,7 +26,7 @@
 
 
 @frozen
-class Lives:
+class ServerLifetimes:
     """How long servers live, in seconds."""
 
     shortest: float = 8.0
@@ -45,7 +45,7 @@
         network: SimulatedNetwork,
         machines: list[ControlMachine],
         history: History,
-        lives: Lives,
+        server_lifetimes: ServerLifetimes,
         random: Random,
         acknowledged: Callable[[ServerAck], None],
     ) -> None:
@@ -54,7 +54,7 @@
         self._network = network
         self._machines = machines
         self._history = history
-        self._lives = lives
+        self._lives = server_lifetimes
         self._random = random
         self._acknowledged = acknowledged
         self._address = f"10.9.0.{number + 1}:80"
@@ -70,14 +70,14 @@
             await asyncio.sleep(REUSE_SECONDS)
 
     async def _live(self) -> None:
-        lives, random = self._lives, self._random
-        ends_at = self._now() + random.uniform(lives.shortest, lives.longest)
+        server_lifetimes, random = self._lives, self._random
+        ends_at = self._now() + random.uniform(server_lifetimes.shortest, server_lifetimes.longest)
         record = self._first_record()
         while self.active and self._now() < ends_at:
             record = evolve(record, seq=record.seq + 1)
             await self._say(record)
             await asyncio.sleep(HEARTBEAT_MS / 1000 * random.uniform(0.9, 1.1))
-        if self.active and random.random() < lives.drains:
+        if self.active and random.random() < server_lifetimes.drains:
             await self._leave(record)
 
     async def _leave(self, record: ServerRecord) -> None:
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -77,7 +77,7 @@
                 self.network,
                 self.machines,
                 self.history,
-                scenario.habits,
+                scenario.operator_settings,
                 self._branch(),
                 self,
             )
@@ -90,7 +90,7 @@
                 self.network,
                 self.machines,
                 self.history,
-                scenario.lives,
+                scenario.server_lifetimes,
                 self._branch(),
                 self._checks.server_acknowledged,
             )
@@ -183,7 +183,7 @@
         self.coverage.faults[kind] += 1
         if machine is not None:
             role = machine.node.host.replica.role.value if machine.node is not None else "down"
-            self.coverage.meetings[f"{kind} of a {role}"] += 1
+            self.coverage.faults_by_role[f"{kind} of a {role}"] += 1
 
     def calm_since(self, moment: int) -> bool:
         """Whether no fault was under way from `CONTACT_TIME` before a moment until now."""
--- a/brackenladder/soak/versions.py
+++ b/brackenladder/soak/versions.py
@@ -89,5 +89,5 @@
         valid=order.valid,
         outcome=outcome,
         ended_at=None if outcome is Outcome.UNCLEAR else order.ended,
-        told_version=order.told_version,
+        reply_version=order.told_version,
     )
--- a/brackenladder/system/simulate_command.py
+++ b/brackenladder/system/simulate_command.py
@@ -10,10 +10,10 @@
 import typer
 
 from brackenladder.operator_client.errors import ExitCode, UsageError
-from brackenladder.simulation.campaign import Schedule, Summary, campaign, convict_all, schedules, shrink
+from brackenladder.simulation.campaign import Schedule, Summary, campaign, detect_mutants, schedules, shrink
 from brackenladder.simulation.mutants.known import MUTANTS
 from brackenladder.simulation.run import RunResult
-from brackenladder.simulation.schedules import ABOUT, play
+from brackenladder.simulation.schedules import DESCRIPTIONS, run_schedule
 from brackenladder.system.output import note, say
 
 PROGRESS_EVERY = 50  # schedules
@@ -50,7 +50,7 @@
     """Plays seeded schedules of faults against whole control nodes. Exit code 1: something broke."""
     if listed or mutants_listed:
         return _list(mutants_listed)
-    names = _known(profile or list(ABOUT), ABOUT, "--profile")
+    names = _known(profile or list(DESCRIPTIONS), DESCRIPTIONS, "--profile")
     workers = jobs or os.cpu_count() or 1
     if convict:
         return _convict(_known(mutant or list(MUTANTS), MUTANTS, "--mutant"), tries, workers)
@@ -62,10 +62,10 @@
 def _list(mutants_listed: bool) -> int:
     if mutants_listed:
         for name, planted in MUTANTS.items():
-            say(f"{name:28} {planted.profile:10} {planted.about}")
+            say(f"{name:28} {planted.profile:10} {planted.description}")
     else:
-        for name, about in ABOUT.items():
-            say(f"{name:10} {about}")
+        for name, description in DESCRIPTIONS.items():
+            say(f"{name:10} {description}")
     return ExitCode.SUCCESS
 
 
@@ -125,13 +125,13 @@
         f"{summary.elections} terms with a leader"
     )
     say("faults that met a node, by its role then:")
-    for meeting, times in sorted(summary.meetings.items()):
+    for meeting, times in sorted(summary.faults_by_role.items()):
         say(f"  {meeting}: {times}")
 
 
 def _convict(names: list[str], tries: int, jobs: int) -> int:
     acquitted = 0
-    for conviction in convict_all(names, tries, jobs):
+    for conviction in detect_mutants(names, tries, jobs):
         acquitted += not conviction.rule
         found = conviction.rule or "NOT FOUND"
         say(f"{conviction.mutant:28} {conviction.profile:10} {found} in {conviction.schedules} schedules")
@@ -144,6 +144,6 @@
     if fewest:
         skipped, _ = shrink(schedule)
         say(f"not needed: {', '.join(map(str, sorted(skipped))) or 'none'}")
-    result = play(schedule.profile, schedule.seed, say if trace else None, skipped)
+    result = run_schedule(schedule.profile, schedule.seed, say if trace else None, skipped)
     say(result.detail or "nothing broke")
     return ExitCode.FAILED if result.rule else ExitCode.SUCCESS
--- a/tests/control_plane/test_contact_first.py
+++ b/tests/control_plane/test_contact_first.py
@@ -21,13 +21,13 @@
 from brackenladder.control_plane.membership import max_voters
 from brackenladder.control_plane.messages import OrderOutcome
 from brackenladder.simulation.machines import ControlMachine
-from brackenladder.simulation.operators import Habits
+from brackenladder.simulation.operators import OperatorSettings
 from brackenladder.simulation.scenario import Scenario
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 from brackenladder.simulation.world import World
 
 ZONE = "north-1"
-IDLE = Scenario(habits=Habits(), operators=0, servers=0)
+IDLE = Scenario(operator_settings=OperatorSettings(), operators=0, servers=0)
 
 
 def run_in_world(scenario: Callable[[World], Awaitable[None]]) -> None:
--- a/tests/simulation/test_exchange.py
+++ b/tests/simulation/test_exchange.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from unittest import TestCase
 
-from brackenladder.simulation.campaign import convict
+from brackenladder.simulation.campaign import detect_mutant
 from brackenladder.simulation.exchange.answer_reader import AnswerReader, NoAnswer
 from brackenladder.simulation.exchange.behaviour import Manner
 from brackenladder.simulation.exchange.history import AFTERMATH, Disturbances
-from brackenladder.simulation.exchange.run import NAME, play
+from brackenladder.simulation.exchange.run import NAME, run_schedule
 from brackenladder.simulation.mutants.exchange import EXCHANGE_MUTANTS
 from brackenladder.simulation.mutants.mutant import Mutant
-from brackenladder.simulation.schedules import ABOUT
+from brackenladder.simulation.schedules import DESCRIPTIONS
 
 SCHEDULES = 4
 TRIES = 20
@@ -22,25 +22,25 @@
 
 class ExchangeTest(TestCase):
     def test_schedules_hold(self) -> None:
-        results = [play(seed) for seed in range(SCHEDULES)]
+        results = [run_schedule(seed) for seed in range(SCHEDULES)]
         self.assertEqual([result for result in results if result.rule], [])
         self.assertGreater(sum(result.acknowledged for result in results), SCHEDULES * 300)
 
     def test_a_seed_gives_the_same_run_again(self) -> None:
-        self.assertEqual(play(5), play(5))
+        self.assertEqual(run_schedule(5), run_schedule(5))
 
     def test_it_is_one_of_the_profiles(self) -> None:
-        self.assertIn(NAME, ABOUT)
+        self.assertIn(NAME, DESCRIPTIONS)
 
 
 class FoundScheduleTest(TestCase):
     """Seeds that broke before the cause was mended, under the faults as they are now."""
 
     def test_time_spent_behind_another_request(self) -> None:
-        self.assertEqual(play(1).rule, "")
+        self.assertEqual(run_schedule(1).rule, "")
 
     def test_a_body_answered_early(self) -> None:
-        self.assertEqual(play(6).rule, "")
+        self.assertEqual(run_schedule(6).rule, "")
 
 
 class MutantTest(TestCase):
@@ -48,7 +48,7 @@
         self.assertGreaterEqual(len(EXCHANGE_MUTANTS), LEAST_MUTANTS)
 
     def check_found(self, mutant: Mutant) -> None:
-        conviction = convict(mutant, TRIES)
+        conviction = detect_mutant(mutant, TRIES)
         self.assertIn(conviction.rule, mutant.rules, conviction)
 
 
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -8,7 +8,7 @@
 from unittest import TestCase
 
 from brackenladder.operator_client.errors import ExitCode
-from brackenladder.simulation.campaign import Schedule, convict, shrink
+from brackenladder.simulation.campaign import Schedule, detect_mutant, shrink
 from brackenladder.simulation.mutants.exchange import EXCHANGE_MUTANTS
 from brackenladder.simulation.mutants.known import MUTANTS
 from brackenladder.simulation.profiles import PROFILES
@@ -87,12 +87,12 @@
 
 class MutantTest(TestCase):
     def check_found(self, name: str) -> None:
-        conviction = convict(MUTANTS[name], TRIES)
+        conviction = detect_mutant(MUTANTS[name], TRIES)
         self.assertIn(conviction.rule, MUTANTS[name].rules, conviction)
 
     def test_a_mutant_leaves_nothing_behind(self) -> None:
         before = run(PROFILES["orders"], 1)
-        convict(MUTANTS["base-not-compared"], 1)
+        detect_mutant(MUTANTS["base-not-compared"], 1)
         self.assertEqual(run(PROFILES["orders"], 1), before)
 
     def test_faults_that_are_not_needed_are_left_out(self) -> None:
