--- a/brackenladder/simulation/calls.py
+++ b/brackenladder/simulation/calls.py
@@ -19,7 +19,7 @@
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 from brackenladder.transport.memory_link import Event
 
-SLACK = 250_000  # microseconds for which a node may still hold a call that is over
+HELD_CALL_TOLERANCE = 250_000  # microseconds for which a node may still hold a call that is over
 
 Answer = TypeVar("Answer")
 Work = Callable[[ControlNode], Awaitable[Answer]]
@@ -39,23 +39,23 @@
     answered_at: int = 0  # when the node gave its answer
     _task: asyncio.Task[None] | None = field(default=None, init=False)
     _process: Process | None = field(default=None, init=False)  # that serves it
-    _gone: bool = field(default=False, init=False)
+    _caller_gone: bool = field(default=False, init=False)
 
     def arrive(self) -> None:
         """The request is at the node."""
         node = self.machine.node
-        if node is not None and not self._gone:
+        if node is not None and not self._caller_gone:
             self._process = self.machine.process
             self._task = asyncio.get_running_loop().create_task(self._serve(node))
             limit = CALL_SECONDS + self.size / SLOWEST_BYTES_PER_SECOND
-            self._check_ended(self._task, int(limit * MICROSECONDS) + SLACK, "its time limit")
+            self._check_ended(self._task, int(limit * MICROSECONDS) + HELD_CALL_TOLERANCE, "its time limit")
 
     def hang_up(self) -> None:
         """The node hears that the caller has closed the connection."""
-        self._gone = True
+        self._caller_gone = True
         if self._task is not None and not self._task.done():
             self._task.cancel()
-            self._check_ended(self._task, SLACK, "its caller hung up")
+            self._check_ended(self._task, HELD_CALL_TOLERANCE, "its caller hung up")
 
     def _check_ended(self, task: asyncio.Task[None], wait: int, since: str) -> None:
         """After a while the node is to be done with the call, unless its process stood still or ended."""
@@ -64,11 +64,13 @@
         freezes = process.freezes
 
         def check() -> None:
-            if process.runs and process.freezes == freezes and not task.done():
-                self.network.call_held(f"{self.machine.name} holds a call of {self.caller} after {since}")
+            if process.running and process.freezes == freezes and not task.done():
+                self.network.report_held_call(
+                    f"{self.machine.name} holds a call of {self.caller} after {since}"
+                )
 
         loop = self.network.loop
-        loop.call_outside(loop.microseconds + wait, check)
+        loop.call_external(loop.microseconds + wait, check)
 
     async def _serve(self, node: ControlNode) -> None:
         answer = await self.work(node)
@@ -104,13 +106,13 @@
             self.waiting.set_result(self.answer)
 
 
-async def make_call(call: Call[Answer], size: int, patience: float) -> Answer | None:
+async def make_call(call: Call[Answer], size: int, timeout_seconds: float) -> Answer | None:
     """The answer; None if there is none within `patience` seconds, and the caller closes the connection."""
     network = call.network
     call.size = size
     network.queue(_Arrival(call.caller, call.machine.name, call, size))
     try:
-        async with asyncio.timeout(patience):
+        async with asyncio.timeout(timeout_seconds):
             return await call.answer
     except TimeoutError:
         return None
--- a/brackenladder/simulation/campaign.py
+++ b/brackenladder/simulation/campaign.py
@@ -17,7 +17,7 @@
 from brackenladder.simulation.schedules import run_schedule
 
 CHUNK = 4  # schedules handed to a worker at a time
-MOST_STRIKES = 200  # faults of one schedule that shrinking tries to leave out
+MAX_FAULTS = 200  # faults of one schedule that shrinking tries to leave out
 
 
 @frozen
@@ -64,7 +64,7 @@
     schedules: int  # played, the last one among them
     rule: str
     detail: str
-    others: tuple[str, ...]  # rules that broke before and are not named for this fault
+    other_rules: tuple[str, ...]  # rules that broke before and are not named for this fault
 
 
 def schedules(profiles: Iterable[str], seeds: range) -> list[Schedule]:
@@ -72,20 +72,20 @@
     return [Schedule(profile, seed) for seed, profile in product(seeds, profiles)]
 
 
-def play_all(todo: list[Schedule], jobs: int) -> Iterator[RunResult]:
+def play_all(planned: list[Schedule], jobs: int) -> Iterator[RunResult]:
     """Runs as they end, in the order of the schedules."""
     if jobs == 1:
-        yield from map(_play, todo)
+        yield from map(_play, planned)
         return
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield from pool.map(_play, todo, chunksize=CHUNK)
+        yield from pool.map(_play, planned, chunksize=CHUNK)
 
 
-def campaign(todo: list[Schedule], jobs: int) -> Iterator[Summary]:
+def campaign(planned: list[Schedule], jobs: int) -> Iterator[Summary]:
     """The summary after each run; the same object each time."""
     summary = Summary()
     began = perf_counter()
-    for result in play_all(todo, jobs):
+    for result in play_all(planned, jobs):
         summary.add(result)
         summary.seconds = perf_counter() - began
         yield summary
@@ -103,17 +103,17 @@
 
 def detect_mutant(mutant: Mutant, tries: int) -> MutantResult:
     """Plays schedules until a rule that is named for the planted fault breaks."""
-    others: list[str] = []
+    other_rules: list[str] = []
     with mutant.plant():
         for seed in range(tries):
             result = run_schedule(mutant.profile, seed)
             if result.rule in mutant.rules:
                 return MutantResult(
-                    mutant.name, mutant.profile, seed + 1, result.rule, result.detail, tuple(others)
+                    mutant.name, mutant.profile, seed + 1, result.rule, result.detail, tuple(other_rules)
                 )
             if result.rule:
-                others.append(result.rule)
-    return MutantResult(mutant.name, mutant.profile, tries, "", "", tuple(others))
+                other_rules.append(result.rule)
+    return MutantResult(mutant.name, mutant.profile, tries, "", "", tuple(other_rules))
 
 
 def shrink(schedule: Schedule) -> tuple[frozenset[int], RunResult]:
@@ -122,7 +122,7 @@
     skipped: frozenset[int] = frozenset()
     if not result.rule:
         return skipped, result
-    for number in reversed(range(_strikes(schedule, result))):
+    for number in reversed(range(_count_faults(schedule, result))):
         fewer = skipped | {number}
         shorter = run_schedule(schedule.profile, schedule.seed, skipped=fewer)
         if shorter.rule == result.rule:
@@ -130,18 +130,18 @@
     return skipped, result
 
 
-def _strikes(schedule: Schedule, result: RunResult) -> int:
+def _count_faults(schedule: Schedule, result: RunResult) -> int:
     """How many faults there may have been up to the one that broke the run."""
-    if result.strikes:
-        return result.strikes
+    if result.fault_count:
+        return result.fault_count
     needed = takewhile(lambda number: not _broken_without_later(schedule, result.rule, number), count())
-    return min(MOST_STRIKES, sum(1 for _ in needed))
+    return min(MAX_FAULTS, sum(1 for _ in needed))
 
 
 def _broken_without_later(schedule: Schedule, rule: str, number: int) -> bool:
-    if number >= MOST_STRIKES:
+    if number >= MAX_FAULTS:
         return True
-    later = frozenset(range(number, MOST_STRIKES))
+    later = frozenset(range(number, MAX_FAULTS))
     return run_schedule(schedule.profile, schedule.seed, skipped=later).rule == rule
 
 
--- a/brackenladder/simulation/contact_checks.py
+++ b/brackenladder/simulation/contact_checks.py
@@ -10,28 +10,38 @@
 from brackenladder.simulation.machines import ControlMachine
 from brackenladder.simulation.scenario import SECOND
 
-ANSWER_ALONE = SECOND // 2  # longest time without a majority after which orders and reads are answered
-WORD_ALONE = 2 * SECOND  # the same for what servers are acknowledged and new gateways are told
+MAX_ISOLATED_ANSWER_TIME = (
+    SECOND // 2
+)  # longest time without a majority after which orders and reads are answered
+MAX_ISOLATED_NOTICE_TIME = 2 * SECOND  # the same for what servers are acknowledged and new gateways are told
 
 
 def check_contact(history: History, isolation: Isolation, machines: Sequence[ControlMachine]) -> None:
     """Nobody has answered, acknowledged or told for long without a majority in reach."""
     for order in history.orders:
         if order.answered_by:
-            _check_answer(isolation, "order-alone", order.answered_by, order.answered_at, ANSWER_ALONE)
+            _check_answer(
+                isolation, "order-alone", order.answered_by, order.answered_at, MAX_ISOLATED_ANSWER_TIME
+            )
     for read in history.reads:
-        _check_answer(isolation, "read-alone", read.answered_by, read.answered_at, ANSWER_ALONE)
+        _check_answer(isolation, "read-alone", read.answered_by, read.answered_at, MAX_ISOLATED_ANSWER_TIME)
     for ack in history.acks:
-        _check_answer(isolation, "ack-alone", ack.answered_by, ack.answered_at, WORD_ALONE)
+        _check_answer(isolation, "ack-alone", ack.answered_by, ack.answered_at, MAX_ISOLATED_NOTICE_TIME)
     for view in history.views:
         if view.first:
-            _check_answer(isolation, "catalog-alone", _name_at(machines, view.told_by), view.at, WORD_ALONE)
+            _check_answer(
+                isolation,
+                "catalog-alone",
+                _name_at(machines, view.told_by),
+                view.at,
+                MAX_ISOLATED_NOTICE_TIME,
+            )
 
 
 def _check_answer(isolation: Isolation, rule: str, name: str, moment: int, bound: int) -> None:
-    alone = isolation.alone_for(moment, name)
-    if alone > bound:
-        raise Violation(rule, f"{name} at {moment / SECOND:.3f} s, alone for {alone / SECOND:.3f} s")
+    isolated = isolation.isolated_for(moment, name)
+    if isolated > bound:
+        raise Violation(rule, f"{name} at {moment / SECOND:.3f} s, alone for {isolated / SECOND:.3f} s")
 
 
 def _name_at(machines: Sequence[ControlMachine], address: str) -> str:
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -16,7 +16,7 @@
 from brackenladder.storage.writer import WriteCallback
 
 SYNC_TIME = 2_000  # microseconds
-HANG_LOOK = 20_000  # microseconds between two looks whether a hanging disk answers again
+HANG_POLL_TIME = 20_000  # microseconds between two looks whether a hanging disk answers again
 
 
 class Disk:
@@ -31,7 +31,7 @@
         self.hangs = False
         self.full = False
         self.written = 0  # writes that became durable
-        self.made_at = loop.microseconds
+        self.created_at = loop.microseconds
 
     @property
     def replica_id(self) -> str:
@@ -64,8 +64,8 @@
         self._disk = disk
         self._process = process
         self._queue: deque[_Pending] = deque()
-        self._under_way: tuple[_Pending, ...] = ()
-        self._lost = False
+        self._batch: tuple[_Pending, ...] = ()
+        self._stopped = False
 
     def submit(self, write: Write, done: WriteCallback) -> None:
         """See `StoreWriter.submit`."""
@@ -81,43 +81,43 @@
 
     def power_lost(self) -> None:
         """The batch under way is durable as a whole or not at all; what waits behind it is gone."""
-        self._lost = True
-        if self._under_way and self._disk.random.random() < 0.5:
-            for pending in self._under_way:
+        self._stopped = True
+        if self._batch and self._disk.random.random() < 0.5:
+            for pending in self._batch:
                 self._disk.apply(pending.write)
 
     def killed(self) -> None:
         """The process has ended; the system writes on what it was given."""
-        self._lost = True
-        for pending in self._under_way:
+        self._stopped = True
+        for pending in self._batch:
             self._disk.apply(pending.write)
 
     def _begin(self) -> None:
-        if self._under_way or not self._queue:
+        if self._batch or not self._queue:
             return
-        self._under_way = tuple(self._queue)
+        self._batch = tuple(self._queue)
         self._queue.clear()
-        self._later(self._disk.sync_time)
+        self._schedule_end(self._disk.sync_time)
 
-    def _later(self, delay: int) -> None:
+    def _schedule_end(self, delay: int) -> None:
         loop = self._disk.loop
-        loop.call_outside(loop.microseconds + delay, self._end)
+        loop.call_external(loop.microseconds + delay, self._end)
 
     def _end(self) -> None:
-        if self._lost:
+        if self._stopped:
             return
         if self._disk.hangs:
-            self._later(HANG_LOOK)
+            self._schedule_end(HANG_POLL_TIME)
             return
-        finished, self._under_way = self._under_way, ()
+        finished, self._batch = self._batch, ()
         for pending in finished:
             result = self._disk.apply(pending.write)
-            self._tell(pending, result)
+            self._notify(pending, result)
         self._begin()
 
-    def _tell(self, pending: _Pending, result: Result[None, StoreError]) -> None:
+    def _notify(self, pending: _Pending, result: Result[None, StoreError]) -> None:
         process = self._process
-        process.when_running(lambda: process.enter(pending.done, pending.write, result))
+        process.when_running(lambda: process.run(pending.done, pending.write, result))
 
 
 class SimulatedRestartFile:
@@ -142,4 +142,4 @@
     async def _wait(self) -> None:
         await asyncio.sleep(self._disk.sync_time / MICROSECONDS)
         while self._disk.hangs:
-            await asyncio.sleep(HANG_LOOK / MICROSECONDS)
+            await asyncio.sleep(HANG_POLL_TIME / MICROSECONDS)
--- a/brackenladder/simulation/exchange/answer_reader.py
+++ b/brackenladder/simulation/exchange/answer_reader.py
@@ -31,20 +31,20 @@
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
-        self.whole = False
+        self.complete = False
         self._framing = Framing.COUNTED
         self._left = 0
         self._in_chunk = False
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether any byte of the next answer has come."""
         return bool(self._data or self.status)
 
     def feed(self, data: bytes) -> None:
         """Takes bytes; `NoAnswer` if they are none of an answer."""
         self._data += data
-        while not self.whole and self._step():
+        while not self.complete and self._step():
             pass
 
     def next(self) -> None:
@@ -53,8 +53,8 @@
 
     def ended(self) -> bool:
         """The connection has ended; whether the answer is whole by that."""
-        self.whole = self.whole or (self.status > 0 and self._framing is Framing.CLOSED)
-        return self.whole
+        self.complete = self.complete or (self.status > 0 and self._framing is Framing.CLOSED)
+        return self.complete
 
     def _step(self) -> bool:
         if not self.status:
@@ -66,7 +66,7 @@
         self.body += part
         if self._framing is Framing.COUNTED:
             self._left -= len(part)
-            self.whole = self._left == 0
+            self.complete = self._left == 0
         return False
 
     def _read_head(self) -> bool:
@@ -86,16 +86,16 @@
             name.strip().lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)
         }
         self._set_framing()
-        return not self.whole
+        return not self.complete
 
     def _set_framing(self) -> None:
         if "chunked" in self.headers.get("transfer-encoding", ""):
             self._framing = Framing.CHUNKED
         elif "content-length" in self.headers:
             self._left = int(self.headers["content-length"])
-            self.whole = self._left == 0
+            self.complete = self._left == 0
         elif self.status in NO_BODY:
-            self.whole = True
+            self.complete = True
         else:
             self._framing = Framing.CLOSED
 
@@ -107,7 +107,7 @@
         self.body += self._data[: self._left]
         self._data = self._data[self._left + 2 :]
         self._in_chunk = False
-        self.whole = self._left == 0
+        self.complete = self._left == 0
         return True
 
     def _read_size(self) -> bool:
--- a/brackenladder/simulation/exchange/behaviour.py
+++ b/brackenladder/simulation/exchange/behaviour.py
@@ -14,7 +14,7 @@
 KEEP_ALIVE = "Keep-Alive: timeout=2"
 
 
-class Manner(Enum):
+class AnswerKind(Enum):
     """What becomes of an answer."""
 
     WHOLE = auto()
@@ -37,33 +37,33 @@
     UNFRAMED_RESET = auto()  # has none, and is reset
 
 
-GOOD_WEIGHTS = {
-    Manner.WHOLE: 50.0,
-    Manner.CHUNKED: 15.0,
-    Manner.LAST: 3.0,
-    Manner.REJECTED: 4.0,
-    Manner.INTERIM: 3.0,
-    Manner.FAILED: 2.0,
-    Manner.SECOND: 1.0,
-    Manner.SURPLUS: 1.0,
-    Manner.RESET: 1.0,
-    Manner.DROPPED: 1.0,
+HEALTHY_WEIGHTS = {
+    AnswerKind.WHOLE: 50.0,
+    AnswerKind.CHUNKED: 15.0,
+    AnswerKind.LAST: 3.0,
+    AnswerKind.REJECTED: 4.0,
+    AnswerKind.INTERIM: 3.0,
+    AnswerKind.FAILED: 2.0,
+    AnswerKind.SECOND: 1.0,
+    AnswerKind.SURPLUS: 1.0,
+    AnswerKind.RESET: 1.0,
+    AnswerKind.DROPPED: 1.0,
 }
-BAD_WEIGHTS = {
-    **dict.fromkeys(Manner, 3.0),
-    Manner.WHOLE: 15.0,
-    Manner.CHUNKED: 8.0,
+MISBEHAVING_WEIGHTS = {
+    **dict.fromkeys(AnswerKind, 3.0),
+    AnswerKind.WHOLE: 15.0,
+    AnswerKind.CHUNKED: 8.0,
 }
-STREAM_MANNERS = {
-    Manner.CHUNKED,
-    Manner.REJECTED,
-    Manner.FAILED,
-    Manner.PROMISED,
-    Manner.CUT,
-    Manner.RESET,
-    Manner.DROPPED,
-    Manner.SILENT,
-    Manner.SURPLUS,
+STREAM_ANSWER_KINDS = {
+    AnswerKind.CHUNKED,
+    AnswerKind.REJECTED,
+    AnswerKind.FAILED,
+    AnswerKind.PROMISED,
+    AnswerKind.CUT,
+    AnswerKind.RESET,
+    AnswerKind.DROPPED,
+    AnswerKind.SILENT,
+    AnswerKind.SURPLUS,
 }
 
 
@@ -79,49 +79,60 @@
 class Answer:
     """What a server does with a request. `manner` also says how it ends."""
 
-    manner: Manner
+    answer_kind: AnswerKind
     steps: tuple[Step, ...]
 
 
-def draw_manner(random: Random, trouble: bool, streaming: bool) -> Manner:
+def draw_answer_kind(random: Random, misbehaves: bool, streaming: bool) -> AnswerKind:
     """How the next request is answered."""
-    weights = BAD_WEIGHTS if trouble else GOOD_WEIGHTS
+    weights = MISBEHAVING_WEIGHTS if misbehaves else HEALTHY_WEIGHTS
     if streaming:
-        weights = {manner: weight for manner, weight in weights.items() if manner in STREAM_MANNERS}
+        weights = {
+            answer_kind: weight
+            for answer_kind, weight in weights.items()
+            if answer_kind in STREAM_ANSWER_KINDS
+        }
     return random.choices(list(weights), list(weights.values()))[0]
 
 
-def make_answer(run: Run, manner: Manner, random: Random, pieces: int, last_answer: bytes) -> Answer:
+def make_answer(
+    run: Run, answer_kind: AnswerKind, random: Random, event_count: int, last_answer: bytes
+) -> Answer:
     """The answer to a run; `pieces`: of a stream, 0: it is none. `last_answer`: the connection's last one."""
-    if pieces and manner in (Manner.CHUNKED, Manner.CUT, Manner.RESET, Manner.SURPLUS):
-        return Answer(manner, _stream(run, manner, random, pieces))
+    if event_count and answer_kind in (
+        AnswerKind.CHUNKED,
+        AnswerKind.CUT,
+        AnswerKind.RESET,
+        AnswerKind.SURPLUS,
+    ):
+        return Answer(answer_kind, _stream(run, answer_kind, random, event_count))
     work = random.choice((0, 2_000, 20_000, 60_000)) + random.randrange(3_000)
-    data = _bytes(run, manner, random, last_answer)
-    return Answer(manner, _portions(random, work, data))
+    data = _bytes(run, answer_kind, random, last_answer)
+    return Answer(answer_kind, _portions(random, work, data))
 
 
-def _stream(run: Run, manner: Manner, random: Random, pieces: int) -> tuple[Step, ...]:
+def _stream(run: Run, answer_kind: AnswerKind, random: Random, event_count: int) -> tuple[Step, ...]:
     run.status = 200
     head = _head(run, "200 OK", ("Content-Type: text/event-stream", "Transfer-Encoding: chunked"))
     steps = [Step(random.randrange(30_000), head)]
-    numbers = range(run.after_event + 1, pieces + 1)
-    events = [event_of(run, number, pieces) for number in numbers]
+    numbers = range(run.after_event + 1, event_count + 1)
+    events = [encode_event(run, number, event_count) for number in numbers]
     run.answer = b"".join(events)
     stalls_at = random.choice(numbers) if numbers and random.random() < 0.1 else 0
     for number, event in zip(numbers, events, strict=True):
         pause = 1_500_000 if number == stalls_at else random.randrange(5_000, 90_000)
         steps.append(Step(pause, b"%x\r\n%b\r\n" % (len(event), event)))
-    if manner in (Manner.CUT, Manner.RESET):
+    if answer_kind in (AnswerKind.CUT, AnswerKind.RESET):
         return _cut_steps(steps, random)
     steps.append(Step(0, b"0\r\n\r\n"))
-    if manner is Manner.SURPLUS:
+    if answer_kind is AnswerKind.SURPLUS:
         steps.append(Step(0, b"more"))
     return tuple(steps)
 
 
-def event_of(run: Run, number: int, pieces: int) -> bytes:
+def encode_event(run: Run, number: int, event_count: int) -> bytes:
     """One event of a stream."""
-    return b"id: %d\ndata: %b piece %d of %d\n\n" % (number, run.stamp.encode(), number, pieces)
+    return b"id: %d\ndata: %b piece %d of %d\n\n" % (number, run.signature.encode(), number, event_count)
 
 
 def _cut_steps(steps: list[Step], random: Random) -> tuple[Step, ...]:
@@ -130,44 +141,46 @@
     return (*kept[:-1], Step(last.pause, last.data[: random.randrange(1, len(last.data))]))
 
 
-def _bytes(run: Run, manner: Manner, random: Random, last_answer: bytes) -> bytes:
-    if manner is Manner.REJECTED:
+def _bytes(run: Run, answer_kind: AnswerKind, random: Random, last_answer: bytes) -> bytes:
+    if answer_kind is AnswerKind.REJECTED:
         run.executed, run.status = False, 503
         extra = ("X-Brackenladder-Not-Executed: true", "Content-Length: 0")
         return _head(run, "503 Service Unavailable", extra)
-    if manner in (Manner.FAILED, Manner.PROMISED):
-        run.status = 500 if manner is Manner.FAILED else 503
+    if answer_kind in (AnswerKind.FAILED, AnswerKind.PROMISED):
+        run.status = 500 if answer_kind is AnswerKind.FAILED else 503
         return _head(run, f"{run.status} Trouble", ("Content-Length: 0",))
-    if manner is Manner.GARBLED:
+    if answer_kind is AnswerKind.GARBLED:
         return random.choice((b"\x16\x03\x01\x00\x00", b"HTTP/1.1 banana\r\n\r\n", b"SSH-2.0-x\r\n"))
     run.status = 200
     run.answer = _body(run, random)
-    whole = _framed(run, manner)
-    if manner in (Manner.CUT, Manner.RESET):
-        return whole[: random.randrange(1, len(whole))]
+    complete = _framed(run, answer_kind)
+    if answer_kind in (AnswerKind.CUT, AnswerKind.RESET):
+        return complete[: random.randrange(1, len(complete))]
     before = {
-        Manner.INTERIM: b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n",
-        Manner.STALE: last_answer,
+        AnswerKind.INTERIM: b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n",
+        AnswerKind.STALE: last_answer,
     }
-    after = {Manner.SECOND: whole, Manner.SURPLUS: b"HTTP/1.1 2"}
-    return before.get(manner, b"") + whole + after.get(manner, b"")
+    after = {AnswerKind.SECOND: complete, AnswerKind.SURPLUS: b"HTTP/1.1 2"}
+    return before.get(answer_kind, b"") + complete + after.get(answer_kind, b"")
 
 
-def _framed(run: Run, manner: Manner) -> bytes:
+def _framed(run: Run, answer_kind: AnswerKind) -> bytes:
     body = run.answer
-    if manner is Manner.CHUNKED:
+    if answer_kind is AnswerKind.CHUNKED:
         half = len(body) // 2
         chunks = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in (body[:half], body[half:]) if part)
         return _head(run, "200 OK", ("Transfer-Encoding: chunked",)) + chunks + b"0\r\n\r\n"
-    if manner in (Manner.UNFRAMED, Manner.UNFRAMED_RESET):
+    if answer_kind in (AnswerKind.UNFRAMED, AnswerKind.UNFRAMED_RESET):
         return _head(run, "200 OK", ("Connection: close",)) + body
-    extra = ("Connection: close",) if manner is Manner.LAST else ()
-    head = _head(run, "200 OK", (f"Content-Length: {len(body)}", *extra), manner is not Manner.NAMELESS)
+    extra = ("Connection: close",) if answer_kind is AnswerKind.LAST else ()
+    head = _head(
+        run, "200 OK", (f"Content-Length: {len(body)}", *extra), answer_kind is not AnswerKind.NAMELESS
+    )
     return head + body
 
 
 def _head(run: Run, status: str, extra: tuple[str, ...], named: bool = True) -> bytes:
-    lines = [f"HTTP/1.1 {status}", f"X-Brackenladder-Response-Signature: {run.stamp}", KEEP_ALIVE, *extra]
+    lines = [f"HTTP/1.1 {status}", f"X-Brackenladder-Response-Signature: {run.signature}", KEEP_ALIVE, *extra]
     if named:
         lines.append(f"X-Brackenladder-Request-Id: {run.request_id}")
     return "\r\n".join(lines).encode() + b"\r\n\r\n"
@@ -177,7 +190,7 @@
     size = random.choice((0, 10, 10, 300, 300, 5_000, 5_000, LONG_BODY))
     if random.random() < 0.01:
         size = OPEN_BODY
-    line = run.stamp.encode() + b"\n"
+    line = run.signature.encode() + b"\n"
     return (line * (size // len(line) + 1))[:size]
 
 
--- a/brackenladder/simulation/exchange/checks.py
+++ b/brackenladder/simulation/exchange/checks.py
@@ -7,42 +7,42 @@
 from typing import Protocol
 
 from brackenladder.simulation.errors import Violation
-from brackenladder.simulation.exchange.behaviour import event_of
-from brackenladder.simulation.exchange.history import Ending, History, Request, Run
+from brackenladder.simulation.exchange.behaviour import encode_event
+from brackenladder.simulation.exchange.history import History, Request, RequestOutcome, Run
 from brackenladder.simulation.exchange.site import HOMED, ZONES
 
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 SLACK = 500_000  # microseconds past a limit: what the rules of the deployment allow
 STREAM_SLACK = 800_000  # the same of a stream, whose end is a quarter of a second after its client's deadline
 DEADLINE_SLACK_MS = 500
 CONFIG_SLACK = 200_000  # microseconds until a gateway in touch goes by what it was told
 
 
-class Calm(Protocol):
+class Undisturbed(Protocol):
     """Tells whether nothing kept a gateway, and a server, from their work between two moments."""
 
     def __call__(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
         """`server`: its id; empty: none counts."""
 
 
-def check_history(history: History, calm: Calm) -> None:
+def check_history(history: History, undisturbed: Undisturbed) -> None:
     """Raises `Violation` at the first thing that breaks a rule."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in history.runs:
         runs[run.request_id].append(run)
         if run.request_id not in history.requests:
             raise Violation("unasked", f"{run.server} runs {run.request_id!r}, which no client sent")
-        _check_run(history, history.requests[run.request_id], run, calm)
-    by_stamp = {run.stamp: run for run in history.runs}
+        _check_run(history, history.requests[run.request_id], run, undisturbed)
+    by_signature = {run.signature: run for run in history.runs}
     for request in history.requests.values():
         own = runs[request.id]
-        _check_runs(history, request, own, calm)
-        _check_end(request, own, calm)
-        if request.ending is Ending.ANSWERED:
-            _check_answer(request, own, by_stamp)
+        _check_runs(history, request, own, undisturbed)
+        _check_end(request, own, undisturbed)
+        if request.outcome is RequestOutcome.ANSWERED:
+            _check_answer(request, own, by_signature)
 
 
-def _check_run(history: History, request: Request, run: Run, calm: Calm) -> None:
+def _check_run(history: History, request: Request, run: Run, undisturbed: Undisturbed) -> None:
     """A server gets what the client sent, and is one that may get it."""
     if (run.method, run.target) != (request.method, request.target):
         raise Violation("unasked", f"{request.id} runs as {run.method} {run.target}")
@@ -52,40 +52,44 @@
         return
     if run.service != request.route.service:
         raise Violation("route", f"{request.id} runs at {run.server} of {run.service}")
-    left = request.deadline_ms - (run.arrived_at - request.begun_at) / 1000
+    left = request.deadline_ms - (run.arrived_at - request.started_at) / 1000
     told_more = run.deadline_ms > max(0.0, left) + DEADLINE_SLACK_MS
-    if told_more and calm(request.gateway, request.begun_at, run.arrived_at, run.server):
+    if told_more and undisturbed(request.gateway, request.started_at, run.arrived_at, run.server):
         detail = f"{run.server} is told {run.deadline_ms} ms of {request.id}, {left:.0f} are left"
         raise Violation("deadline", detail)
-    if request.route.name == HOMED and calm(request.gateway, request.begun_at - CONFIG_SLACK, run.arrived_at):
-        allowed = history.in_force(request.begun_at - CONFIG_SLACK, run.arrived_at)
+    if request.route.name == HOMED and undisturbed(
+        request.gateway, request.started_at - CONFIG_SLACK, run.arrived_at
+    ):
+        allowed = history.in_force(request.started_at - CONFIG_SLACK, run.arrived_at)
         if all(one.homes and run.region not in one.homes for one in allowed):
             raise Violation("home", f"{request.id} runs at {run.server} in {run.region}, homes {allowed}")
 
 
-def _check_runs(history: History, request: Request, runs: list[Run], calm: Calm) -> None:
+def _check_runs(history: History, request: Request, runs: list[Run], undisturbed: Undisturbed) -> None:
     executed = [run for run in runs if run.executed]
     if len(executed) > 1 and not request.route.idempotent:
         raise Violation("twice", f"{request.id} of {request.route.name} runs {len(executed)} times")
     servers = {run.server for run in executed}
     if executed:
-        configurations = history.in_force(request.begun_at - CONFIG_SLACK, executed[-1].arrived_at)
+        configurations = history.in_force(request.started_at - CONFIG_SLACK, executed[-1].arrived_at)
         most = max(one.attempts_of(request.route) for one in configurations)
-        if len(servers) > most and calm(request.gateway, request.begun_at, executed[-1].arrived_at):
+        if len(servers) > most and undisturbed(request.gateway, request.started_at, executed[-1].arrived_at):
             raise Violation("attempts", f"{request.id} runs at {sorted(servers)}, {most} are allowed")
 
 
-def _check_answer(request: Request, runs: list[Run], by_stamp: dict[str, Run]) -> None:
+def _check_answer(request: Request, runs: list[Run], by_signature: dict[str, Run]) -> None:
     executed = [run for run in runs if run.executed]
-    if request.status in PROMISES and executed and not request.route.idempotent:
+    if request.status in NOT_EXECUTED_STATUSES and executed and not request.route.idempotent:
         raise Violation("refused", f"{request.id} gets {request.status}, and ran at {executed[0].server}")
-    if not request.stamp:
+    if not request.signature:
         if 200 <= request.status < 300:
             raise Violation("mixed", f"{request.id} gets a success that no server made")
         return
-    run = by_stamp.get(request.stamp)
+    run = by_signature.get(request.signature)
     if run is None or run not in runs:
-        raise Violation("mixed", f"{request.id} gets {request.stamp}, which is of {run and run.request_id}")
+        raise Violation(
+            "mixed", f"{request.id} gets {request.signature}, which is of {run and run.request_id}"
+        )
     if run.status != request.status:
         raise Violation("mixed", f"{request.id} gets {request.status}, {run.server} said {run.status}")
     if not 200 <= request.status < 300:
@@ -104,43 +108,43 @@
     """Every piece once, in order; another run goes on only where that is allowed."""
     rest = request.answer
     current = first
-    for number in range(1, request.pieces + 1):
-        sources = [run for run in runs if rest.startswith(event_of(run, number, request.pieces))]
+    for number in range(1, request.event_count + 1):
+        sources = [run for run in runs if rest.startswith(encode_event(run, number, request.event_count))]
         if not sources:
             raise Violation(
-                "order", f"{request.id} has no piece {number} of {request.pieces} at {rest[:60]!r}"
+                "order", f"{request.id} has no piece {number} of {request.event_count} at {rest[:60]!r}"
             )
         source = current if current in sources else sources[0]
         if source is not current and not request.route.resumable:
-            raise Violation("order", f"{request.id} joins {current.stamp} and {source.stamp}")
+            raise Violation("order", f"{request.id} joins {current.signature} and {source.signature}")
         current = source
-        rest = rest[len(event_of(source, number, request.pieces)) :]
+        rest = rest[len(encode_event(source, number, request.event_count)) :]
     if rest:
         raise Violation("order", f"{request.id} gets {rest[:60]!r} behind its last piece")
 
 
-def _check_end(request: Request, runs: list[Run], calm: Calm) -> None:
+def _check_end(request: Request, runs: list[Run], undisturbed: Undisturbed) -> None:
     """A whole request is answered in time, or its end has a cause."""
-    if not request.whole_at or request.disturbed or request.ending is Ending.GIVEN_UP:
+    if not request.sent_at or request.excused or request.outcome is RequestOutcome.GIVEN_UP:
         return
-    if not calm(request.gateway, request.begun_at, request.ended_at):
+    if not undisturbed(request.gateway, request.started_at, request.ended_at):
         return
-    if request.behind is not None and not 0 < request.behind.ended_at < request.ended_at:
+    if request.queued_behind is not None and not 0 < request.queued_behind.ended_at < request.ended_at:
         return  # its turn has not come
-    if request.ending is Ending.UNANSWERED:
+    if request.outcome is RequestOutcome.UNANSWERED:
         raise Violation(
-            "unanswered", f"{request.id} of {request.route.name}, sent at {request.whole_at / 1e6:.3f} s"
+            "unanswered", f"{request.id} of {request.route.name}, sent at {request.sent_at / 1e6:.3f} s"
         )
     limit_ms = min(request.deadline_ms, request.route.timeout_ms)
-    due_at = request.begun_at + limit_ms * 1000
-    if request.behind is not None:
-        due_at = max(due_at, request.behind.ended_at)
+    due_at = request.started_at + limit_ms * 1000
+    if request.queued_behind is not None:
+        due_at = max(due_at, request.queued_behind.ended_at)
     late_by = request.ended_at - due_at
-    if request.ending is Ending.ANSWERED and not request.route.streaming and late_by > SLACK:
+    if request.outcome is RequestOutcome.ANSWERED and not request.route.streaming and late_by > SLACK:
         raise Violation("late", f"{request.id} is answered {late_by / 1000:.0f} ms after its limit")
-    if request.ending is Ending.CLOSED and runs:
+    if request.outcome is RequestOutcome.CLOSED and runs:
         raise Violation("lost", f"{request.id} was sent on, and its connection ends without an answer")
-    if request.ending is Ending.BROKEN and not _may_break(request, runs):
+    if request.outcome is RequestOutcome.BROKEN and not _may_break(request, runs):
         raise Violation(
             "lost", f"{request.id} is broken off at {request.ended_at / 1e6:.3f} s, its servers went on"
         )
@@ -148,23 +152,23 @@
 
 def _may_break(request: Request, runs: list[Run]) -> bool:
     """A server has broken off, or the client's deadline has passed."""
-    at_deadline = request.ended_at >= request.begun_at + request.deadline_ms * 1000
-    silent = request.ended_at >= request.begun_at + 2_000_000  # a stream's longest silence, at the least
+    at_deadline = request.ended_at >= request.started_at + request.deadline_ms * 1000
+    silent = request.ended_at >= request.started_at + 2_000_000  # a stream's longest silence, at the least
     return (
         at_deadline
         or (request.route.streaming and silent)
-        or any(run.cut or run.crashed or not run.whole for run in runs)
+        or any(run.cut or run.crashed or not run.complete for run in runs)
     )
 
 
 class LiveChecks:
     """What is judged at the moment at which a request arrives at a server, or its client has left."""
 
-    def __init__(self, history: History, now: Callable[[], int], calm: Calm) -> None:
+    def __init__(self, history: History, now: Callable[[], int], undisturbed: Undisturbed) -> None:
         self.failure: Violation | None = None
         self._history = history
         self._now = now
-        self._calm = calm
+        self._undisturbed = undisturbed
         self._seen = 0
         self._closed: dict[str, int] = {}  # servers that may get nothing any more, and since when
         self._evacuated: dict[str, int] = {}  # zones, and since when
@@ -174,20 +178,20 @@
         if self.failure is None:
             self.failure = Violation(rule, f"at {self._now() / 1e6:.3f} s: {detail}")
 
-    def server_closes(self, server: str) -> None:
+    def server_closed(self, server: str) -> None:
         """The gateways are told now that a server drains, or is gone."""
         self._closed.setdefault(server, self._now())
 
-    def zone_closes(self, zone: str) -> None:
+    def zone_evacuated(self, zone: str) -> None:
         """The same for an evacuated zone."""
         assert zone in ZONES
         self._evacuated.setdefault(zone, self._now())
 
-    def zone_opens(self, zone: str) -> None:
+    def zone_restored(self, zone: str) -> None:
         """It is taken back."""
         self._evacuated.pop(zone, None)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """To be called every few milliseconds: judges the runs that have begun since."""
         new, self._seen = self._history.runs[self._seen :], len(self._history.runs)
         for run in new:
@@ -197,7 +201,7 @@
     def _check(self, run: Run, since: int | None, rule: str) -> None:
         if since is None or run.arrived_at <= since + CONFIG_SLACK:
             return
-        if self._calm(run.gateway, since - CONFIG_SLACK, run.arrived_at, run.server):
+        if self._undisturbed(run.gateway, since - CONFIG_SLACK, run.arrived_at, run.server):
             late = (run.arrived_at - since) // 1000
             self.fail(rule, f"{run.server} in {run.zone} gets {run.request_id} {late} ms after it was closed")
 
@@ -206,6 +210,6 @@
         moment = request.ended_at + SLACK
         for run in self._history.runs_of(request.id):
             works = not run.ended_at or run.arrived_at > moment
-            if works and self._calm(request.gateway, request.ended_at, self._now(), run.server):
+            if works and self._undisturbed(request.gateway, request.ended_at, self._now(), run.server):
                 detail = f"{run.server} works on {request.id}, whose client left at {request.ended_at}"
                 self.fail("gone", detail)
--- a/brackenladder/simulation/exchange/clients.py
+++ b/brackenladder/simulation/exchange/clients.py
@@ -8,13 +8,13 @@
 
 from brackenladder.simulation.exchange.answer_reader import AnswerReader, NoAnswer
 from brackenladder.simulation.exchange.gateways import GatewayMachine
-from brackenladder.simulation.exchange.history import Ending, History, Request
+from brackenladder.simulation.exchange.history import History, Request, RequestOutcome
 from brackenladder.simulation.exchange.site import FRONT_PORT, HOST, ROUTES, SECOND
 from brackenladder.simulation.streams import StreamEnd, StreamHost, StreamNetwork
 
 CONNECT_SECONDS = 1.0
 GIVE_UP_SHARE = 0.08  # of the requests, that their clients end before they are answered
-HALF_SHARE = 0.03  # of the requests, that are never sent whole
+INCOMPLETE_SHARE = 0.03  # of the requests, that are never sent whole
 KEPT_SHARE = 0.8  # of the answered requests, whose connections are kept
 PIPELINED_SHARE = 0.1  # of the requests on kept connections, behind which another is sent at once
 PATIENCE_SECONDS = 2.0  # past its deadline, after which a client takes a request for unanswered
@@ -49,7 +49,7 @@
         self.open = 0  # requests under way
         self._number = 0
 
-    async def work(self, pause: float) -> None:
+    async def run(self, pause: float) -> None:
         """Sends requests, one about every `pause` seconds, until `active` is taken away."""
         while self.active:
             self.send()
@@ -57,7 +57,7 @@
 
     def send(self) -> Request:
         """Sends one request, on a kept connection or a new one."""
-        kept = self._kept()
+        kept = self._take_idle()
         if kept is not None:
             request = self._request(kept.gateway)
             kept.begin(request)
@@ -68,11 +68,11 @@
         asyncio.get_running_loop().create_task(self._connect(request, gateway))
         return request
 
-    def follow(self, gateway: GatewayMachine) -> Request:
+    def next_pipelined(self, gateway: GatewayMachine) -> Request:
         """The request that is sent right behind another one."""
         return self._request(gateway)
 
-    def _kept(self) -> ClientConnection | None:
+    def _take_idle(self) -> ClientConnection | None:
         now = self.streams.loop.time()
         usable = [one for one in self.idle if now - one.idle_since < MOST_IDLE_SECONDS]
         self.idle = usable
@@ -94,8 +94,8 @@
             body=(f"{self._number};".encode() * size)[:size],
             gateway=gateway.number,
             deadline_ms=random.choice(DEADLINES_MS),
-            pieces=random.randint(1, 12) if route.streaming else 0,
-            begun_at=self.streams.loop.microseconds,
+            event_count=random.randint(1, 12) if route.streaming else 0,
+            started_at=self.streams.loop.microseconds,
         )
         self.history.requests[request.id] = request
         return request
@@ -106,7 +106,7 @@
             async with asyncio.timeout(CONNECT_SECONDS):
                 end = await self.streams.connect(self.host, gateway.ip, FRONT_PORT)
         except OSError:
-            request.ending = Ending.REFUSED
+            request.outcome = RequestOutcome.REFUSED
             request.ended_at = self.streams.loop.microseconds
             self.open -= 1
             return
@@ -134,17 +134,17 @@
     def begin(self, request: Request) -> None:
         """Sends a request; on a kept connection perhaps another one right behind it."""
         self._add(request)
-        whole = _bytes_of(request)
-        if self._random.random() < HALF_SHARE:
-            self._write_parts(request, whole[: self._random.randrange(1, len(whole))], to_its_end=False)
+        complete = _encode(request)
+        if self._random.random() < INCOMPLETE_SHARE:
+            self._write_parts(request, complete[: self._random.randrange(1, len(complete))], complete=False)
         elif self._random.random() < PIPELINED_SHARE:
-            second = self.clients.follow(self.gateway)
-            second.behind = request
+            second = self.clients.next_pipelined(self.gateway)
+            second.queued_behind = request
             self._add(second)
-            self.end.write(whole + _bytes_of(second))
-            request.whole_at = second.whole_at = self._loop.microseconds
+            self.end.write(complete + _encode(second))
+            request.sent_at = second.sent_at = self._loop.microseconds
         else:
-            self._write_parts(request, whole, to_its_end=True)
+            self._write_parts(request, complete, complete=True)
 
     def _add(self, request: Request) -> None:
         self.clients.open += 1
@@ -156,17 +156,17 @@
             after = self._random.uniform(0.0, 0.3)
             self._loop.call_later(after, self._give_up, request)
 
-    def _write_parts(self, request: Request, data: bytes, to_its_end: bool) -> None:
+    def _write_parts(self, request: Request, data: bytes, complete: bool) -> None:
         """Writes on in portions; without its end the request is left as it is."""
-        if request.ending is not Ending.OPEN or self.end.is_closing():
+        if request.outcome is not RequestOutcome.OPEN or self.end.is_closing():
             return
         size = len(data) if self._random.random() < 0.7 else self._random.randint(1, len(data))
         self.end.write(data[:size])
         if size < len(data):
             pause = self._random.randrange(LONGEST_BODY_PAUSE) / SECOND
-            self._loop.call_later(pause, self._write_parts, request, data[size:], to_its_end)
-        elif to_its_end:
-            request.whole_at = self._loop.microseconds
+            self._loop.call_later(pause, self._write_parts, request, data[size:], complete)
+        elif complete:
+            request.sent_at = self._loop.microseconds
 
     # ---- asyncio.Protocol -----------------------------------------------------------------------------
 
@@ -184,13 +184,13 @@
                 self.clients.fail("mixed", f"bytes without a request: {data[:60]!r}")
             return
         request = self._requests[0]
-        request.answer_at = request.answer_at or self._loop.microseconds
+        request.first_byte_at = request.first_byte_at or self._loop.microseconds
         try:
             self._reader.feed(data)
         except NoAnswer as error:
             self.clients.fail("mixed", f"{request.id} gets no answer in the protocol: {error}")
             return
-        while self._reader.whole and self._requests:
+        while self._reader.complete and self._requests:
             self._answered()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -201,7 +201,9 @@
             self._answered()
         for request in self._requests:
             first = request is self._requests[0]
-            self._end(request, Ending.BROKEN if first and self._reader.begun else Ending.CLOSED)
+            self._end(
+                request, RequestOutcome.BROKEN if first and self._reader.started else RequestOutcome.CLOSED
+            )
         self._requests.clear()
 
     # ---- ends -----------------------------------------------------------------------------------------
@@ -210,56 +212,56 @@
         reader = self._reader
         request = self._requests.pop(0)
         request.status = reader.status
-        request.stamp = reader.headers.get("x-brackenladder-response-signature", "")
+        request.signature = reader.headers.get("x-brackenladder-response-signature", "")
         request.answer = reader.body
         told = reader.headers.get("x-brackenladder-request-id")
         if told is not None and told != request.id:
             self.clients.fail("mixed", f"{request.id} gets the answer of {told}")
         closes = reader.headers.get("connection", "").lower() == "close"
         reader.next()
-        self._end(request, Ending.ANSWERED)
+        self._end(request, RequestOutcome.ANSWERED)
         if self._requests:
             reader.feed(b"")
-        elif closes or not request.whole_at or self._random.random() >= KEPT_SHARE:
+        elif closes or not request.sent_at or self._random.random() >= KEPT_SHARE:
             self.end.close()
         elif not self.end.is_closing():
             self.idle_since = self._loop.time()
             self.clients.idle.append(self)
 
     def _give_up(self, request: Request) -> None:
-        if request.ending is Ending.OPEN and request in self._requests:
-            self._end(request, Ending.GIVEN_UP)
+        if request.outcome is RequestOutcome.OPEN and request in self._requests:
+            self._end(request, RequestOutcome.GIVEN_UP)
             self._requests.remove(request)
             self._leave()
 
     def _unanswered(self, request: Request) -> None:
-        if request.ending is Ending.OPEN and request in self._requests:
-            self._end(request, Ending.UNANSWERED)
+        if request.outcome is RequestOutcome.OPEN and request in self._requests:
+            self._end(request, RequestOutcome.UNANSWERED)
             self._requests.remove(request)
             self._leave()
 
     def _leave(self) -> None:
         self._left = True
         for other in self._requests:
-            other.disturbed = True
+            other.excused = True
         if self._random.random() < 0.3:
             self.end.reset_by_network()
         else:
             self.end.abort()
 
-    def _end(self, request: Request, ending: Ending) -> None:
-        request.ending = ending
+    def _end(self, request: Request, outcome: RequestOutcome) -> None:
+        request.outcome = outcome
         request.ended_at = self._loop.microseconds
         self.clients.open -= 1
 
 
-def _bytes_of(request: Request) -> bytes:
+def _encode(request: Request) -> bytes:
     lines = [
         f"{request.method} {request.target} HTTP/1.1",
         f"Host: {HOST}",
         f"X-Brackenladder-Request-Id: {request.id}",
         f"X-Brackenladder-Request-Deadline-Ms: {request.deadline_ms}",
-        f"X-Pieces: {request.pieces}",
+        f"X-Pieces: {request.event_count}",
     ]
     if request.body or request.method == "POST":
         lines.append(f"Content-Length: {len(request.body)}")
--- a/brackenladder/simulation/exchange/control.py
+++ b/brackenladder/simulation/exchange/control.py
@@ -7,7 +7,7 @@
 from brackenladder.control_plane.wire import control_codec
 from brackenladder.delivery.messages import CatalogUpdate, GatewayCount, ServersUpdate, Subscribe
 from brackenladder.registry.records import ServerRecord
-from brackenladder.simulation.exchange.history import History, Told
+from brackenladder.simulation.exchange.history import ConfigurationEvent, History
 from brackenladder.simulation.exchange.site import CONTROL_INNER, CONTROL_NAME, Configuration
 from brackenladder.simulation.network import SimulatedNetwork
 from brackenladder.simulation.virtual_loop import Process
@@ -27,7 +27,7 @@
         self._document_revision = 0
         self._sequence = 0
         self._process = Process(CONTROL_NAME)
-        network.add_place(CONTROL_NAME, "north", 1000.0).process = self._process
+        network.add_endpoint(CONTROL_NAME, "north", 1000.0).process = self._process
         self.configuration = Configuration(0)
         self.evacuated: frozenset[str] = frozenset()
 
@@ -43,21 +43,23 @@
         self.configuration = configuration
         self._revision += 1
         self._document_revision = self._revision
-        self._history.configurations.append(Told(self._network.loop.microseconds, configuration))
-        self._tell_all(self._catalog())
+        self._history.configurations.append(
+            ConfigurationEvent(self._network.loop.microseconds, configuration)
+        )
+        self._broadcast(self._catalog())
 
     def evacuate(self, zone: str, finish: bool) -> None:
         """Takes a zone's servers out, or back in."""
         self.evacuated = self.evacuated - {zone} if finish else self.evacuated | {zone}
         self._revision += 1
-        self._tell_all(self._catalog())
+        self._broadcast(self._catalog())
 
-    def server(self, record: ServerRecord) -> None:
+    def update_server(self, record: ServerRecord) -> None:
         """A server has said something of itself."""
         known = self._records.get(record.id)
         record = evolve(record, seq=1 if known is None else known.seq + 1)
         self._records[record.id] = record
-        self._tell_all(self._servers((record,), full=False))
+        self._broadcast(self._servers((record,), full=False))
 
     # ---- LinkHandler ----------------------------------------------------------------------------------
 
@@ -78,9 +80,9 @@
 
     # ---- messages -------------------------------------------------------------------------------------
 
-    def _tell_all(self, message: object) -> None:
+    def _broadcast(self, message: object) -> None:
         for link in self._links:
-            self._process.enter(link.send, message)
+            self._process.run(link.send, message)
 
     def _catalog(self) -> CatalogUpdate:
         return CatalogUpdate(
--- a/brackenladder/simulation/exchange/faults.py
+++ b/brackenladder/simulation/exchange/faults.py
@@ -11,7 +11,7 @@
 from brackenladder.simulation.exchange.site import ZONES, Configuration
 from brackenladder.simulation.exchange.world import World
 
-Strike = Callable[[World, Random], Awaitable[None]]
+FaultAction = Callable[[World, Random], Awaitable[None]]
 QUOTA_SECONDS = 0.1  # the period of a quota of a core, as systems have it
 REUSE_SECONDS = 0.5  # after which an ended server's address is used again
 
@@ -22,7 +22,7 @@
 
 
 def _gateway(world: World, random: Random) -> GatewayMachine | None:
-    running = [gateway for gateway in world.gateways if gateway.runs and not gateway.ending]
+    running = [gateway for gateway in world.gateways if gateway.running and not gateway.terminating]
     return random.choice(running) if len(running) > 1 else None
 
 
@@ -31,23 +31,23 @@
     server = _running(world, random)
     if server is None:
         return
-    world.disturbed("crash")
+    world.count_fault("crash")
     server_id, service = server.id, server.service
     if random.random() < 0.5:
         server.forget_idle()  # nobody is told of the end of what carried nothing
     server.crash()
-    unheard = random.choice((0.0, 0.3, 1.5))  # until the control side misses it
-    dark = random.choice((0.0, REUSE_SECONDS, 2.0))
-    await asyncio.sleep(min(unheard, dark))
-    if dark < unheard:
+    detection_delay = random.choice((0.0, 0.3, 1.5))  # until the control side misses it
+    downtime = random.choice((0.0, REUSE_SECONDS, 2.0))
+    await asyncio.sleep(min(detection_delay, downtime))
+    if downtime < detection_delay:
         server.start(_next_service(random), announced=False)
-        await asyncio.sleep(unheard - dark)
-    world.checks.server_closes(server_id)
-    server.gone_since(server_id, service)
-    if dark < unheard:
+        await asyncio.sleep(detection_delay - downtime)
+    world.checks.server_closed(server_id)
+    server.report_gone(server_id, service)
+    if downtime < detection_delay:
         server.announce()
         return
-    await asyncio.sleep(dark - unheard)
+    await asyncio.sleep(downtime - detection_delay)
     server.start(_next_service(random))
 
 
@@ -61,13 +61,13 @@
     server = _running(world, random)
     if server is None:
         return
-    world.disturbed("drain")
+    world.count_fault("drain")
     server.drain()
-    world.checks.server_closes(server.id)
+    world.checks.server_closed(server.id)
     await asyncio.sleep(random.uniform(0.5, 3.0))
     server_id, service = server.id, server.service
     server.crash()
-    server.gone_since(server_id, service)
+    server.report_gone(server_id, service)
     await asyncio.sleep(REUSE_SECONDS)
     server.start()
 
@@ -77,33 +77,33 @@
     zone = random.choice(tuple(ZONES))
     if world.control.evacuated:
         return
-    world.disturbed("evacuate")
+    world.count_fault("evacuate")
     world.control.evacuate(zone, finish=False)
-    world.checks.zone_closes(zone)
+    world.checks.zone_evacuated(zone)
     await asyncio.sleep(random.uniform(0.5, 3.0))
-    world.checks.zone_opens(zone)
+    world.checks.zone_restored(zone)
     world.control.evacuate(zone, finish=True)
 
 
 async def configure(world: World, random: Random) -> None:
     """Homes and attempts of routes change, some times in quick succession."""
     for _ in range(random.choice((1, 1, 4))):
-        world.disturbed("configure")
+        world.count_fault("configure")
         version = world.control.configuration.version + 1
         homes = random.choice(((), ("north",), ("south",), ("north", "south")))
         world.control.configure(Configuration(version, homes, random.randint(1, 3)))
         await asyncio.sleep(random.uniform(0.02, 0.4))
 
 
-async def trouble_servers(world: World, random: Random) -> None:
+async def make_servers_misbehave(world: World, random: Random) -> None:
     """Some servers answer in any manner."""
-    struck = random.sample(world.servers, random.randint(1, 3))
-    world.disturbed("trouble")
-    for server in struck:
-        server.trouble = True
+    affected = random.sample(world.servers, random.randint(1, 3))
+    world.count_fault("trouble")
+    for server in affected:
+        server.misbehaves = True
     await asyncio.sleep(random.uniform(0.5, 3.0))
-    for server in struck:
-        server.trouble = False
+    for server in affected:
+        server.misbehaves = False
 
 
 async def freeze_server(world: World, random: Random) -> None:
@@ -111,7 +111,7 @@
     server = _running(world, random)
     if server is None or server.process is None:
         return
-    world.disturbed("freeze-server")
+    world.count_fault("freeze-server")
     process = server.process
     server.disturbances.begin(world.now)
     process.freeze()
@@ -120,16 +120,16 @@
     server.disturbances.end(world.now)
 
 
-async def darken_server(world: World, random: Random) -> None:
+async def make_server_unreachable(world: World, random: Random) -> None:
     """A server's machine answers nothing at all."""
     server = _running(world, random)
     if server is None:
         return
-    world.disturbed("dark-server")
+    world.count_fault("dark-server")
     server.disturbances.begin(world.now)
-    server.host.dark = True
+    server.host.unreachable = True
     await asyncio.sleep(random.uniform(0.3, 6.0))
-    server.host.dark = False
+    server.host.unreachable = False
     server.disturbances.end(world.now)
 
 
@@ -137,17 +137,17 @@
     """A server's system forgets its idle connections without a word."""
     server = _running(world, random)
     if server is not None:
-        world.disturbed("forget")
+        world.count_fault("forget")
         server.forget_idle()
 
 
-async def reset_some(world: World, random: Random) -> None:
+async def reset_connections(world: World, random: Random) -> None:
     """Connections to a server are reset on the way."""
     server = _running(world, random)
     if server is not None:
-        world.disturbed("reset")
+        world.count_fault("reset")
         for _ in range(random.randint(1, 4)):
-            server.reset_some()
+            server.reset_connections()
 
 
 async def freeze_gateway(world: World, random: Random) -> None:
@@ -155,7 +155,7 @@
     gateway = _gateway(world, random)
     if gateway is None or gateway.process is None:
         return
-    world.disturbed("freeze-gateway")
+    world.count_fault("freeze-gateway")
     process = gateway.process
     gateway.disturbances.begin(world.now)
     process.freeze()
@@ -169,7 +169,7 @@
     machine = random.choice((_gateway(world, random), _running(world, random)))
     if machine is None or machine.process is None:
         return
-    world.disturbed("throttle")
+    world.count_fault("throttle")
     process = machine.process
     share = random.uniform(0.1, 0.7)
     machine.disturbances.begin(world.now)
@@ -186,7 +186,7 @@
     gateway = _gateway(world, random)
     if gateway is None:
         return
-    world.disturbed("kill-gateway")
+    world.count_fault("kill-gateway")
     gateway.kill()
     await asyncio.sleep(random.uniform(0.1, 1.0))
     gateway.boot()
@@ -197,7 +197,7 @@
     gateway = _gateway(world, random)
     if gateway is None:
         return
-    world.disturbed("terminate-gateway")
+    world.count_fault("terminate-gateway")
     ended: asyncio.Future[None] = world.loop.create_future()
     gateway.terminate(lambda: None if ended.done() else ended.set_result(None))
     await ended
@@ -205,27 +205,27 @@
     gateway.boot()
 
 
-async def hang_up_gateway(world: World, random: Random) -> None:
+async def sighup_gateway(world: World, random: Random) -> None:
     """SIGHUP."""
     gateway = _gateway(world, random)
     if gateway is not None:
-        world.disturbed("hang-up-gateway")
-        gateway.hang_up()
+        world.count_fault("hang-up-gateway")
+        gateway.sighup()
 
 
-STRIKES: tuple[tuple[float, Strike], ...] = (
+FAULT_ACTIONS: tuple[tuple[float, FaultAction], ...] = (
     (3.0, crash),
     (3.0, drain),
     (2.0, evacuate),
     (3.0, configure),
-    (5.0, trouble_servers),
+    (5.0, make_servers_misbehave),
     (2.0, freeze_server),
-    (1.0, darken_server),
+    (1.0, make_server_unreachable),
     (2.0, forget_idle),
-    (2.0, reset_some),
+    (2.0, reset_connections),
     (2.0, freeze_gateway),
     (1.0, throttle),
     (0.5, kill_gateway),
     (1.0, terminate_gateway),
-    (1.0, hang_up_gateway),
+    (1.0, sighup_gateway),
 )
--- a/brackenladder/simulation/exchange/gateways.py
+++ b/brackenladder/simulation/exchange/gateways.py
@@ -37,11 +37,11 @@
         self.region = ZONES[self.zone]
         self.ip = f"10.1.0.{number + 1}"
         self.host = loop.streams.add_host(self.ip, self.zone)
-        self.place = links.add_place(self.name, self.region, 1000.0)
+        self.endpoint = links.add_endpoint(self.name, self.region, 1000.0)
         self.process: Process | None = None
         self.starts = 0
-        self.ending = False  # SIGTERM has come
-        self.told_to_end_at = 0
+        self.terminating = False  # SIGTERM has come
+        self.terminated_at = 0
         self.disturbances = Disturbances()
         self._loop = loop
         self._links = links
@@ -49,59 +49,59 @@
         self._role: GatewayRole | None = None
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         """Whether its process is there and gets the processor."""
-        return self.process is not None and self.process.runs
+        return self.process is not None and self.process.running
 
     def boot(self) -> None:
         """Starts the process."""
         self.starts += 1
-        self.ending = False
+        self.terminating = False
         now = self._loop.microseconds
         self.disturbances.end(now)
         self.disturbances.begin(now)
         self.disturbances.end(now)
         process = Process(f"{self.name}.{self.starts}")
-        self.process = self.place.process = process
-        self._loop.place_process(process, self.host)
-        process.enter(self._start)
+        self.process = self.endpoint.process = process
+        self._loop.assign_host(process, self.host)
+        process.run(self._start)
 
-    def kill(self, in_order: bool = False) -> None:
+    def kill(self, graceful: bool = False) -> None:
         """SIGKILL, or the end that the process has come to: its system closes what it had."""
         process, self.process = self.process, None
         if process is None:
             return
         now = self._loop.microseconds
-        if not in_order or now >= self.told_to_end_at + GRACE - LAST_PART:
+        if not graceful or now >= self.terminated_at + GRACE - LAST_PART:
             self.disturbances.begin(now)
         process.end()
-        self.place.process = None
+        self.endpoint.process = None
         self._links.kill(self.name)
-        self._loop.streams.process_ends(process)
+        self._loop.streams.end_process(process)
 
     def terminate(self, ended: Callable[[], None]) -> None:
         """SIGTERM; SIGKILL after the grace. `ended` is called once the process is gone."""
         process = self.process
-        if process is None or self.ending:
+        if process is None or self.terminating:
             ended()
             return
-        self.ending = True
-        self.told_to_end_at = self._loop.microseconds
+        self.terminating = True
+        self.terminated_at = self._loop.microseconds
         start = self.starts
 
         def end() -> None:
             if self.process is process and self.starts == start:
-                self.kill(in_order=True)
+                self.kill(graceful=True)
                 ended()
 
-        self._loop.call_outside(self._loop.microseconds + GRACE, end)
-        process.when_running(lambda: process.enter(self._stop, end))
+        self._loop.call_external(self._loop.microseconds + GRACE, end)
+        process.when_running(lambda: process.run(self._stop, end))
 
-    def hang_up(self) -> None:
+    def sighup(self) -> None:
         """SIGHUP: the settings are read again."""
         process, role = self.process, self._role
         if process is not None and role is not None:
-            process.when_running(lambda: process.enter(role.reload, self._platform()))
+            process.when_running(lambda: process.run(role.reload, self._platform()))
 
     def _start(self) -> None:
         surroundings = GatewaySurroundings(
@@ -117,7 +117,7 @@
     def _stop(self, end: Callable[[], None]) -> None:
         assert self._role is not None
         stopping = self._loop.create_task(self._role.stop())
-        stopping.add_done_callback(lambda _task: self._loop.call_outside(self._loop.microseconds, end))
+        stopping.add_done_callback(lambda _task: self._loop.call_external(self._loop.microseconds, end))
 
     def _transport(self, name: str) -> Transport:
         return self._links.transport(name, gateway_codec())
--- a/brackenladder/simulation/exchange/history.py
+++ b/brackenladder/simulation/exchange/history.py
@@ -6,12 +6,12 @@
 
 from attrs import define, field
 
-from brackenladder.simulation.exchange.site import Configuration, RouteForm
+from brackenladder.simulation.exchange.site import Configuration, RouteTemplate
 
-AFTERMATH = 300_000  # microseconds after a fault in which its machine catches up
+RECOVERY_TIME = 300_000  # microseconds after a fault in which its machine catches up
 
 
-class Ending(Enum):
+class RequestOutcome(Enum):
     """How a request has ended for its client."""
 
     OPEN = auto()
@@ -28,26 +28,24 @@
     """One try of a client. Times are microseconds of the run; 0: it did not come to that."""
 
     id: str
-    route: RouteForm
+    route: RouteTemplate
     method: str
     target: str
     body: bytes
     gateway: int
     deadline_ms: int
-    pieces: int  # of its stream, if it gets one
-    begun_at: int = 0
-    whole_at: int = 0  # its last byte was sent
-    answer_at: int = 0  # the first byte of its answer came
+    event_count: int  # of its stream, if it gets one
+    started_at: int = 0
+    sent_at: int = 0  # its last byte was sent
+    first_byte_at: int = 0  # the first byte of its answer came
     ended_at: int = 0
-    ending: Ending = Ending.OPEN
+    outcome: RequestOutcome = RequestOutcome.OPEN
     status: int = 0
-    stamp: str = ""  # of the server
+    signature: str = ""  # of the server
     answer: bytes = b""
     gateway_start: int = 0  # which start of the gateway's process took the connection
-    behind: Request | None = None  # sent before it on its connection, and not answered yet then
-    disturbed: bool = (
-        False  # something happened to its connection or its gateway that excuses delays and ends
-    )
+    queued_behind: Request | None = None  # sent before it on its connection, and not answered yet then
+    excused: bool = False  # something happened to its connection or its gateway that excuses delays and ends
 
 
 @define(eq=False)
@@ -71,20 +69,20 @@
     executed: bool = True  # False: the server has said that it did not run it
     status: int = 0
     answer: bytes = b""  # the body as the server made it
-    whole: bool = False  # the server has sent all of it
+    complete: bool = False  # the server has sent all of it
     cut: bool = False  # the server has broken off
     crashed: bool = False  # its server has ended under it
     unframed: bool = False  # its answer has no length
     ended_at: int = 0
 
     @property
-    def stamp(self) -> str:
+    def signature(self) -> str:
         """What its answer carries."""
         return f"run-{self.number}"
 
 
 @define(eq=False)
-class Told:
+class ConfigurationEvent:
     """Something that the gateways were told at a moment."""
 
     at: int
@@ -105,7 +103,7 @@
     def end(self, now: int) -> None:
         """One has ended."""
         if self._open:
-            self._spans.append((self._open.pop(), now + AFTERMATH))
+            self._spans.append((self._open.pop(), now + RECOVERY_TIME))
 
     def between(self, begin: int, end: int) -> bool:
         """Whether one was under way at any time between two moments."""
@@ -119,7 +117,7 @@
 
     requests: dict[str, Request] = field(factory=dict)
     runs: list[Run] = field(factory=list)
-    configurations: list[Told] = field(factory=list)
+    configurations: list[ConfigurationEvent] = field(factory=list)
 
     def runs_of(self, request_id: str) -> list[Run]:
         """The runs of a request, in the order in which they arrived."""
--- a/brackenladder/simulation/exchange/run.py
+++ b/brackenladder/simulation/exchange/run.py
@@ -14,8 +14,8 @@
 from brackenladder.invariants import VIOLATIONS
 from brackenladder.simulation.errors import SimulationError, Violation
 from brackenladder.simulation.exchange.checks import check_history
-from brackenladder.simulation.exchange.faults import STRIKES, Strike
-from brackenladder.simulation.exchange.history import Ending
+from brackenladder.simulation.exchange.faults import FAULT_ACTIONS, FaultAction
+from brackenladder.simulation.exchange.history import RequestOutcome
 from brackenladder.simulation.exchange.world import World
 from brackenladder.simulation.run import LONGEST_TURN_DELAY, RunResult
 from brackenladder.simulation.stream_loop import StreamEventLoop
@@ -23,18 +23,18 @@
 from brackenladder.simulation.turn_order import TurnOrder
 
 NAME = "exchange"
-DESCRIPTIONS = (
+DESCRIPTION = (
     "gateways between clients and servers on byte streams that break anywhere, while all else changes"
 )
 START_SECONDS = 1.5
-TROUBLE_SECONDS = 10.0
-CALM_SECONDS = 2.0  # of traffic after the trouble
-LAST_SECONDS = 7.0  # until every request has an end
-PAUSE_SECONDS = 0.012  # between two requests
-CALM = (0.05, 0.6)  # seconds between two faults
-AT_ONCE = 3
+FAULT_SECONDS = 10.0
+QUIET_SECONDS = 2.0  # of traffic after the trouble
+DRAIN_SECONDS = 7.0  # until every request has an end
+REQUEST_INTERVAL_SECONDS = 0.012  # between two requests
+FAULT_INTERVAL = (0.05, 0.6)  # seconds between two faults
+MAX_CONCURRENT_FAULTS = 3
 LATE_TURNS = 0.1  # share of the turns that begin late
-LEAST_SERVED = 0.6  # of the requests in the calm at the end that are not given up
+MIN_SERVED_SHARE = 0.6  # of the requests in the calm at the end that are not given up
 
 
 def run_schedule(
@@ -75,33 +75,33 @@
 async def _run_phases(world: World, random: Random, skipped: frozenset[int]) -> None:
     await world.boot()
     await asyncio.sleep(START_SECONDS)
-    clients = world.loop.create_task(world.clients.work(PAUSE_SECONDS))
-    world.coverage.strikes = await _trouble(world, random, skipped)
-    await _watched(world, CALM_SECONDS)
+    clients = world.loop.create_task(world.clients.run(REQUEST_INTERVAL_SECONDS))
+    world.coverage.fault_count = await _inject_faults(world, random, skipped)
+    await _run_watched(world, QUIET_SECONDS)
     world.clients.active = False
     await clients
-    await _watched(world, LAST_SECONDS)
-    if world.loop.faults:
-        raise Violation("fault", repr(world.loop.faults[0]))
-    check_history(world.history, world.calm)
+    await _run_watched(world, DRAIN_SECONDS)
+    if world.loop.unhandled_exceptions:
+        raise Violation("fault", repr(world.loop.unhandled_exceptions[0]))
+    check_history(world.history, world.undisturbed)
     _check_served(world)
 
 
-async def _trouble(world: World, random: Random, skipped: frozenset[int]) -> int:
+async def _inject_faults(world: World, random: Random, skipped: frozenset[int]) -> int:
     """Lets faults come; how many there were. Those that have begun end by themselves."""
-    until = world.loop.time() + TROUBLE_SECONDS
+    until = world.loop.time() + FAULT_SECONDS
     under_way: set[asyncio.Task[None]] = set()
-    strikes = [strike for _, strike in STRIKES]
-    weights = [weight for weight, _ in STRIKES]
+    actions = [action for _, action in FAULT_ACTIONS]
+    weights = [weight for weight, _ in FAULT_ACTIONS]
     number = 0
     while world.loop.time() < until:
-        await asyncio.sleep(random.uniform(*CALM))
+        await asyncio.sleep(random.uniform(*FAULT_INTERVAL))
         world.raise_failure()
         own = Random(random.getrandbits(64))
         under_way = {task for task in under_way if not task.done()}
-        if len(under_way) < AT_ONCE and number not in skipped:
-            strike = own.choices(strikes, weights)[0]
-            under_way.add(world.loop.create_task(_run(strike, world, own)))
+        if len(under_way) < MAX_CONCURRENT_FAULTS and number not in skipped:
+            action = own.choices(actions, weights)[0]
+            under_way.add(world.loop.create_task(_run(action, world, own)))
         number += 1
     if under_way:
         await asyncio.wait(under_way)
@@ -110,12 +110,12 @@
     return number
 
 
-async def _run(strike: Strike, world: World, random: Random) -> None:
+async def _run(action: FaultAction, world: World, random: Random) -> None:
     with suppress(asyncio.CancelledError):
-        await strike(world, random)
+        await action(world, random)
 
 
-async def _watched(world: World, seconds: float) -> None:
+async def _run_watched(world: World, seconds: float) -> None:
     until = world.loop.time() + seconds
     while world.loop.time() < until:
         await asyncio.sleep(0.1)
@@ -124,11 +124,13 @@
 
 def _check_served(world: World) -> None:
     """Once all is well again most requests are served."""
-    since = world.now - int((LAST_SECONDS + CALM_SECONDS / 2) * 1e6)
-    late = [request for request in world.history.requests.values() if request.begun_at >= since]
-    owed = [request for request in late if request.whole_at and request.ending is not Ending.GIVEN_UP]
-    served = [request for request in owed if request.status == 200 or request.ending is Ending.BROKEN]
-    if owed and len(served) < LEAST_SERVED * len(owed):
+    since = world.now - int((DRAIN_SECONDS + QUIET_SECONDS / 2) * 1e6)
+    late = [request for request in world.history.requests.values() if request.started_at >= since]
+    owed = [request for request in late if request.sent_at and request.outcome is not RequestOutcome.GIVEN_UP]
+    served = [
+        request for request in owed if request.status == 200 or request.outcome is RequestOutcome.BROKEN
+    ]
+    if owed and len(served) < MIN_SERVED_SHARE * len(owed):
         raise Violation("not-served", f"{len(served)} of {len(owed)} in the calm at the end")
 
 
@@ -143,7 +145,7 @@
         orders=len(requests),
         acknowledged=sum(request.status == 200 for request in requests),
         elections=0,
-        strikes=world.coverage.strikes,
+        fault_count=world.coverage.fault_count,
         faults=dict(world.coverage.faults),
         faults_by_role=dict(world.coverage.faults),
     )
--- a/brackenladder/simulation/exchange/servers.py
+++ b/brackenladder/simulation/exchange/servers.py
@@ -6,7 +6,13 @@
 from random import Random
 
 from brackenladder.registry.records import ServerRecord, ServerState
-from brackenladder.simulation.exchange.behaviour import Answer, Manner, Step, draw_manner, make_answer
+from brackenladder.simulation.exchange.behaviour import (
+    Answer,
+    AnswerKind,
+    Step,
+    draw_answer_kind,
+    make_answer,
+)
 from brackenladder.simulation.exchange.control import ControlSide
 from brackenladder.simulation.exchange.history import Disturbances, History, Run
 from brackenladder.simulation.exchange.site import SECOND, SERVER_PORT, ZONES
@@ -15,7 +21,7 @@
 
 HEAD_END = b"\r\n\r\n"
 SLOTS = 16
-UNSENT = SECOND  # microseconds for which an answer may wait in its server's buffers
+SEND_BUFFER_TIME = SECOND  # microseconds for which an answer may wait in its server's buffers
 EARLY_SHARE = 0.2  # of the requests whose body has not come whole with their head
 IDLE_SECONDS = 2.0  # after which a server closes an idle connection, as its `Keep-Alive` tells
 
@@ -40,7 +46,7 @@
         self.host = streams.add_host(self.ip, zone)
         self.process: Process | None = None
         self.incarnation = 0
-        self.trouble = False  # it answers in any manner
+        self.misbehaves = False  # it answers in any manner
         self.draining_since = 0
         self.disturbances = Disturbances()
         self.connections: list[ServerConnection] = []
@@ -72,7 +78,7 @@
 
     def announce(self) -> None:
         """The first heartbeat of the incarnation."""
-        self._say(ServerState.READY)
+        self._report(ServerState.READY)
 
     def crash(self) -> None:
         """The process ends without a word."""
@@ -82,35 +88,35 @@
         process.end()
         self._break_off(self.streams.loop.microseconds)
         self.connections.clear()
-        self.streams.process_ends(process)
+        self.streams.end_process(process)
 
     def _break_off(self, now: int) -> None:
         """What runs ends; what has just been answered may still be on its way out, and is lost."""
         for run in self.history.runs:
             if run.server != self.id:
                 continue
-            run.crashed = not run.ended_at or run.ended_at > now - UNSENT
+            run.crashed = not run.ended_at or run.ended_at > now - SEND_BUFFER_TIME
             if not run.ended_at:
                 run.cut = True
                 run.ended_at = now
 
-    def gone_since(self, server_id: str, service: str) -> None:
+    def report_gone(self, server_id: str, service: str) -> None:
         """The control side finds that an incarnation has gone, and tells the gateways."""
         address = f"{self.ip}:{SERVER_PORT}"
         record = ServerRecord(server_id, service, address, self.zone, SLOTS, ServerState.GONE, 1)
-        self._control.server(record)
+        self._control.update_server(record)
 
     def drain(self) -> None:
         """It says that it drains, and serves on."""
         self.draining_since = self.streams.loop.microseconds
-        self._say(ServerState.DRAINING)
+        self._report(ServerState.DRAINING)
 
     def forget_idle(self) -> None:
         """Its system forgets the connections that carry nothing."""
         for connection in [one for one in self.connections if one.idle]:
-            connection.end.vanish()
+            connection.end.drop_silently()
 
-    def reset_some(self) -> None:
+    def reset_connections(self) -> None:
         """Something on the way resets one of its connections."""
         if self.connections:
             connection = self.random.choice(self.connections)
@@ -118,9 +124,9 @@
                 connection.run.cut = True
             connection.end.reset_by_network()
 
-    def _say(self, state: ServerState) -> None:
+    def _report(self, state: ServerState) -> None:
         address = f"{self.ip}:{SERVER_PORT}"
-        self._control.server(ServerRecord(self.id, self.service, address, self.zone, SLOTS, state, 1))
+        self._control.update_server(ServerRecord(self.id, self.service, address, self.zone, SLOTS, state, 1))
 
     def _connected(self) -> ServerConnection:
         return ServerConnection(self)
@@ -137,8 +143,8 @@
         self.end: StreamEnd
         self._read = b""
         self._last_answer = b""
-        self._due_run: Run | None = None  # the latest one
-        self._body_due = 0  # bytes of its body that have not come
+        self._latest_run: Run | None = None  # the latest one
+        self._missing_body_bytes = 0  # bytes of its body that have not come
         self._idle_timer: asyncio.TimerHandle | None = None
         self._loop = server.streams.loop
 
@@ -152,7 +158,7 @@
         assert isinstance(transport, StreamEnd)
         self.end = transport
         self.server.connections.append(self)
-        self._rest()
+        self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The run's caller has gone: most servers drop the run."""
@@ -164,9 +170,12 @@
 
     def data_received(self, data: bytes) -> None:
         """See `asyncio.Protocol`."""
-        if self._due_run is not None and self._body_due:
-            self._due_run.body += data[: self._body_due]
-            data, self._body_due = data[self._body_due :], max(0, self._body_due - len(data))
+        if self._latest_run is not None and self._missing_body_bytes:
+            self._latest_run.body += data[: self._missing_body_bytes]
+            data, self._missing_body_bytes = (
+                data[self._missing_body_bytes :],
+                max(0, self._missing_body_bytes - len(data)),
+            )
         self._read += data
         if self._idle_timer is not None:
             self._idle_timer.cancel()
@@ -181,8 +190,8 @@
             return
         self._read = rest[length:]
         run = self._new_run(head, rest[:length])
-        self._due_run, self._body_due = run, max(0, length - len(rest))
-        run.early = self._body_due > 0
+        self._latest_run, self._missing_body_bytes = run, max(0, length - len(rest))
+        run.early = self._missing_body_bytes > 0
         self._begin(run, head)
 
     def _begin(self, run: Run, head: bytes) -> None:
@@ -193,10 +202,10 @@
         if expected and expected != self.id:
             answer = _misdirected(run)
         else:
-            pieces = int(header_of(head, "x-pieces") or "0")
-            manner = draw_manner(random, server.trouble, bool(pieces))
-            run.unframed = manner in (Manner.UNFRAMED, Manner.UNFRAMED_RESET)
-            answer = make_answer(run, manner, random, pieces, self._last_answer)
+            event_count = int(header_of(head, "x-pieces") or "0")
+            answer_kind = draw_answer_kind(random, server.misbehaves, bool(event_count))
+            run.unframed = answer_kind in (AnswerKind.UNFRAMED, AnswerKind.UNFRAMED_RESET)
+            answer = make_answer(run, answer_kind, random, event_count, self._last_answer)
         self._write(run, answer, 0)
 
     def _new_run(self, head: bytes, body: bytes) -> Run:
@@ -222,9 +231,9 @@
         """Writes the steps one after the other, each after its pause."""
         if self.run is not run or self.end.is_closing():
             return
-        if answer.manner is Manner.SILENT:
+        if answer.answer_kind is AnswerKind.SILENT:
             return
-        if step == len(answer.steps) or answer.manner is Manner.DROPPED:
+        if step == len(answer.steps) or answer.answer_kind is AnswerKind.DROPPED:
             self._written(run, answer)
             return
         pause = answer.steps[step].pause
@@ -236,26 +245,32 @@
             self._write(run, answer, step + 1)
 
     def _written(self, run: Run, answer: Answer) -> None:
-        manner = answer.manner
-        run.cut = manner in (Manner.CUT, Manner.RESET, Manner.DROPPED, Manner.UNFRAMED_RESET, Manner.GARBLED)
-        run.whole = not run.cut
+        answer_kind = answer.answer_kind
+        run.cut = answer_kind in (
+            AnswerKind.CUT,
+            AnswerKind.RESET,
+            AnswerKind.DROPPED,
+            AnswerKind.UNFRAMED_RESET,
+            AnswerKind.GARBLED,
+        )
+        run.complete = not run.cut
         self._last_answer = b"".join(step.data for step in answer.steps)
         self._end_run()
-        if manner in (Manner.RESET, Manner.DROPPED, Manner.UNFRAMED_RESET):
+        if answer_kind in (AnswerKind.RESET, AnswerKind.DROPPED, AnswerKind.UNFRAMED_RESET):
             self.end.reset_by_network()
-        elif manner in (Manner.CUT, Manner.LAST, Manner.UNFRAMED, Manner.GARBLED):
+        elif answer_kind in (AnswerKind.CUT, AnswerKind.LAST, AnswerKind.UNFRAMED, AnswerKind.GARBLED):
             self.end.close()
-        elif self._read and not self._body_due:
+        elif self._read and not self._missing_body_bytes:
             self._next()
         else:
-            self._rest()
+            self._start_idle_timer()
 
     def _end_run(self) -> None:
         run, self.run = self.run, None
         if run is not None and not run.ended_at:
             run.ended_at = self._loop.microseconds
 
-    def _rest(self) -> None:
+    def _start_idle_timer(self) -> None:
         self._idle_timer = self._loop.call_later(IDLE_SECONDS, self._close_if_idle)
 
     def _close_if_idle(self) -> None:
@@ -272,7 +287,7 @@
         "Content-Length: 0",
     )
 
-    return Answer(Manner.REJECTED, (Step(0, "\r\n".join(lines).encode() + HEAD_END),))
+    return Answer(AnswerKind.REJECTED, (Step(0, "\r\n".join(lines).encode() + HEAD_END),))
 
 
 def header_of(head: bytes, name: str) -> str:
--- a/brackenladder/simulation/exchange/site.py
+++ b/brackenladder/simulation/exchange/site.py
@@ -23,7 +23,7 @@
 
 
 @frozen
-class RouteForm:
+class RouteTemplate:
     """A route as operators write it, without what a configuration may change. Times are milliseconds."""
 
     name: str
@@ -52,13 +52,13 @@
 
 
 ROUTES = (
-    RouteForm("plain", "unsafe"),
-    RouteForm("twice", "unsafe", max_attempts=3),
-    RouteForm("safe", "safe", max_attempts=2),
-    RouteForm("homed", "safe", max_attempts=2),
-    RouteForm("stream", "streaming", timeout_ms=4_000),
-    RouteForm("resumable", "streaming", max_attempts=3, resumable=True, timeout_ms=4_000),
-    RouteForm("beside", "unsafe", service="other"),
+    RouteTemplate("plain", "unsafe"),
+    RouteTemplate("twice", "unsafe", max_attempts=3),
+    RouteTemplate("safe", "safe", max_attempts=2),
+    RouteTemplate("homed", "safe", max_attempts=2),
+    RouteTemplate("stream", "streaming", timeout_ms=4_000),
+    RouteTemplate("resumable", "streaming", max_attempts=3, resumable=True, timeout_ms=4_000),
+    RouteTemplate("beside", "unsafe", service="other"),
 )
 HOMED = "homed"
 
@@ -71,7 +71,7 @@
     homes: tuple[str, ...] = ()  # of the route `HOMED`
     most_attempts: int = 2  # of the route 'safe'
 
-    def attempts_of(self, route: RouteForm) -> int:
+    def attempts_of(self, route: RouteTemplate) -> int:
         """`MaxAttempts` of a route."""
         return self.most_attempts if route.name == "safe" else route.max_attempts
 
@@ -88,10 +88,10 @@
             for name in SERVICES
         ]
         routes = [self._route(route) for route in ROUTES]
-        whole = {"Version": self.version, "Routes": routes, "Services": services, "Limits": limits}
-        return json.dumps(whole).encode()
+        complete = {"Version": self.version, "Routes": routes, "Services": services, "Limits": limits}
+        return json.dumps(complete).encode()
 
-    def _route(self, route: RouteForm) -> dict[str, Any]:
+    def _route(self, route: RouteTemplate) -> dict[str, Any]:
         return {
             "Name": route.name,
             "Hostname": HOST,
--- a/brackenladder/simulation/exchange/world.py
+++ b/brackenladder/simulation/exchange/world.py
@@ -10,7 +10,7 @@
 from brackenladder.simulation.exchange.clients import Clients
 from brackenladder.simulation.exchange.control import ControlSide
 from brackenladder.simulation.exchange.gateways import GatewayMachine
-from brackenladder.simulation.exchange.history import Ending, History, Request
+from brackenladder.simulation.exchange.history import History, Request, RequestOutcome
 from brackenladder.simulation.exchange.servers import Server
 from brackenladder.simulation.exchange.site import Configuration, latency
 from brackenladder.simulation.network import SimulatedNetwork
@@ -28,7 +28,7 @@
     ("north-1", "other"),
     ("south-1", "other"),
 )
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 class World:
@@ -52,7 +52,7 @@
             Server(number, zone, service, loop.streams, self.control, self.history)
             for number, (zone, service) in enumerate(SERVERS)
         ]
-        self.checks = LiveChecks(self.history, lambda: loop.microseconds, self.calm)
+        self.checks = LiveChecks(self.history, lambda: loop.microseconds, self.undisturbed)
         self.clients = Clients(
             loop.streams,
             self.gateways,
@@ -60,7 +60,7 @@
             Random(self.random.getrandbits(64)),
             self.checks.fail,
         )
-        self._watched: set[str] = set()  # requests whose clients have left
+        self._run_watched: set[str] = set()  # requests whose clients have left
 
     @property
     def now(self) -> int:
@@ -77,14 +77,14 @@
             gateway.boot()
         self.loop.create_task(self._watch())
 
-    def calm(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
+    def undisturbed(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
         """See `checks.Calm`."""
         machines: list[GatewayMachine | Server] = [self.gateways[gateway]]
         if server:
             machines.append(self.servers[int(server.partition(".")[0].removeprefix("s"))])
         return not any(one.disturbances.between(begin, end) for one in machines)
 
-    def disturbed(self, kind: str) -> None:
+    def count_fault(self, kind: str) -> None:
         """A fault has struck, begun or ended."""
         self.coverage.faults[kind] += 1
 
@@ -95,11 +95,14 @@
 
     async def _watch(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.checks.look()
+            await asyncio.sleep(POLL_SECONDS)
+            self.checks.check()
             for request in self.history.requests.values():
-                if request.ending in (Ending.GIVEN_UP, Ending.UNANSWERED) and request.id not in self._watched:
-                    self._watched.add(request.id)
+                if (
+                    request.outcome in (RequestOutcome.GIVEN_UP, RequestOutcome.UNANSWERED)
+                    and request.id not in self._run_watched
+                ):
+                    self._run_watched.add(request.id)
                     self._look_later(request)
 
     def _look_later(self, request: Request) -> None:
--- a/brackenladder/simulation/fault_actions.py
+++ b/brackenladder/simulation/fault_actions.py
@@ -12,26 +12,26 @@
 LONG_CUT_SECONDS = (15.0, 25.0)
 SHORT_SECONDS = (0.3, 4.0)
 
-Strike = Callable[[Faults, Random, ControlMachine], Awaitable[None]]
+FaultAction = Callable[[Faults, Random, ControlMachine], Awaitable[None]]
 
-LOOK_SECONDS = 0.005  # between two looks for the moment of a strike
-MOST_LOOKS = 2_000
+POLL_SECONDS = 0.005  # between two looks for the moment of a strike
+MAX_POLLS = 2_000
 
 
 async def long_cut(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine is cut off from everyone for some twenty seconds."""
-    await faults.cut(machine, faults.everyone(), random.uniform(*LONG_CUT_SECONDS), "both")
+    await faults.cut(machine, faults.all_endpoints(), random.uniform(*LONG_CUT_SECONDS), "both")
 
 
 async def long_cut_from_peers(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """The same, but operators, servers and gateways still reach it."""
-    how = random.choice(("both", "both", "in", "out"))
-    await faults.cut(machine, faults.peers_of(machine), random.uniform(*LONG_CUT_SECONDS), how)
+    direction = random.choice(("both", "both", "in", "out"))
+    await faults.cut(machine, faults.peers_of(machine), random.uniform(*LONG_CUT_SECONDS), direction)
 
 
 async def partial_cut(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine is parted from some of the others."""
-    others = random.sample(faults.everyone(), max(1, len(faults.everyone()) // 3))
+    others = random.sample(faults.all_endpoints(), max(1, len(faults.all_endpoints()) // 3))
     await faults.cut(machine, others, random.uniform(*SHORT_SECONDS), random.choice(("both", "in", "out")))
 
 
@@ -51,28 +51,28 @@
     await faults.kill(list(faults.world.machines), random.random() < 0.5, random.uniform(0.2, 1.0))
 
 
-async def power_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def lose_power_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """All or most machines lose power within 4 ms after an order was acknowledged; disks may be slow."""
     if random.random() < 0.5:
         async with asyncio.TaskGroup() as group:
             for one in faults.world.machines:
                 if one is not faults.world.leader():
                     group.create_task(faults.slow_disk(one, 4.0))
-            group.create_task(_power_after_decision(faults, random, 1.0))
+            group.create_task(_lose_power_after_decision(faults, random, 1.0))
     else:
-        await _power_after_decision(faults, random, 0.0)
+        await _lose_power_after_decision(faults, random, 0.0)
 
 
-async def _power_after_decision(faults: Faults, random: Random, delay: float) -> None:
+async def _lose_power_after_decision(faults: Faults, random: Random, delay: float) -> None:
     await asyncio.sleep(delay)
     await faults.world.next_decision()
     await asyncio.sleep(random.uniform(0.0, 0.004))
     machines = list(faults.world.machines)
-    struck = random.sample(machines, random.randint(len(machines) // 2 + 1, len(machines)))
-    await faults.kill(struck, True, random.uniform(0.2, 1.0))
+    affected = random.sample(machines, random.randint(len(machines) // 2 + 1, len(machines)))
+    await faults.kill(affected, True, random.uniform(0.2, 1.0))
 
 
-async def disk_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def lose_disk_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """The leader's disk is lost within 4 ms after an order was acknowledged."""
     await faults.world.next_decision()
     await asyncio.sleep(random.uniform(0.0, 0.004))
@@ -81,7 +81,7 @@
 
 async def cut_during_change(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A disk is lost; as its voter is replaced, the leader and the successor are cut off from the others."""
-    await _once_allowed(faults, machine)
+    await _wait_until_disk_may_be_lost(faults, machine)
     async with asyncio.TaskGroup() as group:
         group.create_task(faults.lose_disk(machine, random.uniform(0.3, 1.0)))
         group.create_task(_cut_at_change(faults, random))
@@ -107,15 +107,15 @@
                 group.create_task(faults.cut(one, others, random.uniform(3.0, 6.0), "both"))
 
 
-async def region_alone(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def isolate_region(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine and a gateway are cut off together; both restart before the cut ends."""
     world = faults.world
     gateway = random.choice(world.gateways)
     inside = {machine.name, gateway.name}
-    outside = [name for name in faults.everyone() if name not in inside]
+    outside = [name for name in faults.all_endpoints() if name not in inside]
     async with asyncio.TaskGroup() as group:
         group.create_task(faults.cut(machine, outside, random.uniform(8.0, 20.0), "both"))
-        group.create_task(faults.part(gateway.name, outside, random.uniform(8.0, 20.0)))
+        group.create_task(faults.isolate(gateway.name, outside, random.uniform(8.0, 20.0)))
         await asyncio.sleep(random.uniform(2.5, 5.0))
         if random.random() < 0.7:
             group.create_task(faults.kill([machine], random.random() < 0.5, random.uniform(0.2, 1.0)))
@@ -123,7 +123,7 @@
         faults.restart_gateway(gateway)
 
 
-async def restart_alone(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def restart_while_isolated(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine restarts while it is cut off from its peers."""
     async with asyncio.TaskGroup() as group:
         group.create_task(faults.cut(machine, faults.peers_of(machine), random.uniform(6.0, 20.0), "both"))
@@ -147,23 +147,23 @@
 
 async def lose_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A disk is lost, as soon as one may be."""
-    await _once_allowed(faults, machine)
+    await _wait_until_disk_may_be_lost(faults, machine)
     await faults.lose_disk(machine, random.uniform(0.3, 3.0))
 
 
 async def replace_machine(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine is replaced by an empty one at another address."""
-    await _once_allowed(faults, machine)
+    await _wait_until_disk_may_be_lost(faults, machine)
     await faults.replace(machine, random.uniform(0.3, 3.0))
 
 
 async def lose_oldest_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """The disk that has lasted longest is lost, as soon as one may be."""
-    oldest = min(faults.world.machines, key=lambda one: one.disk.made_at)
+    oldest = min(faults.world.machines, key=lambda one: one.disk.created_at)
     await lose_disk(faults, random, oldest)
 
 
-async def halves(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def cut_into_halves(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """The control machines are cut into two halves; everyone else reaches both."""
     machines = list(faults.world.machines)
     random.shuffle(machines)
@@ -174,21 +174,21 @@
             group.create_task(faults.cut(one, others, seconds, "both"))
 
 
-async def disks_and_power_of_all(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def lose_disks_and_power(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """Right after an order was acknowledged as many disks are lost as may be, and all else loses power."""
     await faults.world.next_decision()
     await asyncio.sleep(random.uniform(0.0, 0.004))
     await _lose_disks_and_power(faults, random)
 
 
-async def losses_in_halves(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def losses_while_halved(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """The halves are cut apart; meanwhile a disk is lost, and a moment later power at most machines."""
     async with asyncio.TaskGroup() as group:
-        group.create_task(halves(faults, random, machine))
+        group.create_task(cut_into_halves(faults, random, machine))
         group.create_task(faults.lose_disk(machine, random.uniform(0.3, 3.0)))
         await asyncio.sleep(random.uniform(0.0, 3.0))
-        struck = [one for one in faults.world.machines if random.random() < 0.7]
-        group.create_task(faults.kill(struck, random.random() < 0.7, random.uniform(0.2, 3.0)))
+        affected = [one for one in faults.world.machines if random.random() < 0.7]
+        group.create_task(faults.kill(affected, random.random() < 0.7, random.uniform(0.2, 3.0)))
 
 
 async def throttle_one(faults: Faults, random: Random, machine: ControlMachine) -> None:
@@ -196,19 +196,19 @@
     await faults.throttle(machine, random.uniform(0.1, 0.7), random.uniform(2.0, 6.0))
 
 
-async def strike_between_chunks(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def fault_between_chunks(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine is down for long; as chunks of a snapshot reach it, it, the leader or a link is struck."""
-    await absent(faults, random, machine)
-    for _ in range(MOST_LOOKS):
-        await asyncio.sleep(LOOK_SECONDS)
+    await long_outage(faults, random, machine)
+    for _ in range(MAX_POLLS):
+        await asyncio.sleep(POLL_SECONDS)
         if _has_chunks(machine):
             break
     await asyncio.sleep(random.uniform(0.0, 0.02))
     leader = faults.world.leader() or machine
     draw = random.random()
     if draw < 0.4:
-        struck = random.choice(([machine], [leader], [machine, leader]))
-        await faults.kill(struck, random.random() < 0.5, random.uniform(0.2, 1.0))
+        affected = random.choice(([machine], [leader], [machine, leader]))
+        await faults.kill(affected, random.random() < 0.5, random.uniform(0.2, 1.0))
     elif draw < 0.7:
         faults.reset_links(machine)
     else:
@@ -222,18 +222,18 @@
     return node is not None and bool(node.host.replica._core.snapshot_receiver._data)
 
 
-async def trouble_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def disk_fault(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A disk hangs, is full or slow."""
-    trouble = random.choice((faults.hang_disk, faults.fill_disk, faults.slow_disk))
-    await trouble(machine, random.uniform(0.5, 6.0))
+    fault = random.choice((faults.hang_disk, faults.fill_disk, faults.slow_disk))
+    await fault(machine, random.uniform(0.5, 6.0))
 
 
-async def squeeze(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def limit_bandwidth(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine's link has little bandwidth."""
-    await faults.squeeze(machine, random.choice((2.0, 10.0)), random.uniform(2.0, 10.0))
+    await faults.limit_bandwidth(machine, random.choice((2.0, 10.0)), random.uniform(2.0, 10.0))
 
 
-async def absent(faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def long_outage(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """A machine is down for long, while the others go on."""
     await faults.kill([machine], random.random() < 0.5, random.uniform(5.0, 12.0))
 
@@ -250,7 +250,7 @@
             faults.restart_gateway(gateway)
 
 
-async def _once_allowed(faults: Faults, machine: ControlMachine) -> None:
+async def _wait_until_disk_may_be_lost(faults: Faults, machine: ControlMachine) -> None:
     for _ in range(100):
         if faults.may_lose_disk(machine):
             return
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -22,86 +22,88 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self._random = world.random
-        self._afflicted: Counter[str] = Counter()  # faults under way, by machine
-        self._well_since: dict[str, int] = {}
+        self._faults_by_machine: Counter[str] = Counter()  # faults under way, by machine
+        self._healthy_since: dict[str, int] = {}
 
     # -- the network
 
-    async def cut(self, machine: ControlMachine, others: Iterable[str], seconds: float, how: str) -> None:
+    async def cut(
+        self, machine: ControlMachine, others: Iterable[str], seconds: float, direction: str
+    ) -> None:
         """Parts a machine from others; `how`: both, in (it hears nothing) or out (nobody hears it)."""
         network = self.world.network
         names = [name for name in others if name != machine.name]
-        self._begin(f"cut-{how}", machine)
+        self._begin(f"cut-{direction}", machine)
         for name in names:
-            if how in ("both", "out"):
+            if direction in ("both", "out"):
                 network.cut_one_way(machine.name, name)
-            if how in ("both", "in"):
+            if direction in ("both", "in"):
                 network.cut_one_way(name, machine.name)
         self.world.isolation.update(self.world.now)
         await asyncio.sleep(seconds)
         for name in names:
             network.heal(machine.name, name)
-        self._end(f"cut-{how}", machine)
+        self._end(f"cut-{direction}", machine)
 
-    async def part(self, name: str, others: Iterable[str], seconds: float) -> None:
+    async def isolate(self, name: str, others: Iterable[str], seconds: float) -> None:
         """Parts a gateway or an actor from others."""
         network = self.world.network
-        self.world.disturbances += 1
-        self.world.disturbed("part")
+        self.world.active_faults += 1
+        self.world.record_fault_event("part")
         for other in others:
             network.cut(name, other)
         await asyncio.sleep(seconds)
         for other in others:
             network.heal(name, other)
-        self.world.disturbances -= 1
-        self.world.disturbed("part-end")
+        self.world.active_faults -= 1
+        self.world.record_fault_event("part-end")
 
     def peers_of(self, machine: ControlMachine) -> list[str]:
         """The other control machines."""
         return [other.name for other in self.world.machines if other is not machine]
 
-    def everyone(self) -> list[str]:
+    def all_endpoints(self) -> list[str]:
         """Every machine and actor."""
-        return list(self.world.network.places)
+        return list(self.world.network.endpoints)
 
     def reset_links(self, machine: ControlMachine) -> None:
         """Ends all links of a machine; what is under way on them is lost."""
-        for other in list(self.world.network.places):
+        for other in list(self.world.network.endpoints):
             self.world.network.lose_links(machine.name, other)
-        self.world.disturbed("reset", machine)
+        self.world.record_fault_event("reset", machine)
 
-    async def squeeze(self, machine: ControlMachine, megabits: float, seconds: float) -> None:
+    async def limit_bandwidth(self, machine: ControlMachine, megabits: float, seconds: float) -> None:
         """Takes bandwidth from a machine's link."""
-        usual = machine.place.megabits
+        usual = machine.endpoint.megabits
         self._begin("squeeze", machine)
-        machine.place.megabits = megabits
+        machine.endpoint.megabits = megabits
         await asyncio.sleep(seconds)
-        machine.place.megabits = usual
+        machine.endpoint.megabits = usual
         self._end("squeeze", machine)
 
     # -- processes
 
-    async def kill(self, machines: Iterable[ControlMachine], power: bool, dark: float) -> None:
+    async def kill(self, machines: Iterable[ControlMachine], power: bool, downtime: float) -> None:
         """Ends processes at one moment, by a kill or by a loss of power; they come back after `dark`."""
-        struck = [machine for machine in machines if machine.up]
+        affected = [machine for machine in machines if machine.up]
         kind = "power" if power else "kill"
-        for machine in struck:
+        for machine in affected:
             self._begin(kind, machine)
-            machine.thaw_before_end()
+            machine.end_process()
             if power:
                 machine.lose_power()
             else:
                 machine.kill()
         self.world.isolation.update(self.world.now)
-        await asyncio.sleep(dark)
-        for machine in struck:
+        await asyncio.sleep(downtime)
+        for machine in affected:
             self._boot(machine)
             self._end(kind, machine)
 
     async def freeze(self, machine: ControlMachine, seconds: float) -> None:
         """Takes the processor from a machine for a while."""
         process = machine.process
-        if process is None or not process.runs:
+        if process is None or not process.running:
             return
         self._begin("freeze", machine)
         process.freeze()
@@ -113,11 +115,11 @@
     async def throttle(self, machine: ControlMachine, share: float, seconds: float) -> None:
         """Gives a machine a share of a core as a quota: its part of each period, then nothing."""
         process = machine.process
-        if process is None or not process.runs:
+        if process is None or not process.running:
             return
         self._begin("throttle", machine)
         until = self.world.now + int(seconds * SECOND)
-        while self.world.now < until and process.runs:
+        while self.world.now < until and process.running:
             process.freeze()
             self.world.isolation.update(self.world.now)
             await asyncio.sleep((1 - share) * QUOTA_SECONDS)
@@ -130,58 +132,62 @@
         """A gateway's process ends and comes back with an empty view."""
         gateway.kill()
         gateway.boot()
-        self.world.disturbed("gateway-restart")
+        self.world.record_fault_event("gateway-restart")
 
     # -- disks
 
     def may_lose_disk(self, machine: ControlMachine) -> bool:
         """Whether a majority of the present members still has its disks without this one's."""
         world = self.world
-        if world.leader() is None or not self._counts(machine):
+        if world.leader() is None or not self._is_healthy(machine):
             return False
-        lost = [other for other in world.machines if not self._counts(other)]
+        lost = [other for other in world.machines if not self._is_healthy(other)]
         return 2 * (len(lost) + 1) < len(world.machines)
 
-    def _counts(self, machine: ControlMachine) -> bool:
+    def _is_healthy(self, machine: ControlMachine) -> bool:
         """Whether a machine is well, and has been for as long as it may take to catch up."""
         catch_up = int(self.world.scenario.catch_up * SECOND)
-        well_since = self._well_since.get(machine.name, 0)
-        return machine.runs and not self._afflicted[machine.name] and well_since <= self.world.now - catch_up
-
-    async def lose_disk(self, machine: ControlMachine, dark: float) -> None:
+        healthy_since = self._healthy_since.get(machine.name, 0)
+        return (
+            machine.running
+            and not self._faults_by_machine[machine.name]
+            and healthy_since <= self.world.now - catch_up
+        )
+
+    async def lose_disk(self, machine: ControlMachine, downtime: float) -> None:
         """A machine loses power and its disk, and comes back at its address with an empty one."""
         if not machine.up or not self.may_lose_disk(machine):
             return
         self._begin("wipe", machine)
-        machine.thaw_before_end()
+        machine.end_process()
         machine.lose_power()
         machine.lose_disk()
         self.world.isolation.update(self.world.now)
-        await asyncio.sleep(dark)
+        await asyncio.sleep(downtime)
         self._boot(machine)
         self._end("wipe", machine)
 
-    async def replace(self, machine: ControlMachine, dark: float) -> None:
+    async def replace(self, machine: ControlMachine, downtime: float) -> None:
         """A machine is gone for good; an empty one comes at another address."""
         if not machine.up or not self.may_lose_disk(machine):
             return
         self._begin("replace", machine)
-        machine.thaw_before_end()
+        machine.end_process()
         machine.lose_power()
         self.world.machines.remove(machine)
         successor = self.world.add_machine()
-        self._afflicted[successor.name] += 1
-        await asyncio.sleep(dark)
+        self._faults_by_machine[successor.name] += 1
+        await asyncio.sleep(downtime)
         self._boot(successor)
         self._end("replace", successor)
 
     async def hang_disk(self, machine: ControlMachine, seconds: float) -> None:
         """A disk answers nothing for a while."""
-        await self._trouble_disk(machine, seconds, "disk-hang")
+        await self._fail_disk(machine, seconds, "disk-hang")
 
     async def fill_disk(self, machine: ControlMachine, seconds: float) -> None:
         """A disk takes no more bytes for a while."""
-        await self._trouble_disk(machine, seconds, "disk-full")
+        await self._fail_disk(machine, seconds, "disk-full")
 
     async def slow_disk(self, machine: ControlMachine, seconds: float) -> None:
         """A disk takes `SLOW_FACTOR` times as long for a while."""
@@ -192,7 +198,7 @@
         disk.sync_time = SYNC_TIME
         self._end("disk-slow", machine)
 
-    async def _trouble_disk(self, machine: ControlMachine, seconds: float, kind: str) -> None:
+    async def _fail_disk(self, machine: ControlMachine, seconds: float, kind: str) -> None:
         disk = machine.disk
         self._begin(kind, machine)
         disk.hangs, disk.full = kind == "disk-hang", kind == "disk-full"
@@ -209,27 +215,27 @@
         for machine in world.machines:
             machine.disk.hangs = machine.disk.full = False
             machine.disk.sync_time = SYNC_TIME
-            machine.place.megabits = world.scenario.site.megabits
+            machine.endpoint.megabits = world.scenario.site.megabits
             if machine.process is not None:
                 await _thaw(machine.process)
             if not machine.up:
                 self._boot(machine)
-        world.disturbed("heal")
-        world.disturbances = 0
-        self._afflicted.clear()
+        world.record_fault_event("heal")
+        world.active_faults = 0
+        self._faults_by_machine.clear()
 
     # -- inner parts
 
     def _begin(self, kind: str, machine: ControlMachine) -> None:
-        self.world.disturbances += 1
-        self._afflicted[machine.name] += 1
-        self.world.disturbed(kind, machine)
+        self.world.active_faults += 1
+        self._faults_by_machine[machine.name] += 1
+        self.world.record_fault_event(kind, machine)
 
     def _end(self, kind: str, machine: ControlMachine) -> None:
-        self.world.disturbances -= 1
-        self._afflicted[machine.name] -= 1
-        self._well_since[machine.name] = self.world.now
-        self.world.disturbed(f"{kind}-end")
+        self.world.active_faults -= 1
+        self._faults_by_machine[machine.name] -= 1
+        self._healthy_since[machine.name] = self.world.now
+        self.world.record_fault_event(f"{kind}-end")
 
     def _boot(self, machine: ControlMachine) -> None:
         if not machine.up and machine in self.world.machines:
--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -68,7 +68,7 @@
     draining: bool  # it said that it drains, or has ended
     answered_by: str
     answered_at: int
-    heard_at: int
+    received_at: int
 
 
 @define
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -8,7 +8,7 @@
 from brackenladder.simulation.network import SimulatedNetwork
 
 LONG_AGO = -(1 << 40)  # of a process that has had no majority in reach since its start
-STILL = 1 << 62  # the end of a span that has not ended
+NOT_ENDED = 1 << 62  # the end of a span that has not ended
 
 
 @frozen
@@ -25,23 +25,25 @@
         self._network = network
         self._machines = machines
         self._voters: frozenset[str] = frozenset()  # replica ids, of the newest members that were known
-        self._newest = (0, 0)
-        self._contact_in_start: dict[str, int] = {}  # the start of a process that has had a majority in reach
+        self._newest_log = (0, 0)
+        self._start_with_contact: dict[
+            str, int
+        ] = {}  # the start of a process that has had a majority in reach
         self._spans: dict[str, list[_Span]] = {}
 
     def update(self, now: int) -> None:
         """Links, machines or members have changed."""
-        self._follow_members()
+        self._update_voters()
         for machine in self._machines:
-            if machine.runs and not self._in_contact(machine):
-                had_contact = self._contact_in_start.get(machine.name) == machine.starts
+            if machine.running and not self._in_contact(machine):
+                had_contact = self._start_with_contact.get(machine.name) == machine.starts
                 self._begin(now, machine.name, now if had_contact else LONG_AGO)
             else:
                 self._end(now, machine.name)
-                if machine.runs:
-                    self._contact_in_start[machine.name] = machine.starts
+                if machine.running:
+                    self._start_with_contact[machine.name] = machine.starts
 
-    def alone_for(self, moment: int, name: str) -> int:
+    def isolated_for(self, moment: int, name: str) -> int:
         """Microseconds for which a running machine had been without a majority then; 0: it had one."""
         for span in self._spans.get(name, ()):
             if span.begun <= moment < span.until:
@@ -50,38 +52,41 @@
 
     def _begin(self, now: int, name: str, since: int) -> None:
         spans = self._spans.setdefault(name, [])
-        if not spans or spans[-1].until != STILL:
-            spans.append(_Span(now, STILL, since))
+        if not spans or spans[-1].until != NOT_ENDED:
+            spans.append(_Span(now, NOT_ENDED, since))
 
     def _end(self, now: int, name: str) -> None:
         spans = self._spans.get(name)
-        if spans and spans[-1].until == STILL:
+        if spans and spans[-1].until == NOT_ENDED:
             spans[-1] = evolve(spans[-1], until=now)
 
     def _in_contact(self, machine: ControlMachine) -> bool:
         """Whether it, or one that it reaches and that may lead, reaches a majority."""
-        return any(self._reaches_majority(other) for other in self._machines if self._joined(machine, other))
+        return any(
+            self._reaches_majority(other) for other in self._machines if self._connected(machine, other)
+        )
 
     def _reaches_majority(self, machine: ControlMachine) -> bool:
         reached = sum(
-            other.disk.replica_id in self._voters and self._joined(machine, other) for other in self._machines
+            other.disk.replica_id in self._voters and self._connected(machine, other)
+            for other in self._machines
         )
         return 2 * reached > len(self._voters)
 
-    def _follow_members(self) -> None:
+    def _update_voters(self) -> None:
         for machine in self._machines:
             if machine.node is None:
                 continue
             replica = machine.node.host.replica
             age = (replica.term, replica.last_index)
-            if age >= self._newest and replica.members.voters:
-                self._newest = age
+            if age >= self._newest_log and replica.members.voters:
+                self._newest_log = age
                 self._voters = frozenset(voter.replica_id for voter in replica.members.voters)
 
-    def _joined(self, one: ControlMachine, other: ControlMachine) -> bool:
+    def _connected(self, one: ControlMachine, other: ControlMachine) -> bool:
         if one is other:
             return True
-        if not other.runs:
+        if not other.running:
             return False
         network = self._network
         return not network.is_cut(one.name, other.name) and not network.is_cut(other.name, one.name)
--- a/brackenladder/simulation/live_checks.py
+++ b/brackenladder/simulation/live_checks.py
@@ -29,7 +29,7 @@
         machines: Sequence[ControlMachine],
         gateways: Sequence[GatewayMachine],
         isolation: Isolation,
-        calm_since: Callable[[int], bool],
+        undisturbed_since: Callable[[int], bool],
         catch_up: int,
     ) -> None:
         """`calm_since` tells of a moment whether no fault has disturbed the machines since."""
@@ -39,18 +39,18 @@
         self._machines = machines
         self._gateways = gateways
         self._isolation = isolation
-        self._calm_since = calm_since
+        self._undisturbed_since = undisturbed_since
         self._catch_up = max(CATCH_UP_TIME, catch_up)
-        self._shown: dict[tuple[int, int], int] = {}  # revision by gateway and start
+        self._revisions: dict[tuple[int, int], int] = {}  # revision by gateway and start
         self._committed: deque[tuple[int, int]] = deque()  # time and commit index of the leader then
 
     def view_changed(self, seen: ViewSeen) -> None:
         """A gateway takes another revision: it never goes back, and shows nothing that was refused."""
         self._history.views.append(seen)
         key = (seen.gateway, seen.start)
-        if seen.revision <= self._shown.get(key, 0):
-            self.fail("gateway-back", f"{seen} after revision {self._shown[key]}")
-        self._shown[key] = max(seen.revision, self._shown.get(key, 0))
+        if seen.revision <= self._revisions.get(key, 0):
+            self.fail("gateway-back", f"{seen} after revision {self._revisions[key]}")
+        self._revisions[key] = max(seen.revision, self._revisions.get(key, 0))
         order = self._history.order(seen.order)
         if order is not None and order.refused:
             self.fail("refused-in-force", f"gateway {seen.gateway} shows order {order.number}")
@@ -58,12 +58,12 @@
     def server_acknowledged(self, ack: ServerAck) -> None:
         """A node has acknowledged a server; one that drains is soon sent nothing more."""
         if ack.draining:
-            self._check_told(ack)
+            self._check_drain_known(ack)
             self._loop.call_later(DRAIN_TIME / SECOND, self._check_drained, ack)
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Gateways and nodes follow what was acknowledged; to be called now and then."""
-        self._check_current()
+        self._check_configurations()
         self._check_caught_up()
 
     def fail(self, rule: str, detail: str) -> None:
@@ -71,28 +71,28 @@
         if self.failure is None:
             self.failure = Violation(rule, f"at {self._loop.microseconds / SECOND:.3f} s: {detail}")
 
-    def _check_told(self, ack: ServerAck) -> None:
+    def _check_drain_known(self, ack: ServerAck) -> None:
         """What a node that is alone acknowledges is known where a majority is."""
-        alone = self._isolation.alone_for
-        if not alone(ack.answered_at, ack.answered_by):
+        isolated = self._isolation.isolated_for
+        if not isolated(ack.answered_at, ack.answered_by):
             return
         now = self._loop.microseconds
-        with_majority = [one for one in self._machines if one.runs and not alone(now, one.name)]
-        if with_majority and all(one.counts_ready(ack.server) for one in with_majority):
+        with_majority = [one for one in self._machines if one.running and not isolated(now, one.name)]
+        if with_majority and all(one.has_ready_server(ack.server) for one in with_majority):
             self.fail("drain-untold", f"{ack.answered_by} alone has acknowledged {ack.server}")
 
     def _check_drained(self, ack: ServerAck) -> None:
-        if not self._calm_since(ack.answered_at):
+        if not self._undisturbed_since(ack.answered_at):
             return
         for gateway in self._gateways:
             record = gateway.subscriber.view.servers.get(ack.server)
-            if gateway.runs and record is not None and record.state is ServerState.READY:
+            if gateway.running and record is not None and record.state is ServerState.READY:
                 self.fail("drain", f"gateway {gateway.number} sends to {ack.server}")
 
-    def _check_current(self) -> None:
+    def _check_configurations(self) -> None:
         """Every gateway follows what was acknowledged `CONFIG_TIME` ago."""
         due = self._loop.microseconds - CONFIG_TIME
-        if not self._calm_since(due):
+        if not self._undisturbed_since(due):
             return
         acknowledged = [
             order.version
@@ -103,7 +103,7 @@
         for gateway in self._gateways:
             configuration = gateway.subscriber.view.configuration
             version = 0 if configuration is None else configuration.version
-            if gateway.runs and version < newest:
+            if gateway.running and version < newest:
                 self.fail("config-late", f"gateway {gateway.number} has {version}, {newest} is acknowledged")
 
     def _check_caught_up(self) -> None:
@@ -114,10 +114,14 @@
         due = self._loop.microseconds - self._catch_up
         while len(self._committed) > 1 and self._committed[1][0] <= due:
             self._committed.popleft()
-        if not self._committed or self._committed[0][0] > due or not self._calm_since(due + CONTACT_TIME):
+        if (
+            not self._committed
+            or self._committed[0][0] > due
+            or not self._undisturbed_since(due + CONTACT_TIME)
+        ):
             return
         for machine in self._machines:
             node = machine.node
-            if machine.runs and node is not None and node.host.applied_index < self._committed[0][1]:
+            if machine.running and node is not None and node.host.applied_index < self._committed[0][1]:
                 detail = f"{machine.name} has applied {node.host.applied_index} of {self._committed[0][1]}"
                 self.fail("behind", detail)
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -89,7 +89,7 @@
         self.zone = tuple(ZONES)[number % len(ZONES)]
         self.region = ZONES[self.zone]
         self.ip = f"10.0.0.{number + 1}"
-        self.place = network.add_place(self.name, self.region, site.megabits)
+        self.endpoint = network.add_endpoint(self.name, self.region, site.megabits)
         self.node: ControlNode | None = None
         self.process: Process | None = None
         self.starts = 0
@@ -114,16 +114,16 @@
         return f"{self.ip}:{CONTROL_PORT}"
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         """Whether its process is there and gets the processor."""
-        return self.process is not None and self.process.runs
+        return self.process is not None and self.process.running
 
     @property
     def up(self) -> bool:
         """Whether its process is there, if only frozen."""
         return self.node is not None
 
-    def counts_ready(self, server_id: str) -> bool:
+    def has_ready_server(self, server_id: str) -> bool:
         """Whether the node takes a server for one that may be sent requests."""
         if self.node is None:
             return False
@@ -135,8 +135,8 @@
         """Starts the program on what the disk holds."""
         process = Process(f"{self.name}.{self.starts}")
         self.starts += 1
-        self.process = self.place.process = process
-        process.enter(self._start, genesis, process)
+        self.process = self.endpoint.process = process
+        process.run(self._start, genesis, process)
 
     def _start(self, genesis: Members | None, process: Process) -> None:
         self._writer = SimulatedWriter(self.disk, process)
@@ -168,7 +168,7 @@
         self._end()
         self._network.power_off(self.name)
 
-    def thaw_before_end(self) -> None:
+    def end_process(self) -> None:
         """A frozen process ends as it is; nothing of it runs any more."""
         if self.process is not None:
             self.process.end()
@@ -181,7 +181,7 @@
     def _end(self) -> None:
         if self.process is not None:
             self.process.end()
-        self.process = self.place.process = None
+        self.process = self.endpoint.process = None
         self.node = None
         self._writer = None
 
@@ -234,7 +234,7 @@
         self.name = f"gateway-{number}"
         self.zone = tuple(ZONES)[number % len(ZONES)]
         self.region = ZONES[self.zone]
-        self.place = network.add_place(self.name, self.region, megabits)
+        self.endpoint = network.add_endpoint(self.name, self.region, megabits)
         self.process: Process | None = None
         self.subscriber = Subscriber()
         self.ready = False
@@ -243,32 +243,32 @@
         self._loop: VirtualEventLoop = network.loop
         self._random = random
         self._control_addresses = control_addresses
-        self._seen = seen
+        self._view_changed = seen
         self._links: ControlLinks
         self._presence: Presence
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         """Whether its process is there and gets the processor."""
-        return self.process is not None and self.process.runs
+        return self.process is not None and self.process.running
 
     def boot(self) -> None:
         """Starts the process with an empty view."""
         process = Process(f"{self.name}.{self.starts}")
         self.starts += 1
-        self.process = self.place.process = process
-        process.enter(self._start)
+        self.process = self.endpoint.process = process
+        process.run(self._start)
 
     def kill(self) -> None:
         """The process ends."""
         if self.process is not None:
             self.process.end()
-        self.process = self.place.process = None
+        self.process = self.endpoint.process = None
         self.ready = False
         self._network.kill(self.name)
 
     def _start(self) -> None:
-        self.subscriber = _WatchedSubscriber(self._note)
+        self.subscriber = _WatchedSubscriber(self._record_view)
         self.ready = False
         self._presence = Presence(
             self.name,
@@ -298,7 +298,7 @@
             self.ready = True
             self._presence.set_state(GatewayState.READY)
 
-    def _note(self, told_by: str, first: bool) -> None:
+    def _record_view(self, told_by: str, first: bool) -> None:
         view = self.subscriber.view
         configuration = view.configuration
         seen = ViewSeen(
@@ -312,7 +312,7 @@
             told_by=told_by,
             first=first,
         )
-        self._seen(seen)
+        self._view_changed(seen)
 
 
 class _WatchedSubscriber(Subscriber):
@@ -337,7 +337,7 @@
 
 def leading_machine(machines: Iterable[ControlMachine]) -> ControlMachine | None:
     """The running machine that leads in the highest term, if any takes itself for the leader."""
-    leading = [one for one in machines if one.runs and one.node is not None and one.node.host.leads]
+    leading = [one for one in machines if one.running and one.node is not None and one.node.host.leads]
     return max(leading, key=_term, default=None)
 
 
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -35,7 +35,7 @@
         return self.clock() - self.heard_at
 
 
-class Place:
+class Endpoint:
     """A machine as the network sees it."""
 
     def __init__(self, name: str, region: str, megabits: float) -> None:
@@ -43,7 +43,7 @@
         self.region = region
         self.megabits = megabits
         self.process: Process | None = None
-        self.sends_until = 0  # when the bytes on the way out have left
+        self.send_queue_empty_at = 0  # when the bytes on the way out have left
 
     @property
     def frozen(self) -> bool:
@@ -58,19 +58,21 @@
         super().__init__(codec)
         self.loop = loop
         self.timing = timing or LinkTiming()
-        self.places: dict[str, Place] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.bytes_sent = 0
         self.delivered = 0
-        self.call_held: Callable[[str], None] = _not_watched  # is told of a call that does not end
-        self._arrivals: dict[tuple[str, str], int] = {}  # the latest one by direction
-        self._held_up: dict[tuple[str, str], deque[Event]] = {}
+        self.report_held_call: Callable[[str], None] = (
+            _ignore_held_call  # is told of a call that does not end
+        )
+        self._latest_arrivals: dict[tuple[str, str], int] = {}  # the latest one by direction
+        self._held_events: dict[tuple[str, str], deque[Event]] = {}
         loop.call_later(SWEEP_SECONDS, self._sweep)
 
-    def add_place(self, name: str, region: str, megabits: float) -> Place:
+    def add_endpoint(self, name: str, region: str, megabits: float) -> Endpoint:
         """A machine is there from now on."""
-        place = Place(name, region, megabits)
-        self.places[name] = place
-        return place
+        endpoint = Endpoint(name, region, megabits)
+        self.endpoints[name] = endpoint
+        return endpoint
 
     def transport(self, name: str, codec: Codec) -> SimulatedTransport:
         """A transport of the process that runs on a machine now."""
@@ -80,7 +82,7 @@
         """Microseconds that a packet takes from one machine to another."""
         if one == other:
             return 0
-        same = self.places[one].region == self.places[other].region
+        same = self.endpoints[one].region == self.endpoints[other].region
         return SAME_REGION_LATENCY if same else OTHER_REGION_LATENCY
 
     def is_cut(self, sender: str, receiver: str) -> bool:
@@ -93,36 +95,36 @@
         """Lets an event happen after the time that it takes."""
         direction = (event.sender, event.receiver)
         if event.sender == event.receiver:
-            self.loop.call_outside(self.loop.microseconds, self._happen, event)
+            self.loop.call_external(self.loop.microseconds, self._deliver, event)
             return
         arrival = self._arrival(direction, event.size if isinstance(event, Delivery) else PACKET_BYTES)
-        self.loop.call_outside(arrival, self._arrive, direction, event)
+        self.loop.call_external(arrival, self._arrive, direction, event)
 
     def _arrival(self, direction: tuple[str, str], size: int) -> int:
-        sender = self.places[direction[0]]
+        sender = self.endpoints[direction[0]]
         now = self.loop.microseconds
         self.bytes_sent += size
-        begins = max(now, sender.sends_until)
-        sender.sends_until = begins + int(size * BITS_PER_BYTE / sender.megabits)
-        arrival = sender.sends_until + self.latency(*direction)
-        arrival = max(arrival, self._arrivals.get(direction, 0) + 1)
-        self._arrivals[direction] = arrival
+        begins = max(now, sender.send_queue_empty_at)
+        sender.send_queue_empty_at = begins + int(size * BITS_PER_BYTE / sender.megabits)
+        arrival = sender.send_queue_empty_at + self.latency(*direction)
+        arrival = max(arrival, self._latest_arrivals.get(direction, 0) + 1)
+        self._latest_arrivals[direction] = arrival
         return arrival
 
     def _arrive(self, direction: tuple[str, str], event: Event) -> None:
-        held_up = self._held_up.get(direction)
-        if held_up is not None:
-            held_up.append(event)
+        held_events = self._held_events.get(direction)
+        if held_events is not None:
+            held_events.append(event)
         elif direction in self._cuts:
-            self._held_up[direction] = deque([event])
+            self._held_events[direction] = deque([event])
         else:
-            self._happen(event)
+            self._deliver(event)
 
-    def _happen(self, event: Event) -> None:
-        process = self.places[event.receiver].process
+    def _deliver(self, event: Event) -> None:
+        process = self.endpoints[event.receiver].process
         if process is not None:
             self.delivered += 1
-            process.when_running(lambda: process.enter(event.happen))
+            process.when_running(lambda: process.run(event.happen))
 
     # -- faults
 
@@ -137,11 +139,11 @@
         self._release_held_up()
 
     def _release_held_up(self) -> None:
-        for direction in [each for each in self._held_up if each not in self._cuts]:
-            events = self._held_up.pop(direction)
+        for direction in [each for each in self._held_events if each not in self._cuts]:
+            events = self._held_events.pop(direction)
             for event in events:
                 arrival = self._arrival(direction, PACKET_BYTES)
-                self.loop.call_outside(arrival, self._arrive, direction, event)
+                self.loop.call_external(arrival, self._arrive, direction, event)
 
     # -- time
 
@@ -150,34 +152,34 @@
         now = self.loop.microseconds
         for link in self._standing():
             if isinstance(link, TimedLink):
-                self._watch(now, link)
+                self._check_silence(now, link)
         for dialer in list(self._dialers):
-            process = self.places[dialer.transport.name].process
-            if process is not None and process.runs:
+            process = self.endpoints[dialer.transport.name].process
+            if process is not None and process.running:
                 dialer.try_again()
 
-    def _watch(self, now: int, link: TimedLink) -> None:
-        if self.places[link.owner].frozen or self._hears(link):
+    def _check_silence(self, now: int, link: TimedLink) -> None:
+        if self.endpoints[link.owner].frozen or self._receives(link):
             link.heard_at = now
         elif now - link.heard_at >= self.timing.silence:
-            process = self.places[link.owner].process
+            process = self.endpoints[link.owner].process
             if process is not None:
-                process.enter(link.abort, LinkClosed.SILENT)
+                process.run(link.abort, LinkClosed.SILENT)
 
-    def _hears(self, link: TimedLink) -> bool:
+    def _receives(self, link: TimedLink) -> bool:
         other = link.other
         cut = (other.owner, link.owner) in self._cuts
-        return not cut and other not in self._gone and not self.places[other.owner].frozen
+        return not cut and other not in self._gone and not self.endpoints[other.owner].frozen
 
     def connect(self, dialer: MemoryDialer) -> MemoryLink | LinkClosed:
         """See `MemoryNetwork.connect`; a machine that stands still greets nobody."""
         listener = self._listeners.get(dialer.address)
-        if listener is not None and self.places[listener.transport.name].frozen:
+        if listener is not None and self.endpoints[listener.transport.name].frozen:
             return LinkClosed.UNREACHABLE
         return super().connect(dialer)
 
 
-def _not_watched(_detail: str) -> None:
+def _ignore_held_call(_detail: str) -> None:
     """Nobody wants to know."""
 
 
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -26,7 +26,7 @@
 from brackenladder.simulation.network import SimulatedNetwork
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 
-PATIENCE_SECONDS = 1.0  # for an answer, beside the time that a large body takes
+ANSWER_TIMEOUT_SECONDS = 1.0  # for an answer, beside the time that a large body takes
 FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; grows
 LONGEST_PAUSE_SECONDS = 1.0
 EVACUATION_SECONDS = 5.0  # longest repetition of an order that is no configuration
@@ -52,8 +52,8 @@
     reads: float = 0.15
     repeats: float = 0.1  # an acknowledged order arrives again
     answers_lost: float = 0.1
-    largest: int = 2_000  # bytes of a configuration
-    patience: float = 12.0  # seconds for which a configuration without a clear answer is repeated
+    max_configuration_bytes: int = 2_000  # bytes of a configuration
+    retry_seconds: float = 12.0  # seconds for which a configuration without a clear answer is repeated
 
 
 class OrderObserver(Protocol):
@@ -89,9 +89,9 @@
         self._observer = observer
         self._known_version = 0
         self._zone_locks = {zone: asyncio.Lock() for zone in ZONES}
-        network.add_place(name, "north", 1000.0).process = Process(name)
+        network.add_endpoint(name, "north", 1000.0).process = Process(name)
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """Acts until `active` is taken away; then ends what is under way."""
         under_way: set[asyncio.Task[None]] = set()
         while self.active:
@@ -104,8 +104,8 @@
     async def read(self) -> ReadRecord | None:
         """Reads the configuration back from one node."""
         invoked_at = self._now()
-        call = self._call(self._choose(), _fetch)
-        document = await make_call(call, ORDER_BYTES, PATIENCE_SECONDS)
+        call = self._call(self._choose_machine(), _fetch)
+        document = await make_call(call, ORDER_BYTES, ANSWER_TIMEOUT_SECONDS)
         if document is None:
             return None
         version, order = read_back(document)
@@ -119,7 +119,7 @@
     async def configure(self, size: int = 0) -> OrderRecord:
         """Sends one configuration on top of the newest version that this operator knows."""
         record = self._configuration(size)
-        await self._insist(record, self.operator_settings.patience)
+        await self._submit_until_answered(record, self.operator_settings.retry_seconds)
         return record
 
     async def _act(self) -> None:
@@ -132,7 +132,7 @@
         elif draw < operator_settings.reads + operator_settings.evacuations + operator_settings.repeats:
             await self._repeat()
         else:
-            await self.configure(self._random.randint(0, operator_settings.largest))
+            await self.configure(self._random.randint(0, operator_settings.max_configuration_bytes))
 
     # -- orders
 
@@ -155,7 +155,7 @@
         zone = self._random.choice(tuple(ZONES))
         async with self._zone_locks[zone]:
             order: Order = BeginEvacuation(zone) if self._random.random() < 0.5 else FinishEvacuation(zone)
-            await self._insist(self._record(order, 0, True), EVACUATION_SECONDS)
+            await self._submit_until_answered(self._record(order, 0, True), EVACUATION_SECONDS)
 
     def _record(self, order: Order, version: int, valid: bool) -> OrderRecord:
         number = len(self._history.orders) + 1
@@ -163,9 +163,9 @@
         self._history.orders.append(record)
         return record
 
-    async def _insist(self, record: OrderRecord, patience: float) -> None:
+    async def _submit_until_answered(self, record: OrderRecord, retry_seconds: float) -> None:
         """Sends an order, to one node after the other, until there is a clear answer."""
-        until = self._now() + int(patience * MICROSECONDS)
+        until = self._now() + int(retry_seconds * MICROSECONDS)
         pause = FIRST_PAUSE_SECONDS
         while record.ended_at is None and self._now() < until:
             await self._send(record)
@@ -175,7 +175,7 @@
 
     async def _send(self, record: OrderRecord) -> None:
         record.calls += 1
-        machine = self._choose()
+        machine = self._choose_machine()
         reply, call = await self._submit(machine, record.order)
         outcome = OUTCOMES.get(reply.outcome) if reply is not None else None
         if reply is None or outcome is None:
@@ -194,8 +194,8 @@
         size = ORDER_BYTES + len(encode_order(order))
         call = self._call(machine, lambda node: self._decide(node, order))
         call.answer_lost = self._random.random() < self.operator_settings.answers_lost
-        transfer = size * BITS_PER_BYTE / (machine.place.megabits * MICROSECONDS)
-        return await make_call(call, size, PATIENCE_SECONDS + 4 * transfer), call
+        transfer = size * BITS_PER_BYTE / (machine.endpoint.megabits * MICROSECONDS)
+        return await make_call(call, size, ANSWER_TIMEOUT_SECONDS + 4 * transfer), call
 
     async def _decide(self, node: ControlNode, order: Order) -> OrderReply:
         """Runs at the node."""
@@ -214,7 +214,7 @@
         if not own:
             return
         record = self._random.choice(own[-3:] if self._random.random() < 0.5 else own)
-        reply, _ = await self._submit(self._choose(), record.order)
+        reply, _ = await self._submit(self._choose_machine(), record.order)
         if reply is None or reply.outcome is OrderOutcome.UNAVAILABLE:
             return
         accepted = reply.outcome is OrderOutcome.ACCEPTED
@@ -227,7 +227,7 @@
         answer: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         return Call(self._network, self.name, machine, work, answer)  # type: ignore[arg-type]
 
-    def _choose(self) -> ControlMachine:
+    def _choose_machine(self) -> ControlMachine:
         return self._random.choice(self._machines)
 
     def _now(self) -> int:
--- a/brackenladder/simulation/profiles.py
+++ b/brackenladder/simulation/profiles.py
@@ -10,32 +10,32 @@
 
 from brackenladder.consensus.timing import Timing
 from brackenladder.simulation.fault_actions import (
-    Strike,
-    absent,
+    FaultAction,
     cut_during_change,
     cut_from_operator,
-    disk_after_decision,
-    disks_and_power_of_all,
+    cut_into_halves,
+    disk_fault,
+    fault_between_chunks,
     freeze_one,
-    halves,
+    isolate_region,
     kill_all,
     kill_one,
+    limit_bandwidth,
     long_cut,
     long_cut_from_peers,
+    long_outage,
     lose_disk,
+    lose_disk_after_decision,
+    lose_disks_and_power,
     lose_oldest_disk,
-    losses_in_halves,
+    lose_power_after_decision,
+    losses_while_halved,
     partial_cut,
-    power_after_decision,
-    region_alone,
     replace_machine,
     reset_links,
-    restart_alone,
     restart_gateway,
-    squeeze,
-    strike_between_chunks,
+    restart_while_isolated,
     throttle_one,
-    trouble_disk,
 )
 from brackenladder.simulation.faults import Faults
 from brackenladder.simulation.machines import ControlMachine, Site
@@ -51,39 +51,39 @@
     name: str
     description: str
     scenario: Scenario
-    strikes: tuple[tuple[float, Strike], ...] = field(repr=False)
-    calm: tuple[float, float] = (0.2, 6.0)
-    at_once: int = 1
+    fault_actions: tuple[tuple[float, FaultAction], ...] = field(repr=False)
+    fault_interval: tuple[float, float] = (0.2, 6.0)
+    max_concurrent: int = 1
 
 
-async def trouble(profile: Profile, faults: Faults, random: Random, skipped: frozenset[int]) -> int:
+async def inject_faults(profile: Profile, faults: Faults, random: Random, skipped: frozenset[int]) -> int:
     """Lets the profile's faults come for as long as its scenario says; how many there were.
 
     They are numbered from 0; those of `skipped` do not come. Each draws from a source of its own, so that the
     others stay as they are.
     """
     loop = asyncio.get_running_loop()
-    until = loop.time() + profile.scenario.trouble
+    until = loop.time() + profile.scenario.fault_seconds
     under_way: set[asyncio.Task[None]] = set()
-    strikes = [strike for _, strike in profile.strikes]
-    weights = [weight for weight, _ in profile.strikes]
+    fault_actions = [action for _, action in profile.fault_actions]
+    weights = [weight for weight, _ in profile.fault_actions]
     number = 0
     while loop.time() < until:
-        await asyncio.sleep(random.uniform(*profile.calm))
+        await asyncio.sleep(random.uniform(*profile.fault_interval))
         own = Random(random.getrandbits(64))
         under_way = {task for task in under_way if not task.done()}
-        if len(under_way) < profile.at_once and number not in skipped:
-            strike = own.choices(strikes, weights)[0]
-            under_way.add(loop.create_task(_run(strike, faults, own, _target(faults, own))))
+        if len(under_way) < profile.max_concurrent and number not in skipped:
+            action = own.choices(fault_actions, weights)[0]
+            under_way.add(loop.create_task(_run(action, faults, own, _target(faults, own))))
         number += 1
     for task in under_way:
         task.cancel()
     return number
 
 
-async def _run(strike: Strike, faults: Faults, random: Random, machine: ControlMachine) -> None:
+async def _run(action: FaultAction, faults: Faults, random: Random, machine: ControlMachine) -> None:
     with suppress(asyncio.CancelledError):  # the trouble is over, and what it has begun is healed
-        await strike(faults, random, machine)
+        await action(faults, random, machine)
 
 
 def _target(faults: Faults, random: Random) -> ControlMachine:
@@ -103,20 +103,20 @@
             Scenario(
                 operator_settings=OperatorSettings(pause=0.6, evacuations=0.25),
                 server_lifetimes=ServerLifetimes(shortest=3.0, longest=10.0),
-                trouble=60.0,
+                fault_seconds=60.0,
             ),
             (
                 (3.0, long_cut),
                 (3.0, long_cut_from_peers),
                 (2.0, freeze_one),
-                (1.0, restart_alone),
-                (2.0, region_alone),
+                (1.0, restart_while_isolated),
+                (2.0, isolate_region),
                 (2.0, cut_from_operator),
                 (2.0, restart_gateway),
                 (1.0, kill_all),
             ),
-            calm=(0.2, 8.0),
-            at_once=2,
+            fault_interval=(0.2, 8.0),
+            max_concurrent=2,
         ),
         Profile(
             "orders",
@@ -126,56 +126,58 @@
                     pause=0.15, in_flight=4, evacuations=0.3, answers_lost=0.3, repeats=0.15
                 ),
                 servers=0,
-                trouble=30.0,
+                fault_seconds=30.0,
             ),
             (
                 (3.0, kill_one),
-                (3.0, power_after_decision),
+                (3.0, lose_power_after_decision),
                 (2.0, cut_from_operator),
                 (2.0, partial_cut),
                 (1.0, kill_all),
                 (1.0, freeze_one),
                 (1.0, reset_links),
-                (1.0, trouble_disk),
+                (1.0, disk_fault),
             ),
-            calm=(0.1, 3.0),
-            at_once=2,
+            fault_interval=(0.1, 3.0),
+            max_concurrent=2,
         ),
         Profile(
             "members",
             "disks and machines are lost as soon as the last loss is repaired",
-            Scenario(Site(control_nodes=4), OperatorSettings(pause=0.3), servers=0, trouble=50.0),
+            Scenario(Site(control_nodes=4), OperatorSettings(pause=0.3), servers=0, fault_seconds=50.0),
             (
                 (4.0, lose_disk),
                 (2.0, lose_oldest_disk),
-                (2.0, disk_after_decision),
+                (2.0, lose_disk_after_decision),
                 (2.0, cut_during_change),
                 (2.0, replace_machine),
                 (1.0, kill_all),
                 (1.0, kill_one),
                 (1.0, partial_cut),
-                (0.5, trouble_disk),
+                (0.5, disk_fault),
             ),
-            calm=(0.05, 1.5),
-            at_once=2,
+            fault_interval=(0.05, 1.5),
+            max_concurrent=2,
         ),
         Profile(
             "losses",
             "losses overlap: halves cut apart, disks gone, and all that is left without power",
             Scenario(
-                Site(control_nodes=5), OperatorSettings(pause=0.3, evacuations=0.2, reads=0.3), trouble=60.0
+                Site(control_nodes=5),
+                OperatorSettings(pause=0.3, evacuations=0.2, reads=0.3),
+                fault_seconds=60.0,
             ),
             (
-                (3.0, disks_and_power_of_all),
-                (3.0, losses_in_halves),
-                (2.0, halves),
-                (1.0, power_after_decision),
-                (1.0, disk_after_decision),
+                (3.0, lose_disks_and_power),
+                (3.0, losses_while_halved),
+                (2.0, cut_into_halves),
+                (1.0, lose_power_after_decision),
+                (1.0, lose_disk_after_decision),
                 (1.0, kill_all),
                 (1.0, long_cut_from_peers),
             ),
-            calm=(0.5, 5.0),
-            at_once=2,
+            fault_interval=(0.5, 5.0),
+            max_concurrent=2,
         ),
         Profile(
             "snapshots",
@@ -191,25 +193,25 @@
                 OperatorSettings(
                     pause=0.05,
                     in_flight=6,
-                    largest=60_000,
+                    max_configuration_bytes=60_000,
                     updates=0.95,
                     answers_lost=0.02,
                     invalid=0.02,
                 ),
                 servers=0,
-                trouble=30.0,
-                calm=12.0,
+                fault_seconds=30.0,
+                quiet_seconds=12.0,
             ),
             (
-                (3.0, absent),
-                (2.0, strike_between_chunks),
+                (3.0, long_outage),
+                (2.0, fault_between_chunks),
                 (2.0, lose_disk),
-                (1.0, squeeze),
+                (1.0, limit_bandwidth),
                 (1.0, kill_one),
                 (1.0, partial_cut),
-                (1.0, trouble_disk),
+                (1.0, disk_fault),
             ),
-            calm=(0.5, 14.0),
+            fault_interval=(0.5, 14.0),
         ),
         Profile(
             "large",
@@ -223,16 +225,16 @@
                     invalid=0.0,
                     evacuations=0.1,
                     answers_lost=0.05,
-                    largest=3 << 20,
-                    patience=40.0,
+                    max_configuration_bytes=3 << 20,
+                    retry_seconds=40.0,
                 ),
                 servers=1,
                 catch_up=25.0,
-                trouble=60.0,
-                settle=60.0,
+                fault_seconds=60.0,
+                recovery_seconds=60.0,
             ),
-            ((2.0, absent), (1.0, lose_disk), (1.0, kill_one), (1.0, reset_links), (1.0, freeze_one)),
-            calm=(2.0, 8.0),
+            ((2.0, long_outage), (1.0, lose_disk), (1.0, kill_one), (1.0, reset_links), (1.0, freeze_one)),
+            fault_interval=(2.0, 8.0),
         ),
         Profile(
             "answers",
@@ -242,11 +244,11 @@
                     pause=0.05, in_flight=8, evacuations=0.1, reads=0.3, answers_lost=0.05
                 ),
                 servers=2,
-                trouble=25.0,
+                fault_seconds=25.0,
             ),
             ((3.0, reset_links), (2.0, kill_one), (2.0, partial_cut), (1.0, freeze_one)),
-            calm=(0.05, 1.0),
-            at_once=3,
+            fault_interval=(0.05, 1.0),
+            max_concurrent=3,
         ),
         Profile(
             "turns",
@@ -257,7 +259,7 @@
                 ),
                 server_lifetimes=ServerLifetimes(shortest=1.0, longest=4.0),
                 servers=6,
-                trouble=25.0,
+                fault_seconds=25.0,
                 late_turns=0.3,
             ),
             (
@@ -270,42 +272,45 @@
                 (1.0, restart_gateway),
                 (2.0, throttle_one),
             ),
-            calm=(0.1, 2.0),
-            at_once=2,
+            fault_interval=(0.1, 2.0),
+            max_concurrent=2,
         ),
         Profile(
             "mixed",
             "all kinds of faults",
             Scenario(
-                Site(control_nodes=5), OperatorSettings(pause=0.3, in_flight=3), trouble=60.0, catch_up=6.0
+                Site(control_nodes=5),
+                OperatorSettings(pause=0.3, in_flight=3),
+                fault_seconds=60.0,
+                catch_up=6.0,
             ),
             tuple(
-                (1.0, strike)
-                for strike in (
+                (1.0, action)
+                for action in (
                     long_cut,
                     long_cut_from_peers,
                     partial_cut,
                     cut_from_operator,
                     kill_one,
                     kill_all,
-                    restart_alone,
+                    restart_while_isolated,
                     freeze_one,
                     reset_links,
-                    region_alone,
-                    power_after_decision,
-                    disk_after_decision,
+                    isolate_region,
+                    lose_power_after_decision,
+                    lose_disk_after_decision,
                     cut_during_change,
                     restart_gateway,
                     lose_disk,
                     lose_oldest_disk,
                     replace_machine,
-                    trouble_disk,
-                    squeeze,
-                    absent,
+                    disk_fault,
+                    limit_bandwidth,
+                    long_outage,
                 )
             ),
-            calm=(0.1, 4.0),
-            at_once=3,
+            fault_interval=(0.1, 4.0),
+            max_concurrent=3,
         ),
     )
 }
--- a/brackenladder/simulation/run.py
+++ b/brackenladder/simulation/run.py
@@ -17,7 +17,7 @@
 from brackenladder.simulation.errors import SimulationError, Violation
 from brackenladder.simulation.faults import Faults
 from brackenladder.simulation.machines import ControlMachine, GatewayMachine
-from brackenladder.simulation.profiles import Profile, trouble
+from brackenladder.simulation.profiles import Profile, inject_faults
 from brackenladder.simulation.scenario import SECOND
 from brackenladder.simulation.trace import TraceHandler
 from brackenladder.simulation.turn_order import TurnOrder
@@ -25,7 +25,7 @@
 from brackenladder.simulation.world import World
 
 START_SECONDS = 3.0  # from the first boot until operators begin
-LOOK_SECONDS = 0.2
+POLL_SECONDS = 0.2
 LONGEST_TURN_DELAY = 20_000  # microseconds; of a process that shares its core with many others
 CLEAN_UP_TIME = 1_000  # microseconds after a run in which tasks take note of their cancellation
 
@@ -42,7 +42,9 @@
     orders: int
     acknowledged: int
     elections: int
-    strikes: int  # faults that came, or would have come; 0 where the run broke before the end of the trouble
+    fault_count: (
+        int  # faults that came, or would have come; 0 where the run broke before the end of the trouble
+    )
     faults: dict[str, int]
     faults_by_role: dict[str, int]
 
@@ -88,9 +90,9 @@
     try:
         before = VIOLATIONS.total
         with VIOLATIONS.apart():
-            loop.run_until_complete(_play(profile, world, Random(f"{profile.name} {seed}"), skipped))
-            if loop.faults:
-                raise Violation("fault", repr(loop.faults[0]))
+            loop.run_until_complete(_run_phases(profile, world, Random(f"{profile.name} {seed}"), skipped))
+            if loop.unhandled_exceptions:
+                raise Violation("fault", repr(loop.unhandled_exceptions[0]))
             if VIOLATIONS.total > before:
                 raise Violation("invariant", str(VIOLATIONS.violations()))
     except SimulationError as error:
@@ -103,46 +105,46 @@
     return _result(profile, seed, world, rule, detail)
 
 
-async def _play(profile: Profile, world: World, random: Random, skipped: frozenset[int]) -> None:
+async def _run_phases(profile: Profile, world: World, random: Random, skipped: frozenset[int]) -> None:
     faults = Faults(world)
     world.boot()
     await asyncio.sleep(START_SECONDS)
-    world.begin()
-    world.coverage.strikes = await _watched(world, trouble(profile, faults, random, skipped))
+    world.start_actors()
+    world.coverage.fault_count = await _run_watched(world, inject_faults(profile, faults, random, skipped))
     await faults.heal()
-    await _watched(world, asyncio.sleep(profile.scenario.calm, 0))
-    await world.end_actors()
+    await _run_watched(world, asyncio.sleep(profile.scenario.quiet_seconds, 0))
+    await world.stop_actors()
     world.raise_failure()
-    await _settle(world)
+    await _wait_for_convergence(world)
     check_history(world.history)
     check_evacuations(world.history, world.gateways[0].subscriber.view.evacuated)
     check_contact(world.history, world.isolation, world.machines)
 
 
-async def _watched(world: World, work: Awaitable[int]) -> int:
+async def _run_watched(world: World, work: Awaitable[int]) -> int:
     """Runs the trouble, and ends as soon as a check has found something."""
     task = asyncio.ensure_future(work)
     while not task.done():
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
         world.raise_failure()
     return task.result()
 
 
-async def _settle(world: World) -> None:
+async def _wait_for_convergence(world: World) -> None:
     """After the faults an order is taken, read back everywhere, and all nodes and gateways agree."""
-    deadline = world.now + int(world.scenario.settle * SECOND)
+    deadline = world.now + int(world.scenario.recovery_seconds * SECOND)
     operator = world.operators[0]
     while world.now < deadline:
         record = await operator.configure()
         read = await operator.read()
-        if record.acknowledged and read is not None and _agreed(world):
+        if record.acknowledged and read is not None and _converged(world):
             return
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
         world.raise_failure()
     raise Violation("no-recovery", describe(world))
 
 
-def _agreed(world: World) -> bool:
+def _converged(world: World) -> bool:
     nodes = [machine.node for machine in world.machines if machine.node is not None]
     revisions = {node.catalog.revision for node in nodes}
     revisions |= {gateway.subscriber.view.revision for gateway in world.gateways}
@@ -183,7 +185,7 @@
         orders=len(world.history.orders),
         acknowledged=sum(order.acknowledged for order in world.history.orders),
         elections=len(world.coverage.terms),
-        strikes=world.coverage.strikes,
+        fault_count=world.coverage.fault_count,
         faults=dict(world.coverage.faults),
         faults_by_role=dict(world.coverage.faults_by_role),
     )
--- a/brackenladder/simulation/scenario.py
+++ b/brackenladder/simulation/scenario.py
@@ -23,10 +23,10 @@
     server_lifetimes: ServerLifetimes = ServerLifetimes()
     operators: int = 2
     servers: int = 2
-    trouble: float = 40.0  # for which faults come
+    fault_seconds: float = 40.0  # for which faults come
     catch_up: float = 4.0  # from the end of a machine's trouble until it counts again
-    calm: float = 0.0  # after the faults, while operators go on
-    settle: float = 30.0  # longest time until all is well again
+    quiet_seconds: float = 0.0  # after the faults, while operators go on
+    recovery_seconds: float = 30.0  # longest time until all is well again
     late_turns: float = 0.0  # share of the event loop's turns that begin late, with more in them
 
 
@@ -36,5 +36,5 @@
 
     faults: Counter[str] = field(factory=Counter)
     faults_by_role: Counter[str] = field(factory=Counter)  # a kind of fault and the role that it met
-    strikes: int = 0
+    fault_count: int = 0
     terms: set[int] = field(factory=set)
--- a/brackenladder/simulation/schedules.py
+++ b/brackenladder/simulation/schedules.py
@@ -10,7 +10,7 @@
 
 DESCRIPTIONS: dict[str, str] = {
     **{name: profile.description for name, profile in PROFILES.items()},
-    exchange.NAME: exchange.DESCRIPTIONS,
+    exchange.NAME: exchange.DESCRIPTION,
 }
 
 
--- a/brackenladder/simulation/servers.py
+++ b/brackenladder/simulation/servers.py
@@ -18,11 +18,11 @@
 from brackenladder.simulation.virtual_loop import Process
 
 CALL_BYTES = 400
-PATIENCE_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 DRAIN_SECONDS = 3.0
 GIVE_UP_SECONDS = 8.0  # without an acknowledgement a server ends all the same
 REUSE_SECONDS = 2.0  # until an address serves again
-MOST_CALLS = 3  # of one heartbeat
+MAX_CALLS = 3  # of one heartbeat
 
 
 @frozen
@@ -60,39 +60,39 @@
         self._address = f"10.9.0.{number + 1}:80"
         self._zone = tuple(ZONES)[number % len(ZONES)]
         self._incarnation = 0
-        network.add_place(name, ZONES[self._zone], 1000.0).process = Process(name)
+        network.add_endpoint(name, ZONES[self._zone], 1000.0).process = Process(name)
 
-    async def work(self) -> None:
+    async def run(self) -> None:
         """One life after the other."""
         while self.active:
             self._incarnation += 1
-            await self._live()
+            await self._run_incarnation()
             await asyncio.sleep(REUSE_SECONDS)
 
-    async def _live(self) -> None:
+    async def _run_incarnation(self) -> None:
         server_lifetimes, random = self._lives, self._random
         ends_at = self._now() + random.uniform(server_lifetimes.shortest, server_lifetimes.longest)
         record = self._first_record()
         while self.active and self._now() < ends_at:
             record = evolve(record, seq=record.seq + 1)
-            await self._say(record)
+            await self._report(record)
             await asyncio.sleep(HEARTBEAT_MS / 1000 * random.uniform(0.9, 1.1))
         if self.active and random.random() < server_lifetimes.drains:
-            await self._leave(record)
+            await self._drain(record)
 
-    async def _leave(self, record: ServerRecord) -> None:
+    async def _drain(self, record: ServerRecord) -> None:
         deregisters_first = self._random.random() < self._lives.deregisters_first
         until = self._now() + GIVE_UP_SECONDS
         while self._now() < until:
             record = evolve(record, seq=record.seq + 1, state=ServerState.DRAINING)
-            if await (self._deregister(record.id) if deregisters_first else self._say(record)):
+            if await (self._deregister(record.id) if deregisters_first else self._report(record)):
                 break
             await asyncio.sleep(0.2)
         await asyncio.sleep(DRAIN_SECONDS + self._random.random())
         if not deregisters_first:
             await self._deregister(record.id)
 
-    async def _say(self, record: ServerRecord) -> bool:
+    async def _report(self, record: ServerRecord) -> bool:
         return await self._call_some(
             record.id, record.state is ServerState.DRAINING, lambda node: _heartbeat(node, record)
         )
@@ -102,10 +102,10 @@
 
     async def _call_some(self, server_id: str, draining: bool, work: object) -> bool:
         """Whether one of a few nodes has acknowledged."""
-        for machine in self._random.sample(self._machines, min(MOST_CALLS, len(self._machines))):
+        for machine in self._random.sample(self._machines, min(MAX_CALLS, len(self._machines))):
             answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
             call: Call[bool] = Call(self._network, self.name, machine, work, answer)  # type: ignore[arg-type]
-            if await make_call(call, CALL_BYTES, PATIENCE_SECONDS):
+            if await make_call(call, CALL_BYTES, ANSWER_TIMEOUT_SECONDS):
                 ack = ServerAck(
                     server_id, draining, machine.name, call.answered_at, self._network.loop.microseconds
                 )
--- a/brackenladder/simulation/stream_loop.py
+++ b/brackenladder/simulation/stream_loop.py
@@ -24,7 +24,7 @@
     def close(self) -> None:
         """See `socket.socket`."""
         if self.end is not None and not self.taken:
-            self.end.kernel_closes(with_reset=False)
+            self.end.close_by_kernel(with_reset=False)
 
 
 class StreamEventLoop(VirtualEventLoop):
@@ -35,7 +35,7 @@
         self.streams: StreamNetwork
         self._hosts: dict[Process, StreamHost] = {}
 
-    def place_process(self, process: Process, host: StreamHost) -> None:
+    def assign_host(self, process: Process, host: StreamHost) -> None:
         """Where a process runs."""
         self._hosts[process] = host
 
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -32,10 +32,10 @@
 class StreamHost:
     """A machine with an address. `dark`: it answers nothing at all."""
 
-    def __init__(self, ip: str, place: str) -> None:
+    def __init__(self, ip: str, zone: str) -> None:
         self.ip = ip
-        self.place = place  # by which latency is told
-        self.dark = False
+        self.zone = zone  # by which latency is told
+        self.unreachable = False
 
 
 class StreamListener:
@@ -60,20 +60,20 @@
         self.open = False
         self._network.unbind(self)
 
-    def take(self, end: StreamEnd) -> None:
+    def enqueue(self, end: StreamEnd) -> None:
         """A connection waits in the backlog; the process takes it when it runs."""
-        self.process.when_running(lambda: self.process.enter(self._accept, end))
+        self.process.when_running(lambda: self.process.run(self._accept, end))
 
     def _accept(self, end: StreamEnd) -> None:
         if not self.open:
-            end.kernel_closes(with_reset=True)
+            end.close_by_kernel(with_reset=True)
             return
         protocol = self._factory()
         asyncio.get_running_loop().call_soon(self._attach, end, protocol)
 
     def _attach(self, end: StreamEnd, protocol: asyncio.BaseProtocol) -> None:
         if not self.open:  # asyncio drops it here, and its protocol never hears of it
-            end.kernel_closes(with_reset=True)
+            end.close_by_kernel(with_reset=True)
             return
         end.attach(protocol)
 
@@ -108,9 +108,9 @@
         self._listeners: dict[tuple[str, int], StreamListener] = {}
         self._next_port = 30_000
 
-    def add_host(self, ip: str, place: str) -> StreamHost:
+    def add_host(self, ip: str, zone: str) -> StreamHost:
         """A machine is there from now on."""
-        host = self._hosts[ip] = StreamHost(ip, place)
+        host = self._hosts[ip] = StreamHost(ip, zone)
         return host
 
     def host(self, ip: str) -> StreamHost:
@@ -133,62 +133,62 @@
 
     def connect(self, host: StreamHost, ip: str, port: int) -> asyncio.Future[StreamEnd]:
         """A connection from a host; refused where nobody listens, and never there if the other is dark."""
-        made: asyncio.Future[StreamEnd] = self.loop.create_future()
-        way = self.way(host, self._hosts[ip])
-        self.loop.call_outside(self.loop.microseconds + way, self._syn, host, ip, port, made)
-        return made
+        connected: asyncio.Future[StreamEnd] = self.loop.create_future()
+        draw_latency = self.draw_latency(host, self._hosts[ip])
+        self.loop.call_external(self.loop.microseconds + draw_latency, self._syn, host, ip, port, connected)
+        return connected
 
-    def way(self, one: StreamHost, other: StreamHost) -> int:
+    def draw_latency(self, one: StreamHost, peer: StreamHost) -> int:
         """Microseconds from one host to another, as of now."""
-        return self.latency(one.place, other.place) + self.random.randrange(200)
+        return self.latency(one.zone, peer.zone) + self.random.randrange(200)
 
-    def process_ends(self, process: Process) -> None:
+    def end_process(self, process: Process) -> None:
         """A process is gone: its system closes all that it had."""
         for listener in [one for one in self._listeners.values() if one.process is process]:
             listener.close()
         for end in [end for end in self.ends if end.process is process]:
             end.protocol = None
-            end.kernel_closes(with_reset=self.random.random() < 0.5)
+            end.close_by_kernel(with_reset=self.random.random() < 0.5)
 
-    def forget(self, end: StreamEnd) -> None:
+    def remove_end(self, end: StreamEnd) -> None:
         """Nothing happens at this end any more."""
         if end in self.ends:
             self.ends.remove(end)
 
-    def _syn(self, host: StreamHost, ip: str, port: int, made: asyncio.Future[StreamEnd]) -> None:
-        other = self._hosts[ip]
-        if other.dark or host.dark:
+    def _syn(self, host: StreamHost, ip: str, port: int, connected: asyncio.Future[StreamEnd]) -> None:
+        peer = self._hosts[ip]
+        if peer.unreachable or host.unreachable:
             return  # sent again by the system, and given up by whoever waits
         listener = self._listeners.get((ip, port))
-        back = self.loop.microseconds + self.way(other, host)
+        back = self.loop.microseconds + self.draw_latency(peer, host)
         if listener is None or listener.process.state is ProcessState.ENDED:
-            self.loop.call_outside(back, _refuse, made)
+            self.loop.call_external(back, _refuse, connected)
             return
-        near, far = self._pair(host, listener)
-        listener.take(far)
-        self.loop.call_outside(back, _come_up, made, near)
+        near, far = self._create_pair(host, listener)
+        listener.enqueue(far)
+        self.loop.call_external(back, _complete_connect, connected, near)
 
-    def _pair(self, host: StreamHost, listener: StreamListener) -> tuple[StreamEnd, StreamEnd]:
+    def _create_pair(self, host: StreamHost, listener: StreamListener) -> tuple[StreamEnd, StreamEnd]:
         self._next_port += 1
         local, remote = (host.ip, self._next_port), (listener.host.ip, listener.port)
         near = StreamEnd(self, host, local, remote)
         far = StreamEnd(self, listener.host, remote, local)
-        near.other, far.other = far, near
+        near.peer, far.peer = far, near
         far.process = listener.process
         self.ends += [near, far]
         return near, far
 
 
-def _refuse(made: asyncio.Future[StreamEnd]) -> None:
-    if not made.done():
-        made.set_exception(ConnectionRefusedError(errno.ECONNREFUSED, "refused"))
+def _refuse(connected: asyncio.Future[StreamEnd]) -> None:
+    if not connected.done():
+        connected.set_exception(ConnectionRefusedError(errno.ECONNREFUSED, "refused"))
 
 
-def _come_up(made: asyncio.Future[StreamEnd], end: StreamEnd) -> None:
-    if made.done():
-        end.kernel_closes(with_reset=False)  # whoever dialled has given it up
+def _complete_connect(connected: asyncio.Future[StreamEnd], end: StreamEnd) -> None:
+    if connected.done():
+        end.close_by_kernel(with_reset=False)  # whoever dialled has given it up
     else:
-        made.set_result(end)
+        connected.set_result(end)
 
 
 class StreamEnd(asyncio.Transport):
@@ -202,23 +202,23 @@
         self.host = host
         self.process: Process | None = current_process()
         self.protocol: asyncio.Protocol | None = None
-        self.other: StreamEnd
+        self.peer: StreamEnd
         self.sent = 0  # bytes that the system has taken from the process
         self._inbox: deque[bytes] = deque()  # arrived, and not read by the process
-        self._ended = False  # the other's last byte has arrived
-        self._broken: OSError | None = None  # a reset has arrived
+        self._eof_received = False  # the other's last byte has arrived
+        self._reset_error: OSError | None = None  # a reset has arrived
         self._outbox = b""  # written by the process, and not taken by its system
-        self._on_the_way = 0  # sent, and not read by the other process
+        self._in_flight = 0  # sent, and not read by the other process
         self._acknowledged_at = network.loop.microseconds
-        self._latest = 0  # when the latest event of this direction arrives
+        self._last_arrival = 0  # when the latest event of this direction arrives
         self._reading = True
         self._closing = False
-        self._writer_ends = False  # the process writes no more
-        self._system_closed = False
-        self._paused_writer = False
-        self._lost = False  # connection_lost was, or is about to be, called
-        self._reader_due = False
-        self._held: list[
+        self._eof_written = False  # the process writes no more
+        self._socket_closed = False
+        self._writing_paused = False
+        self._connection_lost = False  # connection_lost was, or is about to be, called
+        self._read_scheduled = False
+        self._retransmissions: list[
             tuple[Callable[..., None], tuple[Any, ...]]
         ] = []  # lost on the way, to be sent again
 
@@ -226,15 +226,15 @@
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """See `asyncio.WriteTransport`."""
-        if not data or self._lost or self._writer_ends:
+        if not data or self._connection_lost or self._eof_written:
             return
-        if self._broken is not None:
-            self._fail(self._broken)
+        if self._reset_error is not None:
+            self._fail(self._reset_error)
             return
         self._outbox += bytes(data)
-        self._pump()
-        if len(self._outbox) > HIGH_WATER and not self._paused_writer and self.protocol is not None:
-            self._paused_writer = True
+        self._send_buffered()
+        if len(self._outbox) > HIGH_WATER and not self._writing_paused and self.protocol is not None:
+            self._writing_paused = True
             self.protocol.pause_writing()
 
     def writelines(self, list_of_data: Any) -> None:
@@ -243,9 +243,9 @@
 
     def write_eof(self) -> None:
         """Ends this direction alone."""
-        if not self._writer_ends:
-            self._writer_ends = True
-            self._pump()
+        if not self._eof_written:
+            self._eof_written = True
+            self._send_buffered()
 
     def can_write_eof(self) -> bool:
         """It can."""
@@ -282,7 +282,7 @@
             return
         self._closing = True
         if not self._outbox:
-            self._lose(None)
+            self._schedule_connection_lost(None)
 
     def abort(self) -> None:
         """Ends at once; what the system has not taken is dropped."""
@@ -308,48 +308,48 @@
         protocol.connection_made(self)
         self._wake_reader()
 
-    def kernel_closes(self, with_reset: bool) -> None:
+    def close_by_kernel(self, with_reset: bool) -> None:
         """The system ends it without its process."""
-        self._closing = self._lost = True
+        self._closing = self._connection_lost = True
         self._outbox = b""
-        self._close_system(with_reset or bool(self._inbox))
+        self._close_socket(with_reset or bool(self._inbox))
 
-    def vanish(self) -> None:
+    def drop_silently(self) -> None:
         """The system has forgotten it, and tells nobody: whatever comes is answered with a reset."""
-        self._closing = self._lost = self._system_closed = True
+        self._closing = self._connection_lost = self._socket_closed = True
         self._inbox.clear()
-        self.network.forget(self)
+        self.network.remove_end(self)
         if self.protocol is not None:
             protocol, self.protocol = self.protocol, None
             protocol.connection_lost(None)
 
     def reset_by_network(self) -> None:
         """Something on the way resets both directions."""
-        for end in (self, self.other):
-            end.arrives_reset(ConnectionResetError(errno.ECONNRESET, "reset on the way"))
+        for end in (self, self.peer):
+            end.receive_reset(ConnectionResetError(errno.ECONNRESET, "reset on the way"))
 
     # ---- the system's side: sending -------------------------------------------------------------------
 
-    def _pump(self) -> None:
+    def _send_buffered(self) -> None:
         """Sends as much as the window lets, in portions of any size."""
-        while self._outbox and self._on_the_way < WINDOW and not self._system_closed:
-            size = self._portion_size(min(len(self._outbox), WINDOW - self._on_the_way))
+        while self._outbox and self._in_flight < WINDOW and not self._socket_closed:
+            size = self._portion_size(min(len(self._outbox), WINDOW - self._in_flight))
             portion, self._outbox = self._outbox[:size], self._outbox[size:]
-            if not self._on_the_way:
+            if not self._in_flight:
                 self._acknowledged_at = self.network.loop.microseconds
-                self._watch_silence()
+                self._schedule_timeout_check()
             self.sent += size
-            self._on_the_way += size
-            self._send(self.other.arrives, portion)
-        if self._paused_writer and len(self._outbox) <= LOW_WATER and self.protocol is not None:
-            self._paused_writer = False
+            self._in_flight += size
+            self._send(self.peer.receive_bytes, portion)
+        if self._writing_paused and len(self._outbox) <= LOW_WATER and self.protocol is not None:
+            self._writing_paused = False
             self._call_process(self._resume_writer)
         if self._outbox:
             return
-        if self._closing and not self._lost:
-            self._lose(None)
-        elif self._writer_ends and not self._system_closed:
-            self._send(self.other.arrives_end)
+        if self._closing and not self._connection_lost:
+            self._schedule_connection_lost(None)
+        elif self._eof_written and not self._socket_closed:
+            self._send(self.peer.receive_eof)
 
     def _portion_size(self, most: int) -> int:
         random = self.network.random
@@ -358,114 +358,114 @@
     def _send(self, event: Callable[..., None], *arguments: Any) -> None:
         """The event happens at the other end, behind all that was sent before."""
         loop = self.network.loop
-        at = loop.microseconds + self.network.way(self.host, self.other.host)
-        self._latest = max(at, self._latest + 1)
-        loop.call_outside(self._latest, self._deliver, event, arguments)
+        at = loop.microseconds + self.network.draw_latency(self.host, self.peer.host)
+        self._last_arrival = max(at, self._last_arrival + 1)
+        loop.call_external(self._last_arrival, self._deliver, event, arguments)
 
     def _deliver(self, event: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        if self._held or self.host.dark or self.other.host.dark:
-            if not self._held:
+        if self._retransmissions or self.host.unreachable or self.peer.host.unreachable:
+            if not self._retransmissions:
                 self._send_again_later()
-            self._held.append((event, arguments))
+            self._retransmissions.append((event, arguments))
         else:
             event(*arguments)
 
     def _send_again_later(self) -> None:
-        self.network.loop.call_outside(self.network.loop.microseconds + RETRANSMISSION, self._send_again)
+        self.network.loop.call_external(self.network.loop.microseconds + RETRANSMISSION, self._send_again)
 
     def _send_again(self) -> None:
         """As TCP does with what was not acknowledged."""
-        if self.host.dark or self.other.host.dark:
+        if self.host.unreachable or self.peer.host.unreachable:
             self._send_again_later()
             return
-        held, self._held = self._held, []
-        for event, arguments in held:
+        retransmissions, self._retransmissions = self._retransmissions, []
+        for event, arguments in retransmissions:
             event(*arguments)
 
-    def _watch_silence(self) -> None:
+    def _schedule_timeout_check(self) -> None:
         loop = self.network.loop
-        loop.call_outside(loop.microseconds + USER_TIMEOUT, self._look_for_silence)
+        loop.call_external(loop.microseconds + USER_TIMEOUT, self._check_timeout)
 
-    def _look_for_silence(self) -> None:
-        unheard = self.network.loop.microseconds - self._acknowledged_at
-        if self._system_closed or not self._on_the_way:
+    def _check_timeout(self) -> None:
+        unacknowledged_for = self.network.loop.microseconds - self._acknowledged_at
+        if self._socket_closed or not self._in_flight:
             return
-        if not self.host.dark and not self.other.host.dark:
+        if not self.host.unreachable and not self.peer.host.unreachable:
             return  # whoever does not read is heard all the same
-        if unheard >= USER_TIMEOUT:
-            self.arrives_reset(TimeoutError(errno.ETIMEDOUT, "not acknowledged"))
+        if unacknowledged_for >= USER_TIMEOUT:
+            self.receive_reset(TimeoutError(errno.ETIMEDOUT, "not acknowledged"))
         else:
-            self._watch_silence()
+            self._schedule_timeout_check()
 
     def _resume_writer(self) -> None:
-        if self.protocol is not None and not self._lost:
+        if self.protocol is not None and not self._connection_lost:
             self.protocol.resume_writing()
 
     # ---- the system's side: receiving -----------------------------------------------------------------
 
-    def arrives(self, portion: bytes) -> None:
+    def receive_bytes(self, portion: bytes) -> None:
         """Bytes have arrived."""
         self.network.portions += 1
-        if self._system_closed:
-            self._send(self.other.arrives_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
+        if self._socket_closed:
+            self._send(self.peer.receive_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
             return
-        if self._broken is None:
+        if self._reset_error is None:
             self._inbox.append(portion)
             self._wake_reader()
 
-    def arrives_end(self) -> None:
+    def receive_eof(self) -> None:
         """The other end writes no more."""
-        self._ended = True
+        self._eof_received = True
         self._wake_reader()
 
-    def arrives_reset(self, error: OSError) -> None:
+    def receive_reset(self, error: OSError) -> None:
         """The connection is broken; what has come before may still be read, or not."""
-        if self._system_closed or self._broken is not None:
+        if self._socket_closed or self._reset_error is not None:
             return
-        self._broken = error
+        self._reset_error = error
         if self.network.random.random() < 0.5:
             self._inbox.clear()
         if self._outbox or self._closing:  # the writer finds it
             self._call_process(lambda: self._fail(error))
         self._wake_reader()
 
-    def arrives_acknowledgement(self, size: int) -> None:
+    def receive_acknowledgement(self, size: int) -> None:
         """The other process has read so much."""
-        self._on_the_way -= size
+        self._in_flight -= size
         self._acknowledged_at = self.network.loop.microseconds
-        self._pump()
+        self._send_buffered()
 
     def _wake_reader(self) -> None:
-        if self.protocol is not None and not self._reader_due and not self._closing:
-            self._reader_due = True
+        if self.protocol is not None and not self._read_scheduled and not self._closing:
+            self._read_scheduled = True
             self._call_process(self._read)
 
     def _call_process(self, call: Callable[[], None]) -> None:
         process = self.process
         if process is None:
-            self.network.loop.call_outside(self.network.loop.microseconds, call)
+            self.network.loop.call_external(self.network.loop.microseconds, call)
         else:
-            process.when_running(lambda: process.enter(call))
+            process.when_running(lambda: process.run(call))
 
     def _read(self) -> None:
         """The process's event loop finds the socket readable."""
-        self._reader_due = False
+        self._read_scheduled = False
         if not self._reading or self._closing or self.protocol is None:
             return
         if self._inbox:
-            data = self._take(LARGEST_READ)
-            self._send(self.other.arrives_acknowledgement, len(data))
-            self._hand_over(data)
-            if self._inbox or self._ended or self._broken is not None:
+            data = self._read_inbox(LARGEST_READ)
+            self._send(self.peer.receive_acknowledgement, len(data))
+            self._deliver_to_protocol(data)
+            if self._inbox or self._eof_received or self._reset_error is not None:
                 self._wake_reader()
-        elif self._broken is not None:
-            self._fail(self._broken)
-        elif self._ended:
-            self._ended = False
+        elif self._reset_error is not None:
+            self._fail(self._reset_error)
+        elif self._eof_received:
+            self._eof_received = False
             if not self.protocol.eof_received():
                 self.close()
 
-    def _take(self, most: int) -> bytes:
+    def _read_inbox(self, most: int) -> bytes:
         parts: list[bytes] = []
         size = 0
         while self._inbox and size < most:
@@ -473,7 +473,7 @@
             size += len(parts[-1])
         return b"".join(parts)
 
-    def _hand_over(self, data: bytes) -> None:
+    def _deliver_to_protocol(self, data: bytes) -> None:
         assert self.protocol is not None
         try:
             self.protocol.data_received(data)
@@ -484,35 +484,35 @@
     # ---- the end --------------------------------------------------------------------------------------
 
     def _fail(self, error: Exception | None) -> None:
-        if self._lost:
+        if self._connection_lost:
             return
         self._outbox = b""
         self._closing = True
-        self._lose(error)
+        self._schedule_connection_lost(error)
 
-    def _lose(self, error: Exception | None) -> None:
-        self._lost = True
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
+        self._connection_lost = True
         loop = self.network.loop
         if self.process is None:
-            loop.call_soon(self._tell_lost, error)
+            loop.call_soon(self._call_connection_lost, error)
         else:
-            self.process.enter(loop.call_soon, self._tell_lost, error)
+            self.process.run(loop.call_soon, self._call_connection_lost, error)
 
-    def _tell_lost(self, error: Exception | None) -> None:
+    def _call_connection_lost(self, error: Exception | None) -> None:
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
             protocol.connection_lost(error)
-        self._close_system(with_reset=bool(self._inbox) or self._broken is not None)
+        self._close_socket(with_reset=bool(self._inbox) or self._reset_error is not None)
 
-    def _close_system(self, with_reset: bool) -> None:
+    def _close_socket(self, with_reset: bool) -> None:
         """The socket is closed: unread bytes make it a reset."""
-        if self._system_closed:
+        if self._socket_closed:
             return
-        self._system_closed = True
+        self._socket_closed = True
         self._inbox.clear()
-        if self._broken is None:
+        if self._reset_error is None:
             if with_reset:
-                self._send(self.other.arrives_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
-            elif not self._writer_ends:
-                self._send(self.other.arrives_end)
-        self.network.forget(self)
+                self._send(self.peer.receive_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
+            elif not self._eof_written:
+                self._send(self.peer.receive_eof)
+        self.network.remove_end(self)
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -43,16 +43,16 @@
         self.name = name
         self.state = ProcessState.RUNNING
         self.freezes = 0  # how often the processor was taken away
-        self._held: list[Callable[[], None]] = []
+        self._deferred: list[Callable[[], None]] = []
         self._context = copy_context()
         self._context.run(_current.set, self)
 
     @property
-    def runs(self) -> bool:
+    def running(self) -> bool:
         """Whether it gets the processor now."""
         return self.state is ProcessState.RUNNING
 
-    def enter(self, call: Callable[..., T], *arguments: Any) -> T:
+    def run(self, call: Callable[..., T], *arguments: Any) -> T:
         """Calls something as this process."""
         return self._context.copy().run(call, *arguments)
 
@@ -61,7 +61,7 @@
         if self.state is ProcessState.RUNNING:
             call()
         elif self.state is ProcessState.FROZEN:
-            self._held.append(call)
+            self._deferred.append(call)
 
     def freeze(self) -> None:
         """Takes the processor away."""
@@ -83,14 +83,14 @@
         if self.state is not ProcessState.FROZEN or self.freezes != freeze:
             return
         self.state = ProcessState.RUNNING
-        held, self._held = self._held, []
-        for call in held:
+        deferred, self._deferred = self._deferred, []
+        for call in deferred:
             self.when_running(call)
 
     def end(self) -> None:
         """Nothing of it runs any more."""
         self.state = ProcessState.ENDED
-        self._held.clear()
+        self._deferred.clear()
 
 
 _current: ContextVar[Process | None] = ContextVar("process", default=None)
@@ -113,12 +113,12 @@
         super().__init__()
         self.microseconds = 0  # the time
         self.turn_order = turn_order
-        self.faults: list[BaseException] = []  # that nobody has caught
+        self.unhandled_exceptions: list[BaseException] = []  # that nobody has caught
         self.turns = 0  # passes over what is ready
         self._clock_resolution = CLOCK_RESOLUTION
         self._selector = _VirtualSelector(self)
-        self._outside = copy_context()
-        self.set_exception_handler(self._note_fault)
+        self._external_context = copy_context()
+        self.set_exception_handler(self._record_exception)
 
     def time(self) -> float:
         """The virtual time in seconds."""
@@ -137,9 +137,9 @@
         if process is None:
             return super().call_soon(callback, *args, context=context)
         context = context or copy_context()
-        gate = _Gate(process, callback, args, context)
-        gate.handle = super().call_soon(gate.pass_through, context=context)
-        return gate.handle
+        wrapper = _ProcessCallback(process, callback, args, context)
+        wrapper.handle = super().call_soon(wrapper.invoke, context=context)
+        return wrapper.handle
 
     def call_at(
         self,
@@ -155,30 +155,30 @@
         if process is None:
             return super().call_at(when, callback, *args, context=context)
         context = context or copy_context()
-        gate = _Gate(process, callback, args, context)
-        handle = super().call_at(when, gate.pass_through, context=context)
-        gate.handle = handle
+        wrapper = _ProcessCallback(process, callback, args, context)
+        handle = super().call_at(when, wrapper.invoke, context=context)
+        wrapper.handle = handle
         return handle
 
-    def call_outside(
+    def call_external(
         self, when: int, callback: Callable[[Unpack[Arguments]], object], *args: *Arguments
     ) -> None:
         """Calls at a time, in microseconds, on behalf of no process: networks and disks go on without one."""
-        self.call_at(when / MICROSECONDS, callback, *args, context=self._outside)
+        self.call_at(when / MICROSECONDS, callback, *args, context=self._external_context)
 
     def run_for(self, duration: int) -> None:
         """Lets `duration` microseconds pass."""
         self.call_later(duration / MICROSECONDS, self.stop)
         self.run_forever()
 
-    def _note_fault(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         """Tasks of ended processes are dropped while they wait; any other fault is to fail the run.
 
         Failure prevented: raised from here, a fault would be printed by asyncio, and go unseen.
         """
         error = context.get("exception")
         if error is not None:
-            self.faults.append(error)
+            self.unhandled_exceptions.append(error)
 
     def begin_turn(self, timeout: float) -> None:
         """Passes the time until the next turn, and arranges what is ready in it."""
@@ -211,7 +211,7 @@
         """Nobody waits in another thread."""
 
 
-class _Gate:
+class _ProcessCallback:
     """Runs a callback when its process has the processor, unless it was cancelled."""
 
     __slots__ = ("process", "callback", "arguments", "context", "handle")
@@ -225,13 +225,13 @@
         self.context = context
         self.handle: Handle | None = None
 
-    def pass_through(self) -> None:
+    def invoke(self) -> None:
         if self.process.state is ProcessState.RUNNING:
             self.callback(*self.arguments)
         else:
-            self.process.when_running(self._late)
+            self.process.when_running(self._invoke_late)
 
-    def _late(self) -> None:
+    def _invoke_late(self) -> None:
         if self.handle is None or not self.handle.cancelled():
             self.context.run(self.callback, *self.arguments)
 
@@ -257,7 +257,7 @@
     callback = handle._callback  # type: ignore[attr-defined]  # asyncio shows it to nobody
     arguments = tuple(handle._args)
     is_timer = isinstance(handle, TimerHandle)
-    gate = getattr(callback, "__self__", None)
-    if isinstance(gate, _Gate):
-        return ReadyCallback(handle, gate.process, gate.callback, gate.arguments, is_timer)
+    wrapper = getattr(callback, "__self__", None)
+    if isinstance(wrapper, _ProcessCallback):
+        return ReadyCallback(handle, wrapper.process, wrapper.callback, wrapper.arguments, is_timer)
     return ReadyCallback(handle, None, callback, arguments, is_timer)
