--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -20,7 +20,7 @@
 from brackenladder.simulation.servers import Server
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 WATCH_SECONDS = 0.25  # between two looks at copies and views
 
 log = logbook.Logger("faults")
@@ -43,10 +43,10 @@
         self.network = SimulatedNetwork(loop, control_codec())
         self.history = History()
         self.coverage = Coverage()
-        self.disturbed_at = 0  # when the last fault began, struck or ended
-        self.disturbances = 0  # faults under way
+        self.last_fault_event_at = 0  # when the last fault began, struck or ended
+        self.active_faults = 0  # faults under way
         site = scenario.site
-        self.seeds = seeds = min(MOST_SEEDS, site.control_nodes)
+        self.seeds = seeds = min(MAX_SEEDS, site.control_nodes)
         self._machine_type = machine_type
         self._machine_number = 0
         self.machines: list[ControlMachine] = []
@@ -61,13 +61,18 @@
             self.machines,
             self.gateways,
             self.isolation,
-            self.calm_since,
+            self.undisturbed_since,
             int(scenario.catch_up * SECOND),
         )
-        self.network.call_held = lambda detail: self.fail("call-held", detail)
+        self.network.report_held_call = lambda detail: self.fail("call-held", detail)
         self.gateways += [
             gateway_type(
-                self.network, self._branch(), number, addresses, site.megabits, self._checks.view_changed
+                self.network,
+                self._derive_random(),
+                number,
+                addresses,
+                site.megabits,
+                self._checks.view_changed,
             )
             for number in range(site.gateways)
         ]
@@ -78,7 +83,7 @@
                 self.machines,
                 self.history,
                 scenario.operator_settings,
-                self._branch(),
+                self._derive_random(),
                 self,
             )
             for n in range(scenario.operators)
@@ -91,20 +96,20 @@
                 self.machines,
                 self.history,
                 scenario.server_lifetimes,
-                self._branch(),
+                self._derive_random(),
                 self._checks.server_acknowledged,
             )
             for n in range(scenario.servers)
         ]
         self._tasks: list[asyncio.Task[None]] = []
-        self._decisions: list[asyncio.Future[None]] = []  # who waits for the next one
+        self._decision_waiters: list[asyncio.Future[None]] = []  # who waits for the next one
 
     @property
     def now(self) -> int:
         """Microseconds of the run."""
         return self.loop.microseconds
 
-    def _branch(self) -> Random:
+    def _derive_random(self) -> Random:
         return Random(self.random.getrandbits(64))
 
     def add_machine(self) -> ControlMachine:
@@ -112,7 +117,7 @@
         site = self.scenario.site
         machine = self._machine_type(
             self.network,
-            self._branch(),
+            self._derive_random(),
             self._machine_number,
             self._seed_addresses,
             (site.control_nodes - 1) // 2,
@@ -126,7 +131,7 @@
 
     def _seed_addresses(self) -> tuple[str, ...]:
         """What the settings of a process that starts now name."""
-        return tuple(machine.control_address for machine in self.machines[:MOST_SEEDS])
+        return tuple(machine.control_address for machine in self.machines[:MAX_SEEDS])
 
     # -- life of the system
 
@@ -141,15 +146,15 @@
         for gateway in self.gateways:
             gateway.boot()
 
-    def begin(self) -> None:
+    def start_actors(self) -> None:
         """Lets operators, servers and checks begin."""
         self.isolation.update(self.now)
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
-            self._tasks.append(self.loop.create_task(actor.work()))
+            self._tasks.append(self.loop.create_task(actor.run()))
         self._tasks.append(self.loop.create_task(self._watch()))
 
-    async def end_actors(self) -> None:
+    async def stop_actors(self) -> None:
         """Operators and servers end what they are at."""
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
@@ -175,19 +180,19 @@
 
     # -- faults
 
-    def disturbed(self, kind: str, machine: ControlMachine | None = None) -> None:
+    def record_fault_event(self, kind: str, machine: ControlMachine | None = None) -> None:
         """A fault has struck, begun or ended."""
         log.info("{} {}", kind, "" if machine is None else machine.name)
-        self.disturbed_at = self.now
+        self.last_fault_event_at = self.now
         self.isolation.update(self.now)
         self.coverage.faults[kind] += 1
         if machine is not None:
             role = machine.node.host.replica.role.value if machine.node is not None else "down"
             self.coverage.faults_by_role[f"{kind} of a {role}"] += 1
 
-    def calm_since(self, moment: int) -> bool:
+    def undisturbed_since(self, moment: int) -> bool:
         """Whether no fault was under way from `CONTACT_TIME` before a moment until now."""
-        return self.disturbances == 0 and self.disturbed_at <= moment - CONTACT_TIME
+        return self.active_faults == 0 and self.last_fault_event_at <= moment - CONTACT_TIME
 
     def leader(self) -> ControlMachine | None:
         """The running machine that leads in the highest term, if any takes itself for the leader."""
@@ -197,7 +202,7 @@
 
     def order_decided(self) -> None:
         """A node has acknowledged an order; its answer is about to leave."""
-        waiting, self._decisions = self._decisions, []
+        waiting, self._decision_waiters = self._decision_waiters, []
         for decision in waiting:
             if not decision.done():
                 decision.set_result(None)
@@ -205,7 +210,7 @@
     async def next_decision(self) -> None:
         """Returns at the moment at which a node acknowledges an order."""
         decision: asyncio.Future[None] = self.loop.create_future()
-        self._decisions.append(decision)
+        self._decision_waiters.append(decision)
         await decision
 
     async def _watch(self) -> None:
@@ -214,7 +219,7 @@
             await asyncio.sleep(WATCH_SECONDS)
             self._note_terms()
             self.isolation.update(self.now)
-            self._checks.look()
+            self._checks.check()
 
     def _note_terms(self) -> None:
         leader = self.leader()
--- a/tests/simulation/test_exchange.py
+++ b/tests/simulation/test_exchange.py
@@ -7,8 +7,8 @@
 
 from brackenladder.simulation.campaign import detect_mutant
 from brackenladder.simulation.exchange.answer_reader import AnswerReader, NoAnswer
-from brackenladder.simulation.exchange.behaviour import Manner
-from brackenladder.simulation.exchange.history import AFTERMATH, Disturbances
+from brackenladder.simulation.exchange.behaviour import AnswerKind
+from brackenladder.simulation.exchange.history import RECOVERY_TIME, Disturbances
 from brackenladder.simulation.exchange.run import NAME, run_schedule
 from brackenladder.simulation.mutants.exchange import EXCHANGE_MUTANTS
 from brackenladder.simulation.mutants.mutant import Mutant
@@ -75,7 +75,7 @@
         for data in (counted, chunked, interim):
             for size in range(1, len(data) + 1):
                 reader = self.read(data, size)
-                self.assertEqual((reader.status, reader.body, reader.whole), (200, b"hello", True))
+                self.assertEqual((reader.status, reader.body, reader.complete), (200, b"hello", True))
 
     def test_a_part_is_not_whole(self) -> None:
         for data in (
@@ -84,11 +84,11 @@
             b"HTTP/1.1 200 OK\r\nContent-Le",
         ):
             reader = self.read(data, 7)
-            self.assertFalse(reader.whole or reader.ended())
+            self.assertFalse(reader.complete or reader.ended())
 
     def test_without_a_length_the_connection_ends_it(self) -> None:
         reader = self.read(b"HTTP/1.1 200 OK\r\n\r\nhello", 3)
-        self.assertFalse(reader.whole)
+        self.assertFalse(reader.complete)
         self.assertTrue(reader.ended())
         self.assertEqual(reader.body, b"hello")
 
@@ -114,8 +114,8 @@
         spans.end(4_000_000)
         self.assertFalse(spans.between(0, 999_999))
         self.assertTrue(spans.between(0, 1_000_000))
-        self.assertTrue(spans.between(4_000_000 + AFTERMATH, 9_000_000))
-        self.assertFalse(spans.between(4_000_001 + AFTERMATH, 9_000_000))
+        self.assertTrue(spans.between(4_000_000 + RECOVERY_TIME, 9_000_000))
+        self.assertFalse(spans.between(4_000_001 + RECOVERY_TIME, 9_000_000))
 
     def test_manners_are_many(self) -> None:
-        self.assertGreater(len(Manner), 12)
+        self.assertGreater(len(AnswerKind), 12)
--- a/tests/simulation/test_streams.py
+++ b/tests/simulation/test_streams.py
@@ -167,7 +167,7 @@
         self.loop.streams = StreamNetwork(self.loop, Random(seed), lambda _one, _other: 1_000)
         self.processes = [Process("near"), Process("far")]
         for number, process in enumerate(self.processes):
-            self.loop.place_process(process, self.loop.streams.add_host(f"10.0.0.{number}", "zone"))
+            self.loop.assign_host(process, self.loop.streams.add_host(f"10.0.0.{number}", "zone"))
 
     async def connect(self) -> tuple[Recorder, Recorder]:
         """The two ends of a new connection."""
@@ -181,7 +181,7 @@
 
     async def inside(self, number: int, work: Awaitable[object]) -> object:
         """Work of one of the processes."""
-        return await self.processes[number].enter(asyncio.ensure_future, work)
+        return await self.processes[number].run(asyncio.ensure_future, work)
 
 
 class SimulatedStreams(StreamContract, TestCase):
@@ -195,7 +195,7 @@
                 await scene(*await simulated.connect())
 
             simulated.loop.run_until_complete(main())
-            self.assertEqual(simulated.loop.faults, [])
+            self.assertEqual(simulated.loop.unhandled_exceptions, [])
             simulated.loop.close()
 
     def run_one(self, scene: Callable[[Simulated], Awaitable[None]]) -> None:
@@ -215,7 +215,7 @@
             near, far = await simulated.connect()
             end = far.transport
             assert isinstance(end, StreamEnd)
-            end.vanish()
+            end.drop_silently()
             await asyncio.sleep(1)
             self.assertEqual(near.seen, ["made"])
             near.transport.write(b"x")
@@ -241,10 +241,10 @@
         async def scene(simulated: Simulated) -> None:
             near, far = await simulated.connect()
             host = simulated.loop.streams.host("10.0.0.1")
-            host.dark = True
+            host.unreachable = True
             near.transport.write(b"one;")
             await asyncio.sleep(1)
-            host.dark = False
+            host.unreachable = False
             near.transport.write(b"two")
             await asyncio.sleep(1)
             self.assertEqual(far.data, b"one;two")
@@ -254,7 +254,7 @@
     def test_a_host_that_stays_dark_ends_what_is_not_acknowledged(self) -> None:
         async def scene(simulated: Simulated) -> None:
             near, _ = await simulated.connect()
-            simulated.loop.streams.host("10.0.0.1").dark = True
+            simulated.loop.streams.host("10.0.0.1").unreachable = True
             near.transport.write(b"x")
             await near.lost.wait()
             self.assertIsInstance(near.error, TimeoutError)
@@ -266,7 +266,7 @@
         async def scene(simulated: Simulated) -> None:
             near, far = await simulated.connect()
             simulated.processes[1].end()
-            simulated.loop.streams.process_ends(simulated.processes[1])
+            simulated.loop.streams.end_process(simulated.processes[1])
             await near.lost.wait()
             self.assertEqual(far.seen, ["made"])
 
--- a/tests/simulation/test_turn_order.py
+++ b/tests/simulation/test_turn_order.py
@@ -40,7 +40,7 @@
             links = [Link("a", seen), Link("b", seen)]
             for number in range(4):
                 for at, link in enumerate(links, 1_000 + 500 * number):
-                    loop.call_outside(at, link.arrive, (link.name, "x"), number)
+                    loop.call_external(at, link.arrive, (link.name, "x"), number)
             await asyncio.gather(task("t"), task("u"))
             await asyncio.sleep(0.1)
 
@@ -97,7 +97,7 @@
 
         async def play() -> None:
             process = Process("one")
-            tasks = [process.enter(loop.create_task, work(number)) for number in range(3)]
+            tasks = [process.run(loop.create_task, work(number)) for number in range(3)]
             await asyncio.sleep(0)
             process.freeze()
             await asyncio.sleep(1.0)
