--- a/brackenladder/simulation/__init__.py
+++ b/brackenladder/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Whole control nodes, gateways' control side, operators and servers in one process and in virtual time."""
+"""Runs control nodes, the control side of gateways, operators and servers in one process in virtual time."""
--- a/brackenladder/simulation/calls.py
+++ b/brackenladder/simulation/calls.py
@@ -1,7 +1,7 @@
-"""Calls of operators and servers to a control node: held up by cuts, lost on the way, given up by callers.
+"""Calls from operators and servers to a control node, which may be delayed, lost or abandoned.
 
-The caller's bytes and the end of its connection travel one behind the other, as over TCP: what a cut has
-held up reaches the node when the cut ends, however long the caller has been gone.
+A call's request and the close of its connection arrive in order, as over TCP: what a network cut delays
+reaches the node when the cut ends, even if the caller has closed the connection long before.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 from brackenladder.transport.memory_link import Event
 
-HELD_CALL_TOLERANCE = 250_000  # microseconds for which a node may still hold a call that is over
+HELD_CALL_TOLERANCE = 250_000  # microseconds that a node may take to end a call
 
 Answer = TypeVar("Answer")
 Work = Callable[[ControlNode], Awaitable[Answer]]
@@ -27,7 +27,7 @@
 
 @mutable(eq=False)
 class Call(Generic[Answer]):
-    """One call on a connection of its own."""
+    """One call, on a connection of its own."""
 
     network: SimulatedNetwork
     caller: str
@@ -36,13 +36,13 @@
     answer: asyncio.Future[Answer]
     size: int = 0  # bytes of the request
     answer_lost: bool = False
-    answered_at: int = 0  # when the node gave its answer
+    answered_at: int = 0  # when the node decided on its answer
     _task: asyncio.Task[None] | None = field(default=None, init=False)
-    _process: Process | None = field(default=None, init=False)  # that serves it
+    _process: Process | None = field(default=None, init=False)  # the process that serves the call
     _caller_gone: bool = field(default=False, init=False)
 
     def arrive(self) -> None:
-        """The request is at the node."""
+        """Handles the arrival of the request at the node."""
         node = self.machine.node
         if node is not None and not self._caller_gone:
             self._process = self.machine.process
@@ -51,16 +51,16 @@
             self._check_ended(self._task, int(limit * MICROSECONDS) + HELD_CALL_TOLERANCE, "its time limit")
 
     def hang_up(self) -> None:
-        """The node hears that the caller has closed the connection."""
+        """Handles the arrival of the caller's close at the node, which cancels the call."""
         self._caller_gone = True
         if self._task is not None and not self._task.done():
             self._task.cancel()
             self._check_ended(self._task, HELD_CALL_TOLERANCE, "its caller hung up")
 
     def _check_ended(self, task: asyncio.Task[None], wait: int, since: str) -> None:
-        """After a while the node is to be done with the call, unless its process stood still or ended."""
+        """Reports the call if the node still serves it after `wait` microseconds, unless the node was frozen."""
         process = self._process
-        assert process is not None  # the call has arrived
+        assert process is not None  # set in arrive(), which comes first
         freezes = process.freezes
 
         def check() -> None:
@@ -107,7 +107,7 @@
 
 
 async def make_call(call: Call[Answer], size: int, timeout_seconds: float) -> Answer | None:
-    """The answer; None if there is none within `patience` seconds, and the caller closes the connection."""
+    """Returns the answer, or None after `timeout_seconds`. Closes the connection in both cases."""
     network = call.network
     call.size = size
     network.queue(_Arrival(call.caller, call.machine.name, call, size))
--- a/brackenladder/simulation/campaign.py
+++ b/brackenladder/simulation/campaign.py
@@ -1,4 +1,4 @@
-"""Many schedules on many processors, what came of them, and the fewest faults that show what broke."""
+"""Runs many schedules on several processors, sums up their results and shrinks failing schedules."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from brackenladder.simulation.schedules import run_schedule
 
 CHUNK = 4  # schedules handed to a worker at a time
-MAX_FAULTS = 200  # faults of one schedule that shrinking tries to leave out
+MAX_FAULTS = 200  # maximum number of faults of a schedule that shrinking tries to leave out
 
 
 @frozen
 class Schedule:
-    """One run, by what decides it."""
+    """A profile and a seed, which determine one run."""
 
     profile: str
     seed: int
@@ -30,7 +30,7 @@
 
 @define
 class Summary:
-    """All runs of a campaign."""
+    """The totals over all runs of a campaign."""
 
     schedules: int = 0
     events: int = 0
@@ -43,7 +43,7 @@
     seconds: float = 0.0
 
     def add(self, result: RunResult) -> None:
-        """Takes a run in."""
+        """Adds the result of one run."""
         self.schedules += 1
         self.events += result.events
         self.orders += result.orders
@@ -57,23 +57,23 @@
 
 @frozen
 class MutantResult:
-    """What the simulation found of a planted fault; `rule` is empty if it was not convicted."""
+    """Whether and how the simulation detected a planted fault. `rule` is empty if it did not."""
 
     mutant: str
     profile: str
-    schedules: int  # played, the last one among them
+    schedules: int  # number played, including the one that detected the fault
     rule: str
     detail: str
-    other_rules: tuple[str, ...]  # rules that broke before and are not named for this fault
+    other_rules: tuple[str, ...]  # rules broken in earlier schedules that are not listed for this fault
 
 
 def schedules(profiles: Iterable[str], seeds: range) -> list[Schedule]:
-    """Every profile with every seed."""
+    """Combines every profile with every seed."""
     return [Schedule(profile, seed) for seed, profile in product(seeds, profiles)]
 
 
 def play_all(planned: list[Schedule], jobs: int) -> Iterator[RunResult]:
-    """Runs as they end, in the order of the schedules."""
+    """Yields the results in the order of the schedules."""
     if jobs == 1:
         yield from map(_play, planned)
         return
@@ -82,7 +82,7 @@
 
 
 def campaign(planned: list[Schedule], jobs: int) -> Iterator[Summary]:
-    """The summary after each run; the same object each time."""
+    """Yields the summary after each run. It is the same object each time."""
     summary = Summary()
     began = perf_counter()
     for result in play_all(planned, jobs):
@@ -92,7 +92,7 @@
 
 
 def detect_mutants(mutants: Iterable[str], tries: int, jobs: int) -> Iterator[MutantResult]:
-    """Each planted fault, under the schedules of its profile."""
+    """Tries to detect each planted fault with the schedules of its profile."""
     wanted = [(name, tries) for name in mutants]
     if jobs == 1:
         yield from map(_detect_mutant, wanted)
@@ -102,7 +102,7 @@
 
 
 def detect_mutant(mutant: Mutant, tries: int) -> MutantResult:
-    """Plays schedules until a rule that is named for the planted fault breaks."""
+    """Runs schedules until one breaks a rule that is listed for the planted fault."""
     other_rules: list[str] = []
     with mutant.plant():
         for seed in range(tries):
@@ -117,7 +117,7 @@
 
 
 def shrink(schedule: Schedule) -> tuple[frozenset[int], RunResult]:
-    """Leaves out faults one by one, from the last, as long as the same rule still breaks."""
+    """Leaves out faults one by one, starting with the last, while the same rule still breaks."""
     result = run_schedule(schedule.profile, schedule.seed)
     skipped: frozenset[int] = frozenset()
     if not result.rule:
@@ -131,7 +131,7 @@
 
 
 def _count_faults(schedule: Schedule, result: RunResult) -> int:
-    """How many faults there may have been up to the one that broke the run."""
+    """Returns the number of faults that have to be considered up to the failure of the run."""
     if result.fault_count:
         return result.fault_count
     needed = takewhile(lambda number: not _broken_without_later(schedule, result.rule, number), count())
--- a/brackenladder/simulation/checks.py
+++ b/brackenladder/simulation/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a history: orders and reads are linearizable."""
+"""Checks at the end of a run that its orders and reads are linearizable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def check_history(history: History) -> None:
-    """Raises the first `Violation` that orders and reads show."""
+    """Raises the first `Violation` found in the orders and reads."""
     configurations = [order for order in history.orders if order.version]
     _check_winners(configurations)
     _check_sequence(configurations)
@@ -36,7 +36,7 @@
 
 
 def _check_winners(orders: Iterable[OrderRecord]) -> None:
-    """Of the orders on one base one wins, and of those with one number."""
+    """Only one order may be acknowledged per base version, and only one per new version."""
     for name, key in (("base", _base), ("version", lambda order: order.version)):
         winners: dict[int, OrderRecord] = {}
         for order in orders:
@@ -49,7 +49,7 @@
 
 
 def _check_sequence(orders: list[OrderRecord]) -> None:
-    """What was acknowledged before another order began has a lower version, and is told with its own."""
+    """Versions must increase in the order of acknowledgements, and each reply must name its own version."""
     newest = NO_VERSION
     ends = sorted(
         (order for order in orders if order.acknowledged and order.ended_at is not None),
@@ -70,7 +70,7 @@
 
 
 def _check_refusals(orders: list[OrderRecord]) -> None:
-    """A conflict tells a version that is as new as all that was acknowledged before, and not the base."""
+    """A conflict must report a version other than the base and no older than what was acknowledged before."""
     settled = sorted(
         (order.ended_at, order.version)
         for order in orders
@@ -93,7 +93,7 @@
 
 
 def _check_chain(orders: list[OrderRecord]) -> None:
-    """Every acknowledged order stands on one that is in force, or may be."""
+    """Every acknowledged order must be based on a version that is or may be in force."""
     possible = {NO_VERSION} | {order.version for order in orders if order.valid and not order.refused}
     winners = {order.version: order for order in orders if order.acknowledged}
     for order in winners.values():
@@ -106,7 +106,7 @@
 
 
 def _check_reads(history: History) -> None:
-    """A read is as new as all that was acknowledged, or read, before it began."""
+    """A read must be at least as new as every order acknowledged and every read completed before it began."""
     settled = [
         (order.ended_at, order.version, f"order {order.number}")
         for order in history.orders
@@ -136,7 +136,7 @@
 
 
 def check_evacuations(history: History, evacuated: frozenset[str]) -> None:
-    """The zones that are evacuated at the end, by a register for each zone."""
+    """Checks the zones evacuated at the end against the orders, treating each zone as a register."""
     by_zone: defaultdict[str, list[OrderRecord]] = defaultdict(list)
     for order in history.orders:
         if isinstance(order.order, BeginEvacuation | FinishEvacuation):
@@ -148,7 +148,10 @@
 
 
 def _final_states(orders: list[OrderRecord]) -> set[bool]:
-    """What a zone may be after these orders: each one that no acknowledged order followed may be the last."""
+    """Returns the possible final states of a zone.
+
+    Any order may have been the last one unless an acknowledged order began after it had ended.
+    """
     acknowledged = [order for order in orders if order.acknowledged]
     last = [
         order
--- a/brackenladder/simulation/contact_checks.py
+++ b/brackenladder/simulation/contact_checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a run's end: nobody has spoken for long without a majority in reach."""
+"""Checks at the end of a run that no node answered long after it had lost contact with a majority."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 MAX_ISOLATED_ANSWER_TIME = (
     SECOND // 2
-)  # longest time without a majority after which orders and reads are answered
-MAX_ISOLATED_NOTICE_TIME = 2 * SECOND  # the same for what servers are acknowledged and new gateways are told
+)  # longest time without a majority after which a node still answers orders and reads
+MAX_ISOLATED_NOTICE_TIME = (
+    2 * SECOND
+)  # the same for acknowledgements to servers and first catalogs to gateways
 
 
 def check_contact(history: History, isolation: Isolation, machines: Sequence[ControlMachine]) -> None:
-    """Nobody has answered, acknowledged or told for long without a majority in reach."""
+    """Checks that no node sent an answer, acknowledgement or first catalog while isolated for too long."""
     for order in history.orders:
         if order.answered_by:
             _check_answer(
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A machine's disk in virtual time: it syncs, hangs, refuses, forgets what was not synced, or is lost."""
+"""A machine's disk in virtual time. It can hang, be full, be slow, lose unsynced writes or be lost."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from brackenladder.storage.writer import WriteCallback
 
 SYNC_TIME = 2_000  # microseconds
-HANG_POLL_TIME = 20_000  # microseconds between two looks whether a hanging disk answers again
+HANG_POLL_TIME = 20_000  # microseconds between two checks whether a hanging disk responds again
 
 
 class Disk:
-    """What outlasts a process, and a loss of power."""
+    """The data that survives the end of a process and a loss of power."""
 
     def __init__(self, loop: VirtualEventLoop, random: Random, replica_id: str) -> None:
         self.loop = loop
@@ -35,11 +35,11 @@
 
     @property
     def replica_id(self) -> str:
-        """The id of the replica whose log it holds."""
+        """The id of the replica whose log is stored here."""
         return self.log.identity.replica_id
 
     def load(self) -> DurableState:
-        """What a process that starts now finds."""
+        """Returns the state that a newly started process reads."""
         self.log = self.log.reopen()
         return self.log.load().unwrap()
 
@@ -58,7 +58,7 @@
 
 
 class SimulatedWriter:
-    """The `StoreWriter` of one process: writes become durable one batch after another."""
+    """The `StoreWriter` of one process. Writes become durable in batches, one batch at a time."""
 
     def __init__(self, disk: Disk, process: Process) -> None:
         self._disk = disk
@@ -73,21 +73,21 @@
         self._begin()
 
     def close(self) -> None:
-        """What was submitted is still written."""
+        """Does nothing: what was submitted is still written."""
 
     def join(self, timeout_s: float) -> bool:
-        """Nobody waits in a simulated run."""
+        """Returns at once: a simulated run has no writer thread."""
         return True
 
     def power_lost(self) -> None:
-        """The batch under way is durable as a whole or not at all; what waits behind it is gone."""
+        """Makes the current batch durable as a whole or not at all, at random. Later writes are lost."""
         self._stopped = True
         if self._batch and self._disk.random.random() < 0.5:
             for pending in self._batch:
                 self._disk.apply(pending.write)
 
     def killed(self) -> None:
-        """The process has ended; the system writes on what it was given."""
+        """Makes the current batch durable: the system completes its writes after the process has ended."""
         self._stopped = True
         for pending in self._batch:
             self._disk.apply(pending.write)
--- a/brackenladder/simulation/documents.py
+++ b/brackenladder/simulation/documents.py
@@ -1,4 +1,4 @@
-"""The configurations that simulated operators send. Each carries the number of the order that made it."""
+"""The configurations that simulated operators send. A marker route carries the number of the order."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 MARKER = "/order-"
 HOST = "jobs.example"
 SERVICE = "api"
-FILLER_ROUTES = 3  # beside the marker
+FILLER_ROUTES = 3  # in addition to the marker route
 
 
 def replacement(order: int, version: int, size: int) -> bytes:
-    """A whole configuration of about `size` bytes."""
+    """Returns a complete configuration of about `size` bytes."""
     padding = "x" * (size // FILLER_ROUTES)
     fillers = [_route(f"filler-{number}", f"/f{number}{padding}/") for number in range(FILLER_ROUTES)]
     routes = [_marker(order), *fillers]
@@ -35,19 +35,19 @@
 
 
 def update(order: int, version: int) -> bytes:
-    """A change of the marker alone."""
+    """Returns an update that changes only the marker route."""
     return json.dumps({"Version": version, "Upsert": {"Routes": [_marker(order)]}}).encode()
 
 
 def invalid(order: int, version: int) -> bytes:
-    """A configuration whose route names a service that there isn't."""
+    """Returns a configuration whose routes refer to a service that does not exist."""
     document = json.loads(replacement(order, version, 0))
     document["Services"] = []
     return json.dumps(document).encode()
 
 
 def order_of(prefixes: Iterable[str]) -> int:
-    """The number of the order that made a configuration; 0 if there is no marker."""
+    """Returns the number of the order that made a configuration, or 0 without a marker route."""
     for prefix in prefixes:
         if prefix.startswith(MARKER):
             return int(prefix.removeprefix(MARKER).rstrip("/"))
@@ -55,7 +55,7 @@
 
 
 def read_back(document: bytes) -> tuple[int, int]:
-    """Version and order of a configuration that was read back; zeros if there is none."""
+    """Returns version and order number of a configuration that was read back, or zeros if there is none."""
     if not document:
         return (0, 0)
     content = json.loads(document)
--- a/brackenladder/simulation/errors.py
+++ b/brackenladder/simulation/errors.py
@@ -1,20 +1,20 @@
-"""What can go wrong in a simulated run."""
+"""Errors that end a simulated run."""
 
 from __future__ import annotations
 
 
 class SimulationError(Exception):
-    """A run can't go on, or has shown a fault."""
+    """The run cannot continue or has found a fault."""
 
 
 class SimulationStalled(SimulationError):
-    """Nothing is left to happen before the end of the run."""
+    """No timer or callback is left although the run has not ended."""
 
 
 class Violation(SimulationError):
-    """What the actors have seen is against a rule.
+    """A rule that the checks found broken.
 
-    `rule` is the rule's name, one word; `detail` says what was seen.
+    `rule` is the rule's name, one word; `detail` says what was observed.
     """
 
     def __init__(self, rule: str, detail: str) -> None:
--- a/brackenladder/simulation/exchange/world.py
+++ b/brackenladder/simulation/exchange/world.py
@@ -60,7 +60,7 @@
             Random(self.random.getrandbits(64)),
             self.checks.fail,
         )
-        self._run_watched: set[str] = set()  # requests whose clients have left
+        self._requests_checked: set[str] = set()  # requests whose clients have left
 
     @property
     def now(self) -> int:
@@ -100,9 +100,9 @@
             for request in self.history.requests.values():
                 if (
                     request.outcome in (RequestOutcome.GIVEN_UP, RequestOutcome.UNANSWERED)
-                    and request.id not in self._run_watched
+                    and request.id not in self._requests_checked
                 ):
-                    self._run_watched.add(request.id)
+                    self._requests_checked.add(request.id)
                     self._look_later(request)
 
     def _look_later(self, request: Request) -> None:
--- a/brackenladder/simulation/fault_actions.py
+++ b/brackenladder/simulation/fault_actions.py
@@ -1,4 +1,4 @@
-"""What strikes a simulated system: single faults, and faults at the worst moment for what they meet."""
+"""The actions that a profile draws: single faults, combined faults and faults timed to a critical moment."""
 
 from __future__ import annotations
 
@@ -14,45 +14,48 @@
 
 FaultAction = Callable[[Faults, Random, ControlMachine], Awaitable[None]]
 
-POLL_SECONDS = 0.005  # between two looks for the moment of a strike
+POLL_SECONDS = 0.005  # between two checks whether the moment for a fault has come
 MAX_POLLS = 2_000
 
 
 async def long_cut(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine is cut off from everyone for some twenty seconds."""
+    """Cuts a machine off from every endpoint for 15 to 25 seconds."""
     await faults.cut(machine, faults.all_endpoints(), random.uniform(*LONG_CUT_SECONDS), "both")
 
 
 async def long_cut_from_peers(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """The same, but operators, servers and gateways still reach it."""
+    """Cuts a machine off from the other control machines only, for 15 to 25 seconds."""
     direction = random.choice(("both", "both", "in", "out"))
     await faults.cut(machine, faults.peers_of(machine), random.uniform(*LONG_CUT_SECONDS), direction)
 
 
 async def partial_cut(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine is parted from some of the others."""
+    """Cuts a machine off from a third of the endpoints."""
     others = random.sample(faults.all_endpoints(), max(1, len(faults.all_endpoints()) // 3))
     await faults.cut(machine, others, random.uniform(*SHORT_SECONDS), random.choice(("both", "in", "out")))
 
 
 async def cut_from_operator(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """What an operator sends to a machine is held up."""
+    """Cuts the connection between the operators and a machine."""
     names = [operator.name for operator in faults.world.operators]
     await faults.cut(machine, names, random.uniform(1.0, 8.0), random.choice(("both", "in", "out")))
 
 
 async def kill_one(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """One process ends and comes back."""
+    """Ends one process, which restarts later."""
     await faults.kill([machine], random.random() < 0.5, random.uniform(0.2, 3.0))
 
 
 async def kill_all(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """All processes of control end at one moment."""
+    """Ends all control processes at the same moment."""
     await faults.kill(list(faults.world.machines), random.random() < 0.5, random.uniform(0.2, 1.0))
 
 
 async def lose_power_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """All or most machines lose power within 4 ms after an order was acknowledged; disks may be slow."""
+    """Takes power from a majority or all of the machines within 4 ms after an order was acknowledged.
+
+    In half of the cases the disks of all followers are slow meanwhile.
+    """
     if random.random() < 0.5:
         async with asyncio.TaskGroup() as group:
             for one in faults.world.machines:
@@ -73,14 +76,14 @@
 
 
 async def lose_disk_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """The leader's disk is lost within 4 ms after an order was acknowledged."""
+    """Wipes the leader's disk within 4 ms after an order was acknowledged."""
     await faults.world.next_decision()
     await asyncio.sleep(random.uniform(0.0, 0.004))
     await faults.lose_disk(faults.world.leader() or machine, random.uniform(0.3, 3.0))
 
 
 async def cut_during_change(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A disk is lost; as its voter is replaced, the leader and the successor are cut off from the others."""
+    """Wipes a disk, and cuts the leader and the new voter off from the others while the voter is replaced."""
     await _wait_until_disk_may_be_lost(faults, machine)
     async with asyncio.TaskGroup() as group:
         group.create_task(faults.lose_disk(machine, random.uniform(0.3, 1.0)))
@@ -108,7 +111,7 @@
 
 
 async def isolate_region(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine and a gateway are cut off together; both restart before the cut ends."""
+    """Cuts a machine and a gateway off from all others. Both may restart before the cut ends."""
     world = faults.world
     gateway = random.choice(world.gateways)
     inside = {machine.name, gateway.name}
@@ -124,47 +127,47 @@
 
 
 async def restart_while_isolated(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine restarts while it is cut off from its peers."""
+    """Restarts a machine while it is cut off from the other control machines."""
     async with asyncio.TaskGroup() as group:
         group.create_task(faults.cut(machine, faults.peers_of(machine), random.uniform(6.0, 20.0), "both"))
         group.create_task(faults.kill([machine], random.random() < 0.5, random.uniform(0.2, 2.0)))
 
 
 async def freeze_one(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine stands still."""
+    """Freezes a machine's process."""
     await faults.freeze(machine, random.choice((random.uniform(0.3, 3.0), random.uniform(10.0, 22.0))))
 
 
 async def reset_links(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """All links of a machine are reset."""
+    """Resets all links of a machine."""
     faults.reset_links(machine)
 
 
 async def restart_gateway(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A gateway starts with an empty view."""
+    """Restarts a gateway, which then has an empty view."""
     faults.restart_gateway(random.choice(faults.world.gateways))
 
 
 async def lose_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A disk is lost, as soon as one may be."""
+    """Wipes a disk as soon as that is allowed."""
     await _wait_until_disk_may_be_lost(faults, machine)
     await faults.lose_disk(machine, random.uniform(0.3, 3.0))
 
 
 async def replace_machine(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine is replaced by an empty one at another address."""
+    """Replaces a machine by one with an empty disk at another address, as soon as that is allowed."""
     await _wait_until_disk_may_be_lost(faults, machine)
     await faults.replace(machine, random.uniform(0.3, 3.0))
 
 
 async def lose_oldest_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """The disk that has lasted longest is lost, as soon as one may be."""
+    """Wipes the oldest disk as soon as that is allowed."""
     oldest = min(faults.world.machines, key=lambda one: one.disk.created_at)
     await lose_disk(faults, random, oldest)
 
 
 async def cut_into_halves(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """The control machines are cut into two halves; everyone else reaches both."""
+    """Cuts the control machines into two halves. All other endpoints still reach both."""
     machines = list(faults.world.machines)
     random.shuffle(machines)
     half, others = machines[: len(machines) // 2], [one.name for one in machines[len(machines) // 2 :]]
@@ -175,14 +178,14 @@
 
 
 async def lose_disks_and_power(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """Right after an order was acknowledged as many disks are lost as may be, and all else loses power."""
+    """Wipes as many disks as allowed right after an order was acknowledged, and takes power from the rest."""
     await faults.world.next_decision()
     await asyncio.sleep(random.uniform(0.0, 0.004))
     await _lose_disks_and_power(faults, random)
 
 
 async def losses_while_halved(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """The halves are cut apart; meanwhile a disk is lost, and a moment later power at most machines."""
+    """Cuts the machines into halves, wipes a disk, and ends the processes of most machines shortly after."""
     async with asyncio.TaskGroup() as group:
         group.create_task(cut_into_halves(faults, random, machine))
         group.create_task(faults.lose_disk(machine, random.uniform(0.3, 3.0)))
@@ -192,12 +195,12 @@
 
 
 async def throttle_one(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine's share of a core is a quota: a part of each tenth of a second, and then nothing."""
+    """Limits a machine's processor time by a quota: it runs for a part of each 0.1 s and then stops."""
     await faults.throttle(machine, random.uniform(0.1, 0.7), random.uniform(2.0, 6.0))
 
 
 async def fault_between_chunks(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine is down for long; as chunks of a snapshot reach it, it, the leader or a link is struck."""
+    """Disturbs a snapshot transfer: ends or cuts off its receiver or sender after the first chunks."""
     await long_outage(faults, random, machine)
     for _ in range(MAX_POLLS):
         await asyncio.sleep(POLL_SECONDS)
@@ -217,24 +220,24 @@
 
 
 def _has_chunks(machine: ControlMachine) -> bool:
-    """Whether a part of a snapshot has arrived, and not all of it."""
+    """Whether a snapshot has arrived in part."""
     node = machine.node
     return node is not None and bool(node.host.replica._core.snapshot_receiver._data)
 
 
 async def disk_fault(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A disk hangs, is full or slow."""
+    """Makes a disk hang, full or slow."""
     fault = random.choice((faults.hang_disk, faults.fill_disk, faults.slow_disk))
     await fault(machine, random.uniform(0.5, 6.0))
 
 
 async def limit_bandwidth(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine's link has little bandwidth."""
+    """Limits the bandwidth of a machine's link."""
     await faults.limit_bandwidth(machine, random.choice((2.0, 10.0)), random.uniform(2.0, 10.0))
 
 
 async def long_outage(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """A machine is down for long, while the others go on."""
+    """Keeps a machine down for 5 to 12 seconds while the others go on."""
     await faults.kill([machine], random.random() < 0.5, random.uniform(5.0, 12.0))
 
 
@@ -244,7 +247,7 @@
     async with asyncio.TaskGroup() as group:
         for one in machines:
             group.create_task(faults.lose_disk(one, random.uniform(0.3, 1.5)))
-        await asyncio.sleep(0)  # they have taken what they may, and the rest loses power
+        await asyncio.sleep(0)  # first the tasks wipe the disks that may be lost
         group.create_task(faults.kill(machines, True, random.uniform(0.3, 1.5)))
         for gateway in faults.world.gateways:
             faults.restart_gateway(gateway)
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -1,4 +1,4 @@
-"""The faults that can strike a simulated system. Each ends what it has begun."""
+"""The faults that can be injected into a simulated system. Each one reverts itself after its duration."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from brackenladder.simulation.virtual_loop import Process, ProcessState
 from brackenladder.simulation.world import World
 
-QUOTA_SECONDS = 0.1  # the period of a quota of a core, as systems have it
-SLOW_FACTOR = 30  # by which a slow disk takes longer to sync
+QUOTA_SECONDS = 0.1  # the period of a processor quota, as cgroups have by default
+SLOW_FACTOR = 30  # factor by which a slow disk takes longer to sync
 
 
 class Faults:
-    """Strikes a world. Only as many disks are lost at a time as the members can bear."""
+    """Injects faults into a world. Never wipes more disks at a time than the members can tolerate."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self._random = world.random
-        self._faults_by_machine: Counter[str] = Counter()  # faults under way, by machine
+        self._faults_by_machine: Counter[str] = Counter()  # number of active faults, by machine name
         self._healthy_since: dict[str, int] = {}
 
-    # -- the network
+    # -- network
 
     async def cut(
         self, machine: ControlMachine, others: Iterable[str], seconds: float, direction: str
     ) -> None:
-        """Parts a machine from others; `how`: both, in (it hears nothing) or out (nobody hears it)."""
+        """Cuts a machine off. `direction`: "in" (it receives nothing), "out" (it sends nothing) or "both"."""
         network = self.world.network
         names = [name for name in others if name != machine.name]
         self._begin(f"cut-{direction}", machine)
@@ -46,7 +46,7 @@
         self._end(f"cut-{direction}", machine)
 
     async def isolate(self, name: str, others: Iterable[str], seconds: float) -> None:
-        """Parts a gateway or an actor from others."""
+        """Cuts a gateway or an actor off from other endpoints."""
         network = self.world.network
         self.world.active_faults += 1
         self.world.record_fault_event("part")
@@ -59,21 +59,21 @@
         self.world.record_fault_event("part-end")
 
     def peers_of(self, machine: ControlMachine) -> list[str]:
-        """The other control machines."""
+        """Returns the names of the other control machines."""
         return [other.name for other in self.world.machines if other is not machine]
 
     def all_endpoints(self) -> list[str]:
-        """Every machine and actor."""
+        """Returns the names of all machines and actors."""
         return list(self.world.network.endpoints)
 
     def reset_links(self, machine: ControlMachine) -> None:
-        """Ends all links of a machine; what is under way on them is lost."""
+        """Ends all links of a machine. Messages in flight on them are lost."""
         for other in list(self.world.network.endpoints):
             self.world.network.lose_links(machine.name, other)
         self.world.record_fault_event("reset", machine)
 
     async def limit_bandwidth(self, machine: ControlMachine, megabits: float, seconds: float) -> None:
-        """Takes bandwidth from a machine's link."""
+        """Reduces the bandwidth of a machine's link."""
         usual = machine.endpoint.megabits
         self._begin("squeeze", machine)
         machine.endpoint.megabits = megabits
@@ -84,7 +84,7 @@
     # -- processes
 
     async def kill(self, machines: Iterable[ControlMachine], power: bool, downtime: float) -> None:
-        """Ends processes at one moment, by a kill or by a loss of power; they come back after `dark`."""
+        """Ends processes at the same moment, by a kill or a loss of power; restarts them after `downtime`."""
         affected = [machine for machine in machines if machine.up]
         kind = "power" if power else "kill"
         for machine in affected:
@@ -101,7 +101,7 @@
             self._end(kind, machine)
 
     async def freeze(self, machine: ControlMachine, seconds: float) -> None:
-        """Takes the processor from a machine for a while."""
+        """Freezes a machine's process for a while."""
         process = machine.process
         if process is None or not process.running:
             return
@@ -113,7 +113,7 @@
         self._end("freeze", machine)
 
     async def throttle(self, machine: ControlMachine, share: float, seconds: float) -> None:
-        """Gives a machine a share of a core as a quota: its part of each period, then nothing."""
+        """Freezes a process for a part of each quota period, so that it gets `share` of a core."""
         process = machine.process
         if process is None or not process.running:
             return
@@ -129,7 +129,7 @@
         self._end("throttle", machine)
 
     def restart_gateway(self, gateway: GatewayMachine) -> None:
-        """A gateway's process ends and comes back with an empty view."""
+        """Ends a gateway's process and restarts it with an empty view."""
         gateway.kill()
         gateway.boot()
         self.world.record_fault_event("gateway-restart")
@@ -137,7 +137,7 @@
     # -- disks
 
     def may_lose_disk(self, machine: ControlMachine) -> bool:
-        """Whether a majority of the present members still has its disks without this one's."""
+        """Whether a majority of the machines is still healthy without this one."""
         world = self.world
         if world.leader() is None or not self._is_healthy(machine):
             return False
@@ -145,7 +145,7 @@
         return 2 * (len(lost) + 1) < len(world.machines)
 
     def _is_healthy(self, machine: ControlMachine) -> bool:
-        """Whether a machine is well, and has been for as long as it may take to catch up."""
+        """Whether a machine runs without faults and has done so for the time it may need to catch up."""
         catch_up = int(self.world.scenario.catch_up * SECOND)
         healthy_since = self._healthy_since.get(machine.name, 0)
         return (
@@ -155,7 +155,7 @@
         )
 
     async def lose_disk(self, machine: ControlMachine, downtime: float) -> None:
-        """A machine loses power and its disk, and comes back at its address with an empty one."""
+        """Ends a machine by a loss of power and restarts it at its address with an empty disk."""
         if not machine.up or not self.may_lose_disk(machine):
             return
         self._begin("wipe", machine)
@@ -168,7 +168,7 @@
         self._end("wipe", machine)
 
     async def replace(self, machine: ControlMachine, downtime: float) -> None:
-        """A machine is gone for good; an empty one comes at another address."""
+        """Removes a machine for good and starts one with an empty disk at another address."""
         if not machine.up or not self.may_lose_disk(machine):
             return
         self._begin("replace", machine)
@@ -182,15 +182,15 @@
         self._end("replace", successor)
 
     async def hang_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """A disk answers nothing for a while."""
+        """Makes a disk stop responding for a while."""
         await self._fail_disk(machine, seconds, "disk-hang")
 
     async def fill_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """A disk takes no more bytes for a while."""
+        """Makes a disk full for a while."""
         await self._fail_disk(machine, seconds, "disk-full")
 
     async def slow_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """A disk takes `SLOW_FACTOR` times as long for a while."""
+        """Makes a disk take `SLOW_FACTOR` times as long to sync for a while."""
         disk = machine.disk
         self._begin("disk-slow", machine)
         disk.sync_time = SLOW_FACTOR * SYNC_TIME
@@ -206,10 +206,10 @@
         disk.hangs = disk.full = False
         self._end(kind, machine)
 
-    # -- the end
+    # -- recovery
 
     async def heal(self) -> None:
-        """Ends all faults at once."""
+        """Reverts all faults at once."""
         world = self.world
         world.network.heal_all()
         for machine in world.machines:
@@ -224,7 +224,7 @@
         world.active_faults = 0
         self._faults_by_machine.clear()
 
-    # -- inner parts
+    # -- internals
 
     def _begin(self, kind: str, machine: ControlMachine) -> None:
         self.world.active_faults += 1
@@ -244,7 +244,7 @@
 
 
 async def _thaw(process: Process) -> None:
-    """Returns once the process has its processor again, or has ended."""
+    """Thaws a process and returns when it runs again or has ended."""
     process.thaw()
     while process.state is ProcessState.FROZEN:
         await asyncio.sleep(0)
--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -1,4 +1,4 @@
-"""What operators, servers and gateways of a run have done and seen, in the order in which it happened."""
+"""Records what operators, servers and gateways did and observed in a run, in order of time."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Outcome(Enum):
-    """How an operator's order has ended for its operator."""
+    """The result of an order as its operator knows it."""
 
-    UNCLEAR = auto()  # it may be in force or not, now or later
+    UNCLEAR = auto()  # it may be applied or not, now or later
     ACKNOWLEDGED = auto()
     CONFLICT = auto()
     INVALID = auto()
@@ -21,35 +21,35 @@
 
 @define
 class OrderRecord:
-    """One order, however often it was sent. Times are microseconds of the run."""
+    """One order, however often it was sent. Times are in microseconds since the start of the run."""
 
     number: int
     operator: str
     order: Order
-    version: int  # that it would put in force; 0: it is no configuration
+    version: int  # the configuration version that it creates; 0 for orders that are no configuration
     invoked_at: int
     valid: bool = True
     outcome: Outcome = Outcome.UNCLEAR
     ended_at: int | None = None
-    reply_version: int = 0  # by the answer
+    reply_version: int = 0  # the version in the reply
     answered_by: str = ""
-    answered_at: int = 0  # when the node decided on its answer
+    answered_at: int = 0  # when the node decided on its reply
     calls: int = 0
 
     @property
     def acknowledged(self) -> bool:
-        """Whether it is in force for certain."""
+        """Whether the order has certainly been applied."""
         return self.outcome is Outcome.ACKNOWLEDGED
 
     @property
     def refused(self) -> bool:
-        """Whether it is certain never to come into force."""
+        """Whether the order will certainly never be applied."""
         return self.outcome in (Outcome.CONFLICT, Outcome.INVALID)
 
 
 @frozen
 class ReadRecord:
-    """A configuration that was read back."""
+    """A configuration that an operator read back."""
 
     operator: str
     invoked_at: int
@@ -62,10 +62,10 @@
 
 @frozen
 class ServerAck:
-    """A control node has acknowledged a server's word."""
+    """A control node's acknowledgement of a server's heartbeat or deregistration."""
 
     server: str
-    draining: bool  # it said that it drains, or has ended
+    draining: bool  # the server had reported that it drains or ends
     answered_by: str
     answered_at: int
     received_at: int
@@ -73,7 +73,7 @@
 
 @define
 class History:
-    """All of it."""
+    """All records of a run."""
 
     orders: list[OrderRecord] = field(factory=list)
     reads: list[ReadRecord] = field(factory=list)
@@ -81,5 +81,5 @@
     views: list[ViewSeen] = field(factory=list)
 
     def order(self, number: int) -> OrderRecord | None:
-        """The order with this number; 0 stands for none."""
+        """Returns the order with this number; None for 0, which means no order."""
         return self.orders[number - 1] if 0 < number <= len(self.orders) else None
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -1,4 +1,4 @@
-"""Since when a control machine has had no contact with a majority of the voters, by the faults alone."""
+"""Computes since when a control machine has been cut off from a majority of the voters by faults."""
 
 from __future__ import annotations
 
@@ -7,32 +7,35 @@
 from brackenladder.simulation.machines import ControlMachine
 from brackenladder.simulation.network import SimulatedNetwork
 
-LONG_AGO = -(1 << 40)  # of a process that has had no majority in reach since its start
-NOT_ENDED = 1 << 62  # the end of a span that has not ended
+LONG_AGO = -(1 << 40)  # used for a process that has not reached a majority since its start
+NOT_ENDED = 1 << 62  # end of a span that is still open
 
 
 @frozen
 class _Span:
     begun: int
     until: int
-    since: int  # from when it is counted
+    since: int  # the time from which the isolation is counted
 
 
 class Isolation:
-    """To be told after each fault, each repair and now and then. Times are microseconds of the run."""
+    """Tracks the isolation of machines. Call `update` after each fault and each repair, and periodically.
+
+    Times are in microseconds since the start of the run.
+    """
 
     def __init__(self, network: SimulatedNetwork, machines: list[ControlMachine]) -> None:
         self._network = network
         self._machines = machines
-        self._voters: frozenset[str] = frozenset()  # replica ids, of the newest members that were known
+        self._voters: frozenset[str] = frozenset()  # replica ids of the newest members seen
         self._newest_log = (0, 0)
         self._start_with_contact: dict[
             str, int
-        ] = {}  # the start of a process that has had a majority in reach
+        ] = {}  # by machine name, the start whose process has reached a majority
         self._spans: dict[str, list[_Span]] = {}
 
     def update(self, now: int) -> None:
-        """Links, machines or members have changed."""
+        """Recomputes which machines are isolated."""
         self._update_voters()
         for machine in self._machines:
             if machine.running and not self._in_contact(machine):
@@ -44,7 +47,7 @@
                     self._start_with_contact[machine.name] = machine.starts
 
     def isolated_for(self, moment: int, name: str) -> int:
-        """Microseconds for which a running machine had been without a majority then; 0: it had one."""
+        """Returns for how long a running machine had been isolated at a moment; 0 if it was not."""
         for span in self._spans.get(name, ()):
             if span.begun <= moment < span.until:
                 return moment - span.since
@@ -61,7 +64,7 @@
             spans[-1] = evolve(spans[-1], until=now)
 
     def _in_contact(self, machine: ControlMachine) -> bool:
-        """Whether it, or one that it reaches and that may lead, reaches a majority."""
+        """Whether the machine, or a possible leader that it is connected to, reaches a majority."""
         return any(
             self._reaches_majority(other) for other in self._machines if self._connected(machine, other)
         )
--- a/brackenladder/simulation/live_checks.py
+++ b/brackenladder/simulation/live_checks.py
@@ -1,4 +1,4 @@
-"""What is checked while a run goes on: gateways and nodes keep up with what was acknowledged."""
+"""Checks made during a run: gateways and nodes have to keep up with what was acknowledged."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from brackenladder.simulation.scenario import SECOND
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 
-CONTACT_TIME = 4 * SECOND  # without faults after which all machines are in touch
-CONFIG_TIME = 3 * SECOND  # from an acknowledgement until every gateway in touch follows
+CONTACT_TIME = 4 * SECOND  # time without faults after which all machines are connected
+CONFIG_TIME = 3 * SECOND  # from an acknowledgement until every connected gateway has the configuration
 DRAIN_TIME = 3 * SECOND
-CATCH_UP_TIME = 10 * SECOND  # of calm after which no control node lacks what was committed before
+CATCH_UP_TIME = 10 * SECOND  # time without faults after which every node has applied all earlier commits
 
 
 class LiveChecks:
-    """Keeps the first thing that it finds. Times are microseconds of the run."""
+    """Keeps the first violation. Times are in microseconds since the start of the run."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         undisturbed_since: Callable[[int], bool],
         catch_up: int,
     ) -> None:
-        """`calm_since` tells of a moment whether no fault has disturbed the machines since."""
+        """`undisturbed_since` tells whether no fault has been active since shortly before a moment."""
         self.failure: Violation | None = None
         self._loop = loop
         self._history = history
@@ -41,11 +41,11 @@
         self._isolation = isolation
         self._undisturbed_since = undisturbed_since
         self._catch_up = max(CATCH_UP_TIME, catch_up)
-        self._revisions: dict[tuple[int, int], int] = {}  # revision by gateway and start
-        self._committed: deque[tuple[int, int]] = deque()  # time and commit index of the leader then
+        self._revisions: dict[tuple[int, int], int] = {}  # newest revision by gateway number and start
+        self._committed: deque[tuple[int, int]] = deque()  # time and the leader's commit index at that time
 
     def view_changed(self, seen: ViewSeen) -> None:
-        """A gateway takes another revision: it never goes back, and shows nothing that was refused."""
+        """A gateway's revision must increase with each change, and a refused configuration must not appear."""
         self._history.views.append(seen)
         key = (seen.gateway, seen.start)
         if seen.revision <= self._revisions.get(key, 0):
@@ -56,23 +56,23 @@
             self.fail("refused-in-force", f"gateway {seen.gateway} shows order {order.number}")
 
     def server_acknowledged(self, ack: ServerAck) -> None:
-        """A node has acknowledged a server; one that drains is soon sent nothing more."""
+        """Checks an acknowledgement. Gateways must soon stop sending requests to a draining server."""
         if ack.draining:
             self._check_drain_known(ack)
             self._loop.call_later(DRAIN_TIME / SECOND, self._check_drained, ack)
 
     def check(self) -> None:
-        """Gateways and nodes follow what was acknowledged; to be called now and then."""
+        """Checks that gateways and nodes are up to date. Called periodically."""
         self._check_configurations()
         self._check_caught_up()
 
     def fail(self, rule: str, detail: str) -> None:
-        """Notes the first thing that was found."""
+        """Keeps the violation if it is the first one."""
         if self.failure is None:
             self.failure = Violation(rule, f"at {self._loop.microseconds / SECOND:.3f} s: {detail}")
 
     def _check_drain_known(self, ack: ServerAck) -> None:
-        """What a node that is alone acknowledges is known where a majority is."""
+        """A drain acknowledged by an isolated node must be known to a node with a majority."""
         isolated = self._isolation.isolated_for
         if not isolated(ack.answered_at, ack.answered_by):
             return
@@ -90,7 +90,7 @@
                 self.fail("drain", f"gateway {gateway.number} sends to {ack.server}")
 
     def _check_configurations(self) -> None:
-        """Every gateway follows what was acknowledged `CONFIG_TIME` ago."""
+        """Every gateway must have what was acknowledged `CONFIG_TIME` ago."""
         due = self._loop.microseconds - CONFIG_TIME
         if not self._undisturbed_since(due):
             return
@@ -107,7 +107,7 @@
                 self.fail("config-late", f"gateway {gateway.number} has {version}, {newest} is acknowledged")
 
     def _check_caught_up(self) -> None:
-        """Every control node has applied what was committed `CATCH_UP_TIME` of calm ago."""
+        """Every node must have applied what was committed `CATCH_UP_TIME` ago, unless faults were active."""
         leader = leading_machine(self._machines)
         if leader is not None and leader.node is not None:
             self._committed.append((self._loop.microseconds, leader.node.host.replica.commit_index))
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -38,7 +38,7 @@
 
 
 class UnusedListener:
-    """A listener at which nobody calls: actors call the handlers' objects themselves."""
+    """A listener without connections: actors call the node's services directly."""
 
     def __init__(self, _handler: Handler) -> None:
         pass
@@ -61,7 +61,7 @@
 
 @frozen
 class Site:
-    """Where the machines of a run are. `megabits`: the bandwidth of each machine's link, a second."""
+    """The number of machines, their timing and the bandwidth of each link in megabits per second."""
 
     control_nodes: int = 3
     gateways: int = 3
@@ -70,7 +70,7 @@
 
 
 class ControlMachine:
-    """A machine that runs a control node on a disk of its own."""
+    """A machine that runs a control node and has its own disk."""
 
     node_type: type[ControlNode] = ControlNode
 
@@ -83,7 +83,7 @@
         tolerated: int,
         site: Site,
     ) -> None:
-        """`seeds`: what its settings name; `tolerated`: how many machines may be lost at a time."""
+        """`seeds`: returns the seed addresses for its settings; `tolerated`: machines that may be lost."""
         self.number = number
         self.name = f"control-{number}"
         self.zone = tuple(ZONES)[number % len(ZONES)]
@@ -105,26 +105,26 @@
 
     @property
     def inner_address(self) -> str:
-        """Where it listens for other nodes."""
+        """The address for connections from other nodes."""
         return f"{self.ip}:{INNER_PORT}"
 
     @property
     def control_address(self) -> str:
-        """Where operators and servers call it."""
+        """The address for calls from operators and servers."""
         return f"{self.ip}:{CONTROL_PORT}"
 
     @property
     def running(self) -> bool:
-        """Whether its process is there and gets the processor."""
+        """Whether its process exists and is not frozen."""
         return self.process is not None and self.process.running
 
     @property
     def up(self) -> bool:
-        """Whether its process is there, if only frozen."""
+        """Whether its process exists, frozen or not."""
         return self.node is not None
 
     def has_ready_server(self, server_id: str) -> bool:
-        """Whether the node takes a server for one that may be sent requests."""
+        """Whether the node considers a server ready for requests."""
         if self.node is None:
             return False
         tell = self.node.soft_state.servers_in
@@ -132,7 +132,7 @@
         return any(record.id == server_id and record.state is ServerState.READY for record in alive)
 
     def boot(self, genesis: Members | None = None) -> None:
-        """Starts the program on what the disk holds."""
+        """Starts the process from the state on disk."""
         process = Process(f"{self.name}.{self.starts}")
         self.starts += 1
         self.process = self.endpoint.process = process
@@ -155,26 +155,26 @@
         self._loop.create_task(node.start())
 
     def kill(self) -> None:
-        """The process ends; the system tells its neighbours."""
+        """Kills the process. Its connections are closed by the system, so that its peers notice at once."""
         if self._writer is not None:
             self._writer.killed()
         self._end()
         self._network.kill(self.name)
 
     def lose_power(self) -> None:
-        """The machine falls silent, and forgets what was not synced."""
+        """Cuts the power: connections end silently, and writes that were not synced may be lost."""
         if self._writer is not None:
             self._writer.power_lost()
         self._end()
         self._network.power_off(self.name)
 
     def end_process(self) -> None:
-        """A frozen process ends as it is; nothing of it runs any more."""
+        """Ends the process at once, also if it is frozen."""
         if self.process is not None:
             self.process.end()
 
     def lose_disk(self) -> None:
-        """The machine, which is down, has an empty disk from now on."""
+        """Replaces the disk by an empty one. The machine has to be down."""
         self._disks += 1
         self.disk = Disk(self._loop, self._random, f"disk-{self.number}-{self._disks}")
 
@@ -205,21 +205,21 @@
 
 @frozen
 class ViewSeen:
-    """What a gateway's view showed after it changed. Times are microseconds of the run."""
+    """A gateway's view after a change. Times are in microseconds since the start of the run."""
 
     at: int
     gateway: int
-    start: int  # which start of the gateway's process
+    start: int  # counts the starts of the gateway's process
     revision: int
-    version: int  # of the configuration; 0: it has none
-    order: int  # that made the configuration, by its marker; 0: none
+    version: int  # of the configuration; 0 if there is none
+    order: int  # the order that made the configuration, read from its marker route; 0 if there is none
     evacuated: frozenset[str]
-    told_by: str  # inner address of the control node
-    first: bool  # the gateway had none before, since its start
+    told_by: str  # peer address of the control node that sent the change
+    first: bool  # the gateway had no catalog since its start
 
 
 class GatewayMachine:
-    """A machine that runs the control side of a gateway: its links, and the view they fill."""
+    """A machine that runs the control side of a gateway: its links to control nodes and its view."""
 
     def __init__(
         self,
@@ -249,7 +249,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process is there and gets the processor."""
+        """Whether its process exists and is not frozen."""
         return self.process is not None and self.process.running
 
     def boot(self) -> None:
@@ -260,7 +260,7 @@
         process.run(self._start)
 
     def kill(self) -> None:
-        """The process ends."""
+        """Kills the process."""
         if self.process is not None:
             self.process.end()
         self.process = self.endpoint.process = None
@@ -316,7 +316,7 @@
 
 
 class _WatchedSubscriber(Subscriber):
-    """Tells of each change of the catalog, and who has brought it."""
+    """A subscriber that reports each catalog change and the control node that sent it."""
 
     def __init__(self, changed: Callable[[str, bool], None]) -> None:
         super().__init__()
@@ -332,11 +332,11 @@
 
 
 def _ignore_notices(_notices: PrefixNotices) -> None:
-    """Prefix notices are hints about prompts, which no actor sends."""
+    """Ignores prefix notices, which are cache hints: no actor sends prompts."""
 
 
 def leading_machine(machines: Iterable[ControlMachine]) -> ControlMachine | None:
-    """The running machine that leads in the highest term, if any takes itself for the leader."""
+    """Returns the running machine that leads in the highest term, or None."""
     leading = [one for one in machines if one.running and one.node is not None and one.node.host.leads]
     return max(leading, key=_term, default=None)
 
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -1,7 +1,7 @@
-"""The network of a simulated run: latency, bandwidth, cuts in one direction or both, and silent ends.
+"""The simulated network: latency, bandwidth, cuts in one or both directions and silent connections.
 
-It carries links of the memory transport. As over TCP, what a cut holds up arrives once the cut has ended,
-unless its sender has reset the link meanwhile; a link that hears nothing for long ends.
+It carries links of the memory transport. As over TCP, messages delayed by a cut arrive when the cut ends,
+unless the sender has reset the link. A link that receives nothing for too long is closed.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from brackenladder.transport.memory import MemoryDialer, MemoryNetwork, MemoryTransport
 from brackenladder.transport.memory_link import Delivery, Event, MemoryLink
 
-SWEEP_SECONDS = 0.1  # between two looks at silent links and idle dialers
+SWEEP_SECONDS = 0.1  # between two checks for silent links and disconnected dialers
 BITS_PER_BYTE = 8
-PACKET_BYTES = 60  # of an event that carries no message
+PACKET_BYTES = 60  # size of an event that carries no message
 OTHER_REGION_LATENCY = 35_000  # microseconds one way
 SAME_REGION_LATENCY = 900
 
 
 class TimedLink(MemoryLink):
-    """An end of a link that knows when it last heard the other one."""
+    """A link end that records when it last heard from the other end."""
 
     heard_at = 0
     clock: Callable[[], int]
@@ -36,23 +36,23 @@
 
 
 class Endpoint:
-    """A machine as the network sees it."""
+    """A named machine or actor on the network."""
 
     def __init__(self, name: str, region: str, megabits: float) -> None:
         self.name = name
         self.region = region
         self.megabits = megabits
         self.process: Process | None = None
-        self.send_queue_empty_at = 0  # when the bytes on the way out have left
+        self.send_queue_empty_at = 0  # when the bytes sent so far have left the machine
 
     @property
     def frozen(self) -> bool:
-        """Whether its process stands still."""
+        """Whether its process is frozen."""
         return self.process is not None and self.process.state is ProcessState.FROZEN
 
 
 class SimulatedNetwork(MemoryNetwork):
-    """A `MemoryNetwork` whose events take time. Machines are named; each runs one process at a time."""
+    """A `MemoryNetwork` whose events take time. Each endpoint runs at most one process at a time."""
 
     def __init__(self, loop: VirtualEventLoop, codec: Codec, timing: LinkTiming | None = None) -> None:
         super().__init__(codec)
@@ -62,37 +62,37 @@
         self.bytes_sent = 0
         self.delivered = 0
         self.report_held_call: Callable[[str], None] = (
-            _ignore_held_call  # is told of a call that does not end
+            _ignore_held_call  # called with a description of a call that did not end in time
         )
-        self._latest_arrivals: dict[tuple[str, str], int] = {}  # the latest one by direction
+        self._latest_arrivals: dict[tuple[str, str], int] = {}  # latest one, by direction
         self._held_events: dict[tuple[str, str], deque[Event]] = {}
         loop.call_later(SWEEP_SECONDS, self._sweep)
 
     def add_endpoint(self, name: str, region: str, megabits: float) -> Endpoint:
-        """A machine is there from now on."""
+        """Adds a machine or an actor."""
         endpoint = Endpoint(name, region, megabits)
         self.endpoints[name] = endpoint
         return endpoint
 
     def transport(self, name: str, codec: Codec) -> SimulatedTransport:
-        """A transport of the process that runs on a machine now."""
+        """Returns a transport for the process that now runs on an endpoint."""
         return SimulatedTransport(self, name, codec=codec)
 
     def latency(self, one: str, other: str) -> int:
-        """Microseconds that a packet takes from one machine to another."""
+        """Returns the microseconds that a packet takes between two endpoints."""
         if one == other:
             return 0
         same = self.endpoints[one].region == self.endpoints[other].region
         return SAME_REGION_LATENCY if same else OTHER_REGION_LATENCY
 
     def is_cut(self, sender: str, receiver: str) -> bool:
-        """Whether nothing gets from one machine to another."""
+        """Whether a cut stops everything sent from one endpoint to another."""
         return (sender, receiver) in self._cuts
 
     # -- events
 
     def queue(self, event: Event) -> None:
-        """Lets an event happen after the time that it takes."""
+        """Schedules an event after its transmission time and latency."""
         direction = (event.sender, event.receiver)
         if event.sender == event.receiver:
             self.loop.call_external(self.loop.microseconds, self._deliver, event)
@@ -129,7 +129,7 @@
     # -- faults
 
     def heal(self, one: str, other: str) -> None:
-        """Ends the cuts between two machines."""
+        """Ends the cuts between two endpoints."""
         self._cuts -= {(one, other), (other, one)}
         self._release_held_up()
 
@@ -180,7 +180,7 @@
 
 
 def _ignore_held_call(_detail: str) -> None:
-    """Nobody wants to know."""
+    """Does nothing; used until a handler is set."""
 
 
 class SimulatedTransport(MemoryTransport):
@@ -189,7 +189,7 @@
     network: SimulatedNetwork
 
     def make_link(self, handler: LinkHandler, ended: Callable[[MemoryLink, LinkClosed], None]) -> MemoryLink:
-        """One end of a new link."""
+        """Creates one end of a new link."""
         network = self.network
         link = TimedLink(self.name, self._codec, self.limits, handler, network.queue, ended)
         link.clock = lambda: network.loop.microseconds
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators who change the configuration, evacuate zones and read back, whatever becomes of their calls."""
+"""Operators that change the configuration, evacuate zones and read back, and retry when calls fail."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from brackenladder.simulation.network import SimulatedNetwork
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 
-ANSWER_TIMEOUT_SECONDS = 1.0  # for an answer, beside the time that a large body takes
-FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; grows
+ANSWER_TIMEOUT_SECONDS = 1.0  # for an answer, in addition to the transfer time of a large body
+FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; doubles each time
 LONGEST_PAUSE_SECONDS = 1.0
-EVACUATION_SECONDS = 5.0  # longest repetition of an order that is no configuration
+EVACUATION_SECONDS = 5.0  # for how long an evacuation order is retried
 ORDER_BYTES = 300
 BITS_PER_BYTE = 8
 
@@ -42,32 +42,32 @@
 
 @frozen
 class OperatorSettings:
-    """What operators do. Shares are of all their actions."""
+    """What operators do. Shares are fractions of their actions unless noted otherwise."""
 
     pause: float = 0.5  # mean seconds between two actions
-    in_flight: int = 2  # actions of one operator at a time
-    updates: float = 0.3  # of the configurations
-    invalid: float = 0.1  # of the configurations
+    in_flight: int = 2  # concurrent actions of one operator
+    updates: float = 0.3  # fraction of the configurations
+    invalid: float = 0.1  # fraction of the configurations
     evacuations: float = 0.15
     reads: float = 0.15
-    repeats: float = 0.1  # an acknowledged order arrives again
+    repeats: float = 0.1  # an order that has been answered is sent again
     answers_lost: float = 0.1
-    max_configuration_bytes: int = 2_000  # bytes of a configuration
-    retry_seconds: float = 12.0  # seconds for which a configuration without a clear answer is repeated
+    max_configuration_bytes: int = 2_000  # maximum size of a configuration
+    retry_seconds: float = 12.0  # for how long a configuration without a definite answer is retried
 
 
 class OrderObserver(Protocol):
-    """Is told what operators see at once."""
+    """Is notified of what operators observe."""
 
     def order_decided(self) -> None:
-        """A node has acknowledged an order; its answer is about to leave."""
+        """A node has acknowledged an order and is about to send the reply."""
 
     def fail(self, rule: str, detail: str) -> None:
-        """Something against a rule was seen."""
+        """Reports a broken rule."""
 
 
 class Operator:
-    """One operator with a connection to every control node."""
+    """An operator that can call every control node."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         network.add_endpoint(name, "north", 1000.0).process = Process(name)
 
     async def run(self) -> None:
-        """Acts until `active` is taken away; then ends what is under way."""
+        """Acts until `active` is cleared, then waits for the actions in progress."""
         under_way: set[asyncio.Task[None]] = set()
         while self.active:
             if len(under_way) < self.operator_settings.in_flight:
@@ -117,7 +117,7 @@
         return record
 
     async def configure(self, size: int = 0) -> OrderRecord:
-        """Sends one configuration on top of the newest version that this operator knows."""
+        """Sends one configuration based on the newest version that this operator knows."""
         record = self._configuration(size)
         await self._submit_until_answered(record, self.operator_settings.retry_seconds)
         return record
@@ -164,7 +164,7 @@
         return record
 
     async def _submit_until_answered(self, record: OrderRecord, retry_seconds: float) -> None:
-        """Sends an order, to one node after the other, until there is a clear answer."""
+        """Sends an order to one node after the other until there is a definite answer."""
         until = self._now() + int(retry_seconds * MICROSECONDS)
         pause = FIRST_PAUSE_SECONDS
         while record.ended_at is None and self._now() < until:
@@ -198,14 +198,14 @@
         return await make_call(call, size, ANSWER_TIMEOUT_SECONDS + 4 * transfer), call
 
     async def _decide(self, node: ControlNode, order: Order) -> OrderReply:
-        """Runs at the node."""
+        """Runs on the node."""
         reply = await _submit(node, order)
         if reply.outcome is OrderOutcome.ACCEPTED:
             self._observer.order_decided()
         return reply
 
     async def _repeat(self) -> None:
-        """Sends an order of one's own that was acknowledged, or refused for good, once more."""
+        """Sends one of its own orders again that was acknowledged or refused. The answer must be the same."""
         own = [
             record
             for record in self._history.orders
--- a/brackenladder/simulation/profiles.py
+++ b/brackenladder/simulation/profiles.py
@@ -1,4 +1,4 @@
-"""Which faults come, and when: a profile for each way in which a control side goes wrong."""
+"""Fault profiles: each one draws the faults that provoke a certain kind of failure of the control side."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
 
 @frozen
 class Profile:
-    """A scenario and its faults. `strikes` are drawn by weight; `calm`: seconds between two of them."""
+    """A scenario and its faults.
+
+    `fault_actions` are drawn by weight; `fault_interval` is the range of seconds between two of them.
+    """
 
     name: str
     description: str
@@ -57,10 +60,10 @@
 
 
 async def inject_faults(profile: Profile, faults: Faults, random: Random, skipped: frozenset[int]) -> int:
-    """Lets the profile's faults come for as long as its scenario says; how many there were.
+    """Injects the profile's faults for the time given by its scenario and returns their number.
 
-    They are numbered from 0; those of `skipped` do not come. Each draws from a source of its own, so that the
-    others stay as they are.
+    Faults are numbered from 0; those in `skipped` are left out. Each fault has its own random source, so that
+    leaving one out does not change the others.
     """
     loop = asyncio.get_running_loop()
     until = loop.time() + profile.scenario.fault_seconds
@@ -82,12 +85,12 @@
 
 
 async def _run(action: FaultAction, faults: Faults, random: Random, machine: ControlMachine) -> None:
-    with suppress(asyncio.CancelledError):  # the trouble is over, and what it has begun is healed
+    with suppress(asyncio.CancelledError):  # the time for faults is over; Faults.heal reverts the rest
         await action(faults, random, machine)
 
 
 def _target(faults: Faults, random: Random) -> ControlMachine:
-    """The leader as often as any other."""
+    """Picks the leader in half of the cases, and otherwise any machine."""
     leader = faults.world.leader()
     if leader is not None and random.random() < 0.5:
         return leader
--- a/brackenladder/simulation/run.py
+++ b/brackenladder/simulation/run.py
@@ -1,4 +1,4 @@
-"""One simulated run from one seed: trouble, healing, settling, and what must hold at the end."""
+"""Runs one simulation from one seed: faults, recovery and the checks at the end."""
 
 from __future__ import annotations
 
@@ -24,27 +24,25 @@
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 from brackenladder.simulation.world import World
 
-START_SECONDS = 3.0  # from the first boot until operators begin
+START_SECONDS = 3.0  # from the first boot until the actors start
 POLL_SECONDS = 0.2
-LONGEST_TURN_DELAY = 20_000  # microseconds; of a process that shares its core with many others
-CLEAN_UP_TIME = 1_000  # microseconds after a run in which tasks take note of their cancellation
+LONGEST_TURN_DELAY = 20_000  # microseconds; the delay of a process that shares its core with many others
+CLEAN_UP_TIME = 1_000  # microseconds in which tasks handle their cancellation after a run
 
 
 @frozen
 class RunResult:
-    """What came of a run; `rule` is empty if nothing broke."""
+    """The result of a run; `rule` is empty if no rule was broken."""
 
     profile: str
     seed: int
     rule: str
     detail: str
-    events: int  # messages and calls that arrived
+    events: int  # messages and calls delivered
     orders: int
     acknowledged: int
     elections: int
-    fault_count: (
-        int  # faults that came, or would have come; 0 where the run broke before the end of the trouble
-    )
+    fault_count: int  # drawn faults, including skipped ones; 0 if the run broke while faults were injected
     faults: dict[str, int]
     faults_by_role: dict[str, int]
 
@@ -57,16 +55,16 @@
     trace: Callable[[str], None] | None = None,
     skipped: frozenset[int] = frozenset(),
 ) -> RunResult:
-    """Plays one schedule; `trace` takes what is logged, line by line; `skipped` faults do not come."""
+    """Runs one schedule without the `skipped` faults. `trace` receives each log line."""
     loop = VirtualEventLoop(_turn_order(profile, seed))
     handler = logbook.NullHandler() if trace is None else TraceHandler(loop, trace)
     with handler.applicationbound(), warnings.catch_warnings():
-        # a process may end between the making of a task and its first step
+        # a process may end between the creation of a task and its first step
         warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
         try:
             return _run_in(loop, profile, seed, machine_type, gateway_type, skipped)
         finally:
-            gc.collect()  # ends what waits for ever, while the loop still takes its last calls
+            gc.collect()  # finalizes coroutines that wait forever, while the loop still accepts calls
             loop.close()
 
 
@@ -122,7 +120,7 @@
 
 
 async def _run_watched(world: World, work: Awaitable[int]) -> int:
-    """Runs the trouble, and ends as soon as a check has found something."""
+    """Runs the fault injection, and stops it as soon as a check fails."""
     task = asyncio.ensure_future(work)
     while not task.done():
         await asyncio.sleep(POLL_SECONDS)
@@ -131,7 +129,7 @@
 
 
 async def _wait_for_convergence(world: World) -> None:
-    """After the faults an order is taken, read back everywhere, and all nodes and gateways agree."""
+    """Returns when an order was acknowledged and read back and all nodes and gateways agree."""
     deadline = world.now + int(world.scenario.recovery_seconds * SECOND)
     operator = world.operators[0]
     while world.now < deadline:
@@ -157,7 +155,7 @@
 
 
 def describe(world: World) -> str:
-    """All control nodes and gateways in one line."""
+    """Describes all control nodes and gateways in one line."""
     parts = []
     for machine in world.machines:
         node = machine.node
--- a/brackenladder/simulation/scenario.py
+++ b/brackenladder/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""What a simulated run consists of, and what it has brought about."""
+"""The parameters of a simulated run, and what it has covered."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 @frozen
 class Scenario:
-    """What a run consists of, beside its faults. Times are seconds."""
+    """The parameters of a run except its faults. Times are in seconds."""
 
     site: Site = Site()
     operator_settings: OperatorSettings = OperatorSettings()
     server_lifetimes: ServerLifetimes = ServerLifetimes()
     operators: int = 2
     servers: int = 2
-    fault_seconds: float = 40.0  # for which faults come
-    catch_up: float = 4.0  # from the end of a machine's trouble until it counts again
-    quiet_seconds: float = 0.0  # after the faults, while operators go on
-    recovery_seconds: float = 30.0  # longest time until all is well again
-    late_turns: float = 0.0  # share of the event loop's turns that begin late, with more in them
+    fault_seconds: float = 40.0  # for how long faults are injected
+    catch_up: float = 4.0  # from the end of a machine's last fault until it counts as healthy again
+    quiet_seconds: float = 0.0  # without faults, while operators go on
+    recovery_seconds: float = 30.0  # longest time until the system has recovered
+    late_turns: float = 0.0  # fraction of event loop turns that begin late and run more callbacks
 
 
 @define
 class Coverage:
-    """What a run has brought about."""
+    """Counts what has happened in a run."""
 
     faults: Counter[str] = field(factory=Counter)
-    faults_by_role: Counter[str] = field(factory=Counter)  # a kind of fault and the role that it met
+    faults_by_role: Counter[str] = field(factory=Counter)  # by fault and the role of the node
     fault_count: int = 0
     terms: set[int] = field(factory=set)
--- a/brackenladder/simulation/schedules.py
+++ b/brackenladder/simulation/schedules.py
@@ -1,4 +1,4 @@
-"""All profiles by their names: those of whole control nodes, and the exchange of gateways."""
+"""All profiles by name: those of control nodes and the one of the gateways' request exchange."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     trace: Callable[[str], None] | None = None,
     skipped: frozenset[int] = frozenset(),
 ) -> RunResult:
-    """Plays one schedule; `trace` takes what is logged, line by line; `skipped` faults do not come."""
+    """Runs one schedule without the `skipped` faults. `trace` receives each log line."""
     if profile == exchange.NAME:
         return exchange.run_schedule(seed, trace, skipped)
     return run(PROFILES[profile], seed, trace=trace, skipped=skipped)
--- a/brackenladder/simulation/servers.py
+++ b/brackenladder/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Servers that send heartbeats, drain and come back at the address of another one."""
+"""Servers that send heartbeats, drain and reuse the address of a former server."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 CALL_BYTES = 400
 ANSWER_TIMEOUT_SECONDS = 1.0
 DRAIN_SECONDS = 3.0
-GIVE_UP_SECONDS = 8.0  # without an acknowledgement a server ends all the same
-REUSE_SECONDS = 2.0  # until an address serves again
-MAX_CALLS = 3  # of one heartbeat
+GIVE_UP_SECONDS = 8.0  # a server that gets no acknowledgement ends after this time anyway
+REUSE_SECONDS = 2.0  # until an address is used again
+MAX_CALLS = 3  # nodes tried per heartbeat
 
 
 @frozen
 class ServerLifetimes:
-    """How long servers live, in seconds."""
+    """How long servers live, in seconds, and how they end."""
 
     shortest: float = 8.0
     longest: float = 30.0
-    drains: float = 0.7  # of the ends; the others are crashes
-    deregisters_first: float = 0.2  # of the drains
+    drains: float = 0.7  # fraction of the ends; the others are crashes
+    deregisters_first: float = 0.2  # fraction of the drains
 
 
 class Server:
-    """One address at which one server after the other lives."""
+    """An address at which servers run one after the other."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         network.add_endpoint(name, ZONES[self._zone], 1000.0).process = Process(name)
 
     async def run(self) -> None:
-        """One life after the other."""
+        """Runs one server after the other until `active` is cleared."""
         while self.active:
             self._incarnation += 1
             await self._run_incarnation()
@@ -101,7 +101,7 @@
         return await self._call_some(server_id, True, lambda node: _deregister(node, server_id))
 
     async def _call_some(self, server_id: str, draining: bool, work: object) -> bool:
-        """Whether one of a few nodes has acknowledged."""
+        """Calls a few nodes in turn and returns whether one of them has acknowledged."""
         for machine in self._random.sample(self._machines, min(MAX_CALLS, len(self._machines))):
             answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
             call: Call[bool] = Call(self._network, self.name, machine, work, answer)  # type: ignore[arg-type]
--- a/brackenladder/simulation/stream_loop.py
+++ b/brackenladder/simulation/stream_loop.py
@@ -1,4 +1,4 @@
-"""The virtual event loop with the calls of asyncio that make and take connections, on simulated streams."""
+"""The virtual event loop with asyncio's methods to open and accept connections, on simulated streams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SimulatedSocket:
-    """What `sock_connect` connects and `create_connection` takes over."""
+    """The socket that `sock_connect` connects and `create_connection` takes over."""
 
     def __init__(self) -> None:
         self.end: StreamEnd | None = None
@@ -28,7 +28,7 @@
 
 
 class StreamEventLoop(VirtualEventLoop):
-    """A `VirtualEventLoop` whose processes reach a `StreamNetwork`, each from its own host."""
+    """A `VirtualEventLoop` whose processes use a `StreamNetwork`, each from its own host."""
 
     def __init__(self, turn_order: TurnOrder | None = None) -> None:
         super().__init__(turn_order)
@@ -36,10 +36,10 @@
         self._hosts: dict[Process, StreamHost] = {}
 
     def assign_host(self, process: Process, host: StreamHost) -> None:
-        """Where a process runs."""
+        """Sets the host on which a process runs."""
         self._hosts[process] = host
 
-    async def create_server(  # type: ignore[override]  # of asyncio's many forms the one that is used
+    async def create_server(  # type: ignore[override]  # only the form used here
         self,
         protocol_factory: Callable[[], asyncio.BaseProtocol],
         host: str | None = None,
@@ -60,7 +60,7 @@
         assert process is not None
         sock.end = await self.streams.connect(self._hosts[process], address[0], address[1])
 
-    async def create_connection(  # type: ignore[override]  # the same
+    async def create_connection(  # type: ignore[override]  # only the form used here
         self, protocol_factory: Callable[[], asyncio.BaseProtocol], *, sock: Any, **_options: Any
     ) -> tuple[StreamEnd, asyncio.BaseProtocol]:
         """See `asyncio.AbstractEventLoop`; for a connected socket."""
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -1,9 +1,10 @@
-"""Byte streams of a simulated run, as TCP carries them: in any portions, reset or ended at any byte, held up.
+"""Simulated byte streams that behave like TCP: data may be split, delayed, reset or ended at any byte.
 
-`StreamEnd` is an `asyncio.Transport`. Where TCP and asyncio have corners that programs stumble over, it has
-them too: what is written to an end that the other has forgotten meets a reset a round trip later; a process
-that stands still keeps its connections, and new ones come up; closing with bytes unread resets; a connection
-that is taken as its listener closes is dropped without a word to its protocol.
+`StreamEnd` is an `asyncio.Transport`. It also reproduces these corner cases of TCP and asyncio:
+- writing to a connection that the other system has dropped causes a reset one round trip later;
+- a frozen process keeps its connections, and its system accepts new ones;
+- closing with unread bytes sends a reset;
+- a connection accepted while its listener closes is dropped without a call to its protocol.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 
 from brackenladder.simulation.virtual_loop import Process, ProcessState, VirtualEventLoop, current_process
 
-WINDOW = 131_072  # bytes on the way to a reader, and not read by it
-HIGH_WATER = 65_536  # bytes that wait in the writing process, from which it is told to pause
+WINDOW = 131_072  # maximum number of bytes that are sent and not yet read by the receiving process
+HIGH_WATER = 65_536  # buffered bytes above which the writing process is told to pause
 LOW_WATER = 16_384
-LARGEST_READ = 262_144  # bytes handed to a protocol at once
-SMALL_PORTION_SHARE = 0.3  # of the portions that are cut short wherever it may be
-USER_TIMEOUT = 4_000_000  # microseconds without any acknowledgement that end a connection
-RETRANSMISSION = 200_000  # microseconds until what was lost is sent again
+LARGEST_READ = 262_144  # maximum number of bytes handed to a protocol at once
+SMALL_PORTION_SHARE = 0.3  # fraction of the writes that are sent in portions of random size
+USER_TIMEOUT = 4_000_000  # microseconds without an acknowledgement after which a connection ends
+RETRANSMISSION = 200_000  # microseconds until lost data is sent again
 
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 Latency = Callable[[str, str], int]
 
 
 class StreamHost:
-    """A machine with an address. `dark`: it answers nothing at all."""
+    """A machine with an IP address. An `unreachable` one does not respond at all."""
 
     def __init__(self, ip: str, zone: str) -> None:
         self.ip = ip
-        self.zone = zone  # by which latency is told
+        self.zone = zone  # determines the latency
         self.unreachable = False
 
 
 class StreamListener:
-    """A bound address. A socket of an `asyncio.Server`."""
+    """A bound address; stands in for a socket of an `asyncio.Server`."""
 
     def __init__(
         self, network: StreamNetwork, host: StreamHost, port: int, factory: ProtocolFactory, process: Process
@@ -56,12 +57,12 @@
         return self.host.ip, self.port
 
     def close(self) -> None:
-        """Nothing more is taken."""
+        """Stops accepting connections."""
         self.open = False
         self._network.unbind(self)
 
     def enqueue(self, end: StreamEnd) -> None:
-        """A connection waits in the backlog; the process takes it when it runs."""
+        """Queues a connection in the backlog. The process accepts it when it runs."""
         self.process.when_running(lambda: self.process.run(self._accept, end))
 
     def _accept(self, end: StreamEnd) -> None:
@@ -72,14 +73,14 @@
         asyncio.get_running_loop().call_soon(self._attach, end, protocol)
 
     def _attach(self, end: StreamEnd, protocol: asyncio.BaseProtocol) -> None:
-        if not self.open:  # asyncio drops it here, and its protocol never hears of it
+        if not self.open:  # asyncio drops the connection here and does not call its protocol
             end.close_by_kernel(with_reset=True)
             return
         end.attach(protocol)
 
 
 class StreamServer:
-    """What `create_server` returns."""
+    """The return value of `create_server`."""
 
     def __init__(self, listener: StreamListener) -> None:
         self.sockets: tuple[StreamListener, ...] = (listener,)
@@ -95,26 +96,26 @@
 
 
 class StreamNetwork:
-    """Hosts, listeners and the connections among them."""
+    """Hosts, listeners and the connections between them."""
 
     def __init__(self, loop: VirtualEventLoop, random: Random, latency: Latency) -> None:
-        """`latency`: microseconds one way between two places."""
+        """`latency` returns the microseconds one way between two zones."""
         self.loop = loop
         self.random = random
         self.latency = latency
         self.ends: list[StreamEnd] = []
-        self.portions = 0  # delivered
+        self.portions = 0  # portions of data delivered
         self._hosts: dict[str, StreamHost] = {}
         self._listeners: dict[tuple[str, int], StreamListener] = {}
         self._next_port = 30_000
 
     def add_host(self, ip: str, zone: str) -> StreamHost:
-        """A machine is there from now on."""
+        """Adds a host."""
         host = self._hosts[ip] = StreamHost(ip, zone)
         return host
 
     def host(self, ip: str) -> StreamHost:
-        """The machine with an address."""
+        """Returns the host with an IP address."""
         return self._hosts[ip]
 
     def listen(self, ip: str, port: int, factory: ProtocolFactory, process: Process) -> StreamListener:
@@ -126,24 +127,27 @@
         return listener
 
     def unbind(self, listener: StreamListener) -> None:
-        """Frees an address."""
+        """Releases an address."""
         key = (listener.host.ip, listener.port)
         if self._listeners.get(key) is listener:
             del self._listeners[key]
 
     def connect(self, host: StreamHost, ip: str, port: int) -> asyncio.Future[StreamEnd]:
-        """A connection from a host; refused where nobody listens, and never there if the other is dark."""
+        """Connects to an address.
+
+        The connection is refused if nothing listens there, and never completes if a host is unreachable.
+        """
         connected: asyncio.Future[StreamEnd] = self.loop.create_future()
         draw_latency = self.draw_latency(host, self._hosts[ip])
         self.loop.call_external(self.loop.microseconds + draw_latency, self._syn, host, ip, port, connected)
         return connected
 
     def draw_latency(self, one: StreamHost, peer: StreamHost) -> int:
-        """Microseconds from one host to another, as of now."""
+        """Draws the microseconds that a packet takes from one host to another."""
         return self.latency(one.zone, peer.zone) + self.random.randrange(200)
 
     def end_process(self, process: Process) -> None:
-        """A process is gone: its system closes all that it had."""
+        """Closes all listeners and connections of a process that has ended."""
         for listener in [one for one in self._listeners.values() if one.process is process]:
             listener.close()
         for end in [end for end in self.ends if end.process is process]:
@@ -151,14 +155,14 @@
             end.close_by_kernel(with_reset=self.random.random() < 0.5)
 
     def remove_end(self, end: StreamEnd) -> None:
-        """Nothing happens at this end any more."""
+        """Removes a connection end that is closed."""
         if end in self.ends:
             self.ends.remove(end)
 
     def _syn(self, host: StreamHost, ip: str, port: int, connected: asyncio.Future[StreamEnd]) -> None:
         peer = self._hosts[ip]
         if peer.unreachable or host.unreachable:
-            return  # sent again by the system, and given up by whoever waits
+            return  # the system would send the SYN again; the caller times out
         listener = self._listeners.get((ip, port))
         back = self.loop.microseconds + self.draw_latency(peer, host)
         if listener is None or listener.process.state is ProcessState.ENDED:
@@ -186,13 +190,13 @@
 
 def _complete_connect(connected: asyncio.Future[StreamEnd], end: StreamEnd) -> None:
     if connected.done():
-        end.close_by_kernel(with_reset=False)  # whoever dialled has given it up
+        end.close_by_kernel(with_reset=False)  # the caller has already given up
     else:
         connected.set_result(end)
 
 
 class StreamEnd(asyncio.Transport):
-    """One end of a connection: the process's transport and its system's buffers."""
+    """One end of a connection: the transport of a process and the socket buffers of its system."""
 
     def __init__(
         self, network: StreamNetwork, host: StreamHost, local: tuple[str, int], remote: tuple[str, int]
@@ -204,25 +208,25 @@
         self.protocol: asyncio.Protocol | None = None
         self.peer: StreamEnd
         self.sent = 0  # bytes that the system has taken from the process
-        self._inbox: deque[bytes] = deque()  # arrived, and not read by the process
-        self._eof_received = False  # the other's last byte has arrived
-        self._reset_error: OSError | None = None  # a reset has arrived
-        self._outbox = b""  # written by the process, and not taken by its system
-        self._in_flight = 0  # sent, and not read by the other process
+        self._inbox: deque[bytes] = deque()  # received and not yet read by the process
+        self._eof_received = False  # the peer's end of stream was received
+        self._reset_error: OSError | None = None  # set when a reset was received
+        self._outbox = b""  # written by the process and not yet taken by its system
+        self._in_flight = 0  # sent and not yet read by the peer's process
         self._acknowledged_at = network.loop.microseconds
-        self._last_arrival = 0  # when the latest event of this direction arrives
+        self._last_arrival = 0  # arrival time of the latest event in this direction
         self._reading = True
         self._closing = False
-        self._eof_written = False  # the process writes no more
+        self._eof_written = False  # the process has ended this direction
         self._socket_closed = False
         self._writing_paused = False
-        self._connection_lost = False  # connection_lost was, or is about to be, called
+        self._connection_lost = False  # connection_lost was called or is scheduled
         self._read_scheduled = False
         self._retransmissions: list[
             tuple[Callable[..., None], tuple[Any, ...]]
-        ] = []  # lost on the way, to be sent again
+        ] = []  # events lost on the way, to be sent again
 
-    # ---- what a protocol calls ------------------------------------------------------------------------
+    # ---- methods for the protocol ---------------------------------------------------------------------
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """See `asyncio.WriteTransport`."""
@@ -242,21 +246,21 @@
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """Ends this direction alone."""
+        """Ends this direction only."""
         if not self._eof_written:
             self._eof_written = True
             self._send_buffered()
 
     def can_write_eof(self) -> bool:
-        """It can."""
+        """Always true."""
         return True
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the system has not taken."""
+        """Returns the number of bytes not yet taken by the system."""
         return len(self._outbox)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """The bounds are fixed."""
+        """Does nothing: the limits are fixed."""
 
     def pause_reading(self) -> None:
         """See `asyncio.ReadTransport`."""
@@ -277,7 +281,7 @@
         return self._closing
 
     def close(self) -> None:
-        """Ends once what was written has been taken by the system."""
+        """Closes the connection once the system has taken all written data."""
         if self._closing:
             return
         self._closing = True
@@ -285,7 +289,7 @@
             self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        """Ends at once; what the system has not taken is dropped."""
+        """Closes the connection at once and drops data that the system has not taken."""
         self._fail(None)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
@@ -298,10 +302,10 @@
         assert isinstance(protocol, asyncio.Protocol)
         self.protocol = protocol
 
-    # ---- life -----------------------------------------------------------------------------------------
+    # ---- connection state -----------------------------------------------------------------------------
 
     def attach(self, protocol: asyncio.BaseProtocol) -> None:
-        """A process takes the end over; to be called as that process."""
+        """Hands the end to the current process, which has to be the one that uses `protocol`."""
         assert isinstance(protocol, asyncio.Protocol)
         self.process = current_process()
         self.protocol = protocol
@@ -309,13 +313,13 @@
         self._wake_reader()
 
     def close_by_kernel(self, with_reset: bool) -> None:
-        """The system ends it without its process."""
+        """Closes the end without its process."""
         self._closing = self._connection_lost = True
         self._outbox = b""
         self._close_socket(with_reset or bool(self._inbox))
 
     def drop_silently(self) -> None:
-        """The system has forgotten it, and tells nobody: whatever comes is answered with a reset."""
+        """Drops the connection without notifying the peer, whose next data is answered with a reset."""
         self._closing = self._connection_lost = self._socket_closed = True
         self._inbox.clear()
         self.network.remove_end(self)
@@ -324,14 +328,14 @@
             protocol.connection_lost(None)
 
     def reset_by_network(self) -> None:
-        """Something on the way resets both directions."""
+        """Resets both directions, as a middlebox may do."""
         for end in (self, self.peer):
             end.receive_reset(ConnectionResetError(errno.ECONNRESET, "reset on the way"))
 
-    # ---- the system's side: sending -------------------------------------------------------------------
+    # ---- sending in the system ------------------------------------------------------------------------
 
     def _send_buffered(self) -> None:
-        """Sends as much as the window lets, in portions of any size."""
+        """Sends as much as the window allows, in portions of random size."""
         while self._outbox and self._in_flight < WINDOW and not self._socket_closed:
             size = self._portion_size(min(len(self._outbox), WINDOW - self._in_flight))
             portion, self._outbox = self._outbox[:size], self._outbox[size:]
@@ -356,7 +360,7 @@
         return random.randint(1, most) if random.random() < SMALL_PORTION_SHARE else most
 
     def _send(self, event: Callable[..., None], *arguments: Any) -> None:
-        """The event happens at the other end, behind all that was sent before."""
+        """Schedules an event at the peer, after all earlier ones of this direction."""
         loop = self.network.loop
         at = loop.microseconds + self.network.draw_latency(self.host, self.peer.host)
         self._last_arrival = max(at, self._last_arrival + 1)
@@ -374,7 +378,7 @@
         self.network.loop.call_external(self.network.loop.microseconds + RETRANSMISSION, self._send_again)
 
     def _send_again(self) -> None:
-        """As TCP does with what was not acknowledged."""
+        """Sends again what was not acknowledged, as TCP does."""
         if self.host.unreachable or self.peer.host.unreachable:
             self._send_again_later()
             return
@@ -391,7 +395,7 @@
         if self._socket_closed or not self._in_flight:
             return
         if not self.host.unreachable and not self.peer.host.unreachable:
-            return  # whoever does not read is heard all the same
+            return  # the peer's system is reachable, its process only does not read
         if unacknowledged_for >= USER_TIMEOUT:
             self.receive_reset(TimeoutError(errno.ETIMEDOUT, "not acknowledged"))
         else:
@@ -401,10 +405,10 @@
         if self.protocol is not None and not self._connection_lost:
             self.protocol.resume_writing()
 
-    # ---- the system's side: receiving -----------------------------------------------------------------
+    # ---- receiving in the system ----------------------------------------------------------------------
 
     def receive_bytes(self, portion: bytes) -> None:
-        """Bytes have arrived."""
+        """Handles the arrival of data."""
         self.network.portions += 1
         if self._socket_closed:
             self._send(self.peer.receive_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
@@ -414,23 +418,23 @@
             self._wake_reader()
 
     def receive_eof(self) -> None:
-        """The other end writes no more."""
+        """Handles the arrival of the peer's end of stream."""
         self._eof_received = True
         self._wake_reader()
 
     def receive_reset(self, error: OSError) -> None:
-        """The connection is broken; what has come before may still be read, or not."""
+        """Handles the arrival of a reset. Data received before is dropped in half of the cases."""
         if self._socket_closed or self._reset_error is not None:
             return
         self._reset_error = error
         if self.network.random.random() < 0.5:
             self._inbox.clear()
-        if self._outbox or self._closing:  # the writer finds it
+        if self._outbox or self._closing:  # the writer notices the error first
             self._call_process(lambda: self._fail(error))
         self._wake_reader()
 
     def receive_acknowledgement(self, size: int) -> None:
-        """The other process has read so much."""
+        """Handles the acknowledgement of `size` bytes that the peer's process has read."""
         self._in_flight -= size
         self._acknowledged_at = self.network.loop.microseconds
         self._send_buffered()
@@ -448,7 +452,7 @@
             process.when_running(lambda: process.run(call))
 
     def _read(self) -> None:
-        """The process's event loop finds the socket readable."""
+        """Runs when the process's event loop finds the socket readable."""
         self._read_scheduled = False
         if not self._reading or self._closing or self.protocol is None:
             return
@@ -477,11 +481,11 @@
         assert self.protocol is not None
         try:
             self.protocol.data_received(data)
-        except Exception as error:  # as asyncio does: the connection ends with it
+        except Exception as error:  # like asyncio: the connection is closed with the error
             self.network.loop.call_exception_handler({"message": "data_received", "exception": error})
             self._fail(error)
 
-    # ---- the end --------------------------------------------------------------------------------------
+    # ---- closing --------------------------------------------------------------------------------------
 
     def _fail(self, error: Exception | None) -> None:
         if self._connection_lost:
@@ -505,7 +509,7 @@
         self._close_socket(with_reset=bool(self._inbox) or self._reset_error is not None)
 
     def _close_socket(self, with_reset: bool) -> None:
-        """The socket is closed: unread bytes make it a reset."""
+        """Closes the socket, with a reset if there are unread bytes."""
         if self._socket_closed:
             return
         self._socket_closed = True
--- a/brackenladder/simulation/trace.py
+++ b/brackenladder/simulation/trace.py
@@ -1,4 +1,4 @@
-"""What the processes of a run log, with the virtual time and the process that logs it."""
+"""Formats the log of a run with the virtual time and the name of the process that logs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TraceHandler(logbook.Handler):  # type: ignore[misc]  # logbook has no types
-    """Hands each record on as one line."""
+    """Writes each record as one line."""
 
     def __init__(self, loop: VirtualEventLoop, write: Callable[[str], None]) -> None:
         super().__init__(level=logbook.DEBUG)
--- a/brackenladder/simulation/turn_order.py
+++ b/brackenladder/simulation/turn_order.py
@@ -1,8 +1,8 @@
-"""Busy turns: a turn of the event loop begins late, and runs what is ready in an order drawn from a seed.
+"""Delayed and reordered event loop turns, drawn from a seed.
 
-A process that gets little of its core finds messages, ends of connections and timers of some milliseconds
-due at once, and asyncio promises an order only among callbacks of one source. What rests on a luckier order,
-such as a wait whose end and whose cancellation come in one turn, shows itself under any other.
+In a process that gets little processor time, messages, closed connections and timers become due in the
+same turn, and asyncio guarantees an order only among callbacks of the same source. Code that depends on a
+luckier order fails here, for example a wait whose result and whose cancellation come in the same turn.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @frozen
 class ReadyCallback:
-    """What is known of a callback that is about to run. `process`: on whose behalf; None: the network's."""
+    """A callback that is about to run. `process` is None for callbacks of the network."""
 
     handle: Handle
     process: Hashable
@@ -29,22 +29,22 @@
 
 
 class TurnOrder:
-    """Draws how late turns begin, and the order of what is ready. Keeps the order within each source."""
+    """Draws the delay of turns and the order of ready callbacks. Callbacks of one source keep their order."""
 
     def __init__(self, random: Random, late_share: float, longest_delay: int) -> None:
-        """`late_share`: of the turns; `longest_delay`: microseconds by which one of them begins late."""
+        """`late_share`: fraction of late turns; `longest_delay`: upper bound of a delay in microseconds."""
         self._random = random
         self._late_share = late_share
         self._longest_delay = longest_delay
 
     def delay(self) -> int:
-        """By how many microseconds the next turn begins late."""
+        """Returns the microseconds by which the next turn begins late."""
         if self._random.random() >= self._late_share:
             return 0
         return self._random.randrange(1, self._longest_delay)
 
     def arrange(self, ready: Iterable[ReadyCallback]) -> list[Handle]:
-        """The callbacks of one turn in the order in which they run."""
+        """Returns the callbacks of one turn in the order in which they run."""
         sources: dict[Hashable, deque[Handle]] = {}
         for one in ready:
             sources.setdefault(_source(one), deque()).append(one.handle)
@@ -60,7 +60,7 @@
 
 
 def _source(one: ReadyCallback) -> Hashable:
-    """Callbacks of one source never pass one another: a link's, a task's, a process's timers, its others."""
+    """Returns the source of a callback: a task, a link direction, or a process's timers or other calls."""
     owner = getattr(one.callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
         return owner
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -1,6 +1,6 @@
-"""An event loop whose clock jumps to the next timer, and processes of which each can stand still or end.
+"""An event loop whose clock jumps to the next timer, and processes that can be frozen and ended.
 
-Nothing here waits, opens a socket or starts a thread: a run is decided by what it is started with.
+Nothing here blocks, opens a socket or starts a thread: the initial state alone determines a run.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from brackenladder.simulation.turn_order import ReadyCallback, TurnOrder
 
 MICROSECONDS = 1_000_000
-CLOCK_RESOLUTION = 1e-7  # seconds; timers due within it run in one turn
+CLOCK_RESOLUTION = 1e-7  # seconds; timers due within it run in the same turn
 
 T = TypeVar("T")
 Arguments = TypeVarTuple("Arguments")
 
 
 class ProcessState(Enum):
-    """Whether a process gets the processor."""
+    """Whether a process is running, frozen or ended."""
 
     RUNNING = auto()
     FROZEN = auto()
@@ -33,47 +33,47 @@
 
 
 class Process:
-    """What runs on behalf of one start of one program.
+    """A simulated process: everything that runs on behalf of one start of a program.
 
-    Callbacks, timers and tasks that come from `enter` belong to the process. While it is frozen they wait;
+    Callbacks, timers and tasks created within `run` belong to the process. While it is frozen they wait;
     once it has ended they never run.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.state = ProcessState.RUNNING
-        self.freezes = 0  # how often the processor was taken away
+        self.freezes = 0  # how often it was frozen
         self._deferred: list[Callable[[], None]] = []
         self._context = copy_context()
         self._context.run(_current.set, self)
 
     @property
     def running(self) -> bool:
-        """Whether it gets the processor now."""
+        """Whether it is neither frozen nor ended."""
         return self.state is ProcessState.RUNNING
 
     def run(self, call: Callable[..., T], *arguments: Any) -> T:
-        """Calls something as this process."""
+        """Calls a function in the context of this process."""
         return self._context.copy().run(call, *arguments)
 
     def when_running(self, call: Callable[[], None]) -> None:
-        """Calls now, once the process is thawed, or never if it ends before."""
+        """Calls at once if running, after the thaw if frozen, and never if the process has ended."""
         if self.state is ProcessState.RUNNING:
             call()
         elif self.state is ProcessState.FROZEN:
             self._deferred.append(call)
 
     def freeze(self) -> None:
-        """Takes the processor away."""
+        """Suspends the process."""
         if self.state is ProcessState.RUNNING:
             self.state = ProcessState.FROZEN
             self.freezes += 1
 
     def thaw(self) -> None:
-        """Gives the processor back in the loop's next turn; what has waited runs first, in its order.
+        """Resumes the process in the loop's next turn. Deferred calls run first, in their order.
 
-        Failure prevented: the caller's own task is being run, no other task can be entered from there, and
-        all that has waited is lost.
+        They must not run at once: the caller's own task is being run, no other task can be entered from
+        there, and all deferred calls would be lost.
         """
         if self.state is ProcessState.FROZEN:
             loop = asyncio.get_running_loop()
@@ -88,7 +88,7 @@
             self.when_running(call)
 
     def end(self) -> None:
-        """Nothing of it runs any more."""
+        """Ends the process; none of its callbacks runs any more."""
         self.state = ProcessState.ENDED
         self._deferred.clear()
 
@@ -97,31 +97,31 @@
 
 
 def current_process() -> Process | None:
-    """The process on whose behalf the caller runs."""
+    """Returns the process in whose context the caller runs."""
     return _current.get()
 
 
 class VirtualEventLoop(asyncio.BaseEventLoop):
-    """An event loop without input and output; waiting for a timer takes no time."""
+    """An event loop without I/O in which waiting for a timer takes no real time."""
 
-    _ready: deque[Handle]  # these three are the base class's
+    _ready: deque[Handle]  # these three are attributes of the base class
     _scheduled: list[TimerHandle]
     _timer_cancelled_count: int
 
     def __init__(self, turn_order: TurnOrder | None = None) -> None:
-        """`turn_order`: turns begin late and run what is ready in a drawn order; None: they do not."""
+        """With a `turn_order`, turns begin late and run ready callbacks in a drawn order."""
         super().__init__()
-        self.microseconds = 0  # the time
+        self.microseconds = 0  # the virtual time
         self.turn_order = turn_order
-        self.unhandled_exceptions: list[BaseException] = []  # that nobody has caught
-        self.turns = 0  # passes over what is ready
+        self.unhandled_exceptions: list[BaseException] = []  # exceptions that no code has caught
+        self.turns = 0  # number of loop iterations
         self._clock_resolution = CLOCK_RESOLUTION
         self._selector = _VirtualSelector(self)
         self._external_context = copy_context()
         self.set_exception_handler(self._record_exception)
 
     def time(self) -> float:
-        """The virtual time in seconds."""
+        """Returns the virtual time in seconds."""
         return self.microseconds / MICROSECONDS
 
     def call_soon(
@@ -132,7 +132,7 @@
     ) -> Handle:
         """See `asyncio.AbstractEventLoop`; as the process in whose context the callback runs."""
         if self.is_closed():
-            return Handle(callback, args, self, context)  # tasks that are thrown away end in silence
+            return Handle(callback, args, self, context)  # the run is over: discard the call
         process = _current.get() if context is None else context.get(_current)
         if process is None:
             return super().call_soon(callback, *args, context=context)
@@ -163,25 +163,26 @@
     def call_external(
         self, when: int, callback: Callable[[Unpack[Arguments]], object], *args: *Arguments
     ) -> None:
-        """Calls at a time, in microseconds, on behalf of no process: networks and disks go on without one."""
+        """Schedules a call outside any process, as networks and disks need it. `when` is in microseconds."""
         self.call_at(when / MICROSECONDS, callback, *args, context=self._external_context)
 
     def run_for(self, duration: int) -> None:
-        """Lets `duration` microseconds pass."""
+        """Runs the loop for `duration` microseconds."""
         self.call_later(duration / MICROSECONDS, self.stop)
         self.run_forever()
 
     def _record_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Tasks of ended processes are dropped while they wait; any other fault is to fail the run.
+        """Records an unhandled exception, which is to fail the run.
 
-        Failure prevented: raised from here, a fault would be printed by asyncio, and go unseen.
+        Tasks of ended processes are discarded while they wait, which is no error. An exception raised from
+        here would only be printed by asyncio and not fail the run.
         """
         error = context.get("exception")
         if error is not None:
             self.unhandled_exceptions.append(error)
 
     def begin_turn(self, timeout: float) -> None:
-        """Passes the time until the next turn, and arranges what is ready in it."""
+        """Advances the clock to the next turn and orders its callbacks."""
         order = self.turn_order
         if timeout > 0:
             self.microseconds += max(1, round(timeout * MICROSECONDS))
@@ -194,25 +195,25 @@
         self._ready.extend(arranged)
 
     def _take_due_timers(self) -> None:
-        """As `BaseEventLoop` does after the wait: timers that are due are ready."""
+        """Moves due timers to the ready queue, as `BaseEventLoop` does after its select call."""
         end = self.time() + self._clock_resolution
         while self._scheduled and (self._scheduled[0].cancelled() or self._scheduled[0].when() < end):
             handle = heappop(self._scheduled)
-            handle._scheduled = False  # type: ignore[attr-defined]  # what the base class keeps
+            handle._scheduled = False  # type: ignore[attr-defined]  # state of the base class
             if handle.cancelled():
                 self._timer_cancelled_count -= 1
             else:
                 self._ready.append(handle)
 
     def _process_events(self, event_list: object) -> None:
-        """There are none."""
+        """Does nothing: there are no I/O events."""
 
     def _write_to_self(self) -> None:
-        """Nobody waits in another thread."""
+        """Does nothing: no other thread wakes the loop."""
 
 
 class _ProcessCallback:
-    """Runs a callback when its process has the processor, unless it was cancelled."""
+    """Runs a callback unless it was cancelled, and defers it while its process is frozen."""
 
     __slots__ = ("process", "callback", "arguments", "context", "handle")
 
@@ -237,7 +238,7 @@
 
 
 class _VirtualSelector:
-    """Lets the clock jump in place of a wait."""
+    """Advances the clock in place of waiting."""
 
     def __init__(self, loop: VirtualEventLoop) -> None:
         self._loop = loop
@@ -250,11 +251,11 @@
         return []
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing."""
 
 
 def _ready_callback(handle: Handle) -> ReadyCallback:
-    callback = handle._callback  # type: ignore[attr-defined]  # asyncio shows it to nobody
+    callback = handle._callback  # type: ignore[attr-defined]  # not in the stubs
     arguments = tuple(handle._args)
     is_timer = isinstance(handle, TimerHandle)
     wrapper = getattr(callback, "__self__", None)
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -1,4 +1,4 @@
-"""One simulated system: its machines, its actors and when it was disturbed."""
+"""One simulated system: its machines and actors, and when faults were active."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 
 MAX_SEEDS = 3
-WATCH_SECONDS = 0.25  # between two looks at copies and views
+WATCH_SECONDS = 0.25  # between two checks of nodes and gateways
 
 log = logbook.Logger("faults")
 
 
 class World:
-    """Everything of one run; made in its event loop."""
+    """All parts of one run. Has to be created within its event loop."""
 
     def __init__(
         self,
@@ -43,8 +43,8 @@
         self.network = SimulatedNetwork(loop, control_codec())
         self.history = History()
         self.coverage = Coverage()
-        self.last_fault_event_at = 0  # when the last fault began, struck or ended
-        self.active_faults = 0  # faults under way
+        self.last_fault_event_at = 0  # when a fault last began, occurred or ended
+        self.active_faults = 0  # number of faults that have not ended
         site = scenario.site
         self.seeds = seeds = min(MAX_SEEDS, site.control_nodes)
         self._machine_type = machine_type
@@ -102,18 +102,18 @@
             for n in range(scenario.servers)
         ]
         self._tasks: list[asyncio.Task[None]] = []
-        self._decision_waiters: list[asyncio.Future[None]] = []  # who waits for the next one
+        self._decision_waiters: list[asyncio.Future[None]] = []  # waiters for the next acknowledged order
 
     @property
     def now(self) -> int:
-        """Microseconds of the run."""
+        """Microseconds since the start of the run."""
         return self.loop.microseconds
 
     def _derive_random(self) -> Random:
         return Random(self.random.getrandbits(64))
 
     def add_machine(self) -> ControlMachine:
-        """One more control machine, which does not run yet."""
+        """Adds a control machine, which is not started yet."""
         site = self.scenario.site
         machine = self._machine_type(
             self.network,
@@ -124,19 +124,19 @@
             site,
         )
         if machine.number >= self.seeds:
-            machine.lose_disk()  # no seed: its first disk is no founder's
+            machine.lose_disk()  # a machine that is no seed has no founding replica on its first disk
         self._machine_number += 1
         self.machines.append(machine)
         return machine
 
     def _seed_addresses(self) -> tuple[str, ...]:
-        """What the settings of a process that starts now name."""
+        """Returns the seed addresses in the settings of a process that starts now."""
         return tuple(machine.control_address for machine in self.machines[:MAX_SEEDS])
 
-    # -- life of the system
+    # -- lifecycle
 
     def boot(self) -> None:
-        """Starts every machine for the very first time."""
+        """Starts every machine for the first time."""
         voters = tuple(
             Member(genesis_replica_id(machine.inner_address), machine.inner_address)
             for machine in self.machines[: self.seeds]
@@ -147,7 +147,7 @@
             gateway.boot()
 
     def start_actors(self) -> None:
-        """Lets operators, servers and checks begin."""
+        """Starts operators, servers and checks."""
         self.isolation.update(self.now)
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
@@ -155,7 +155,7 @@
         self._tasks.append(self.loop.create_task(self._watch()))
 
     async def stop_actors(self) -> None:
-        """Operators and servers end what they are at."""
+        """Lets operators and servers finish and waits for them."""
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
             actor.active = False
@@ -165,11 +165,11 @@
             task.result()
 
     def fail(self, rule: str, detail: str) -> None:
-        """An actor has found something."""
+        """Records a violation found by an actor."""
         self._checks.fail(rule, detail)
 
     def raise_failure(self) -> None:
-        """Raises what a check or an actor has found so far."""
+        """Raises the first error that a check or an actor has found so far."""
         if self._checks.failure is not None:
             raise self._checks.failure
         for task in self._tasks:
@@ -181,7 +181,7 @@
     # -- faults
 
     def record_fault_event(self, kind: str, machine: ControlMachine | None = None) -> None:
-        """A fault has struck, begun or ended."""
+        """Records that a fault has occurred, begun or ended."""
         log.info("{} {}", kind, "" if machine is None else machine.name)
         self.last_fault_event_at = self.now
         self.isolation.update(self.now)
@@ -191,30 +191,30 @@
             self.coverage.faults_by_role[f"{kind} of a {role}"] += 1
 
     def undisturbed_since(self, moment: int) -> bool:
-        """Whether no fault was under way from `CONTACT_TIME` before a moment until now."""
+        """Whether no fault has been active since `CONTACT_TIME` before a moment."""
         return self.active_faults == 0 and self.last_fault_event_at <= moment - CONTACT_TIME
 
     def leader(self) -> ControlMachine | None:
-        """The running machine that leads in the highest term, if any takes itself for the leader."""
+        """Returns the running machine that leads in the highest term, or None."""
         return leading_machine(self.machines)
 
-    # -- what is seen while it runs
+    # -- observation
 
     def order_decided(self) -> None:
-        """A node has acknowledged an order; its answer is about to leave."""
+        """A node has acknowledged an order and is about to send the reply."""
         waiting, self._decision_waiters = self._decision_waiters, []
         for decision in waiting:
             if not decision.done():
                 decision.set_result(None)
 
     async def next_decision(self) -> None:
-        """Returns at the moment at which a node acknowledges an order."""
+        """Returns when a node next acknowledges an order."""
         decision: asyncio.Future[None] = self.loop.create_future()
         self._decision_waiters.append(decision)
         await decision
 
     async def _watch(self) -> None:
-        """Gateways in touch follow what was acknowledged."""
+        """Updates the isolation and runs the live checks periodically."""
         while True:
             await asyncio.sleep(WATCH_SECONDS)
             self._note_terms()
