--- a/brackenladder/simulation/calls.py
+++ b/brackenladder/simulation/calls.py
@@ -58,7 +58,7 @@
             self._check_ended(self._task, HELD_CALL_TOLERANCE, "its caller hung up")
 
     def _check_ended(self, task: asyncio.Task[None], wait: int, since: str) -> None:
-        """Reports the call if the node still serves it after `wait` microseconds, unless the node was frozen."""
+        """Reports a call that the node still serves after `wait` microseconds, unless the node was frozen."""
         process = self._process
         assert process is not None  # set in arrive(), which comes first
         freezes = process.freezes
--- a/brackenladder/simulation/checks.py
+++ b/brackenladder/simulation/checks.py
@@ -143,8 +143,10 @@
             by_zone[order.order.zone].append(order)
     for zone, orders in by_zone.items():
         if (zone in evacuated) not in _final_states(orders):
-            told = [(one.number, type(one.order).__name__, one.outcome.name) for one in orders[-4:]]
-            raise Violation("evacuation", f"zone {zone} is in {sorted(evacuated)} against {told}")
+            final_orders = [
+                (order.number, type(order.order).__name__, order.outcome.name) for order in orders[-4:]
+            ]
+            raise Violation("evacuation", f"zone {zone} is in {sorted(evacuated)} against {final_orders}")
 
 
 def _final_states(orders: list[OrderRecord]) -> set[bool]:
--- a/brackenladder/simulation/contact_checks.py
+++ b/brackenladder/simulation/contact_checks.py
@@ -10,12 +10,10 @@
 from brackenladder.simulation.machines import ControlMachine
 from brackenladder.simulation.scenario import SECOND
 
-MAX_ISOLATED_ANSWER_TIME = (
-    SECOND // 2
-)  # longest time without a majority after which a node still answers orders and reads
-MAX_ISOLATED_NOTICE_TIME = (
-    2 * SECOND
-)  # the same for acknowledgements to servers and first catalogs to gateways
+# longest time without a majority for which a node still answers orders and reads
+MAX_ISOLATED_ANSWER_TIME = SECOND // 2
+# the same for acknowledgements to servers and first catalogs to gateways
+MAX_ISOLATED_NOTICE_TIME = 2 * SECOND
 
 
 def check_contact(history: History, isolation: Isolation, machines: Sequence[ControlMachine]) -> None:
--- a/brackenladder/simulation/exchange/__init__.py
+++ b/brackenladder/simulation/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""Gateways as they are served, in virtual time, between simulated clients and servers on byte streams."""
+"""Runs complete gateways in virtual time between simulated clients and servers on byte streams."""
--- a/brackenladder/simulation/exchange/answer_reader.py
+++ b/brackenladder/simulation/exchange/answer_reader.py
@@ -1,4 +1,4 @@
-"""Reads answers from a client's connection, byte by byte if need be, and tells how each has ended."""
+"""Parses HTTP responses from a client's connection in pieces of any size and detects how each one ends."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Framing(Enum):
-    """What tells the end of a body."""
+    """How the end of a body is determined."""
 
     COUNTED = auto()
     CHUNKED = auto()
-    CLOSED = auto()  # the end of the connection
+    CLOSED = auto()  # by the end of the connection
 
 
 class NoAnswer(Exception):
-    """What came is no answer in the protocol."""
+    """The data is not a valid response."""
 
 
 class AnswerReader:
-    """Takes the bytes of one connection. `status` is 0 until the head of an answer is whole."""
+    """Parses the data of one connection. `status` is 0 until the head of a response has been received."""
 
     def __init__(self) -> None:
         self._data = b""
@@ -38,21 +38,21 @@
 
     @property
     def started(self) -> bool:
-        """Whether any byte of the next answer has come."""
+        """Whether any byte of the next response has been received."""
         return bool(self._data or self.status)
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes; `NoAnswer` if they are none of an answer."""
+        """Parses data; raises `NoAnswer` if it is not a valid response."""
         self._data += data
         while not self.complete and self._step():
             pass
 
     def next(self) -> None:
-        """The answer was taken: what follows belongs to the next one."""
+        """Discards the current response. Remaining data belongs to the next one."""
         self._begin()
 
     def ended(self) -> bool:
-        """The connection has ended; whether the answer is whole by that."""
+        """Handles the end of the connection and returns whether the response is complete."""
         self.complete = self.complete or (self.status > 0 and self._framing is Framing.CLOSED)
         return self.complete
 
--- a/brackenladder/simulation/exchange/behaviour.py
+++ b/brackenladder/simulation/exchange/behaviour.py
@@ -1,4 +1,4 @@
-"""How a server answers one request: what it writes, in which portions, and where it breaks off."""
+"""Draws how a server answers a request: the bytes, the portions in which it writes them and the end."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from brackenladder.simulation.exchange.history import Run
 
 LONG_BODY = 150_000  # bytes
-OPEN_BODY = 1_200_000  # bytes: relayed as it comes
+OPEN_BODY = 1_200_000  # bytes; large enough that gateways relay it while they receive it
 KEEP_ALIVE = "Keep-Alive: timeout=2"
 
 
 class AnswerKind(Enum):
-    """What becomes of an answer."""
+    """The kinds of correct and faulty responses."""
 
     WHOLE = auto()
     CHUNKED = auto()
-    INTERIM = auto()  # one or two answers of the 1xx kind come first
-    LAST = auto()  # the connection is closed behind it
-    REJECTED = auto()  # the server says that it has not run the request
-    FAILED = auto()  # 500
-    PROMISED = auto()  # 503, without a word that it has not run
-    CUT = auto()  # ends in the middle, in order
-    RESET = auto()  # is reset in the middle
-    DROPPED = auto()  # the connection is reset before any byte
+    INTERIM = auto()  # preceded by one or two 1xx responses
+    LAST = auto()  # the connection is closed after it
+    REJECTED = auto()  # the server states that it has not executed the request
+    FAILED = auto()  # status 500
+    PROMISED = auto()  # status 503, without the statement that the request was not executed
+    CUT = auto()  # the connection is closed in the middle of it
+    RESET = auto()  # the connection is reset in the middle of it
+    DROPPED = auto()  # the connection is reset before the first byte
     SILENT = auto()
-    SECOND = auto()  # comes twice
-    SURPLUS = auto()  # bytes that are no answer follow it
-    STALE = auto()  # an answer of another request comes first
-    NAMELESS = auto()  # carries no request id
-    GARBLED = auto()  # is no HTTP
-    UNFRAMED = auto()  # has no length, and ends with the connection
-    UNFRAMED_RESET = auto()  # has none, and is reset
+    SECOND = auto()  # sent twice
+    SURPLUS = auto()  # followed by bytes that are no response
+    STALE = auto()  # preceded by a response to another request
+    NAMELESS = auto()  # without a request id
+    GARBLED = auto()  # not HTTP
+    UNFRAMED = auto()  # has no length and ends with the connection
+    UNFRAMED_RESET = auto()  # has no length, and the connection is reset
 
 
 HEALTHY_WEIGHTS = {
@@ -69,7 +69,7 @@
 
 @frozen
 class Step:
-    """Bytes that are written after a pause, in microseconds."""
+    """Bytes to write after a pause in microseconds."""
 
     pause: int
     data: bytes
@@ -77,14 +77,14 @@
 
 @frozen
 class Answer:
-    """What a server does with a request. `manner` also says how it ends."""
+    """What a server writes for a request. `answer_kind` also tells how to end the connection."""
 
     answer_kind: AnswerKind
     steps: tuple[Step, ...]
 
 
 def draw_answer_kind(random: Random, misbehaves: bool, streaming: bool) -> AnswerKind:
-    """How the next request is answered."""
+    """Draws the kind of the next response."""
     weights = MISBEHAVING_WEIGHTS if misbehaves else HEALTHY_WEIGHTS
     if streaming:
         weights = {
@@ -98,7 +98,11 @@
 def make_answer(
     run: Run, answer_kind: AnswerKind, random: Random, event_count: int, last_answer: bytes
 ) -> Answer:
-    """The answer to a run; `pieces`: of a stream, 0: it is none. `last_answer`: the connection's last one."""
+    """Builds the response to a run.
+
+    `event_count`: number of events of a stream, or 0 for other responses; `last_answer`: the previous
+    response on the same connection.
+    """
     if event_count and answer_kind in (
         AnswerKind.CHUNKED,
         AnswerKind.CUT,
@@ -131,7 +135,7 @@
 
 
 def encode_event(run: Run, number: int, event_count: int) -> bytes:
-    """One event of a stream."""
+    """Encodes one event of a stream."""
     return b"id: %d\ndata: %b piece %d of %d\n\n" % (number, run.signature.encode(), number, event_count)
 
 
@@ -195,7 +199,7 @@
 
 
 def _portions(random: Random, work: int, data: bytes) -> tuple[Step, ...]:
-    """The bytes in a few writes; the rest of them follow some milliseconds behind."""
+    """Splits data into a few writes. The first follows after `work`, the others some milliseconds later."""
     steps: list[Step] = []
     pause = work
     while data:
--- a/brackenladder/simulation/exchange/checks.py
+++ b/brackenladder/simulation/exchange/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a run, from what clients sent and saw and what servers were sent."""
+"""Checks a run from what clients sent and received and what servers received."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from brackenladder.simulation.exchange.site import HOMED, ZONES
 
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
-SLACK = 500_000  # microseconds past a limit: what the rules of the deployment allow
-STREAM_SLACK = 800_000  # the same of a stream, whose end is a quarter of a second after its client's deadline
+SLACK = 500_000  # microseconds past a limit that the deployment's rules allow
+STREAM_SLACK = 800_000  # the same for streams, which end 0.25 s after the client's deadline
 DEADLINE_SLACK_MS = 500
-CONFIG_SLACK = 200_000  # microseconds until a gateway in touch goes by what it was told
+CONFIG_SLACK = 200_000  # microseconds until a connected gateway applies an update
 
 
 class Undisturbed(Protocol):
-    """Tells whether nothing kept a gateway, and a server, from their work between two moments."""
+    """Tells whether a gateway, and a server, were free of faults between two moments."""
 
     def __call__(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
-        """`server`: its id; empty: none counts."""
+        """`server`: the server's id, or empty to consider the gateway only."""
 
 
 def check_history(history: History, undisturbed: Undisturbed) -> None:
-    """Raises `Violation` at the first thing that breaks a rule."""
+    """Raises `Violation` for the first broken rule."""
     runs: dict[str, list[Run]] = defaultdict(list)
     for run in history.runs:
         runs[run.request_id].append(run)
@@ -43,7 +43,7 @@
 
 
 def _check_run(history: History, request: Request, run: Run, undisturbed: Undisturbed) -> None:
-    """A server gets what the client sent, and is one that may get it."""
+    """A server must receive the request as its client sent it, and must be allowed to receive it."""
     if (run.method, run.target) != (request.method, request.target):
         raise Violation("unasked", f"{request.id} runs as {run.method} {run.target}")
     if not request.body.startswith(run.body) or (not run.early and len(run.body) != len(request.body)):
@@ -61,7 +61,7 @@
         request.gateway, request.started_at - CONFIG_SLACK, run.arrived_at
     ):
         allowed = history.in_force(request.started_at - CONFIG_SLACK, run.arrived_at)
-        if all(one.homes and run.region not in one.homes for one in allowed):
+        if all(configuration.homes and run.region not in configuration.homes for configuration in allowed):
             raise Violation("home", f"{request.id} runs at {run.server} in {run.region}, homes {allowed}")
 
 
@@ -72,7 +72,7 @@
     servers = {run.server for run in executed}
     if executed:
         configurations = history.in_force(request.started_at - CONFIG_SLACK, executed[-1].arrived_at)
-        most = max(one.attempts_of(request.route) for one in configurations)
+        most = max(configuration.attempts_of(request.route) for configuration in configurations)
         if len(servers) > most and undisturbed(request.gateway, request.started_at, executed[-1].arrived_at):
             raise Violation("attempts", f"{request.id} runs at {sorted(servers)}, {most} are allowed")
 
@@ -97,7 +97,7 @@
     if request.route.streaming:
         _check_stream(request, run, runs)
     elif run.unframed and run.crashed and run.answer.startswith(request.answer):
-        return  # the end of its connection is all that tells its end
+        return  # without a length, only the end of the connection marks the end of the body
     elif request.answer != run.answer or run.cut:
         raise Violation(
             "mixed", f"{request.id} gets {len(request.answer)} of {len(run.answer)} bytes as whole"
@@ -105,7 +105,7 @@
 
 
 def _check_stream(request: Request, first: Run, runs: list[Run]) -> None:
-    """Every piece once, in order; another run goes on only where that is allowed."""
+    """Each event must come once and in order. Only resumable streams may change to another run."""
     rest = request.answer
     current = first
     for number in range(1, request.event_count + 1):
@@ -124,13 +124,13 @@
 
 
 def _check_end(request: Request, runs: list[Run], undisturbed: Undisturbed) -> None:
-    """A whole request is answered in time, or its end has a cause."""
+    """A completely sent request must be answered in time, or there must be a reason why not."""
     if not request.sent_at or request.excused or request.outcome is RequestOutcome.GIVEN_UP:
         return
     if not undisturbed(request.gateway, request.started_at, request.ended_at):
         return
     if request.queued_behind is not None and not 0 < request.queued_behind.ended_at < request.ended_at:
-        return  # its turn has not come
+        return  # the request before it is still being answered
     if request.outcome is RequestOutcome.UNANSWERED:
         raise Violation(
             "unanswered", f"{request.id} of {request.route.name}, sent at {request.sent_at / 1e6:.3f} s"
@@ -151,9 +151,10 @@
 
 
 def _may_break(request: Request, runs: list[Run]) -> bool:
-    """A server has broken off, or the client's deadline has passed."""
+    """Whether a server has broken off its answer, or a time limit has passed."""
     at_deadline = request.ended_at >= request.started_at + request.deadline_ms * 1000
-    silent = request.ended_at >= request.started_at + 2_000_000  # a stream's longest silence, at the least
+    # shortest time after which a gateway gives up a silent stream
+    silent = request.ended_at >= request.started_at + 2_000_000
     return (
         at_deadline
         or (request.route.streaming and silent)
@@ -162,7 +163,7 @@
 
 
 class LiveChecks:
-    """What is judged at the moment at which a request arrives at a server, or its client has left."""
+    """Checks made during a run: when a request arrives at a server, and after a client has left."""
 
     def __init__(self, history: History, now: Callable[[], int], undisturbed: Undisturbed) -> None:
         self.failure: Violation | None = None
@@ -170,29 +171,29 @@
         self._now = now
         self._undisturbed = undisturbed
         self._seen = 0
-        self._closed: dict[str, int] = {}  # servers that may get nothing any more, and since when
-        self._evacuated: dict[str, int] = {}  # zones, and since when
+        self._closed: dict[str, int] = {}  # servers that must not receive requests any more, and since when
+        self._evacuated: dict[str, int] = {}  # evacuated zones, and since when
 
     def fail(self, rule: str, detail: str) -> None:
-        """Notes the first thing that was found."""
+        """Keeps the violation if it is the first one."""
         if self.failure is None:
             self.failure = Violation(rule, f"at {self._now() / 1e6:.3f} s: {detail}")
 
     def server_closed(self, server: str) -> None:
-        """The gateways are told now that a server drains, or is gone."""
+        """The gateways are now being told that a server drains or is gone."""
         self._closed.setdefault(server, self._now())
 
     def zone_evacuated(self, zone: str) -> None:
-        """The same for an evacuated zone."""
+        """The gateways are now being told that a zone is evacuated."""
         assert zone in ZONES
         self._evacuated.setdefault(zone, self._now())
 
     def zone_restored(self, zone: str) -> None:
-        """It is taken back."""
+        """The evacuation of a zone has ended."""
         self._evacuated.pop(zone, None)
 
     def check(self) -> None:
-        """To be called every few milliseconds: judges the runs that have begun since."""
+        """Checks the runs that have begun since the last call. Called every few milliseconds."""
         new, self._seen = self._history.runs[self._seen :], len(self._history.runs)
         for run in new:
             self._check(run, self._closed.get(run.server), "drain")
@@ -206,7 +207,7 @@
             self.fail(rule, f"{run.server} in {run.zone} gets {run.request_id} {late} ms after it was closed")
 
     def client_left(self, request: Request) -> None:
-        """Half a second after a client has gone nobody works for it."""
+        """Half a second after a client has left no server may work on its request."""
         moment = request.ended_at + SLACK
         for run in self._history.runs_of(request.id):
             works = not run.ended_at or run.arrived_at > moment
--- a/brackenladder/simulation/exchange/clients.py
+++ b/brackenladder/simulation/exchange/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: they send requests in portions, on kept and new connections, and some give up."""
+"""Simulated clients. They send requests in portions, reuse connections, pipeline and sometimes give up."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from brackenladder.simulation.streams import StreamEnd, StreamHost, StreamNetwork
 
 CONNECT_SECONDS = 1.0
-GIVE_UP_SHARE = 0.08  # of the requests, that their clients end before they are answered
-INCOMPLETE_SHARE = 0.03  # of the requests, that are never sent whole
-KEPT_SHARE = 0.8  # of the answered requests, whose connections are kept
-PIPELINED_SHARE = 0.1  # of the requests on kept connections, behind which another is sent at once
-PATIENCE_SECONDS = 2.0  # past its deadline, after which a client takes a request for unanswered
-MOST_IDLE_SECONDS = 3.0  # of a kept connection that is still used
+GIVE_UP_SHARE = 0.08  # fraction of the requests that their clients give up early
+INCOMPLETE_SHARE = 0.03  # fraction of the requests that are never sent completely
+KEPT_SHARE = 0.8  # fraction of the answered requests after which the connection is kept
+PIPELINED_SHARE = 0.1  # fraction of the requests that are followed by a pipelined one
+PATIENCE_SECONDS = 2.0  # time past the limits of a request after which it counts as unanswered
+MOST_IDLE_SECONDS = 3.0  # maximum idle time of a connection that is reused
 DEADLINES_MS = (300, 800, 2_000, 4_000)
 BODY_BYTES = (0, 5, 400, 20_000)
 LONGEST_BODY_PAUSE = 40_000  # microseconds between two portions of a request
@@ -37,7 +37,7 @@
         random: Random,
         fail: Fail,
     ) -> None:
-        """`fail` takes a rule and what was seen against it."""
+        """`fail` takes the name of a broken rule and a description."""
         self.streams = streams
         self.gateways = gateways
         self.history = history
@@ -46,17 +46,17 @@
         self.host: StreamHost = streams.add_host("10.9.0.1", "clients")
         self.idle: list[ClientConnection] = []
         self.active = True
-        self.open = 0  # requests under way
+        self.open = 0  # requests and connection attempts in progress
         self._number = 0
 
     async def run(self, pause: float) -> None:
-        """Sends requests, one about every `pause` seconds, until `active` is taken away."""
+        """Sends a request about every `pause` seconds until `active` is cleared."""
         while self.active:
             self.send()
             await asyncio.sleep(pause * self.random.uniform(0.2, 1.8))
 
     def send(self) -> Request:
-        """Sends one request, on a kept connection or a new one."""
+        """Sends one request on an idle connection or a new one."""
         kept = self._take_idle()
         if kept is not None:
             request = self._request(kept.gateway)
@@ -69,12 +69,12 @@
         return request
 
     def next_pipelined(self, gateway: GatewayMachine) -> Request:
-        """The request that is sent right behind another one."""
+        """Creates a request to be pipelined after another one."""
         return self._request(gateway)
 
     def _take_idle(self) -> ClientConnection | None:
         now = self.streams.loop.time()
-        usable = [one for one in self.idle if now - one.idle_since < MOST_IDLE_SECONDS]
+        usable = [connection for connection in self.idle if now - connection.idle_since < MOST_IDLE_SECONDS]
         self.idle = usable
         if not usable or self.random.random() < 0.3:
             return None
@@ -117,7 +117,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection to a gateway: one request at a time, or two of which the second waits."""
+    """A client's connection to a gateway, with one request at a time or two pipelined ones."""
 
     def __init__(self, clients: Clients, gateway: GatewayMachine) -> None:
         self.clients = clients
@@ -126,13 +126,13 @@
         self.end: StreamEnd
         self._start = gateway.starts
         self._reader = AnswerReader()
-        self._requests: list[Request] = []  # that wait for their answers
+        self._requests: list[Request] = []  # sent and not yet answered
         self._loop = clients.streams.loop
         self._random = clients.random
         self._left = False
 
     def begin(self, request: Request) -> None:
-        """Sends a request; on a kept connection perhaps another one right behind it."""
+        """Sends a request completely or in part, sometimes followed by a pipelined one."""
         self._add(request)
         complete = _encode(request)
         if self._random.random() < INCOMPLETE_SHARE:
@@ -157,7 +157,7 @@
             self._loop.call_later(after, self._give_up, request)
 
     def _write_parts(self, request: Request, data: bytes, complete: bool) -> None:
-        """Writes on in portions; without its end the request is left as it is."""
+        """Writes data in portions. With `complete`, the request has been sent when all of it is written."""
         if request.outcome is not RequestOutcome.OPEN or self.end.is_closing():
             return
         size = len(data) if self._random.random() < 0.7 else self._random.randint(1, len(data))
@@ -206,7 +206,7 @@
             )
         self._requests.clear()
 
-    # ---- ends -----------------------------------------------------------------------------------------
+    # ---- ends of requests -----------------------------------------------------------------------------
 
     def _answered(self) -> None:
         reader = self._reader
@@ -214,9 +214,9 @@
         request.status = reader.status
         request.signature = reader.headers.get("x-brackenladder-response-signature", "")
         request.answer = reader.body
-        told = reader.headers.get("x-brackenladder-request-id")
-        if told is not None and told != request.id:
-            self.clients.fail("mixed", f"{request.id} gets the answer of {told}")
+        received_id = reader.headers.get("x-brackenladder-request-id")
+        if received_id is not None and received_id != request.id:
+            self.clients.fail("mixed", f"{request.id} gets the answer of {received_id}")
         closes = reader.headers.get("connection", "").lower() == "close"
         reader.next()
         self._end(request, RequestOutcome.ANSWERED)
--- a/brackenladder/simulation/exchange/control.py
+++ b/brackenladder/simulation/exchange/control.py
@@ -1,4 +1,4 @@
-"""The control side as gateways see it: one node that tells them at once what an actor puts in force."""
+"""A minimal control node that sends gateways each change at once."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class ControlSide:
-    """A `LinkHandler`. What is put in force reaches the gateways after the latency of their links."""
+    """A `LinkHandler` that sends changes to all gateways. They arrive after the latency of the links."""
 
     def __init__(self, network: SimulatedNetwork, history: History) -> None:
         self._network = network
         self._history = history
-        self._links: dict[Link, None] = {}  # in the order in which they came up
+        self._links: dict[Link, None] = {}  # in the order in which they were opened
         self._records: dict[str, ServerRecord] = {}
         self._revision = 0
         self._document_revision = 0
@@ -32,14 +32,14 @@
         self.evacuated: frozenset[str] = frozenset()
 
     async def listen(self) -> None:
-        """Takes the gateways' links."""
+        """Accepts links from the gateways."""
         transport = self._network.transport(CONTROL_NAME, control_codec())
         await transport.listen(CONTROL_INNER, self)
 
-    # ---- what is in force -----------------------------------------------------------------------------
+    # ---- changes --------------------------------------------------------------------------------------
 
     def configure(self, configuration: Configuration) -> None:
-        """Puts a configuration in force."""
+        """Applies a configuration."""
         self.configuration = configuration
         self._revision += 1
         self._document_revision = self._revision
@@ -49,13 +49,13 @@
         self._broadcast(self._catalog())
 
     def evacuate(self, zone: str, finish: bool) -> None:
-        """Takes a zone's servers out, or back in."""
+        """Begins or finishes the evacuation of a zone."""
         self.evacuated = self.evacuated - {zone} if finish else self.evacuated | {zone}
         self._revision += 1
         self._broadcast(self._catalog())
 
     def update_server(self, record: ServerRecord) -> None:
-        """A server has said something of itself."""
+        """Applies a server's report about its state."""
         known = self._records.get(record.id)
         record = evolve(record, seq=1 if known is None else known.seq + 1)
         self._records[record.id] = record
@@ -67,7 +67,7 @@
         """See `LinkHandler`."""
 
     def received(self, link: Link, message: object) -> None:
-        """See `LinkHandler`; the first word of a gateway asks for all."""
+        """See `LinkHandler`; a gateway's first message requests the full state."""
         if isinstance(message, Subscribe) and link not in self._links:
             self._links[link] = None
             link.send(self._catalog())
--- a/brackenladder/simulation/exchange/faults.py
+++ b/brackenladder/simulation/exchange/faults.py
@@ -1,4 +1,4 @@
-"""What can happen in a simulated exchange, and the faults as they are drawn."""
+"""The faults and changes that a simulated exchange draws from."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from brackenladder.simulation.exchange.world import World
 
 FaultAction = Callable[[World, Random], Awaitable[None]]
-QUOTA_SECONDS = 0.1  # the period of a quota of a core, as systems have it
-REUSE_SECONDS = 0.5  # after which an ended server's address is used again
+QUOTA_SECONDS = 0.1  # the period of a processor quota, as cgroups have by default
+REUSE_SECONDS = 0.5  # from the end of a server until its address is reused
 
 
 def _running(world: World, random: Random) -> Server | None:
@@ -27,16 +27,16 @@
 
 
 async def crash(world: World, random: Random) -> None:
-    """A server ends without a word; another one comes at its address, perhaps of another service."""
+    """Crashes a server and starts another one at its address, perhaps of another service."""
     server = _running(world, random)
     if server is None:
         return
     world.count_fault("crash")
     server_id, service = server.id, server.service
     if random.random() < 0.5:
-        server.forget_idle()  # nobody is told of the end of what carried nothing
+        server.forget_idle()  # clients of idle connections are not notified
     server.crash()
-    detection_delay = random.choice((0.0, 0.3, 1.5))  # until the control side misses it
+    detection_delay = random.choice((0.0, 0.3, 1.5))  # until the control side notices
     downtime = random.choice((0.0, REUSE_SECONDS, 2.0))
     await asyncio.sleep(min(detection_delay, downtime))
     if downtime < detection_delay:
@@ -52,12 +52,12 @@
 
 
 def _next_service(random: Random) -> str | None:
-    """Of the next server at an address; None: the same one."""
+    """Draws the service of the next server at an address; None keeps the service."""
     return random.choice(("api", "other")) if random.random() < 0.4 else None
 
 
 async def drain(world: World, random: Random) -> None:
-    """A server drains, ends and comes back."""
+    """Drains a server, ends it and starts the next one."""
     server = _running(world, random)
     if server is None:
         return
@@ -73,7 +73,7 @@
 
 
 async def evacuate(world: World, random: Random) -> None:
-    """A zone is emptied and taken back."""
+    """Evacuates a zone and ends the evacuation."""
     zone = random.choice(tuple(ZONES))
     if world.control.evacuated:
         return
@@ -86,7 +86,7 @@
 
 
 async def configure(world: World, random: Random) -> None:
-    """Homes and attempts of routes change, some times in quick succession."""
+    """Changes home regions and attempts of routes, sometimes several times in quick succession."""
     for _ in range(random.choice((1, 1, 4))):
         world.count_fault("configure")
         version = world.control.configuration.version + 1
@@ -96,7 +96,7 @@
 
 
 async def make_servers_misbehave(world: World, random: Random) -> None:
-    """Some servers answer in any manner."""
+    """Makes some servers answer in faulty ways."""
     affected = random.sample(world.servers, random.randint(1, 3))
     world.count_fault("trouble")
     for server in affected:
@@ -107,7 +107,7 @@
 
 
 async def freeze_server(world: World, random: Random) -> None:
-    """A server stands still."""
+    """Freezes a server's process."""
     server = _running(world, random)
     if server is None or server.process is None:
         return
@@ -121,7 +121,7 @@
 
 
 async def make_server_unreachable(world: World, random: Random) -> None:
-    """A server's machine answers nothing at all."""
+    """Makes a server's machine unreachable."""
     server = _running(world, random)
     if server is None:
         return
@@ -134,7 +134,7 @@
 
 
 async def forget_idle(world: World, random: Random) -> None:
-    """A server's system forgets its idle connections without a word."""
+    """Drops a server's idle connections without notifying the gateways."""
     server = _running(world, random)
     if server is not None:
         world.count_fault("forget")
@@ -142,7 +142,7 @@
 
 
 async def reset_connections(world: World, random: Random) -> None:
-    """Connections to a server are reset on the way."""
+    """Resets connections to a server."""
     server = _running(world, random)
     if server is not None:
         world.count_fault("reset")
@@ -151,7 +151,7 @@
 
 
 async def freeze_gateway(world: World, random: Random) -> None:
-    """A gateway stands still."""
+    """Freezes a gateway's process."""
     gateway = _gateway(world, random)
     if gateway is None or gateway.process is None:
         return
@@ -165,7 +165,7 @@
 
 
 async def throttle(world: World, random: Random) -> None:
-    """A gateway's or a server's share of a core is a quota: a part of each period, and then nothing."""
+    """Limits the processor time of a gateway or a server by a quota."""
     machine = random.choice((_gateway(world, random), _running(world, random)))
     if machine is None or machine.process is None:
         return
@@ -182,7 +182,7 @@
 
 
 async def kill_gateway(world: World, random: Random) -> None:
-    """A gateway is killed and starts anew."""
+    """Kills a gateway and restarts it."""
     gateway = _gateway(world, random)
     if gateway is None:
         return
@@ -193,7 +193,7 @@
 
 
 async def terminate_gateway(world: World, random: Random) -> None:
-    """SIGTERM, the orderly end, and a new start."""
+    """Shuts a gateway down with SIGTERM and restarts it."""
     gateway = _gateway(world, random)
     if gateway is None:
         return
@@ -206,7 +206,7 @@
 
 
 async def sighup_gateway(world: World, random: Random) -> None:
-    """SIGHUP."""
+    """Sends SIGHUP to a gateway."""
     gateway = _gateway(world, random)
     if gateway is not None:
         world.count_fault("hang-up-gateway")
--- a/brackenladder/simulation/exchange/gateways.py
+++ b/brackenladder/simulation/exchange/gateways.py
@@ -1,4 +1,4 @@
-"""The machine of a gateway: the role process as the platform starts it, on simulated links and streams."""
+"""A gateway's machine: runs the complete gateway role on simulated links and streams."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from brackenladder.transport.link import Transport
 
 GRACE = 8 * SECOND  # from SIGTERM to SIGKILL
-LAST_PART = SECOND  # of the grace, in which what is left may be broken off
+LAST_PART = SECOND  # last part of the grace time, in which open requests may be aborted
 
 
 class GatewayMachine:
-    """Starts the role, hands it signals, and ends it."""
+    """Starts the gateway role, sends it signals and ends it."""
 
     role_type: type[GatewayRole] = GatewayRole
 
@@ -40,7 +40,7 @@
         self.endpoint = links.add_endpoint(self.name, self.region, 1000.0)
         self.process: Process | None = None
         self.starts = 0
-        self.terminating = False  # SIGTERM has come
+        self.terminating = False  # SIGTERM was sent
         self.terminated_at = 0
         self.disturbances = Disturbances()
         self._loop = loop
@@ -50,7 +50,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process is there and gets the processor."""
+        """Whether its process exists and is not frozen."""
         return self.process is not None and self.process.running
 
     def boot(self) -> None:
@@ -67,7 +67,7 @@
         process.run(self._start)
 
     def kill(self, graceful: bool = False) -> None:
-        """SIGKILL, or the end that the process has come to: its system closes what it had."""
+        """Ends the process by SIGKILL, or with `graceful` after its shutdown, and closes its connections."""
         process, self.process = self.process, None
         if process is None:
             return
@@ -80,7 +80,7 @@
         self._loop.streams.end_process(process)
 
     def terminate(self, ended: Callable[[], None]) -> None:
-        """SIGTERM; SIGKILL after the grace. `ended` is called once the process is gone."""
+        """Sends SIGTERM, and SIGKILL after the grace time. Calls `ended` when the process has ended."""
         process = self.process
         if process is None or self.terminating:
             ended()
@@ -98,7 +98,7 @@
         process.when_running(lambda: process.run(self._stop, end))
 
     def sighup(self) -> None:
-        """SIGHUP: the settings are read again."""
+        """Sends SIGHUP, which reloads the settings."""
         process, role = self.process, self._role
         if process is not None and role is not None:
             process.when_running(lambda: process.run(role.reload, self._platform()))
--- a/brackenladder/simulation/exchange/history.py
+++ b/brackenladder/simulation/exchange/history.py
@@ -1,4 +1,4 @@
-"""What clients sent and saw, what servers ran, and what the gateways had been told, in one run."""
+"""Records what clients sent and received, what servers ran and which configurations applied in a run."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from brackenladder.simulation.exchange.site import Configuration, RouteTemplate
 
-RECOVERY_TIME = 300_000  # microseconds after a fault in which its machine catches up
+RECOVERY_TIME = 300_000  # microseconds that a machine needs to catch up after a fault
 
 
 class RequestOutcome(Enum):
-    """How a request has ended for its client."""
+    """How a request ended for its client."""
 
     OPEN = auto()
-    ANSWERED = auto()  # by an answer that looks whole
-    BROKEN = auto()  # in the middle of its answer
-    CLOSED = auto()  # without any byte of an answer
-    REFUSED = auto()  # no connection came up
+    ANSWERED = auto()  # with a response that looks complete
+    BROKEN = auto()  # connection lost in the middle of the response
+    CLOSED = auto()  # connection lost before the first byte of the response
+    REFUSED = auto()  # no connection could be opened
     GIVEN_UP = auto()  # by the client, before any deadline
-    UNANSWERED = auto()  # by the client, long after it
+    UNANSWERED = auto()  # by the client, long after the deadline
 
 
 @define(eq=False)
 class Request:
-    """One try of a client. Times are microseconds of the run; 0: it did not come to that."""
+    """One request of a client. Times are microseconds since the start of the run; 0 if not reached."""
 
     id: str
     route: RouteTemplate
@@ -34,23 +34,24 @@
     body: bytes
     gateway: int
     deadline_ms: int
-    event_count: int  # of its stream, if it gets one
+    event_count: int  # number of events if it is answered by a stream
     started_at: int = 0
-    sent_at: int = 0  # its last byte was sent
-    first_byte_at: int = 0  # the first byte of its answer came
+    sent_at: int = 0  # when its last byte was sent
+    first_byte_at: int = 0  # when the first byte of its answer was received
     ended_at: int = 0
     outcome: RequestOutcome = RequestOutcome.OPEN
     status: int = 0
-    signature: str = ""  # of the server
+    signature: str = ""  # the server's response signature
     answer: bytes = b""
-    gateway_start: int = 0  # which start of the gateway's process took the connection
-    queued_behind: Request | None = None  # sent before it on its connection, and not answered yet then
-    excused: bool = False  # something happened to its connection or its gateway that excuses delays and ends
+    gateway_start: int = 0  # counts the starts of the gateway's process
+    # the request before it on its connection, if that was not answered when this one was sent
+    queued_behind: Request | None = None
+    excused: bool = False  # its connection was disturbed, so that a late answer or none is allowed
 
 
 @define(eq=False)
 class Run:
-    """A request at a server."""
+    """One execution of a request at a server."""
 
     number: int
     request_id: str
@@ -64,26 +65,26 @@
     body: bytes
     deadline_ms: int
     gateway: int
-    after_event: int = 0  # of a stream that is taken up
-    early: bool = False  # the server has begun before the body was whole
-    executed: bool = True  # False: the server has said that it did not run it
+    after_event: int = 0  # last event received before a resumed stream
+    early: bool = False  # the server began before it had the complete body
+    executed: bool = True  # False: the server stated that it did not execute the request
     status: int = 0
-    answer: bytes = b""  # the body as the server made it
-    complete: bool = False  # the server has sent all of it
-    cut: bool = False  # the server has broken off
-    crashed: bool = False  # its server has ended under it
-    unframed: bool = False  # its answer has no length
+    answer: bytes = b""  # the body that the server created
+    complete: bool = False  # the server has sent all of the answer
+    cut: bool = False  # the server has broken off the answer
+    crashed: bool = False  # the server crashed during the run
+    unframed: bool = False  # the answer has no length
     ended_at: int = 0
 
     @property
     def signature(self) -> str:
-        """What its answer carries."""
+        """The signature in the response, which identifies the run."""
         return f"run-{self.number}"
 
 
 @define(eq=False)
 class ConfigurationEvent:
-    """Something that the gateways were told at a moment."""
+    """A configuration and the time at which the gateways were told."""
 
     at: int
     configuration: Configuration
@@ -91,45 +92,45 @@
 
 @define
 class Disturbances:
-    """The spans in which a machine was kept from its work. Times are microseconds of the run."""
+    """The spans in which faults affected a machine. Times are microseconds since the start of the run."""
 
     _spans: list[tuple[int, int]] = field(factory=list)
-    _open: list[int] = field(factory=list)  # the beginnings of those that go on
+    _open: list[int] = field(factory=list)  # start times of the faults that are active
 
     def begin(self, now: int) -> None:
-        """A fault begins."""
+        """Records the start of a fault."""
         self._open.append(now)
 
     def end(self, now: int) -> None:
-        """One has ended."""
+        """Records the end of the latest fault."""
         if self._open:
             self._spans.append((self._open.pop(), now + RECOVERY_TIME))
 
     def between(self, begin: int, end: int) -> bool:
-        """Whether one was under way at any time between two moments."""
+        """Whether a fault was active at any time between two moments."""
         spans = [*self._spans, *((since, end + 1) for since in self._open)]
         return any(since <= end and begin <= until for since, until in spans)
 
 
 @define
 class History:
-    """All of it."""
+    """All records of a run."""
 
     requests: dict[str, Request] = field(factory=dict)
     runs: list[Run] = field(factory=list)
     configurations: list[ConfigurationEvent] = field(factory=list)
 
     def runs_of(self, request_id: str) -> list[Run]:
-        """The runs of a request, in the order in which they arrived."""
+        """Returns the runs of a request in the order of their arrival."""
         return [run for run in self.runs if run.request_id == request_id]
 
     def in_force(self, begin: int, end: int) -> list[Configuration]:
-        """The configurations that gateways may have gone by between two moments."""
+        """Returns the configurations that gateways may have used between two moments."""
         found: list[Configuration] = []
-        for told in self.configurations:
-            if told.at > end:
+        for event in self.configurations:
+            if event.at > end:
                 break
-            if told.at <= begin:
+            if event.at <= begin:
                 found = []
-            found.append(told.configuration)
+            found.append(event.configuration)
         return found
--- a/brackenladder/simulation/exchange/run.py
+++ b/brackenladder/simulation/exchange/run.py
@@ -1,4 +1,4 @@
-"""One schedule of the exchange from one seed: traffic under trouble, a calm end, and what must hold."""
+"""Runs one schedule of the exchange from one seed: faults under traffic, a quiet end and the checks."""
 
 from __future__ import annotations
 
@@ -23,33 +23,31 @@
 from brackenladder.simulation.turn_order import TurnOrder
 
 NAME = "exchange"
-DESCRIPTION = (
-    "gateways between clients and servers on byte streams that break anywhere, while all else changes"
-)
+DESCRIPTION = "gateways between clients and servers, on byte streams that may break at any byte"
 START_SECONDS = 1.5
 FAULT_SECONDS = 10.0
-QUIET_SECONDS = 2.0  # of traffic after the trouble
-DRAIN_SECONDS = 7.0  # until every request has an end
-REQUEST_INTERVAL_SECONDS = 0.012  # between two requests
-FAULT_INTERVAL = (0.05, 0.6)  # seconds between two faults
+QUIET_SECONDS = 2.0  # of traffic after the faults
+DRAIN_SECONDS = 7.0  # for the remaining requests to end
+REQUEST_INTERVAL_SECONDS = 0.012  # mean time between two requests
+FAULT_INTERVAL = (0.05, 0.6)  # range of seconds between two faults
 MAX_CONCURRENT_FAULTS = 3
-LATE_TURNS = 0.1  # share of the turns that begin late
-MIN_SERVED_SHARE = 0.6  # of the requests in the calm at the end that are not given up
+LATE_TURNS = 0.1  # fraction of event loop turns that begin late
+MIN_SERVED_SHARE = 0.6  # of the requests in the quiet time at the end that are not given up
 
 
 def run_schedule(
     seed: int, trace: Callable[[str], None] | None = None, skipped: frozenset[int] = frozenset()
 ) -> RunResult:
-    """Plays one schedule; `trace` takes what is logged; `skipped` faults do not come."""
+    """Runs one schedule without the `skipped` faults. `trace` receives each log line."""
     loop = StreamEventLoop(TurnOrder(Random(f"turns {NAME} {seed}"), LATE_TURNS, LONGEST_TURN_DELAY))
     handler = logbook.NullHandler() if trace is None else TraceHandler(loop, trace)
     with handler.applicationbound(), warnings.catch_warnings():
-        # a process may end between the making of a task and its first step
+        # a process may end between the creation of a task and its first step
         warnings.filterwarnings("ignore", "coroutine .* was never awaited", RuntimeWarning)
         try:
             return _run_in(loop, seed, skipped)
         finally:
-            gc.collect()  # ends what waits for ever, while the loop still takes its last calls
+            gc.collect()  # finalizes coroutines that wait forever, while the loop still accepts calls
             loop.close()
 
 
@@ -88,7 +86,7 @@
 
 
 async def _inject_faults(world: World, random: Random, skipped: frozenset[int]) -> int:
-    """Lets faults come; how many there were. Those that have begun end by themselves."""
+    """Injects faults, waits until they have ended and returns their number."""
     until = world.loop.time() + FAULT_SECONDS
     under_way: set[asyncio.Task[None]] = set()
     actions = [action for _, action in FAULT_ACTIONS]
@@ -123,7 +121,7 @@
 
 
 def _check_served(world: World) -> None:
-    """Once all is well again most requests are served."""
+    """Most requests must be served once all faults have ended."""
     since = world.now - int((DRAIN_SECONDS + QUIET_SECONDS / 2) * 1e6)
     late = [request for request in world.history.requests.values() if request.started_at >= since]
     owed = [request for request in late if request.sent_at and request.outcome is not RequestOutcome.GIVEN_UP]
--- a/brackenladder/simulation/exchange/servers.py
+++ b/brackenladder/simulation/exchange/servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers: they read requests from their connections, run them, and answer as they are drawn to."""
+"""Simulated servers that read requests, run them and send responses of drawn kinds."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 HEAD_END = b"\r\n\r\n"
 SLOTS = 16
-SEND_BUFFER_TIME = SECOND  # microseconds for which an answer may wait in its server's buffers
-EARLY_SHARE = 0.2  # of the requests whose body has not come whole with their head
-IDLE_SECONDS = 2.0  # after which a server closes an idle connection, as its `Keep-Alive` tells
+SEND_BUFFER_TIME = SECOND  # microseconds for which an answer may remain in the server's send buffer
+EARLY_SHARE = 0.2  # fraction of the requests with an incomplete body that a server begins early
+IDLE_SECONDS = 2.0  # idle time after which a server closes a connection, as its `Keep-Alive` header states
 
 
 class Server:
-    """A machine that runs one incarnation of a server after the other at one address."""
+    """A machine that runs one incarnation of a server after the other at the same address."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.host = streams.add_host(self.ip, zone)
         self.process: Process | None = None
         self.incarnation = 0
-        self.misbehaves = False  # it answers in any manner
+        self.misbehaves = False  # it answers in faulty ways
         self.draining_since = 0
         self.disturbances = Disturbances()
         self.connections: list[ServerConnection] = []
@@ -58,16 +58,16 @@
 
     @property
     def id(self) -> str:
-        """Of the incarnation that runs, or ran last."""
+        """The id of the current or latest incarnation."""
         return f"s{self.number}.{self.incarnation}"
 
     @property
     def up(self) -> bool:
-        """Whether it runs, if only frozen."""
+        """Whether its process exists, frozen or not."""
         return self.process is not None
 
     def start(self, service: str | None = None, announced: bool = True) -> None:
-        """A new incarnation begins, perhaps of another service, and says that it is ready, or not yet."""
+        """Starts a new incarnation, perhaps of another service, and with `announced` reports it as ready."""
         self.incarnation += 1
         self.service = service or self.service
         self.draining_since = 0
@@ -77,11 +77,11 @@
             self.announce()
 
     def announce(self) -> None:
-        """The first heartbeat of the incarnation."""
+        """Reports the incarnation as ready."""
         self._report(ServerState.READY)
 
     def crash(self) -> None:
-        """The process ends without a word."""
+        """Ends the process without any message."""
         if self.process is None:
             return
         process, self.process = self.process, None
@@ -91,7 +91,7 @@
         self.streams.end_process(process)
 
     def _break_off(self, now: int) -> None:
-        """What runs ends; what has just been answered may still be on its way out, and is lost."""
+        """Ends the current runs. Answers that may still be in the send buffer are lost."""
         for run in self.history.runs:
             if run.server != self.id:
                 continue
@@ -101,23 +101,23 @@
                 run.ended_at = now
 
     def report_gone(self, server_id: str, service: str) -> None:
-        """The control side finds that an incarnation has gone, and tells the gateways."""
+        """Lets the control side notice that an incarnation has gone."""
         address = f"{self.ip}:{SERVER_PORT}"
         record = ServerRecord(server_id, service, address, self.zone, SLOTS, ServerState.GONE, 1)
         self._control.update_server(record)
 
     def drain(self) -> None:
-        """It says that it drains, and serves on."""
+        """Reports that it drains, and continues to serve."""
         self.draining_since = self.streams.loop.microseconds
         self._report(ServerState.DRAINING)
 
     def forget_idle(self) -> None:
-        """Its system forgets the connections that carry nothing."""
-        for connection in [one for one in self.connections if one.idle]:
+        """Drops idle connections without notifying the gateways."""
+        for connection in [connection for connection in self.connections if connection.idle]:
             connection.end.drop_silently()
 
     def reset_connections(self) -> None:
-        """Something on the way resets one of its connections."""
+        """Resets one of its connections at random."""
         if self.connections:
             connection = self.random.choice(self.connections)
             if connection.run is not None:
@@ -133,24 +133,24 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """A connection to a server: one request at a time."""
+    """A connection to a server that handles one request at a time."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.id = server.id
         self.service = server.service
-        self.run: Run | None = None  # that is under way
+        self.run: Run | None = None  # the run in progress
         self.end: StreamEnd
         self._read = b""
         self._last_answer = b""
-        self._latest_run: Run | None = None  # the latest one
-        self._missing_body_bytes = 0  # bytes of its body that have not come
+        self._latest_run: Run | None = None  # the run that began last
+        self._missing_body_bytes = 0  # bytes of its body that have not been received
         self._idle_timer: asyncio.TimerHandle | None = None
         self._loop = server.streams.loop
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is read or run on it."""
+        """Whether no request is being read or run."""
         return self.run is None and not self._read
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -161,7 +161,7 @@
         self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The run's caller has gone: most servers drop the run."""
+        """Ends the run, as most servers do when the caller has gone."""
         if self in self.server.connections:
             self.server.connections.remove(self)
         if self._idle_timer is not None:
@@ -228,7 +228,7 @@
         )
 
     def _write(self, run: Run, answer: Answer, step: int) -> None:
-        """Writes the steps one after the other, each after its pause."""
+        """Writes the remaining steps, each after its pause."""
         if self.run is not run or self.end.is_closing():
             return
         if answer.answer_kind is AnswerKind.SILENT:
@@ -291,7 +291,7 @@
 
 
 def header_of(head: bytes, name: str) -> str:
-    """A header of a head; empty if it is not there."""
+    """Returns the value of a header, or an empty string if it is missing."""
     for line in head.decode().split("\r\n")[1:]:
         key, _, value = line.partition(":")
         if key.strip().lower() == name:
--- a/brackenladder/simulation/exchange/site.py
+++ b/brackenladder/simulation/exchange/site.py
@@ -1,4 +1,4 @@
-"""The deployment of a simulated exchange: where things are, and the configurations that are put in force."""
+"""The simulated deployment: addresses, zones, routes and the configurations applied in a run."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @frozen
 class RouteTemplate:
-    """A route as operators write it, without what a configuration may change. Times are milliseconds."""
+    """The part of a route that does not change in a run. Times are in milliseconds."""
 
     name: str
     kind: str
@@ -37,7 +37,7 @@
 
     @property
     def prefix(self) -> str:
-        """Where its requests go."""
+        """The path prefix of its requests."""
         return f"/{self.name}/"
 
     @property
@@ -47,7 +47,7 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether it is answered by events."""
+        """Whether its answers are event streams."""
         return self.kind == "streaming"
 
 
@@ -65,18 +65,18 @@
 
 @frozen
 class Configuration:
-    """A configuration of a run: what changes from one version to the next."""
+    """A configuration of a run: the values that change between versions."""
 
     version: int
-    homes: tuple[str, ...] = ()  # of the route `HOMED`
-    most_attempts: int = 2  # of the route 'safe'
+    homes: tuple[str, ...] = ()  # home regions of the route `HOMED`
+    most_attempts: int = 2  # of the route "safe"
 
     def attempts_of(self, route: RouteTemplate) -> int:
-        """`MaxAttempts` of a route."""
+        """Returns `MaxAttempts` of a route."""
         return self.most_attempts if route.name == "safe" else route.max_attempts
 
     def document(self) -> bytes:
-        """As control nodes keep it."""
+        """Returns the configuration document."""
         limits = {
             "MaxHeaderBytes": HEADER_BYTES,
             "MaxBodyBytes": BODY_BYTES,
@@ -109,10 +109,10 @@
         }
 
 
-def latency(one: str, other: str) -> int:
-    """Microseconds one way between two zones; `clients` are near to all."""
-    if "clients" in (one, other):
+def latency(origin: str, destination: str) -> int:
+    """Returns the microseconds one way between two zones. `clients` are close to all zones."""
+    if "clients" in (origin, destination):
         return 1_000
-    if one == other:
+    if origin == destination:
         return 300
-    return 900 if ZONES[one] == ZONES[other] else 15_000
+    return 900 if ZONES[origin] == ZONES[destination] else 15_000
--- a/brackenladder/simulation/exchange/world.py
+++ b/brackenladder/simulation/exchange/world.py
@@ -1,4 +1,4 @@
-"""One simulated exchange: gateways, servers, clients, what the gateways are told, and the faults."""
+"""One simulated exchange: gateways, servers, clients and the control side."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class World:
-    """Everything of one run; made in its event loop."""
+    """All parts of one run. Has to be created within its event loop."""
 
     def __init__(
         self, loop: StreamEventLoop, seed: int, gateway_type: type[GatewayMachine] = GatewayMachine
@@ -64,11 +64,11 @@
 
     @property
     def now(self) -> int:
-        """Microseconds of the run."""
+        """Microseconds since the start of the run."""
         return self.loop.microseconds
 
     async def boot(self) -> None:
-        """Starts all for the first time."""
+        """Starts all processes for the first time."""
         await self.control.listen()
         self.control.configure(Configuration(1))
         for server in self.servers:
@@ -82,14 +82,14 @@
         machines: list[GatewayMachine | Server] = [self.gateways[gateway]]
         if server:
             machines.append(self.servers[int(server.partition(".")[0].removeprefix("s"))])
-        return not any(one.disturbances.between(begin, end) for one in machines)
+        return not any(machine.disturbances.between(begin, end) for machine in machines)
 
     def count_fault(self, kind: str) -> None:
-        """A fault has struck, begun or ended."""
+        """Counts a fault by its kind."""
         self.coverage.faults[kind] += 1
 
     def raise_failure(self) -> None:
-        """Raises what a check has found so far."""
+        """Raises the first violation that a check has found so far."""
         if self.checks.failure is not None:
             raise self.checks.failure
 
--- a/brackenladder/simulation/fault_actions.py
+++ b/brackenladder/simulation/fault_actions.py
@@ -58,9 +58,9 @@
     """
     if random.random() < 0.5:
         async with asyncio.TaskGroup() as group:
-            for one in faults.world.machines:
-                if one is not faults.world.leader():
-                    group.create_task(faults.slow_disk(one, 4.0))
+            for follower in faults.world.machines:
+                if follower is not faults.world.leader():
+                    group.create_task(faults.slow_disk(follower, 4.0))
             group.create_task(_lose_power_after_decision(faults, random, 1.0))
     else:
         await _lose_power_after_decision(faults, random, 0.0)
@@ -101,17 +101,19 @@
         await asyncio.sleep(0.005)
         if node.host.replica.members.voters != before:
             break
-    joining = {voter.address for voter in node.host.replica.members.voters} - {one.address for one in before}
-    together = {one.name for one in world.machines if one.inner_address in joining} | {leader.name}
-    others = [one.name for one in world.machines if one.name not in together]
+    joining = {voter.address for voter in node.host.replica.members.voters} - {
+        voter.address for voter in before
+    }
+    connected = {other.name for other in world.machines if other.inner_address in joining} | {leader.name}
+    others = [other.name for other in world.machines if other.name not in connected]
     async with asyncio.TaskGroup() as group:
-        for one in world.machines:
-            if one.name in together:
-                group.create_task(faults.cut(one, others, random.uniform(3.0, 6.0), "both"))
+        for member in world.machines:
+            if member.name in connected:
+                group.create_task(faults.cut(member, others, random.uniform(3.0, 6.0), "both"))
 
 
 async def isolate_region(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """Cuts a machine and a gateway off from all others. Both may restart before the cut ends."""
+    """Cuts a machine and a gateway off from all others. The gateway, and usually the machine, restarts."""
     world = faults.world
     gateway = random.choice(world.gateways)
     inside = {machine.name, gateway.name}
@@ -162,7 +164,7 @@
 
 async def lose_oldest_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """Wipes the oldest disk as soon as that is allowed."""
-    oldest = min(faults.world.machines, key=lambda one: one.disk.created_at)
+    oldest = min(faults.world.machines, key=lambda candidate: candidate.disk.created_at)
     await lose_disk(faults, random, oldest)
 
 
@@ -170,11 +172,11 @@
     """Cuts the control machines into two halves. All other endpoints still reach both."""
     machines = list(faults.world.machines)
     random.shuffle(machines)
-    half, others = machines[: len(machines) // 2], [one.name for one in machines[len(machines) // 2 :]]
+    half, others = machines[: len(machines) // 2], [other.name for other in machines[len(machines) // 2 :]]
     seconds = random.uniform(2.0, 8.0)
     async with asyncio.TaskGroup() as group:
-        for one in half:
-            group.create_task(faults.cut(one, others, seconds, "both"))
+        for member in half:
+            group.create_task(faults.cut(member, others, seconds, "both"))
 
 
 async def lose_disks_and_power(faults: Faults, random: Random, machine: ControlMachine) -> None:
@@ -190,7 +192,7 @@
         group.create_task(cut_into_halves(faults, random, machine))
         group.create_task(faults.lose_disk(machine, random.uniform(0.3, 3.0)))
         await asyncio.sleep(random.uniform(0.0, 3.0))
-        affected = [one for one in faults.world.machines if random.random() < 0.7]
+        affected = [other for other in faults.world.machines if random.random() < 0.7]
         group.create_task(faults.kill(affected, random.random() < 0.7, random.uniform(0.2, 3.0)))
 
 
@@ -215,7 +217,7 @@
     elif draw < 0.7:
         faults.reset_links(machine)
     else:
-        others = [one.name for one in faults.world.machines if one is not machine]
+        others = [other.name for other in faults.world.machines if other is not machine]
         await faults.cut(machine, others, random.uniform(0.3, 3.0), random.choice(("both", "in", "out")))
 
 
@@ -245,8 +247,8 @@
     machines = list(faults.world.machines)
     random.shuffle(machines)
     async with asyncio.TaskGroup() as group:
-        for one in machines:
-            group.create_task(faults.lose_disk(one, random.uniform(0.3, 1.5)))
+        for machine in machines:
+            group.create_task(faults.lose_disk(machine, random.uniform(0.3, 1.5)))
         await asyncio.sleep(0)  # first the tasks wipe the disks that may be lost
         group.create_task(faults.kill(machines, True, random.uniform(0.3, 1.5)))
         for gateway in faults.world.gateways:
--- a/brackenladder/simulation/live_checks.py
+++ b/brackenladder/simulation/live_checks.py
@@ -45,7 +45,7 @@
         self._committed: deque[tuple[int, int]] = deque()  # time and the leader's commit index at that time
 
     def view_changed(self, seen: ViewSeen) -> None:
-        """A gateway's revision must increase with each change, and a refused configuration must not appear."""
+        """A gateway's revision must increase with each change and must not come from a refused order."""
         self._history.views.append(seen)
         key = (seen.gateway, seen.start)
         if seen.revision <= self._revisions.get(key, 0):
@@ -77,8 +77,10 @@
         if not isolated(ack.answered_at, ack.answered_by):
             return
         now = self._loop.microseconds
-        with_majority = [one for one in self._machines if one.running and not isolated(now, one.name)]
-        if with_majority and all(one.has_ready_server(ack.server) for one in with_majority):
+        with_majority = [
+            machine for machine in self._machines if machine.running and not isolated(now, machine.name)
+        ]
+        if with_majority and all(machine.has_ready_server(ack.server) for machine in with_majority):
             self.fail("drain-untold", f"{ack.answered_by} alone has acknowledged {ack.server}")
 
     def _check_drained(self, ack: ServerAck) -> None:
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -337,7 +337,11 @@
 
 def leading_machine(machines: Iterable[ControlMachine]) -> ControlMachine | None:
     """Returns the running machine that leads in the highest term, or None."""
-    leading = [one for one in machines if one.running and one.node is not None and one.node.host.leads]
+    leading = [
+        machine
+        for machine in machines
+        if machine.running and machine.node is not None and machine.node.host.leads
+    ]
     return max(leading, key=_term, default=None)
 
 
--- a/brackenladder/simulation/mutants/__init__.py
+++ b/brackenladder/simulation/mutants/__init__.py
@@ -1,1 +1,1 @@
-"""Planted faults: the simulation proves something only if it convicts each of them in few schedules."""
+"""Planted faults that the simulation has to detect, to prove that its checks and faults are effective."""
--- a/brackenladder/simulation/mutants/contact.py
+++ b/brackenladder/simulation/mutants/contact.py
@@ -1,4 +1,4 @@
-"""Planted faults in what a node says without a majority behind it."""
+"""Planted faults in what a control node answers without contact with a majority."""
 
 from __future__ import annotations
 
@@ -45,28 +45,28 @@
     ),
     Mutant(
         name="drain-not-confirmed",
-        description="a drain is acknowledged as long as the node was in touch a moment ago",
+        description="a drain is acknowledged if the node had contact a moment ago",
         profile="isolation",
         rules=frozenset({"drain-untold"}),
         plant=_drain_not_confirmed,
     ),
     Mutant(
         name="catalog-alone",
-        description="a node without contact tells its catalog to gateways that start",
+        description="a node without contact sends its catalog to starting gateways",
         profile="isolation",
         rules=frozenset({"catalog-alone"}),
         plant=_catalog_told_alone,
     ),
     Mutant(
         name="remembered-alone",
-        description="a remembered catalog is told before a majority confirms it",
+        description="a catalog from before a restart is sent before a majority confirms it",
         profile="isolation",
         rules=frozenset({"catalog-alone"}),
         plant=_remembered_told_alone,
     ),
     Mutant(
         name="contact-when-read",
-        description="a leader's word counts as contact from when it is read",
+        description="a leader's message counts as contact from when it is read, not sent",
         profile="isolation",
         rules=frozenset({"ack-alone", "catalog-alone"}),
         plant=_contact_when_read,
--- a/brackenladder/simulation/mutants/exchange.py
+++ b/brackenladder/simulation/mutants/exchange.py
@@ -1,4 +1,4 @@
-"""Planted faults in a gateway's exchange: between its clients and the servers."""
+"""Planted faults in how a gateway relays requests and answers between clients and servers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def _any_answer_taken() -> Fault:
-    """The request's id is not looked for, nor what follows an answer."""
+    """Neither the answer's request id nor data after the answer is checked."""
     parent: Any = ServerProtocol.__mro__[1]
 
     def feed_data(self: Any, data: Any, size: int = 0) -> None:
@@ -37,13 +37,13 @@
 
 
 def _unsafe_repeat() -> Fault:
-    def always(self: Any, _server_id: str) -> bool:
+    def return_true(self: Any, _server_id: str) -> bool:
         return True
 
     @contextmanager
     def plant() -> Any:
         with ExitStack() as stack:
-            stack.enter_context(replaced(Exchange, may_be_sent_to=always))
+            stack.enter_context(replaced(Exchange, may_be_sent_to=return_true))
             stack.enter_context(replaced(exchange_module, is_idempotent=lambda _route: True))
             stack.enter_context(replaced(ServerAttempt, _finish=_finished_as_never_run))
             yield
@@ -55,7 +55,7 @@
 
 
 def _finished_as_never_run(self: Any, end: Any) -> None:
-    """A reset is taken for an attempt that was not sent."""
+    """Reports a reset as an attempt that was not sent."""
     if end.outcome is Outcome.RESET:
         end = type(end)(Outcome.CONNECT_FAILED, None)
     _finish(self, end)
@@ -65,20 +65,20 @@
     return replaced(ServerAttempt, _finish=_finished_as_never_run)
 
 
-def _former_incarnation() -> Fault:
-    """The server is not named, and an idle connection of its predecessor at the address is used."""
+def _server_not_named() -> Fault:
+    """The request does not name its server, so a connection to a former server at the address is used."""
     compose = Exchange.compose
 
-    def unnamed(self: Any, server_id: str, left_ms: int, last_event_id: int | None) -> bytes:
+    def compose_without_server(self: Any, server_id: str, left_ms: int, last_event_id: int | None) -> bytes:
         return compose(self, "", left_ms, last_event_id).replace(
             b"X-Brackenladder-Expected-Instance: \r\n", b""
         )
 
-    return replaced(Exchange, compose=unnamed)
+    return replaced(Exchange, compose=compose_without_server)
 
 
 def _part_looks_whole() -> Fault:
-    """A stream that breaks ends for its client as if that were its end."""
+    """A stream that breaks looks to the client as if it had ended normally."""
     return replaced(Relay, _abort_client=lambda self: None)
 
 
@@ -87,11 +87,11 @@
 
 
 def _attempts_unbounded() -> Fault:
-    """Neither the gateway nor its pools bound the servers of a request."""
-    known = CallTraits.__init__
+    """Neither the gateway nor its pools limit the number of servers that a request is sent to."""
+    original_init = CallTraits.__init__
 
     def init(self: Any, route: Any, *arguments: Any, **named: Any) -> None:
-        known(self, evolve(route, max_attempts=9), *arguments, **named)
+        original_init(self, evolve(route, max_attempts=9), *arguments, **named)
 
     @contextmanager
     def plant() -> Any:
@@ -111,7 +111,7 @@
 
 
 def _client_forgotten() -> Fault:
-    """Nobody cancels what a client that has left was waiting for."""
+    """Work for a client that has left is not cancelled."""
     lost = ClientProtocol.connection_lost
 
     def connection_lost(self: Any, exc: Any) -> None:
@@ -123,7 +123,7 @@
 
 
 def _events_again() -> Fault:
-    """A successor's events are not compared with those that were passed on."""
+    """The events of a resumed stream are not compared with those already sent to the client."""
 
     def pass_on(self: Any, data: bytes) -> bytes:
         events = _event_ids(data)
@@ -135,16 +135,16 @@
 
 
 def _event_ids(data: bytes) -> list[int]:
-    """The ids of whole events."""
+    """Returns the ids of complete events."""
     return [event.id for event in split_events(data) if event.id is not None]
 
 
 def _resumed_anyway() -> Fault:
-    """Any stream is taken up at another server."""
-    ordered = Relay.__init__
+    """Any broken stream is continued at another server."""
+    original_init = Relay.__init__
 
     def init(self: Any, *arguments: Any) -> None:
-        ordered(self, *arguments)
+        original_init(self, *arguments)
         self._tracks_order = arguments[2].streaming
 
     @contextmanager
@@ -160,17 +160,19 @@
 
 
 def _whole_deadline() -> Fault:
-    """Servers are told the client's whole time at each attempt."""
+    """Each attempt tells the server the client's full time limit."""
     compose = Exchange.compose
 
-    def whole(self: Any, server_id: str, _left_ms: int, last_event_id: int | None) -> bytes:
+    def compose_with_full_deadline(
+        self: Any, server_id: str, _left_ms: int, last_event_id: int | None
+    ) -> bytes:
         return compose(self, server_id, (self.client_deadline - self.began) // 1000, last_event_id)
 
-    return replaced(Exchange, compose=whole)
+    return replaced(Exchange, compose=compose_with_full_deadline)
 
 
 def _turn_counts_as_arrival() -> Fault:
-    """The time of a request begins when its turn comes on its connection."""
+    """The time of a pipelined request begins when the request before it has been answered."""
 
     def next_arrival(self: Any) -> float:
         self._arrivals = deque()
@@ -180,7 +182,7 @@
 
 
 def _cut_at_sigterm() -> Fault:
-    """The orderly end waits for nobody."""
+    """The shutdown does not wait for open requests."""
 
     async def drain(self: Any, _grace_s: float) -> None:
         self._listeners[0].close()
@@ -195,29 +197,38 @@
 
 EXCHANGE_MUTANTS = (
     _mutant(
-        "any-answer-taken", "a second answer is taken for the next request's", {"mixed"}, _any_answer_taken
+        "any-answer-taken",
+        "a second answer is taken as the answer to the next request",
+        {"mixed"},
+        _any_answer_taken,
     ),
     _mutant("unsafe-repeat", "an unsafe request is sent again after a reset", {"twice"}, _unsafe_repeat),
     _mutant(
         "reset-counts-as-unsent",
-        "an attempt that met a reset counts as one that was not sent",
+        "an attempt that ended in a reset counts as not sent",
         {"twice", "refused", "attempts"},
         _reset_counts_as_unsent,
     ),
-    _mutant("server-not-named", "requests do not name their server", {"route"}, _former_incarnation),
-    _mutant("part-looks-whole", "a broken stream ends as if it were whole", {"order"}, _part_looks_whole),
-    _mutant("homes-forgotten", "homes are not heeded", {"home"}, _homes_forgotten),
-    _mutant("attempts-unbounded", "MaxAttempts is not heeded", {"attempts"}, _attempts_unbounded),
-    _mutant("promise-in-doubt", "what may have run is answered 503", {"refused"}, _promise_in_doubt),
-    _mutant("client-forgotten", "work goes on for a client that has left", {"gone"}, _client_forgotten),
-    _mutant("events-again", "a stream's events come twice", {"order"}, _events_again),
-    _mutant("resumed-anyway", "any broken stream is taken up", {"twice", "order"}, _resumed_anyway),
+    _mutant(
+        "server-not-named", "requests do not name the server they are meant for", {"route"}, _server_not_named
+    ),
+    _mutant("part-looks-whole", "a broken stream ends as if it were complete", {"order"}, _part_looks_whole),
+    _mutant("homes-forgotten", "the home regions of a route are ignored", {"home"}, _homes_forgotten),
+    _mutant("attempts-unbounded", "MaxAttempts is ignored", {"attempts"}, _attempts_unbounded),
+    _mutant(
+        "promise-in-doubt", "a request that may have run is answered 503", {"refused"}, _promise_in_doubt
+    ),
+    _mutant(
+        "client-forgotten", "work for a client that has left is not cancelled", {"gone"}, _client_forgotten
+    ),
+    _mutant("events-again", "events of a resumed stream are repeated", {"order"}, _events_again),
+    _mutant("resumed-anyway", "any broken stream is resumed", {"twice", "order"}, _resumed_anyway),
     _mutant("whole-deadline", "servers are told more time than is left", {"deadline"}, _whole_deadline),
     _mutant(
         "turn-counts-as-arrival",
-        "time spent behind another request does not count",
+        "time spent waiting behind a pipelined request does not count",
         {"deadline"},
         _turn_counts_as_arrival,
     ),
-    _mutant("cut-at-sigterm", "SIGTERM breaks off what is open", {"lost"}, _cut_at_sigterm),
+    _mutant("cut-at-sigterm", "SIGTERM aborts open requests", {"lost"}, _cut_at_sigterm),
 )
--- a/brackenladder/simulation/mutants/known.py
+++ b/brackenladder/simulation/mutants/known.py
@@ -1,4 +1,4 @@
-"""All planted faults by their names."""
+"""All planted faults by name."""
 
 from __future__ import annotations
 
--- a/brackenladder/simulation/mutants/mutant.py
+++ b/brackenladder/simulation/mutants/mutant.py
@@ -1,4 +1,4 @@
-"""What a planted fault is, and how one is planted for a while."""
+"""Planted faults: their description, and how one is applied for a while."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 Fault = AbstractContextManager[None]
 
+# the loss of an acknowledged order may break any of these rules
 LOST_ORDER_RULES = frozenset(
     {
         "order-lost",
@@ -20,12 +21,12 @@
         "repeated-order",
         "refused-in-force",
     }
-)  # an order that was acknowledged and is gone shows by any of these
+)
 
 
 @frozen
 class Mutant:
-    """A fault, the profile that brings it out and the rules of which one has to convict it."""
+    """A planted fault, the profile that triggers it and the rules by which it may be detected."""
 
     name: str
     description: str
@@ -36,7 +37,7 @@
 
 @contextmanager
 def replaced(owner: Any, **attributes: Any) -> Iterator[None]:
-    """Gives an object other attributes for a while."""
+    """Replaces attributes of an object within the context."""
     before = {name: getattr(owner, name) for name in attributes}
     for name, value in attributes.items():
         setattr(owner, name, value)
--- a/brackenladder/simulation/mutants/orders.py
+++ b/brackenladder/simulation/mutants/orders.py
@@ -21,40 +21,40 @@
 def _acknowledged_before_commit() -> Fault:
     propose = ConsensusHost.propose
 
-    async def hasty(self: ConsensusHost, data: bytes) -> Any:
+    async def propose_without_commit(self: ConsensusHost, data: bytes) -> Any:
         if not self.leads:
             return await propose(self, data)
         answer = self.catalog.check(decode_order(data))
         self._loop.create_task(propose(self, data))
         return Success(answer)
 
-    return replaced(ConsensusHost, propose=hasty)
+    return replaced(ConsensusHost, propose=propose_without_commit)
 
 
 def _refused_on_a_followers_state() -> Fault:
     submit_once = OrderService._submit_once
 
-    async def hasty(self: OrderService, order: bytes) -> Any:
+    async def check_on_own_state(self: OrderService, order: bytes) -> Any:
         outcome = self._host.catalog.check(decode_order(order))
         if not isinstance(outcome, Accepted):
             return Success(_reply(0, outcome))
         return await submit_once(self, order)
 
-    return replaced(OrderService, _submit_once=hasty)
+    return replaced(OrderService, _submit_once=check_on_own_state)
 
 
 def _read_without_quorum() -> Fault:
-    async def hasty(self: ConsensusHost) -> Any:
+    async def confirm_without_quorum(self: ConsensusHost) -> Any:
         return Success(None)
 
-    return replaced(ConsensusHost, confirm_read=hasty)
+    return replaced(ConsensusHost, confirm_read=confirm_without_quorum)
 
 
 def _read_from_the_nodes_own_state() -> Fault:
-    async def hasty(self: ConsensusHost, revision: int) -> None:
+    async def do_not_wait(self: ConsensusHost, revision: int) -> None:
         return None
 
-    return replaced(ConsensusHost, wait_for_revision=hasty)
+    return replaced(ConsensusHost, wait_for_revision=do_not_wait)
 
 
 def _reply_of_another_order() -> Fault:
@@ -78,10 +78,10 @@
 def _base_not_compared() -> Fault:
     decide = Catalog._decide
 
-    def careless(self: Catalog, order: Any) -> Any:
+    def decide_without_base(self: Catalog, order: Any) -> Any:
         return decide(self, evolve(order, base=self._state.version))
 
-    return replaced(Catalog, _decide=careless)
+    return replaced(Catalog, _decide=decide_without_base)
 
 
 def _taken_missing_from_snapshot() -> Fault:
@@ -89,16 +89,16 @@
 
 
 def _evacuation_not_fenced() -> Fault:
-    async def unseen(self: OrderService, order: Any) -> Any:
+    async def submit_without_fence(self: OrderService, order: Any) -> Any:
         return await self._submit_once(encode_order(order))
 
-    return replaced(OrderService, _submit_fenced=unseen)
+    return replaced(OrderService, _submit_fenced=submit_without_fence)
 
 
 ORDERS_MUTANTS = (
     Mutant(
         name="acknowledged-before-commit",
-        description="an order is acknowledged once it is proposed",
+        description="an order is acknowledged when it is proposed",
         profile="orders",
         rules=LOST_ORDER_RULES | {"wrong-content"},
         plant=_acknowledged_before_commit,
@@ -126,35 +126,35 @@
     ),
     Mutant(
         name="reply-of-another",
-        description="an answer is taken for that of another order passed on",
+        description="an answer is assigned to another forwarded order",
         profile="answers",
         rules=LOST_ORDER_RULES | {"wrong-answer", "wrong-content", "invalid-acknowledged"},
         plant=_reply_of_another_order,
     ),
     Mutant(
         name="known-by-version",
-        description="an order counts as taken if its version was",
+        description="an order counts as accepted if one with the same version was",
         profile="orders",
         rules=frozenset({"two-winners", "repeated-order", "wrong-content", "invalid-acknowledged"}),
         plant=_known_by_version_alone,
     ),
     Mutant(
         name="base-not-compared",
-        description="the base of an order is not compared",
+        description="the base version of an order is not checked",
         profile="orders",
         rules=LOST_ORDER_RULES,
         plant=_base_not_compared,
     ),
     Mutant(
         name="taken-not-in-snapshot",
-        description="a snapshot leaves out which orders were taken",
+        description="a snapshot omits which orders were accepted",
         profile="snapshots",
         rules=frozenset({"repeated-order", "wrong-refusal"}),
         plant=_taken_missing_from_snapshot,
     ),
     Mutant(
         name="evacuation-not-fenced",
-        description="an evacuation that was held up takes effect after what followed it",
+        description="a delayed evacuation order takes effect after later ones",
         profile="isolation",
         rules=frozenset({"evacuation"}),
         plant=_evacuation_not_fenced,
--- a/brackenladder/simulation/mutants/replicated_log.py
+++ b/brackenladder/simulation/mutants/replicated_log.py
@@ -1,4 +1,4 @@
-"""Planted faults in the log, in elections and in changes of the members."""
+"""Planted faults in the replicated log, in elections and in membership changes."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 def _acknowledged_before_durable() -> Fault:
     accept = following._accept
 
-    def hasty(core: Any, now: int, request: Any, received: int) -> None:
+    def accept_before_sync(core: Any, now: int, request: Any, received: int) -> None:
         durable, core.log.durable_index = core.log.durable_index, received
         accept(core, now, request, received)
         core.log.durable_index = durable
 
-    return replaced(following, _accept=hasty)
+    return replaced(following, _accept=accept_before_sync)
 
 
-def _vote_without_a_look_at_the_log() -> Fault:
+def _vote_without_log_check() -> Fault:
     answer = Election.answer
 
-    def trusting(self: Election, vote: Any) -> bool:
+    def answer_without_log_check(self: Election, vote: Any) -> bool:
         return answer(self, evolve(vote, last_term=1 << 40))
 
-    return replaced(Election, answer=trusting)
+    return replaced(Election, answer=answer_without_log_check)
 
 
 def _voters_replaced_at_once() -> Fault:
-    changed = _Planner._replace_voters
+    replace_voters = _Planner._replace_voters
 
-    def single(self: _Planner, out: Any, in_: Any) -> Any:
-        members = changed(self, out, in_)
+    def replace_without_joint_majority(self: _Planner, out: Any, in_: Any) -> Any:
+        members = replace_voters(self, out, in_)
         return None if members is None else evolve(members, outgoing=())
 
-    return replaced(_Planner, _replace_voters=single)
+    return replaced(_Planner, _replace_voters=replace_without_joint_majority)
 
 
 def _learner_counted_before_it_caught_up() -> Fault:
@@ -53,7 +53,7 @@
     return stack  # type: ignore[return-value]  # an ExitStack is a context manager of its own
 
 
-def _voters_added_for_ever() -> Fault:
+def _voters_never_removed() -> Fault:
     return replaced(control_node_module, max_voters=lambda losses: MOST_VOTERS)
 
 
@@ -67,10 +67,10 @@
     ),
     Mutant(
         name="stale-leader",
-        description="votes are given without a look at the candidate's log",
+        description="votes are given without checking the candidate's log",
         profile="orders",
         rules=LOST_ORDER_RULES | {"gateway-back", "no-recovery", "ValueError"},
-        plant=_vote_without_a_look_at_the_log,
+        plant=_vote_without_log_check,
     ),
     Mutant(
         name="voters-replaced-at-once",
@@ -88,9 +88,9 @@
     ),
     Mutant(
         name="voters-for-ever",
-        description="voters are added beyond what is to be borne, and stay when they are gone",
+        description="too many voters are added, and lost voters are not removed",
         profile="members",
         rules=frozenset({"no-recovery"}),
-        plant=_voters_added_for_ever,
+        plant=_voters_never_removed,
     ),
 )
--- a/brackenladder/simulation/mutants/snapshots.py
+++ b/brackenladder/simulation/mutants/snapshots.py
@@ -1,4 +1,4 @@
-"""Planted faults in snapshots and in what gateways take."""
+"""Planted faults in snapshots and in the updates that gateways apply."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 def _transfer_begun_anew() -> Fault:
     send_chunks = Leadership._send_chunks
 
-    def restless(self: Leadership, now: int, replica_id: str, transfer: Any) -> None:
+    def restart_transfer(self: Leadership, now: int, replica_id: str, transfer: Any) -> None:
         snapshot = self._core.log.snapshot
         if snapshot is not None and snapshot.index > transfer.snapshot.index:
             self._begin_snapshot(now, self._progress[replica_id])
             transfer = self._progress[replica_id].transfer
         send_chunks(self, now, replica_id, transfer)
 
-    return replaced(Leadership, _send_chunks=restless, oldest_transfer=lambda self: None)
+    return replaced(Leadership, _send_chunks=restart_transfer, oldest_transfer=lambda self: None)
 
 
 def _snapshot_within_a_command() -> Fault:
@@ -30,18 +30,18 @@
 def _older_revision_taken() -> Fault:
     catalog = Subscriber._handle_catalog
 
-    def forgetful(self: Subscriber, now: int, source: Any, message: Any) -> Any:
+    def accept_older_catalog(self: Subscriber, now: int, source: Any, message: Any) -> Any:
         if message.revision < self.view.revision and message.document:
             self.view.revision = self._reader._revision = 0
         return catalog(self, now, source, message)
 
-    return replaced(Subscriber, _handle_catalog=forgetful)
+    return replaced(Subscriber, _handle_catalog=accept_older_catalog)
 
 
 SNAPSHOTS_MUTANTS = (
     Mutant(
         name="transfer-begun-anew",
-        description="each new snapshot begins the transfer of the last one anew",
+        description="each new snapshot restarts the transfer in progress",
         profile="snapshots",
         rules=frozenset({"behind", "no-recovery"}),
         plant=_transfer_begun_anew,
@@ -55,7 +55,7 @@
     ),
     Mutant(
         name="older-revision",
-        description="a gateway takes an older catalog after a new link",
+        description="a gateway accepts an older catalog after a reconnect",
         profile="isolation",
         rules=frozenset({"gateway-back", "config-late"}),
         plant=_older_revision_taken,
--- a/brackenladder/simulation/mutants/waits.py
+++ b/brackenladder/simulation/mutants/waits.py
@@ -1,4 +1,4 @@
-"""Planted faults in waits: ends that nobody is told of, cancellations that are dropped."""
+"""Planted faults in waits, such as a dropped cancellation."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 WAITS_MUTANTS = (
     Mutant(
         name="cancellation-dropped",
-        description="a wait for another leader drops the cancellation that comes in the turn of its end",
+        description="a wait for a leader change loses a cancellation that comes in the turn in which it ends",
         profile="turns",
         rules=frozenset({"call-held"}),
         plant=_cancellation_dropped,
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -61,9 +61,8 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.bytes_sent = 0
         self.delivered = 0
-        self.report_held_call: Callable[[str], None] = (
-            _ignore_held_call  # called with a description of a call that did not end in time
-        )
+        # called with a description of a call that did not end in time
+        self.report_held_call: Callable[[str], None] = _ignore_held_call
         self._latest_arrivals: dict[tuple[str, str], int] = {}  # latest one, by direction
         self._held_events: dict[tuple[str, str], deque[Event]] = {}
         loop.call_later(SWEEP_SECONDS, self._sweep)
--- a/brackenladder/simulation/profiles.py
+++ b/brackenladder/simulation/profiles.py
@@ -102,7 +102,7 @@
     for profile in (
         Profile(
             "isolation",
-            "a control machine is cut off or stands still for some twenty seconds",
+            "a control machine is cut off or frozen for some twenty seconds",
             Scenario(
                 operator_settings=OperatorSettings(pause=0.6, evacuations=0.25),
                 server_lifetimes=ServerLifetimes(shortest=3.0, longest=10.0),
@@ -123,7 +123,7 @@
         ),
         Profile(
             "orders",
-            "operators race on one version, lose answers and send again while leaders change",
+            "concurrent orders on one version, lost answers and retries while leaders change",
             Scenario(
                 operator_settings=OperatorSettings(
                     pause=0.15, in_flight=4, evacuations=0.3, answers_lost=0.3, repeats=0.15
@@ -146,7 +146,7 @@
         ),
         Profile(
             "members",
-            "disks and machines are lost as soon as the last loss is repaired",
+            "a disk or machine is lost as soon as the last loss has been repaired",
             Scenario(Site(control_nodes=4), OperatorSettings(pause=0.3), servers=0, fault_seconds=50.0),
             (
                 (4.0, lose_disk),
@@ -164,7 +164,7 @@
         ),
         Profile(
             "losses",
-            "losses overlap: halves cut apart, disks gone, and all that is left without power",
+            "overlapping losses: network halves, lost disks, and power loss of the other machines",
             Scenario(
                 Site(control_nodes=5),
                 OperatorSettings(pause=0.3, evacuations=0.2, reads=0.3),
@@ -184,7 +184,7 @@
         ),
         Profile(
             "snapshots",
-            "hundreds of changes pass while members are away, lag, or have little bandwidth",
+            "hundreds of changes while members are down, lag or have little bandwidth",
             Scenario(
                 Site(
                     gateways=2,
@@ -218,7 +218,7 @@
         ),
         Profile(
             "large",
-            "configurations of megabytes over ten megabits, while members are away",
+            "configurations of several megabytes over 10 Mbit/s while members are down",
             Scenario(
                 Site(control_nodes=3, gateways=1, megabits=10.0),
                 OperatorSettings(
@@ -241,7 +241,7 @@
         ),
         Profile(
             "answers",
-            "many orders at a time are passed on between nodes whose links and leaders change",
+            "many concurrent orders forwarded between nodes whose links and leaders change",
             Scenario(
                 operator_settings=OperatorSettings(
                     pause=0.05, in_flight=8, evacuations=0.1, reads=0.3, answers_lost=0.05
@@ -255,7 +255,7 @@
         ),
         Profile(
             "turns",
-            "busy turns: much comes due at once, in any order, while leaders change and callers give up",
+            "event loop turns that begin late and run in any order, while leaders change and callers give up",
             Scenario(
                 operator_settings=OperatorSettings(
                     pause=0.08, in_flight=6, evacuations=0.3, reads=0.2, answers_lost=0.05
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -142,13 +142,13 @@
         self.loop.call_external(self.loop.microseconds + draw_latency, self._syn, host, ip, port, connected)
         return connected
 
-    def draw_latency(self, one: StreamHost, peer: StreamHost) -> int:
+    def draw_latency(self, source: StreamHost, destination: StreamHost) -> int:
         """Draws the microseconds that a packet takes from one host to another."""
-        return self.latency(one.zone, peer.zone) + self.random.randrange(200)
+        return self.latency(source.zone, destination.zone) + self.random.randrange(200)
 
     def end_process(self, process: Process) -> None:
         """Closes all listeners and connections of a process that has ended."""
-        for listener in [one for one in self._listeners.values() if one.process is process]:
+        for listener in [each for each in self._listeners.values() if each.process is process]:
             listener.close()
         for end in [end for end in self.ends if end.process is process]:
             end.protocol = None
--- a/brackenladder/simulation/turn_order.py
+++ b/brackenladder/simulation/turn_order.py
@@ -46,8 +46,8 @@
     def arrange(self, ready: Iterable[ReadyCallback]) -> list[Handle]:
         """Returns the callbacks of one turn in the order in which they run."""
         sources: dict[Hashable, deque[Handle]] = {}
-        for one in ready:
-            sources.setdefault(_source(one), deque()).append(one.handle)
+        for ready_callback in ready:
+            sources.setdefault(_source(ready_callback), deque()).append(ready_callback.handle)
         waiting = list(sources.values())
         arranged: list[Handle] = []
         while waiting:
@@ -59,12 +59,16 @@
         return arranged
 
 
-def _source(one: ReadyCallback) -> Hashable:
+def _source(ready_callback: ReadyCallback) -> Hashable:
     """Returns the source of a callback: a task, a link direction, or a process's timers or other calls."""
-    owner = getattr(one.callback, "__self__", None)
+    owner = getattr(ready_callback.callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
         return owner
-    if one.process is None:
-        direction = getattr(one.arguments[0], "direction", one.arguments[0]) if one.arguments else None
+    if ready_callback.process is None:
+        direction = (
+            getattr(ready_callback.arguments[0], "direction", ready_callback.arguments[0])
+            if ready_callback.arguments
+            else None
+        )
         return (id(owner), direction if isinstance(direction, tuple) else None)
-    return (one.process, one.is_timer)
+    return (ready_callback.process, ready_callback.is_timer)
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -190,7 +190,9 @@
             return
         self.microseconds += order.delay()
         self._take_due_timers()
-        arranged = order.arrange([_ready_callback(one) for one in self._ready if not one.cancelled()])
+        arranged = order.arrange(
+            [_ready_callback(handle) for handle in self._ready if not handle.cancelled()]
+        )
         self._ready.clear()
         self._ready.extend(arranged)
 
--- a/tests/simulation/test_exchange.py
+++ b/tests/simulation/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of gateways in virtual time: schedules hold, planted faults are found."""
+"""Schedules of the gateways' exchange break no rule, and planted faults are detected."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 SCHEDULES = 4
 TRIES = 20
-RARE = {"server-not-named"}  # found in more schedules than a test can play; by `simulate --convict`
+RARE = {"server-not-named"}  # detected in more schedules than a test can run; see `simulate --convict`
 LEAST_MUTANTS = 10
 
 
@@ -34,7 +34,7 @@
 
 
 class FoundScheduleTest(TestCase):
-    """Seeds that broke before the cause was mended, under the faults as they are now."""
+    """Seeds that failed before their cause was fixed, with the faults drawn as they are now."""
 
     def test_time_spent_behind_another_request(self) -> None:
         self.assertEqual(run_schedule(1).rule, "")
@@ -56,7 +56,7 @@
     return lambda self: self.check_found(mutant)
 
 
-for _mutant in EXCHANGE_MUTANTS:  # a test for each, so that they are played side by side
+for _mutant in EXCHANGE_MUTANTS:  # one test each, so that they run in parallel
     if _mutant.name not in RARE:
         setattr(MutantTest, f"test_{_mutant.name.replace('-', '_')}_is_found", _test_of(_mutant))
 
--- a/tests/simulation/test_replay.py
+++ b/tests/simulation/test_replay.py
@@ -1,4 +1,4 @@
-"""A seed decides a run to the byte, whatever process plays it."""
+"""A seed determines a run completely, in any process."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 ROOT = Path(__file__).parents[2]
 COMMAND = (sys.executable, "-m", "brackenladder.system", "simulate", "--profile", "isolation", "--trace")
-PATIENCE = 120.0  # seconds; only a failure waits so long
+PATIENCE = 120.0  # seconds; reached only when the test fails
 
 
 class ReplayTest(TestCase):
     def play(self, seed: int, hash_seed: int) -> str:
-        """The trace as a process with this seed of its hashes tells it."""
+        """Returns the trace from a process with this hash seed."""
         told = subprocess.run(
             [*COMMAND, "--replay", str(seed)],
             cwd=ROOT,
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,4 +1,4 @@
-"""Schedules of every profile hold, planted faults are found, and a seed gives the same run again."""
+"""Schedules of every profile break no rule, planted faults are detected, and a seed repeats its run."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from brackenladder.simulation.run import run
 from brackenladder.system.app import main
 
-SCHEDULES = 3  # of each profile; `simulate` plays many more
-TRIES = 20  # of each planted fault here; `simulate --convict` plays up to 400
-RARE = {  # found in more schedules than a test can play; by `simulate --convict`
+SCHEDULES = 3  # of each profile; `simulate` runs many more
+TRIES = 20  # of each planted fault here; `simulate --convict` runs up to 400
+RARE = {  # detected in more schedules than a test can run; see `simulate --convict`
     "voters-replaced-at-once",
     "learner-counted-early",
     "stale-leader",
@@ -67,7 +67,7 @@
 
 
 class FoundScheduleTest(TestCase):
-    """Seeds that broke before the cause was mended, under the profiles as they are now."""
+    """Seeds that failed before their cause was fixed, with the profiles as they are now."""
 
     def test_a_catalog_told_by_a_node_alone(self) -> None:
         self.assertEqual(run(PROFILES["isolation"], 2).rule, "")
@@ -107,7 +107,7 @@
     return lambda self: self.check_found(name)
 
 
-# A test for each, so that they are played side by side; those of the exchange are in `test_exchange.py`.
+# One test each, so that they run in parallel. Those of the exchange are in `test_exchange.py`.
 for _name in sorted(MUTANTS.keys() - RARE - {mutant.name for mutant in EXCHANGE_MUTANTS}):
     setattr(MutantTest, f"test_{_name.replace('-', '_')}_is_found", _test_of(_name))
 
--- a/tests/simulation/test_streams.py
+++ b/tests/simulation/test_streams.py
@@ -1,4 +1,4 @@
-"""One contract for connections: asyncio's on loopback sockets, and those of the simulation."""
+"""Tests that simulated connections behave like asyncio's connections over loopback sockets."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from brackenladder.simulation.streams import HIGH_WATER, USER_TIMEOUT, StreamEnd, StreamNetwork
 from brackenladder.simulation.virtual_loop import Process
 
-PATIENCE = 20.0  # seconds; only a failure waits so long
-LARGE = 600_000  # bytes: more than any buffer on the way
+PATIENCE = 20.0  # seconds; reached only when the test fails
+LARGE = 600_000  # bytes; more than all buffers between the two ends
 
 
 class Recorder(asyncio.Protocol):
-    """Notes what happens to a connection."""
+    """Records the calls to a protocol."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -55,7 +55,7 @@
 
 
 class StreamContract:
-    """What both kinds of connections do. `play` gets a connection's two ends."""
+    """Tests for both kinds of connections. `play` runs a scene with the two ends of a connection."""
 
     def play(self, scene: Play) -> None:
         raise NotImplementedError
@@ -140,7 +140,7 @@
 
 
 class LoopbackStreams(StreamContract, TestCase):
-    """asyncio's own."""
+    """Runs the tests on asyncio's own connections."""
 
     def play(self, scene: Play) -> None:
         async def main() -> None:
@@ -160,7 +160,7 @@
 
 
 class Simulated:
-    """Two hosts with a process each."""
+    """Two hosts with one process each."""
 
     def __init__(self, seed: int) -> None:
         self.loop = StreamEventLoop()
@@ -170,7 +170,7 @@
             self.loop.assign_host(process, self.loop.streams.add_host(f"10.0.0.{number}", "zone"))
 
     async def connect(self) -> tuple[Recorder, Recorder]:
-        """The two ends of a new connection."""
+        """Returns the two ends of a new connection."""
         near, far = Recorder(), Recorder()
         await self.inside(1, self.loop.create_server(lambda: far, "10.0.0.1", 80))
         sock = SimulatedSocket()
@@ -180,12 +180,12 @@
         return near, far
 
     async def inside(self, number: int, work: Awaitable[object]) -> object:
-        """Work of one of the processes."""
+        """Runs an awaitable in one of the processes."""
         return await self.processes[number].run(asyncio.ensure_future, work)
 
 
 class SimulatedStreams(StreamContract, TestCase):
-    """Those of the simulation, with portions drawn from some seeds."""
+    """Runs the tests on simulated connections, with portions drawn from several seeds."""
 
     def play(self, scene: Play) -> None:
         for seed in range(5):
--- a/tests/simulation/test_turn_order.py
+++ b/tests/simulation/test_turn_order.py
@@ -1,4 +1,4 @@
-"""Busy turns: late, in any order, but never with one source's callbacks passing one another."""
+"""Turns may begin late and run callbacks in any order, but each source's callbacks keep their order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Link:
-    """Hands things over in one direction."""
+    """A link that delivers in one direction."""
 
     def __init__(self, name: str, seen: list[str]) -> None:
         self.name = name
@@ -27,7 +27,7 @@
 
 class TurnOrderTest(TestCase):
     def play(self, order: TurnOrder | None) -> list[str]:
-        """What two links bring within some milliseconds, and when two tasks come to run."""
+        """Returns the order in which two links deliver and two tasks run within some milliseconds."""
         loop = VirtualEventLoop(order)
         seen: list[str] = []
 
@@ -85,7 +85,7 @@
 
 
 class ThawTest(TestCase):
-    """Before: whoever thawed a process entered its tasks itself, and all that had waited was lost."""
+    """Tasks were lost when the caller of `thaw` resumed them from its own task."""
 
     def test_tasks_that_waited_go_on(self) -> None:
         loop = VirtualEventLoop()
