--- a/tests/simulation/test_exchange.py
+++ b/tests/simulation/test_exchange.py
@@ -21,7 +21,7 @@
 
 
 class ExchangeTest(TestCase):
-    def test_schedules_hold(self) -> None:
+    def test_schedules_break_no_rule(self) -> None:
         results = [run_schedule(seed) for seed in range(SCHEDULES)]
         self.assertEqual([result for result in results if result.rule], [])
         self.assertGreater(sum(result.acknowledged for result in results), SCHEDULES * 300)
@@ -29,22 +29,22 @@
     def test_a_seed_gives_the_same_run_again(self) -> None:
         self.assertEqual(run_schedule(5), run_schedule(5))
 
-    def test_it_is_one_of_the_profiles(self) -> None:
+    def test_exchange_is_a_profile(self) -> None:
         self.assertIn(NAME, DESCRIPTIONS)
 
 
-class FoundScheduleTest(TestCase):
+class RegressionSeedTest(TestCase):
     """Seeds that failed before their cause was fixed, with the faults drawn as they are now."""
 
-    def test_time_spent_behind_another_request(self) -> None:
+    def test_time_queued_behind_pipelined_request(self) -> None:
         self.assertEqual(run_schedule(1).rule, "")
 
-    def test_a_body_answered_early(self) -> None:
+    def test_response_before_complete_body(self) -> None:
         self.assertEqual(run_schedule(6).rule, "")
 
 
 class MutantTest(TestCase):
-    def test_there_are_enough(self) -> None:
+    def test_number_of_mutants(self) -> None:
         self.assertGreaterEqual(len(EXCHANGE_MUTANTS), LEAST_MUTANTS)
 
     def check_found(self, mutant: Mutant) -> None:
@@ -68,7 +68,7 @@
             reader.feed(data[begin : begin + size])
         return reader
 
-    def test_answers_in_portions_of_any_size(self) -> None:
+    def test_responses_in_portions_of_any_size(self) -> None:
         counted = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nA: b\r\n\r\nhello"
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"
         interim = b"HTTP/1.1 100 Continue\r\n\r\n" + counted
@@ -77,7 +77,7 @@
                 reader = self.read(data, size)
                 self.assertEqual((reader.status, reader.body, reader.complete), (200, b"hello", True))
 
-    def test_a_part_is_not_whole(self) -> None:
+    def test_partial_response_is_not_complete(self) -> None:
         for data in (
             b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n",
@@ -86,18 +86,18 @@
             reader = self.read(data, 7)
             self.assertFalse(reader.complete or reader.ended())
 
-    def test_without_a_length_the_connection_ends_it(self) -> None:
+    def test_response_without_length_ends_with_connection(self) -> None:
         reader = self.read(b"HTTP/1.1 200 OK\r\n\r\nhello", 3)
         self.assertFalse(reader.complete)
         self.assertTrue(reader.ended())
         self.assertEqual(reader.body, b"hello")
 
-    def test_what_is_none(self) -> None:
+    def test_invalid_response(self) -> None:
         for data in (b"SSH-2.0\r\n\r\n", b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n"):
             with self.assertRaises(NoAnswer):
                 self.read(data, 100)
 
-    def test_two_answers_behind_one_another(self) -> None:
+    def test_two_responses_in_a_row(self) -> None:
         one = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"
         reader = self.read(one + b"a" + one + b"b", 1000)
         self.assertEqual(reader.body, b"a")
@@ -107,7 +107,7 @@
 
 
 class DisturbancesTest(TestCase):
-    def test_spans_that_touch_the_time_between(self) -> None:
+    def test_overlapping_spans(self) -> None:
         spans = Disturbances()
         spans.begin(1_000_000)
         self.assertTrue(spans.between(2_000_000, 3_000_000))
@@ -117,5 +117,5 @@
         self.assertTrue(spans.between(4_000_000 + RECOVERY_TIME, 9_000_000))
         self.assertFalse(spans.between(4_000_001 + RECOVERY_TIME, 9_000_000))
 
-    def test_manners_are_many(self) -> None:
+    def test_number_of_answer_kinds(self) -> None:
         self.assertGreater(len(AnswerKind), 12)
--- a/tests/simulation/test_replay.py
+++ b/tests/simulation/test_replay.py
@@ -27,7 +27,7 @@
         )
         return told.stdout
 
-    def test_processes_that_hash_differently_play_the_same(self) -> None:
+    def test_trace_does_not_depend_on_hash_seed(self) -> None:
         first = self.play(9, hash_seed=1)
         self.assertGreater(len(first.splitlines()), 50)
         self.assertEqual(first, self.play(9, hash_seed=2))
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -66,22 +66,22 @@
         self.assertEqual(run(PROFILES["isolation"], 1), run(PROFILES["isolation"], 1))
 
 
-class FoundScheduleTest(TestCase):
+class RegressionSeedTest(TestCase):
     """Seeds that failed before their cause was fixed, with the profiles as they are now."""
 
-    def test_a_catalog_told_by_a_node_alone(self) -> None:
+    def test_catalog_sent_by_isolated_node(self) -> None:
         self.assertEqual(run(PROFILES["isolation"], 2).rule, "")
 
-    def test_a_server_acknowledged_alone(self) -> None:
+    def test_server_acknowledged_by_isolated_node(self) -> None:
         self.assertEqual(run(PROFILES["isolation"], 3).rule, "")
 
-    def test_an_evacuation_that_was_held_up(self) -> None:
+    def test_delayed_evacuation(self) -> None:
         self.assertEqual(run(PROFILES["isolation"], 9).rule, "")
 
-    def test_a_process_that_stood_still_has_had_contact_since_its_start(self) -> None:
+    def test_contact_of_process_that_was_frozen(self) -> None:
         self.assertEqual(run(PROFILES["answers"], 5021).rule, "")
 
-    def test_voters_that_are_gone_for_good(self) -> None:
+    def test_permanently_lost_voters(self) -> None:
         self.assertEqual(run(PROFILES["members"], 0).rule, "")
 
 
@@ -90,12 +90,12 @@
         conviction = detect_mutant(MUTANTS[name], TRIES)
         self.assertIn(conviction.rule, MUTANTS[name].rules, conviction)
 
-    def test_a_mutant_leaves_nothing_behind(self) -> None:
+    def test_mutant_is_reverted(self) -> None:
         before = run(PROFILES["orders"], 1)
         detect_mutant(MUTANTS["base-not-compared"], 1)
         self.assertEqual(run(PROFILES["orders"], 1), before)
 
-    def test_faults_that_are_not_needed_are_left_out(self) -> None:
+    def test_shrinking_leaves_out_unneeded_faults(self) -> None:
         with MUTANTS["acknowledged-alone"].plant():
             whole = run(PROFILES["isolation"], 0)
             skipped, result = shrink(Schedule("isolation", 0))
@@ -119,34 +119,34 @@
             code = main(["simulate", *arguments])
         return code, output.getvalue()
 
-    def test_a_campaign_that_holds(self) -> None:
+    def test_campaign_without_violations(self) -> None:
         code, output = self.call("--profile", "orders", "--seeds", "1-2", "--jobs", "1")
         self.assertEqual(code, ExitCode.SUCCESS)
         self.assertIn("2 schedules", output)
         self.assertIn("0 broken", output)
 
-    def test_a_replay_with_its_trace(self) -> None:
+    def test_replay_with_trace(self) -> None:
         code, output = self.call("--profile", "orders", "--replay", "1", "--trace")
         self.assertEqual(code, ExitCode.SUCCESS)
         self.assertIn("consensus: term", output)
 
-    def test_what_breaks_is_told_with_the_command_that_repeats_it(self) -> None:
+    def test_violation_is_printed_with_replay_command(self) -> None:
         with MUTANTS["acknowledged-alone"].plant():
             code, output = self.call("--profile", "isolation", "--seeds", "0", "--jobs", "1")
         self.assertEqual(code, ExitCode.FAILED)
         self.assertIn("ack-alone", output)
         self.assertIn("--profile isolation --replay 0 --trace", output)
 
-    def test_a_mutant_that_is_not_found_is_a_failure(self) -> None:
+    def test_undetected_mutant_is_a_failure(self) -> None:
         code, output = self.call("--convict", "--mutant", "read-own-state", "--tries", "1", "--jobs", "1")
         self.assertEqual(code, ExitCode.FAILED)
         self.assertIn("NOT FOUND", output)
 
-    def test_lists(self) -> None:
+    def test_list_options(self) -> None:
         self.assertIn("isolation", self.call("--list")[1])
         self.assertIn("catalog-alone", self.call("--list-mutants")[1])
 
-    def test_what_cannot_be_used(self) -> None:
+    def test_invalid_arguments(self) -> None:
         for arguments in (("--seeds", "2-1"), ("--seeds", "x"), ("--profile", "none"), ("--replay", "1")):
             with self.subTest(arguments=arguments):
                 self.assertEqual(self.call(*arguments)[0], ExitCode.USAGE_ERROR)
--- a/tests/simulation/test_streams.py
+++ b/tests/simulation/test_streams.py
@@ -24,14 +24,14 @@
         self.error: Exception | None = None
         self.pauses = 0
         self.lost = asyncio.Event()
-        self.made = asyncio.Event()
+        self.connected = asyncio.Event()
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.seen.append("made")
-        self.made.set()
+        self.connected.set()
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -60,81 +60,81 @@
     def play(self, scene: Play) -> None:
         raise NotImplementedError
 
-    def test_bytes_come_in_order_whatever_their_portions(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
+    def test_bytes_arrive_in_order(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
             sent = b"".join(b"%d;" % number for number in range(20_000))
             for begin in range(0, len(sent), 7_001):
-                near.transport.write(sent[begin : begin + 7_001])
-            near.transport.close()
-            await far.lost.wait()
-            assert far.data == sent and far.seen == ["made", "eof", "lost"] and far.error is None
+                local.transport.write(sent[begin : begin + 7_001])
+            local.transport.close()
+            await remote.lost.wait()
+            assert remote.data == sent and remote.seen == ["made", "eof", "lost"] and remote.error is None
 
         self.play(scene)
 
-    def test_a_close_sends_what_was_written(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
-            near.transport.write(b"x" * LARGE)
-            near.transport.close()
-            assert near.transport.is_closing()
-            near.transport.close()
-            await far.lost.wait()
-            await near.lost.wait()
-            assert len(far.data) == LARGE and near.error is None
+    def test_close_sends_written_data(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
+            local.transport.write(b"x" * LARGE)
+            local.transport.close()
+            assert local.transport.is_closing()
+            local.transport.close()
+            await remote.lost.wait()
+            await local.lost.wait()
+            assert len(remote.data) == LARGE and local.error is None
 
         self.play(scene)
 
-    def test_both_directions_are_apart(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
-            near.transport.write(b"there")
-            far.transport.write(b"and back")
-            while not (near.data and far.data):
+    def test_directions_are_independent(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
+            local.transport.write(b"there")
+            remote.transport.write(b"and back")
+            while not (local.data and remote.data):
                 await asyncio.sleep(0.001)
-            assert (near.data, far.data) == (b"and back", b"there")
+            assert (local.data, remote.data) == (b"and back", b"there")
 
         self.play(scene)
 
-    def test_whoever_does_not_read_holds_the_writer_up(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
-            far.transport.pause_reading()
-            while not near.pauses:
-                near.transport.write(b"x" * LARGE)
+    def test_paused_reader_pauses_writer(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
+            remote.transport.pause_reading()
+            while not local.pauses:
+                local.transport.write(b"x" * LARGE)
                 await asyncio.sleep(0.001)
-            assert near.transport.get_write_buffer_size() > 0 and "resumed" not in near.seen
-            far.transport.resume_reading()
-            while "resumed" not in near.seen:
+            assert local.transport.get_write_buffer_size() > 0 and "resumed" not in local.seen
+            remote.transport.resume_reading()
+            while "resumed" not in local.seen:
                 await asyncio.sleep(0.001)
 
         self.play(scene)
 
-    def test_an_abort_ends_both_ends(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
-            near.transport.write(b"x")
-            near.transport.abort()
-            near.transport.abort()
-            await near.lost.wait()
-            await far.lost.wait()
-            assert near.seen.count("lost") == far.seen.count("lost") == 1
+    def test_abort_closes_both_ends(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
+            local.transport.write(b"x")
+            local.transport.abort()
+            local.transport.abort()
+            await local.lost.wait()
+            await remote.lost.wait()
+            assert local.seen.count("lost") == remote.seen.count("lost") == 1
 
         self.play(scene)
 
-    def test_a_process_that_closes_with_bytes_unread_resets(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
-            far.transport.pause_reading()
-            near.transport.write(b"x" * 1000)
+    def test_abort_with_unread_bytes_resets(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
+            remote.transport.pause_reading()
+            local.transport.write(b"x" * 1000)
             await asyncio.sleep(0.05)
-            far.transport.abort()
-            await near.lost.wait()
-            assert isinstance(near.error, ConnectionResetError)
+            remote.transport.abort()
+            await local.lost.wait()
+            assert isinstance(local.error, ConnectionResetError)
 
         self.play(scene)
 
-    def test_nothing_is_written_after_the_end(self) -> None:
-        async def scene(near: Recorder, far: Recorder) -> None:
-            near.transport.abort()
-            await near.lost.wait()
-            near.transport.write(b"late")
-            await far.lost.wait()
-            assert far.data == b""
+    def test_write_after_close_is_ignored(self) -> None:
+        async def scene(local: Recorder, remote: Recorder) -> None:
+            local.transport.abort()
+            await local.lost.wait()
+            local.transport.write(b"late")
+            await remote.lost.wait()
+            assert remote.data == b""
 
         self.play(scene)
 
@@ -145,14 +145,14 @@
     def play(self, scene: Play) -> None:
         async def main() -> None:
             loop = asyncio.get_running_loop()
-            far, near = Recorder(), Recorder()
-            server = await loop.create_server(lambda: far, "127.0.0.1", 0)
-            await loop.create_connection(lambda: near, *server.sockets[0].getsockname())
+            remote, local = Recorder(), Recorder()
+            server = await loop.create_server(lambda: remote, "127.0.0.1", 0)
+            await loop.create_connection(lambda: local, *server.sockets[0].getsockname())
             async with asyncio.timeout(PATIENCE):
-                await far.made.wait()
-                await scene(near, far)
+                await remote.connected.wait()
+                await scene(local, remote)
             server.close()
-            for one in (near, far):
+            for one in (local, remote):
                 one.transport.abort()
             await asyncio.sleep(0)
 
@@ -171,15 +171,15 @@
 
     async def connect(self) -> tuple[Recorder, Recorder]:
         """Returns the two ends of a new connection."""
-        near, far = Recorder(), Recorder()
-        await self.inside(1, self.loop.create_server(lambda: far, "10.0.0.1", 80))
+        local, remote = Recorder(), Recorder()
+        await self.run_in_process(1, self.loop.create_server(lambda: remote, "10.0.0.1", 80))
         sock = SimulatedSocket()
-        await self.inside(0, self.loop.sock_connect(sock, ("10.0.0.1", 80)))
-        await self.inside(0, self.loop.create_connection(lambda: near, sock=sock))
-        await far.made.wait()
-        return near, far
+        await self.run_in_process(0, self.loop.sock_connect(sock, ("10.0.0.1", 80)))
+        await self.run_in_process(0, self.loop.create_connection(lambda: local, sock=sock))
+        await remote.connected.wait()
+        return local, remote
 
-    async def inside(self, number: int, work: Awaitable[object]) -> object:
+    async def run_in_process(self, number: int, work: Awaitable[object]) -> object:
         """Runs an awaitable in one of the processes."""
         return await self.processes[number].run(asyncio.ensure_future, work)
 
@@ -203,93 +203,95 @@
         simulated.loop.run_until_complete(scene(simulated))
         simulated.loop.close()
 
-    def test_nobody_listens(self) -> None:
+    def test_connection_refused_without_listener(self) -> None:
         async def scene(simulated: Simulated) -> None:
             with self.assertRaises(ConnectionRefusedError):
-                await simulated.inside(0, simulated.loop.sock_connect(SimulatedSocket(), ("10.0.0.1", 81)))
+                await simulated.run_in_process(
+                    0, simulated.loop.sock_connect(SimulatedSocket(), ("10.0.0.1", 81))
+                )
 
         self.run_one(scene)
 
-    def test_what_is_written_to_a_forgotten_connection_meets_a_reset(self) -> None:
+    def test_write_to_dropped_connection_is_reset(self) -> None:
         async def scene(simulated: Simulated) -> None:
-            near, far = await simulated.connect()
-            end = far.transport
+            local, remote = await simulated.connect()
+            end = remote.transport
             assert isinstance(end, StreamEnd)
             end.drop_silently()
             await asyncio.sleep(1)
-            self.assertEqual(near.seen, ["made"])
-            near.transport.write(b"x")
-            await near.lost.wait()
-            self.assertIsInstance(near.error, ConnectionResetError)
+            self.assertEqual(local.seen, ["made"])
+            local.transport.write(b"x")
+            await local.lost.wait()
+            self.assertIsInstance(local.error, ConnectionResetError)
 
         self.run_one(scene)
 
-    def test_a_process_that_stands_still_reads_when_it_goes_on(self) -> None:
+    def test_frozen_process_reads_after_thaw(self) -> None:
         async def scene(simulated: Simulated) -> None:
-            near, far = await simulated.connect()
+            local, remote = await simulated.connect()
             simulated.processes[1].freeze()
-            near.transport.write(b"x")
+            local.transport.write(b"x")
             await asyncio.sleep(1)
-            self.assertEqual(far.data, b"")
+            self.assertEqual(remote.data, b"")
             simulated.processes[1].thaw()
             await asyncio.sleep(0.01)
-            self.assertEqual(far.data, b"x")
+            self.assertEqual(remote.data, b"x")
 
         self.run_one(scene)
 
-    def test_what_is_lost_on_the_way_to_a_dark_host_is_sent_again(self) -> None:
+    def test_data_lost_to_unreachable_host_is_retransmitted(self) -> None:
         async def scene(simulated: Simulated) -> None:
-            near, far = await simulated.connect()
+            local, remote = await simulated.connect()
             host = simulated.loop.streams.host("10.0.0.1")
             host.unreachable = True
-            near.transport.write(b"one;")
+            local.transport.write(b"one;")
             await asyncio.sleep(1)
             host.unreachable = False
-            near.transport.write(b"two")
+            local.transport.write(b"two")
             await asyncio.sleep(1)
-            self.assertEqual(far.data, b"one;two")
+            self.assertEqual(remote.data, b"one;two")
 
         self.run_one(scene)
 
-    def test_a_host_that_stays_dark_ends_what_is_not_acknowledged(self) -> None:
+    def test_connection_to_unreachable_host_times_out(self) -> None:
         async def scene(simulated: Simulated) -> None:
-            near, _ = await simulated.connect()
+            local, _ = await simulated.connect()
             simulated.loop.streams.host("10.0.0.1").unreachable = True
-            near.transport.write(b"x")
-            await near.lost.wait()
-            self.assertIsInstance(near.error, TimeoutError)
+            local.transport.write(b"x")
+            await local.lost.wait()
+            self.assertIsInstance(local.error, TimeoutError)
             self.assertGreaterEqual(simulated.loop.microseconds, USER_TIMEOUT)
 
         self.run_one(scene)
 
-    def test_a_process_that_ends_closes_what_it_had(self) -> None:
+    def test_end_of_process_closes_its_connections(self) -> None:
         async def scene(simulated: Simulated) -> None:
-            near, far = await simulated.connect()
+            local, remote = await simulated.connect()
             simulated.processes[1].end()
             simulated.loop.streams.end_process(simulated.processes[1])
-            await near.lost.wait()
-            self.assertEqual(far.seen, ["made"])
+            await local.lost.wait()
+            self.assertEqual(remote.seen, ["made"])
 
         self.run_one(scene)
 
-    def test_a_connection_taken_as_its_listener_closes_is_dropped_without_a_word(self) -> None:
+    def test_connection_accepted_while_listener_closes_is_dropped(self) -> None:
         async def scene(simulated: Simulated) -> None:
             loop = simulated.loop
-            made: list[Recorder] = []
+            connected: list[Recorder] = []
 
             def factory() -> Recorder:
-                made.append(Recorder())
+                connected.append(Recorder())
                 server.close()
-                return made[-1]
+                return connected[-1]
 
-            server = await simulated.inside(1, loop.create_server(factory, "10.0.0.1", 80))
-            near, sock = Recorder(), SimulatedSocket()
-            await simulated.inside(0, loop.sock_connect(sock, ("10.0.0.1", 80)))
-            await simulated.inside(0, loop.create_connection(lambda: near, sock=sock))
-            await near.lost.wait()
-            self.assertEqual([one.seen for one in made], [[]])
+            server = await simulated.run_in_process(1, loop.create_server(factory, "10.0.0.1", 80))
+            local, sock = Recorder(), SimulatedSocket()
+            await simulated.run_in_process(0, loop.sock_connect(sock, ("10.0.0.1", 80)))
+            await simulated.run_in_process(0, loop.create_connection(lambda: local, sock=sock))
+            await local.lost.wait()
+            self.assertEqual([one.seen for one in connected], [[]])
 
         self.run_one(scene)
 
-    def test_the_bound_of_the_writer_is_that_of_asyncio(self) -> None:
+    def test_write_limit_equals_that_of_asyncio(self) -> None:
         self.assertEqual(HIGH_WATER, 64 * 1024)
--- a/tests/simulation/test_turn_order.py
+++ b/tests/simulation/test_turn_order.py
@@ -48,12 +48,12 @@
         loop.close()
         return seen
 
-    def test_without_one_all_runs_as_it_became_ready(self) -> None:
+    def test_callbacks_run_in_ready_order_without_turn_order(self) -> None:
         seen = self.play(None)
         self.assertEqual(seen[:4], ["t0", "u0", "t1", "u1"])
         self.assertEqual(seen[-4:], ["a2", "b2", "a3", "b3"])
 
-    def test_no_source_passes_itself(self) -> None:
+    def test_callbacks_of_one_source_keep_their_order(self) -> None:
         orders = set()
         for seed in range(30):
             seen = self.play(TurnOrder(Random(seed), 1.0, DELAY))
@@ -66,7 +66,7 @@
         first, again = (self.play(TurnOrder(Random(3), 0.5, DELAY)) for _ in range(2))
         self.assertEqual(first, again)
 
-    def test_turns_begin_late_as_often_as_is_said(self) -> None:
+    def test_share_of_late_turns(self) -> None:
         order = TurnOrder(Random(1), 0.25, DELAY)
         delays = [order.delay() for _ in range(4_000)]
         late = [delay for delay in delays if delay]
@@ -87,7 +87,7 @@
 class ThawTest(TestCase):
     """Tasks were lost when the caller of `thaw` resumed them from its own task."""
 
-    def test_tasks_that_waited_go_on(self) -> None:
+    def test_frozen_tasks_continue_after_thaw(self) -> None:
         loop = VirtualEventLoop()
         seen: list[int] = []
 
@@ -112,7 +112,7 @@
         loop.close()
         self.assertEqual(sorted(seen), [0, 1, 2])
 
-    def test_a_process_that_ends_in_the_same_turn_stays_ended(self) -> None:
+    def test_process_ended_after_thaw_stays_ended(self) -> None:
         loop = VirtualEventLoop()
 
         async def play() -> None:
@@ -127,9 +127,9 @@
         loop.close()
 
 
-class FoundScheduleTest(TestCase):
-    def test_disks_that_are_slow_twice_are_quick_again(self) -> None:
+class RegressionSeedTest(TestCase):
+    def test_disk_slowed_twice_recovers(self) -> None:
         self.assertEqual(run(PROFILES["orders"], 15).rule, "")
 
-    def test_an_answer_in_the_turn_of_a_thaw(self) -> None:
+    def test_answer_in_the_turn_of_a_thaw(self) -> None:
         self.assertEqual(run(PROFILES["answers"], 2).rule, "")
