--- a/brackenladder/simulation/exchange/checks.py
+++ b/brackenladder/simulation/exchange/checks.py
@@ -53,8 +53,8 @@
     if run.service != request.route.service:
         raise Violation("route", f"{request.id} runs at {run.server} of {run.service}")
     left = request.deadline_ms - (run.arrived_at - request.started_at) / 1000
-    told_more = run.deadline_ms > max(0.0, left) + DEADLINE_SLACK_MS
-    if told_more and undisturbed(request.gateway, request.started_at, run.arrived_at, run.server):
+    exceeds_remaining = run.deadline_ms > max(0.0, left) + DEADLINE_SLACK_MS
+    if exceeds_remaining and undisturbed(request.gateway, request.started_at, run.arrived_at, run.server):
         detail = f"{run.server} is told {run.deadline_ms} ms of {request.id}, {left:.0f} are left"
         raise Violation("deadline", detail)
     if request.route.name == HOMED and undisturbed(
--- a/brackenladder/simulation/exchange/clients.py
+++ b/brackenladder/simulation/exchange/clients.py
@@ -134,17 +134,17 @@
     def begin(self, request: Request) -> None:
         """Sends a request completely or in part, sometimes followed by a pipelined one."""
         self._add(request)
-        complete = _encode(request)
+        data = _encode(request)
         if self._random.random() < INCOMPLETE_SHARE:
-            self._write_parts(request, complete[: self._random.randrange(1, len(complete))], complete=False)
+            self._write_parts(request, data[: self._random.randrange(1, len(data))], complete=False)
         elif self._random.random() < PIPELINED_SHARE:
             second = self.clients.next_pipelined(self.gateway)
             second.queued_behind = request
             self._add(second)
-            self.end.write(complete + _encode(second))
+            self.end.write(data + _encode(second))
             request.sent_at = second.sent_at = self._loop.microseconds
         else:
-            self._write_parts(request, complete, complete=True)
+            self._write_parts(request, data, complete=True)
 
     def _add(self, request: Request) -> None:
         self.clients.open += 1
--- a/brackenladder/simulation/exchange/run.py
+++ b/brackenladder/simulation/exchange/run.py
@@ -32,7 +32,7 @@
 FAULT_INTERVAL = (0.05, 0.6)  # range of seconds between two faults
 MAX_CONCURRENT_FAULTS = 3
 LATE_TURNS = 0.1  # fraction of event loop turns that begin late
-MIN_SERVED_SHARE = 0.6  # of the requests in the quiet time at the end that are not given up
+MIN_SERVED_SHARE = 0.6  # required fraction of the requests late in the quiet time, without those given up
 
 
 def run_schedule(
--- a/brackenladder/simulation/exchange/servers.py
+++ b/brackenladder/simulation/exchange/servers.py
@@ -101,7 +101,7 @@
                 run.ended_at = now
 
     def report_gone(self, server_id: str, service: str) -> None:
-        """Lets the control side notice that an incarnation has gone."""
+        """Reports to the control side that an incarnation has gone."""
         address = f"{self.ip}:{SERVER_PORT}"
         record = ServerRecord(server_id, service, address, self.zone, SLOTS, ServerState.GONE, 1)
         self._control.update_server(record)
--- a/brackenladder/simulation/exchange/world.py
+++ b/brackenladder/simulation/exchange/world.py
@@ -75,7 +75,7 @@
             server.start()
         for gateway in self.gateways:
             gateway.boot()
-        self.loop.create_task(self._watch())
+        self.loop.create_task(self._run_checks())
 
     def undisturbed(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
         """See `checks.Calm`."""
@@ -93,7 +93,7 @@
         if self.checks.failure is not None:
             raise self.checks.failure
 
-    async def _watch(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
             await asyncio.sleep(POLL_SECONDS)
             self.checks.check()
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -29,9 +29,8 @@
         self._machines = machines
         self._voters: frozenset[str] = frozenset()  # replica ids of the newest members seen
         self._newest_log = (0, 0)
-        self._start_with_contact: dict[
-            str, int
-        ] = {}  # by machine name, the start whose process has reached a majority
+        # by machine name: the number of the start whose process has reached a majority
+        self._start_with_contact: dict[str, int] = {}
         self._spans: dict[str, list[_Span]] = {}
 
     def update(self, now: int) -> None:
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -268,7 +268,7 @@
         self._network.kill(self.name)
 
     def _start(self) -> None:
-        self.subscriber = _WatchedSubscriber(self._record_view)
+        self.subscriber = _ObservedSubscriber(self._record_view)
         self.ready = False
         self._presence = Presence(
             self.name,
@@ -315,7 +315,7 @@
         self._view_changed(seen)
 
 
-class _WatchedSubscriber(Subscriber):
+class _ObservedSubscriber(Subscriber):
     """A subscriber that reports each catalog change and the control node that sent it."""
 
     def __init__(self, changed: Callable[[str, bool], None]) -> None:
--- a/brackenladder/simulation/mutants/contact.py
+++ b/brackenladder/simulation/mutants/contact.py
@@ -9,7 +9,7 @@
 from brackenladder.simulation.mutants.mutant import Fault, Mutant, replaced
 
 
-def _acknowledged_alone() -> Fault:
+def _acknowledged_without_contact() -> Fault:
     return replaced(SoftState, _in_touch=lambda self: True)
 
 
@@ -20,11 +20,11 @@
     return replaced(OrderService, reaches_quorum=at_once)
 
 
-def _catalog_told_alone() -> Fault:
+def _catalog_sent_without_contact() -> Fault:
     return replaced(SoftState, _may_publish_catalog=lambda self, now: True)
 
 
-def _remembered_told_alone() -> Fault:
+def _remembered_sent_without_confirmation() -> Fault:
     return replaced(RestartGate, confirms=lambda self, now, members, revision: True)
 
 
@@ -41,7 +41,7 @@
         description="servers are acknowledged without contact with a majority",
         profile="isolation",
         rules=frozenset({"ack-alone"}),
-        plant=_acknowledged_alone,
+        plant=_acknowledged_without_contact,
     ),
     Mutant(
         name="drain-not-confirmed",
@@ -55,14 +55,14 @@
         description="a node without contact sends its catalog to starting gateways",
         profile="isolation",
         rules=frozenset({"catalog-alone"}),
-        plant=_catalog_told_alone,
+        plant=_catalog_sent_without_contact,
     ),
     Mutant(
         name="remembered-alone",
         description="a catalog from before a restart is sent before a majority confirms it",
         profile="isolation",
         rules=frozenset({"catalog-alone"}),
-        plant=_remembered_told_alone,
+        plant=_remembered_sent_without_confirmation,
     ),
     Mutant(
         name="contact-when-read",
--- a/brackenladder/simulation/mutants/exchange.py
+++ b/brackenladder/simulation/mutants/exchange.py
@@ -77,7 +77,7 @@
     return replaced(Exchange, compose=compose_without_server)
 
 
-def _part_looks_whole() -> Fault:
+def _partial_stream_looks_complete() -> Fault:
     """A stream that breaks looks to the client as if it had ended normally."""
     return replaced(Relay, _abort_client=lambda self: None)
 
@@ -212,7 +212,12 @@
     _mutant(
         "server-not-named", "requests do not name the server they are meant for", {"route"}, _server_not_named
     ),
-    _mutant("part-looks-whole", "a broken stream ends as if it were complete", {"order"}, _part_looks_whole),
+    _mutant(
+        "part-looks-whole",
+        "a broken stream ends as if it were complete",
+        {"order"},
+        _partial_stream_looks_complete,
+    ),
     _mutant("homes-forgotten", "the home regions of a route are ignored", {"home"}, _homes_forgotten),
     _mutant("attempts-unbounded", "MaxAttempts is ignored", {"attempts"}, _attempts_unbounded),
     _mutant(
--- a/brackenladder/simulation/mutants/orders.py
+++ b/brackenladder/simulation/mutants/orders.py
@@ -67,7 +67,7 @@
     return replaced(ReplyTable, resolve=resolve)
 
 
-def _known_by_version_alone() -> Fault:
+def _known_by_version_only() -> Fault:
     def digest(order: Any, content: bytes) -> bytes:
         version = int(json.loads(content)["Version"])
         return version.to_bytes(16, "big")
@@ -136,7 +136,7 @@
         description="an order counts as accepted if one with the same version was",
         profile="orders",
         rules=frozenset({"two-winners", "repeated-order", "wrong-content", "invalid-acknowledged"}),
-        plant=_known_by_version_alone,
+        plant=_known_by_version_only,
     ),
     Mutant(
         name="base-not-compared",
--- a/brackenladder/simulation/mutants/snapshots.py
+++ b/brackenladder/simulation/mutants/snapshots.py
@@ -10,7 +10,7 @@
 from brackenladder.simulation.mutants.mutant import LOST_ORDER_RULES, Fault, Mutant, replaced
 
 
-def _transfer_begun_anew() -> Fault:
+def _transfer_restarted() -> Fault:
     send_chunks = Leadership._send_chunks
 
     def restart_transfer(self: Leadership, now: int, replica_id: str, transfer: Any) -> None:
@@ -44,7 +44,7 @@
         description="each new snapshot restarts the transfer in progress",
         profile="snapshots",
         rules=frozenset({"behind", "no-recovery"}),
-        plant=_transfer_begun_anew,
+        plant=_transfer_restarted,
     ),
     Mutant(
         name="snapshot-within-command",
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -171,7 +171,7 @@
         return not cut and other not in self._gone and not self.endpoints[other.owner].frozen
 
     def connect(self, dialer: MemoryDialer) -> MemoryLink | LinkClosed:
-        """See `MemoryNetwork.connect`; a machine that stands still greets nobody."""
+        """See `MemoryNetwork.connect`; a frozen machine accepts no connections."""
         listener = self._listeners.get(dialer.address)
         if listener is not None and self.endpoints[listener.transport.name].frozen:
             return LinkClosed.UNREACHABLE
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -138,8 +138,8 @@
         The connection is refused if nothing listens there, and never completes if a host is unreachable.
         """
         connected: asyncio.Future[StreamEnd] = self.loop.create_future()
-        draw_latency = self.draw_latency(host, self._hosts[ip])
-        self.loop.call_external(self.loop.microseconds + draw_latency, self._syn, host, ip, port, connected)
+        delay = self.draw_latency(host, self._hosts[ip])
+        self.loop.call_external(self.loop.microseconds + delay, self._syn, host, ip, port, connected)
         return connected
 
     def draw_latency(self, source: StreamHost, destination: StreamHost) -> int:
@@ -222,9 +222,8 @@
         self._writing_paused = False
         self._connection_lost = False  # connection_lost was called or is scheduled
         self._read_scheduled = False
-        self._retransmissions: list[
-            tuple[Callable[..., None], tuple[Any, ...]]
-        ] = []  # events lost on the way, to be sent again
+        # events lost on the way, to be sent again
+        self._retransmissions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     # ---- methods for the protocol ---------------------------------------------------------------------
 
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -130,7 +130,7 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> Handle:
-        """See `asyncio.AbstractEventLoop`; as the process in whose context the callback runs."""
+        """See `asyncio.AbstractEventLoop`; the callback belongs to the process of its context."""
         if self.is_closed():
             return Handle(callback, args, self, context)  # the run is over: discard the call
         process = _current.get() if context is None else context.get(_current)
@@ -148,7 +148,7 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> TimerHandle:
-        """See `asyncio.AbstractEventLoop`; as the process in whose context the callback runs."""
+        """See `asyncio.AbstractEventLoop`; the callback belongs to the process of its context."""
         if self.is_closed():
             return TimerHandle(when, callback, args, self, context)
         process = _current.get() if context is None else context.get(_current)
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -152,7 +152,7 @@
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
             self._tasks.append(self.loop.create_task(actor.run()))
-        self._tasks.append(self.loop.create_task(self._watch()))
+        self._tasks.append(self.loop.create_task(self._run_checks()))
 
     async def stop_actors(self) -> None:
         """Lets operators and servers finish and waits for them."""
@@ -213,7 +213,7 @@
         self._decision_waiters.append(decision)
         await decision
 
-    async def _watch(self) -> None:
+    async def _run_checks(self) -> None:
         """Updates the isolation and runs the live checks periodically."""
         while True:
             await asyncio.sleep(WATCH_SECONDS)
