--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -570,7 +570,7 @@
                 connection.transport.abort()
         self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
-    def attend(self, service: ServiceStage) -> None:
+    def set_service_stage(self, service: ServiceStage) -> None:
         """Applies the step that an operator's pause has reached."""
         self.draining = service >= ServiceStage.PAUSED
         self.closing = service >= ServiceStage.CLOSING
