--- a/brackenladder/simulation/campaign.py
+++ b/brackenladder/simulation/campaign.py
@@ -1,4 +1,4 @@
-"""Many schedules on many processors, what came of them, and the fewest faults that show what broke."""
+"""Runs many schedules on several processors, sums up their results and shrinks failing schedules."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from brackenladder.simulation.mutants.known import MUTANTS
 from brackenladder.simulation.mutants.mutant import Mutant
 from brackenladder.simulation.run import RunResult
-from brackenladder.simulation.schedules import play
+from brackenladder.simulation.schedules import run_schedule
 
 CHUNK = 4  # schedules handed to a worker at a time
-MOST_STRIKES = 200  # faults of one schedule that shrinking tries to leave out
+MAX_FAULTS = 200  # maximum number of faults of a schedule that shrinking tries to leave out
 
 
 @frozen
 class Schedule:
-    """One run, by what decides it."""
+    """A profile and a seed, which determine one run."""
 
     profile: str
     seed: int
@@ -30,7 +30,7 @@
 
 @define
 class Summary:
-    """All runs of a campaign."""
+    """The totals over all runs of a campaign."""
 
     schedules: int = 0
     events: int = 0
@@ -39,116 +39,116 @@
     elections: int = 0
     broken: list[RunResult] = field(factory=list)
     faults: Counter[str] = field(factory=Counter)
-    meetings: Counter[str] = field(factory=Counter)
+    faults_by_role: Counter[str] = field(factory=Counter)
     seconds: float = 0.0
 
     def add(self, result: RunResult) -> None:
-        """Takes a run in."""
+        """Adds the result of one run."""
         self.schedules += 1
         self.events += result.events
         self.orders += result.orders
         self.acknowledged += result.acknowledged
         self.elections += result.elections
         self.faults.update(result.faults)
-        self.meetings.update(result.meetings)
+        self.faults_by_role.update(result.faults_by_role)
         if result.rule:
             self.broken.append(result)
 
 
 @frozen
-class Conviction:
-    """What the simulation found of a planted fault; `rule` is empty if it was not convicted."""
+class MutantResult:
+    """Whether and how the simulation detected a planted fault. `rule` is empty if it did not."""
 
     mutant: str
     profile: str
-    schedules: int  # played, the last one among them
+    schedules: int  # number played, including the one that detected the fault
     rule: str
     detail: str
-    others: tuple[str, ...]  # rules that broke before and are not named for this fault
+    other_rules: tuple[str, ...]  # rules broken in earlier schedules that are not listed for this fault
 
 
 def schedules(profiles: Iterable[str], seeds: range) -> list[Schedule]:
-    """Every profile with every seed."""
+    """Combines every profile with every seed."""
     return [Schedule(profile, seed) for seed, profile in product(seeds, profiles)]
 
 
-def play_all(todo: list[Schedule], jobs: int) -> Iterator[RunResult]:
-    """Runs as they end, in the order of the schedules."""
+def play_all(planned: list[Schedule], jobs: int) -> Iterator[RunResult]:
+    """Yields the results in the order of the schedules."""
     if jobs == 1:
-        yield from map(_play, todo)
+        yield from map(_play, planned)
         return
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield from pool.map(_play, todo, chunksize=CHUNK)
+        yield from pool.map(_play, planned, chunksize=CHUNK)
 
 
-def campaign(todo: list[Schedule], jobs: int) -> Iterator[Summary]:
-    """The summary after each run; the same object each time."""
+def campaign(planned: list[Schedule], jobs: int) -> Iterator[Summary]:
+    """Yields the summary after each run. It is the same object each time."""
     summary = Summary()
     began = perf_counter()
-    for result in play_all(todo, jobs):
+    for result in play_all(planned, jobs):
         summary.add(result)
         summary.seconds = perf_counter() - began
         yield summary
 
 
-def convict_all(mutants: Iterable[str], tries: int, jobs: int) -> Iterator[Conviction]:
-    """Each planted fault, under the schedules of its profile."""
+def detect_mutants(mutants: Iterable[str], tries: int, jobs: int) -> Iterator[MutantResult]:
+    """Tries to detect each planted fault with the schedules of its profile."""
     wanted = [(name, tries) for name in mutants]
     if jobs == 1:
-        yield from map(_convict, wanted)
+        yield from map(_detect_mutant, wanted)
         return
     with ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn")) as pool:
-        yield from pool.map(_convict, wanted)
+        yield from pool.map(_detect_mutant, wanted)
 
 
-def convict(mutant: Mutant, tries: int) -> Conviction:
-    """Plays schedules until a rule that is named for the planted fault breaks."""
-    others: list[str] = []
+def detect_mutant(mutant: Mutant, tries: int) -> MutantResult:
+    """Runs schedules until one breaks a rule that is listed for the planted fault."""
+    other_rules: list[str] = []
     with mutant.plant():
         for seed in range(tries):
-            result = play(mutant.profile, seed)
+            result = run_schedule(mutant.profile, seed)
             if result.rule in mutant.rules:
-                return Conviction(
-                    mutant.name, mutant.profile, seed + 1, result.rule, result.detail, tuple(others)
+                return MutantResult(
+                    mutant.name, mutant.profile, seed + 1, result.rule, result.detail, tuple(other_rules)
                 )
             if result.rule:
-                others.append(result.rule)
-    return Conviction(mutant.name, mutant.profile, tries, "", "", tuple(others))
+                other_rules.append(result.rule)
+    return MutantResult(mutant.name, mutant.profile, tries, "", "", tuple(other_rules))
 
 
 def shrink(schedule: Schedule) -> tuple[frozenset[int], RunResult]:
-    """Leaves out faults one by one, from the last, as long as the same rule still breaks."""
-    result = play(schedule.profile, schedule.seed)
+    """Leaves out faults one by one, starting with the last, while the same rule still breaks."""
+    result = run_schedule(schedule.profile, schedule.seed)
     skipped: frozenset[int] = frozenset()
     if not result.rule:
         return skipped, result
-    for number in reversed(range(_strikes(schedule, result))):
+    for number in reversed(range(_count_faults(schedule, result))):
         fewer = skipped | {number}
-        shorter = play(schedule.profile, schedule.seed, skipped=fewer)
+        shorter = run_schedule(schedule.profile, schedule.seed, skipped=fewer)
         if shorter.rule == result.rule:
             skipped, result = fewer, shorter
     return skipped, result
 
 
-def _strikes(schedule: Schedule, result: RunResult) -> int:
-    """How many faults there may have been up to the one that broke the run."""
-    if result.strikes:
-        return result.strikes
+def _count_faults(schedule: Schedule, result: RunResult) -> int:
+    """Returns the number of faults that have to be considered up to the failure of the run."""
+    if result.fault_count:
+        return result.fault_count
     needed = takewhile(lambda number: not _broken_without_later(schedule, result.rule, number), count())
-    return min(MOST_STRIKES, sum(1 for _ in needed))
+    return min(MAX_FAULTS, sum(1 for _ in needed))
 
 
 def _broken_without_later(schedule: Schedule, rule: str, number: int) -> bool:
-    if number >= MOST_STRIKES:
+    if number >= MAX_FAULTS:
         return True
-    later = frozenset(range(number, MOST_STRIKES))
-    return play(schedule.profile, schedule.seed, skipped=later).rule == rule
+    later = frozenset(range(number, MAX_FAULTS))
+    return run_schedule(schedule.profile, schedule.seed, skipped=later).rule == rule
 
 
 def _play(schedule: Schedule) -> RunResult:
-    return play(schedule.profile, schedule.seed)
+    return run_schedule(schedule.profile, schedule.seed)
 
 
-def _convict(wanted: tuple[str, int]) -> Conviction:
+def _detect_mutant(wanted: tuple[str, int]) -> MutantResult:
     name, tries = wanted
-    return convict(MUTANTS[name], tries)
+    return detect_mutant(MUTANTS[name], tries)
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -1,4 +1,4 @@
-"""The faults that can strike a simulated system. Each ends what it has begun."""
+"""The faults that can be injected into a simulated system. Each one reverts itself after its duration."""
 
 from __future__ import annotations
 
@@ -12,96 +12,98 @@
 from brackenladder.simulation.virtual_loop import Process, ProcessState
 from brackenladder.simulation.world import World
 
-QUOTA_SECONDS = 0.1  # the period of a quota of a core, as systems have it
-SLOW_FACTOR = 30  # by which a slow disk takes longer to sync
+QUOTA_SECONDS = 0.1  # the period of a processor quota, as cgroups have by default
+SLOW_FACTOR = 30  # factor by which a slow disk takes longer to sync
 
 
 class Faults:
-    """Strikes a world. Only as many disks are lost at a time as the members can bear."""
+    """Injects faults into a world. Never wipes more disks at a time than the members can tolerate."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self._random = world.random
-        self._afflicted: Counter[str] = Counter()  # faults under way, by machine
-        self._well_since: dict[str, int] = {}
+        self._faults_by_machine: Counter[str] = Counter()  # number of active faults, by machine name
+        self._healthy_since: dict[str, int] = {}
 
-    # -- the network
+    # -- network
 
-    async def cut(self, machine: ControlMachine, others: Iterable[str], seconds: float, how: str) -> None:
-        """Parts a machine from others; `how`: both, in (it hears nothing) or out (nobody hears it)."""
+    async def cut(
+        self, machine: ControlMachine, others: Iterable[str], seconds: float, direction: str
+    ) -> None:
+        """Cuts a machine off. `direction`: "in" (it receives nothing), "out" (it sends nothing) or "both"."""
         network = self.world.network
         names = [name for name in others if name != machine.name]
-        self._begin(f"cut-{how}", machine)
+        self._begin(f"cut-{direction}", machine)
         for name in names:
-            if how in ("both", "out"):
+            if direction in ("both", "out"):
                 network.cut_one_way(machine.name, name)
-            if how in ("both", "in"):
+            if direction in ("both", "in"):
                 network.cut_one_way(name, machine.name)
         self.world.isolation.update(self.world.now)
         await asyncio.sleep(seconds)
         for name in names:
             network.heal(machine.name, name)
-        self._end(f"cut-{how}", machine)
+        self._end(f"cut-{direction}", machine)
 
-    async def part(self, name: str, others: Iterable[str], seconds: float) -> None:
-        """Parts a gateway or an actor from others."""
+    async def isolate(self, name: str, others: Iterable[str], seconds: float) -> None:
+        """Cuts a gateway or an actor off from other endpoints."""
         network = self.world.network
-        self.world.disturbances += 1
-        self.world.disturbed("part")
+        self.world.active_faults += 1
+        self.world.record_fault_event("part")
         for other in others:
             network.cut(name, other)
         await asyncio.sleep(seconds)
         for other in others:
             network.heal(name, other)
-        self.world.disturbances -= 1
-        self.world.disturbed("part-end")
+        self.world.active_faults -= 1
+        self.world.record_fault_event("part-end")
 
     def peers_of(self, machine: ControlMachine) -> list[str]:
-        """The other control machines."""
+        """Returns the names of the other control machines."""
         return [other.name for other in self.world.machines if other is not machine]
 
-    def everyone(self) -> list[str]:
-        """Every machine and actor."""
-        return list(self.world.network.places)
+    def all_endpoints(self) -> list[str]:
+        """Returns the names of all machines and actors."""
+        return list(self.world.network.endpoints)
 
     def reset_links(self, machine: ControlMachine) -> None:
-        """Ends all links of a machine; what is under way on them is lost."""
-        for other in list(self.world.network.places):
+        """Ends all links of a machine. Messages in flight on them are lost."""
+        for other in list(self.world.network.endpoints):
             self.world.network.lose_links(machine.name, other)
-        self.world.disturbed("reset", machine)
+        self.world.record_fault_event("reset", machine)
 
-    async def squeeze(self, machine: ControlMachine, megabits: float, seconds: float) -> None:
-        """Takes bandwidth from a machine's link."""
-        usual = machine.place.megabits
+    async def limit_bandwidth(self, machine: ControlMachine, megabits: float, seconds: float) -> None:
+        """Reduces the bandwidth of a machine's link."""
+        usual = machine.endpoint.megabits
         self._begin("squeeze", machine)
-        machine.place.megabits = megabits
+        machine.endpoint.megabits = megabits
         await asyncio.sleep(seconds)
-        machine.place.megabits = usual
+        machine.endpoint.megabits = usual
         self._end("squeeze", machine)
 
     # -- processes
 
-    async def kill(self, machines: Iterable[ControlMachine], power: bool, dark: float) -> None:
-        """Ends processes at one moment, by a kill or by a loss of power; they come back after `dark`."""
-        struck = [machine for machine in machines if machine.up]
+    async def kill(self, machines: Iterable[ControlMachine], power: bool, downtime: float) -> None:
+        """Ends processes at the same moment, by a kill or a loss of power; restarts them after `downtime`."""
+        affected = [machine for machine in machines if machine.up]
         kind = "power" if power else "kill"
-        for machine in struck:
+        for machine in affected:
             self._begin(kind, machine)
-            machine.thaw_before_end()
+            machine.end_process()
             if power:
                 machine.lose_power()
             else:
                 machine.kill()
         self.world.isolation.update(self.world.now)
-        await asyncio.sleep(dark)
-        for machine in struck:
+        await asyncio.sleep(downtime)
+        for machine in affected:
             self._boot(machine)
             self._end(kind, machine)
 
     async def freeze(self, machine: ControlMachine, seconds: float) -> None:
-        """Takes the processor from a machine for a while."""
+        """Freezes a machine's process for a while."""
         process = machine.process
-        if process is None or not process.runs:
+        if process is None or not process.running:
             return
         self._begin("freeze", machine)
         process.freeze()
@@ -111,13 +113,13 @@
         self._end("freeze", machine)
 
     async def throttle(self, machine: ControlMachine, share: float, seconds: float) -> None:
-        """Gives a machine a share of a core as a quota: its part of each period, then nothing."""
+        """Freezes a process for a part of each quota period, so that it gets `share` of a core."""
         process = machine.process
-        if process is None or not process.runs:
+        if process is None or not process.running:
             return
         self._begin("throttle", machine)
         until = self.world.now + int(seconds * SECOND)
-        while self.world.now < until and process.runs:
+        while self.world.now < until and process.running:
             process.freeze()
             self.world.isolation.update(self.world.now)
             await asyncio.sleep((1 - share) * QUOTA_SECONDS)
@@ -127,64 +129,68 @@
         self._end("throttle", machine)
 
     def restart_gateway(self, gateway: GatewayMachine) -> None:
-        """A gateway's process ends and comes back with an empty view."""
+        """Ends a gateway's process and restarts it with an empty view."""
         gateway.kill()
         gateway.boot()
-        self.world.disturbed("gateway-restart")
+        self.world.record_fault_event("gateway-restart")
 
     # -- disks
 
     def may_lose_disk(self, machine: ControlMachine) -> bool:
-        """Whether a majority of the present members still has its disks without this one's."""
+        """Whether a majority of the machines is still healthy without this one."""
         world = self.world
-        if world.leader() is None or not self._counts(machine):
+        if world.leader() is None or not self._is_healthy(machine):
             return False
-        lost = [other for other in world.machines if not self._counts(other)]
+        lost = [other for other in world.machines if not self._is_healthy(other)]
         return 2 * (len(lost) + 1) < len(world.machines)
 
-    def _counts(self, machine: ControlMachine) -> bool:
-        """Whether a machine is well, and has been for as long as it may take to catch up."""
+    def _is_healthy(self, machine: ControlMachine) -> bool:
+        """Whether a machine runs without faults and has done so for the time it may need to catch up."""
         catch_up = int(self.world.scenario.catch_up * SECOND)
-        well_since = self._well_since.get(machine.name, 0)
-        return machine.runs and not self._afflicted[machine.name] and well_since <= self.world.now - catch_up
-
-    async def lose_disk(self, machine: ControlMachine, dark: float) -> None:
-        """A machine loses power and its disk, and comes back at its address with an empty one."""
+        healthy_since = self._healthy_since.get(machine.name, 0)
+        return (
+            machine.running
+            and not self._faults_by_machine[machine.name]
+            and healthy_since <= self.world.now - catch_up
+        )
+
+    async def lose_disk(self, machine: ControlMachine, downtime: float) -> None:
+        """Ends a machine by a loss of power and restarts it at its address with an empty disk."""
         if not machine.up or not self.may_lose_disk(machine):
             return
         self._begin("wipe", machine)
-        machine.thaw_before_end()
+        machine.end_process()
         machine.lose_power()
         machine.lose_disk()
         self.world.isolation.update(self.world.now)
-        await asyncio.sleep(dark)
+        await asyncio.sleep(downtime)
         self._boot(machine)
         self._end("wipe", machine)
 
-    async def replace(self, machine: ControlMachine, dark: float) -> None:
-        """A machine is gone for good; an empty one comes at another address."""
+    async def replace(self, machine: ControlMachine, downtime: float) -> None:
+        """Removes a machine for good and starts one with an empty disk at another address."""
         if not machine.up or not self.may_lose_disk(machine):
             return
         self._begin("replace", machine)
-        machine.thaw_before_end()
+        machine.end_process()
         machine.lose_power()
         self.world.machines.remove(machine)
         successor = self.world.add_machine()
-        self._afflicted[successor.name] += 1
-        await asyncio.sleep(dark)
+        self._faults_by_machine[successor.name] += 1
+        await asyncio.sleep(downtime)
         self._boot(successor)
         self._end("replace", successor)
 
     async def hang_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """A disk answers nothing for a while."""
-        await self._trouble_disk(machine, seconds, "disk-hang")
+        """Makes a disk stop responding for a while."""
+        await self._fail_disk(machine, seconds, "disk-hang")
 
     async def fill_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """A disk takes no more bytes for a while."""
-        await self._trouble_disk(machine, seconds, "disk-full")
+        """Makes a disk full for a while."""
+        await self._fail_disk(machine, seconds, "disk-full")
 
     async def slow_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """A disk takes `SLOW_FACTOR` times as long for a while."""
+        """Makes a disk take `SLOW_FACTOR` times as long to sync for a while."""
         disk = machine.disk
         self._begin("disk-slow", machine)
         disk.sync_time = SLOW_FACTOR * SYNC_TIME
@@ -192,7 +198,7 @@
         disk.sync_time = SYNC_TIME
         self._end("disk-slow", machine)
 
-    async def _trouble_disk(self, machine: ControlMachine, seconds: float, kind: str) -> None:
+    async def _fail_disk(self, machine: ControlMachine, seconds: float, kind: str) -> None:
         disk = machine.disk
         self._begin(kind, machine)
         disk.hangs, disk.full = kind == "disk-hang", kind == "disk-full"
@@ -200,36 +206,36 @@
         disk.hangs = disk.full = False
         self._end(kind, machine)
 
-    # -- the end
+    # -- recovery
 
     async def heal(self) -> None:
-        """Ends all faults at once."""
+        """Reverts all faults at once."""
         world = self.world
         world.network.heal_all()
         for machine in world.machines:
             machine.disk.hangs = machine.disk.full = False
             machine.disk.sync_time = SYNC_TIME
-            machine.place.megabits = world.scenario.site.megabits
+            machine.endpoint.megabits = world.scenario.site.megabits
             if machine.process is not None:
                 await _thaw(machine.process)
             if not machine.up:
                 self._boot(machine)
-        world.disturbed("heal")
-        world.disturbances = 0
-        self._afflicted.clear()
+        world.record_fault_event("heal")
+        world.active_faults = 0
+        self._faults_by_machine.clear()
 
-    # -- inner parts
+    # -- internals
 
     def _begin(self, kind: str, machine: ControlMachine) -> None:
-        self.world.disturbances += 1
-        self._afflicted[machine.name] += 1
-        self.world.disturbed(kind, machine)
+        self.world.active_faults += 1
+        self._faults_by_machine[machine.name] += 1
+        self.world.record_fault_event(kind, machine)
 
     def _end(self, kind: str, machine: ControlMachine) -> None:
-        self.world.disturbances -= 1
-        self._afflicted[machine.name] -= 1
-        self._well_since[machine.name] = self.world.now
-        self.world.disturbed(f"{kind}-end")
+        self.world.active_faults -= 1
+        self._faults_by_machine[machine.name] -= 1
+        self._healthy_since[machine.name] = self.world.now
+        self.world.record_fault_event(f"{kind}-end")
 
     def _boot(self, machine: ControlMachine) -> None:
         if not machine.up and machine in self.world.machines:
@@ -238,7 +244,7 @@
 
 
 async def _thaw(process: Process) -> None:
-    """Returns once the process has its processor again, or has ended."""
+    """Thaws a process and returns when it runs again or has ended."""
     process.thaw()
     while process.state is ProcessState.FROZEN:
         await asyncio.sleep(0)
--- a/brackenladder/simulation/mutants/contact.py
+++ b/brackenladder/simulation/mutants/contact.py
@@ -1,4 +1,4 @@
-"""Planted faults in what a node says without a majority behind it."""
+"""Planted faults in what a control node answers without contact with a majority."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brackenladder.simulation.mutants.mutant import Fault, Mutant, replaced
 
 
-def _acknowledged_alone() -> Fault:
+def _acknowledged_without_contact() -> Fault:
     return replaced(SoftState, _in_touch=lambda self: True)
 
 
@@ -20,11 +20,11 @@
     return replaced(OrderService, reaches_quorum=at_once)
 
 
-def _catalog_told_alone() -> Fault:
+def _catalog_sent_without_contact() -> Fault:
     return replaced(SoftState, _may_publish_catalog=lambda self, now: True)
 
 
-def _remembered_told_alone() -> Fault:
+def _remembered_sent_without_confirmation() -> Fault:
     return replaced(RestartGate, confirms=lambda self, now, members, revision: True)
 
 
@@ -38,35 +38,35 @@
 CONTACT_MUTANTS = (
     Mutant(
         name="acknowledged-alone",
-        about="servers are acknowledged without contact with a majority",
+        description="servers are acknowledged without contact with a majority",
         profile="isolation",
         rules=frozenset({"ack-alone"}),
-        plant=_acknowledged_alone,
+        plant=_acknowledged_without_contact,
     ),
     Mutant(
         name="drain-not-confirmed",
-        about="a drain is acknowledged as long as the node was in touch a moment ago",
+        description="a drain is acknowledged if the node had contact a moment ago",
         profile="isolation",
         rules=frozenset({"drain-untold"}),
         plant=_drain_not_confirmed,
     ),
     Mutant(
         name="catalog-alone",
-        about="a node without contact tells its catalog to gateways that start",
+        description="a node without contact sends its catalog to starting gateways",
         profile="isolation",
         rules=frozenset({"catalog-alone"}),
-        plant=_catalog_told_alone,
+        plant=_catalog_sent_without_contact,
     ),
     Mutant(
         name="remembered-alone",
-        about="a remembered catalog is told before a majority confirms it",
+        description="a catalog from before a restart is sent before a majority confirms it",
         profile="isolation",
         rules=frozenset({"catalog-alone"}),
-        plant=_remembered_told_alone,
+        plant=_remembered_sent_without_confirmation,
     ),
     Mutant(
         name="contact-when-read",
-        about="a leader's word counts as contact from when it is read",
+        description="a leader's message counts as contact from when it is read, not sent",
         profile="isolation",
         rules=frozenset({"ack-alone", "catalog-alone"}),
         plant=_contact_when_read,
--- a/brackenladder/simulation/schedules.py
+++ b/brackenladder/simulation/schedules.py
@@ -1,4 +1,4 @@
-"""All profiles by their names: those of whole control nodes, and the exchange of gateways."""
+"""All profiles by name: those of control nodes and the one of the gateways' request exchange."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from brackenladder.simulation.profiles import PROFILES
 from brackenladder.simulation.run import RunResult, run
 
-ABOUT: dict[str, str] = {
-    **{name: profile.about for name, profile in PROFILES.items()},
-    exchange.NAME: exchange.ABOUT,
+DESCRIPTIONS: dict[str, str] = {
+    **{name: profile.description for name, profile in PROFILES.items()},
+    exchange.NAME: exchange.DESCRIPTION,
 }
 
 
-def play(
+def run_schedule(
     profile: str,
     seed: int,
     trace: Callable[[str], None] | None = None,
     skipped: frozenset[int] = frozenset(),
 ) -> RunResult:
-    """Plays one schedule; `trace` takes what is logged, line by line; `skipped` faults do not come."""
+    """Runs one schedule without the `skipped` faults. `trace` receives each log line."""
     if profile == exchange.NAME:
-        return exchange.play(seed, trace, skipped)
+        return exchange.run_schedule(seed, trace, skipped)
     return run(PROFILES[profile], seed, trace=trace, skipped=skipped)
--- a/brackenladder/system/simulate_command.py
+++ b/brackenladder/system/simulate_command.py
@@ -13,10 +13,10 @@
 import typer
 
 from brackenladder.operator_client.errors import ExitCode, UsageError
-from brackenladder.simulation.campaign import Schedule, Summary, campaign, convict_all, schedules, shrink
+from brackenladder.simulation.campaign import Schedule, Summary, campaign, detect_mutants, schedules, shrink
 from brackenladder.simulation.mutants.known import MUTANTS
 from brackenladder.simulation.run import RunResult
-from brackenladder.simulation.schedules import ABOUT, play
+from brackenladder.simulation.schedules import DESCRIPTIONS, run_schedule
 from brackenladder.system.output import print_line, print_to_stderr
 
 PROGRESS_INTERVAL = 50  # schedules
@@ -58,7 +58,7 @@
     """Runs seeded schedules of faults against complete control nodes. Exit code 1: a check failed."""
     if list_profiles or list_mutants:
         return _list(list_mutants)
-    names = _validate_names(profile or list(ABOUT), ABOUT, "--profile")
+    names = _validate_names(profile or list(DESCRIPTIONS), DESCRIPTIONS, "--profile")
     workers = jobs or os.cpu_count() or 1
     if convict:
         return _check_mutants(_validate_names(mutant or list(MUTANTS), MUTANTS, "--mutant"), tries, workers)
@@ -70,10 +70,10 @@
 def _list(list_mutants: bool) -> int:
     if list_mutants:
         for name, planted in MUTANTS.items():
-            print_line(f"{name:28} {planted.profile:10} {planted.about}")
+            print_line(f"{name:28} {planted.profile:10} {planted.description}")
     else:
-        for name, about in ABOUT.items():
-            print_line(f"{name:10} {about}")
+        for name, description in DESCRIPTIONS.items():
+            print_line(f"{name:10} {description}")
     return ExitCode.SUCCESS
 
 
@@ -135,13 +135,13 @@
         f"{summary.elections} terms with a leader"
     )
     print_line("faults that met a node, by its role then:")
-    for meeting, times in sorted(summary.meetings.items()):
+    for meeting, times in sorted(summary.faults_by_role.items()):
         print_line(f"  {meeting}: {times}")
 
 
 def _check_mutants(names: list[str], tries: int, jobs: int) -> int:
     missed = 0
-    for outcome in convict_all(names, tries, jobs):
+    for outcome in detect_mutants(names, tries, jobs):
         missed += not outcome.rule
         found = outcome.rule or "NOT FOUND"
         print_line(f"{outcome.mutant:28} {outcome.profile:10} {found} in {outcome.schedules} schedules")
@@ -154,6 +154,6 @@
     if shrink_faults:
         skipped, _ = shrink(schedule)
         print_line(f"not needed: {', '.join(map(str, sorted(skipped))) or 'none'}")
-    result = play(schedule.profile, schedule.seed, print_line if trace else None, skipped)
+    result = run_schedule(schedule.profile, schedule.seed, print_line if trace else None, skipped)
     print_line(result.detail or "nothing broke")
     return ExitCode.FAILED if result.rule else ExitCode.SUCCESS
