--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -13,7 +13,7 @@
 class Outcome(Enum):
     """The result of an order as its operator knows it."""
 
-    UNCLEAR = auto()  # it may be applied or not, now or later
+    UNCLEAR = auto()  # the order may or may not be applied, now or later
     ACKNOWLEDGED = auto()
     CONFLICT = auto()
     INVALID = auto()
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -7,7 +7,7 @@
 from brackenladder.simulation.machines import ControlMachine
 from brackenladder.simulation.network import SimulatedNetwork
 
-LONG_AGO = -(1 << 40)  # used for a process that has not reached a majority since its start
+LONG_AGO = -(1 << 40)  # since when a process is isolated that has reached no majority since its start
 NOT_ENDED = 1 << 62  # end of a span that is still open
 
 
--- a/brackenladder/simulation/live_checks.py
+++ b/brackenladder/simulation/live_checks.py
@@ -14,7 +14,7 @@
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 
 CONTACT_TIME = 4 * SECOND  # time without faults after which all machines are connected
-CONFIG_TIME = 3 * SECOND  # from an acknowledgement until every connected gateway has the configuration
+CONFIG_TIME = 3 * SECOND  # time from an acknowledgement until every connected gateway has the configuration
 DRAIN_TIME = 3 * SECOND
 CATCH_UP_TIME = 10 * SECOND  # time without faults after which every node has applied all earlier commits
 
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -16,7 +16,7 @@
 from brackenladder.transport.memory import MemoryDialer, MemoryNetwork, MemoryTransport
 from brackenladder.transport.memory_link import Delivery, Event, MemoryLink
 
-SWEEP_SECONDS = 0.1  # between two checks for silent links and disconnected dialers
+SWEEP_SECONDS = 0.1  # interval between checks for silent links and disconnected dialers
 BITS_PER_BYTE = 8
 PACKET_BYTES = 60  # size of an event that carries no message
 OTHER_REGION_LATENCY = 35_000  # microseconds one way
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -26,7 +26,7 @@
 from brackenladder.simulation.network import SimulatedNetwork
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 
-ANSWER_TIMEOUT_SECONDS = 1.0  # for an answer, in addition to the transfer time of a large body
+ANSWER_TIMEOUT_SECONDS = 1.0  # timeout for an answer, in addition to the transfer time of a large body
 FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; doubles each time
 LONGEST_PAUSE_SECONDS = 1.0
 EVACUATION_SECONDS = 5.0  # for how long an evacuation order is retried
@@ -46,8 +46,8 @@
 
     pause: float = 0.5  # mean seconds between two actions
     in_flight: int = 2  # concurrent actions of one operator
-    updates: float = 0.3  # fraction of the configurations
-    invalid: float = 0.1  # fraction of the configurations
+    updates: float = 0.3  # fraction of the configurations sent as an update
+    invalid: float = 0.1  # fraction of the configurations that are invalid
     evacuations: float = 0.15
     reads: float = 0.15
     repeats: float = 0.1  # an order that has been answered is sent again
--- a/brackenladder/simulation/servers.py
+++ b/brackenladder/simulation/servers.py
@@ -21,7 +21,7 @@
 ANSWER_TIMEOUT_SECONDS = 1.0
 DRAIN_SECONDS = 3.0
 GIVE_UP_SECONDS = 8.0  # a server that gets no acknowledgement ends after this time anyway
-REUSE_SECONDS = 2.0  # until an address is used again
+REUSE_SECONDS = 2.0  # pause until an address is used again
 MAX_CALLS = 3  # nodes tried per heartbeat
 
 
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -124,7 +124,7 @@
             site,
         )
         if machine.number >= self.seeds:
-            machine.lose_disk()  # a machine that is no seed has no founding replica on its first disk
+            machine.lose_disk()  # only seed machines start with a founding replica on their disk
         self._machine_number += 1
         self.machines.append(machine)
         return machine
