--- a/benchmarks/fleet_test.py
+++ b/benchmarks/fleet_test.py
@@ -23,7 +23,7 @@
 
 from brackenladder.rehearsal.checker import check  # noqa: E402
 from brackenladder.rehearsal.events import NodeSignal, Said  # noqa: E402
-from brackenladder.rehearsal.report import members_of, passed, terms_of  # noqa: E402
+from brackenladder.rehearsal.report import member_verdicts, passed, terms_of  # noqa: E402
 from brackenladder.rehearsal.runner import rehearse  # noqa: E402
 from brackenladder.rehearsal.scenario import Scenario  # noqa: E402
 
@@ -76,7 +76,7 @@
     with tempfile.TemporaryDirectory(prefix="lb-fleet-") as folder:
         result = asyncio.run(rehearse(scenario, seed, "", Path(folder)))
     report = check(result.events, terms_of(scenario))
-    members = members_of(scenario, result)
+    members = member_verdicts(scenario, result)
     killed = [(e.t, e.node) for e in result.events if isinstance(e, NodeSignal) and e.signal == "kill"]
     took: list[float] = []
     for at, node in killed:
--- a/brackenladder/cli/demo.py
+++ b/brackenladder/cli/demo.py
@@ -10,7 +10,7 @@
 import click
 
 from brackenladder.rehearsal.nodes import NodeError
-from brackenladder.rehearsal.runner import RunError, stand
+from brackenladder.rehearsal.runner import RunError, serve_without_clients
 from brackenladder.rehearsal.scenario import Scenario, Servers
 
 SCENARIO = Scenario(title="Demo", length_s=1.0, nodes=1, zones=("here",), servers=Servers(count=4))
@@ -33,7 +33,7 @@
 
     with tempfile.TemporaryDirectory(prefix="demo-") as folder, suppress(KeyboardInterrupt):
         try:
-            asyncio.run(stand(SCENARIO, command, Path(folder), print_hint))
+            asyncio.run(serve_without_clients(SCENARIO, command, Path(folder), print_hint))
         except (NodeError, RunError) as e:
             click.echo(f"brackenladder: demo: {e}", err=True)
             return 1
--- a/brackenladder/cli/rehearse.py
+++ b/brackenladder/cli/rehearse.py
@@ -13,13 +13,13 @@
 
 from brackenladder.rehearsal import report as reports
 from brackenladder.rehearsal.checker import RULES, Report, check
-from brackenladder.rehearsal.follow import OUTCOMES, FollowError, chosen, way
+from brackenladder.rehearsal.follow import OUTCOMES, FollowError, describe_request, select_requests
 from brackenladder.rehearsal.nodes import NodeError
-from brackenladder.rehearsal.plan import explained, plan_of
+from brackenladder.rehearsal.plan import describe_plan, plan_of
 from brackenladder.rehearsal.runner import Result, RunError
 from brackenladder.rehearsal.runner import rehearse as run
 from brackenladder.rehearsal.scenario import Scenario, ScenarioError, load, on_sockets, shipped, too_large
-from brackenladder.rehearsal.timeline import page
+from brackenladder.rehearsal.timeline import render_page
 
 MAX_PRINTED = 5  # violations printed for each rule; the JSON report has more
 COLOURS = {"held": "green", "broke": "bold red", "not tried": "yellow", "not valid": "magenta"}
@@ -111,7 +111,7 @@
         text = str(e)
         raise click.ClickException(text if scenario in text else f"{scenario}: {text}") from None
     if explain:
-        click.echo("\n".join(explained(loaded, plan)))
+        click.echo("\n".join(describe_plan(loaded, plan)))
         return 0
     for file in (json_file, junit, timeline):
         if file is not None and not Path(file).absolute().parent.is_dir():
@@ -190,17 +190,17 @@
     if junit:
         Path(junit).write_bytes(reports.as_junit(name, report, result))
     if timeline:
-        Path(timeline).write_text(page(loaded, result, report))
+        Path(timeline).write_text(render_page(loaded, result, report))
     print_report(console, loaded, result, report)
     if follow:
         events = [msgspec.structs.replace(event, t=event.t - result.begin) for event in result.events]
         try:
-            for request_id in chosen(events, follow):
+            for request_id in select_requests(events, follow):
                 click.echo(f"\nrequest {request_id}")
-                click.echo("\n".join(way(events, request_id)))
+                click.echo("\n".join(describe_request(events, request_id)))
         except FollowError as e:
             raise click.ClickException(f"--follow: {e}") from None
-    return 0 if reports.passed(report, result, reports.members_of(loaded, result)) else 1
+    return 0 if reports.passed(report, result, reports.member_verdicts(loaded, result)) else 1
 
 
 def last_log_line(folder: Path) -> str:
@@ -228,7 +228,7 @@
             str(ruling.edges),
             reports.MEANINGS[rule],
         )
-    members = reports.members_of(scenario, result)
+    members = reports.member_verdicts(scenario, result)
     for rule_name, judged in members.items():
         verdict = f"[{COLOURS[judged.verdict]}]{judged.verdict}[/]"
         meaning = reports.MEMBER_MEANINGS[rule_name]
--- a/brackenladder/fleet/experiment.py
+++ b/brackenladder/fleet/experiment.py
@@ -23,7 +23,7 @@
 
 from brackenladder.fleet.model import too_large
 from brackenladder.fleet.variants import OWN
-from brackenladder.rehearsal.scenario import Scenario, impossible, told
+from brackenladder.rehearsal.scenario import Scenario, find_contradiction, format_validation_error
 
 LARGEST_FILE = 1 << 20  # bytes
 MOST_RUNS = 100_000
@@ -72,7 +72,7 @@
     try:
         experiment = msgspec.convert(flat(table), Experiment)
     except msgspec.ValidationError as e:
-        raise ExperimentError(f"{where}: {told(str(e))}") from None
+        raise ExperimentError(f"{where}: {format_validation_error(str(e))}") from None
     for key, values in experiment.grid.items():
         if len(set(map(repr, values))) < len(values):
             raise ExperimentError(f"{where}: grid.{key}: a value stands twice")
@@ -128,8 +128,8 @@
     try:
         scenario = msgspec.convert(table, Scenario)
     except msgspec.ValidationError as e:
-        raise ExperimentError(f"{where}: grid.{told(str(e))}") from None
-    wrong = impossible(scenario) or too_large(scenario)
+        raise ExperimentError(f"{where}: grid.{format_validation_error(str(e))}") from None
+    wrong = find_contradiction(scenario) or too_large(scenario)
     if wrong:
         raise ExperimentError(f"{where}: grid.{wrong}")
     return Run(scenario, policy, checkout, constants)
--- a/brackenladder/fleet/figures.py
+++ b/brackenladder/fleet/figures.py
@@ -9,7 +9,7 @@
 
 from brackenladder.rehearsal.checker import Report
 from brackenladder.rehearsal.events import Answered, Arrived, Down, Sent, Up
-from brackenladder.rehearsal.nodes import quotas_of
+from brackenladder.rehearsal.nodes import tenant_quotas
 from brackenladder.rehearsal.runner import Result
 from brackenladder.rehearsal.scenario import Scenario
 
@@ -118,7 +118,7 @@
         asked[place] += 1
         served[place] += value
         values.append((plan.klass, place, value))
-    quotas = [quota * QUOTA_TIME for quota in quotas_of(scenario)]
+    quotas = [quota * QUOTA_TIME for quota in tenant_quotas(scenario)]
 
     def scaled(worth: float, tenant: int) -> float:
         within = min(worth, quotas[tenant])
--- a/brackenladder/fleet/hunt.py
+++ b/brackenladder/fleet/hunt.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from brackenladder.rehearsal.scenario import NODE_FAULTS, Scenario, impossible
+from brackenladder.rehearsal.scenario import NODE_FAULTS, Scenario, find_contradiction
 
 Schedule = dict[str, Any]
 
@@ -144,7 +144,7 @@
         scenario = msgspec.convert(schedule, Scenario)
     except msgspec.ValidationError:
         return None
-    return None if impossible(scenario) else scenario
+    return None if find_contradiction(scenario) else scenario
 
 
 def smaller(schedule: Schedule) -> Iterator[Schedule]:
--- a/brackenladder/rehearsal/follow.py
+++ b/brackenladder/rehearsal/follow.py
@@ -51,7 +51,7 @@
     return found
 
 
-def chosen(events: Sequence[Event], what: str) -> list[str]:
+def select_requests(events: Sequence[Event], what: str) -> list[str]:
     """The ids that `what` names: some requests of an outcome, spread over the run, or one by its id."""
     ends = outcomes(events)
     if what in OUTCOMES:
@@ -67,7 +67,7 @@
     return ids
 
 
-def way(events: Sequence[Event], name: str) -> list[str]:
+def describe_request(events: Sequence[Event], name: str) -> list[str]:
     """What happened to a request, a line an event: time, time since it was sent, its tier, the event."""
     ends = "." + name
     up: dict[str, Up] = {}
@@ -82,7 +82,7 @@
             continue
         if not began:
             began = event.t
-        text = told(event, up)
+        text = describe_event(event, up)
         if text:
             tier = of.count(".")
             since = (event.t - began) / 1000
@@ -90,7 +90,7 @@
     return lines
 
 
-def told(event: Event, up: dict[str, Up]) -> str:
+def describe_event(event: Event, up: dict[str, Up]) -> str:
     """An event in words."""
     match event:
         case Sent():
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -100,7 +100,7 @@
         "self_index": number,
         "tenants": [
             {"name": name, "quota_rps": quota, "share": ratio}
-            for name, quota in zip(s.tenants, quotas_of(s), strict=True)
+            for name, quota in zip(s.tenants, tenant_quotas(s), strict=True)
         ],
         "tick": 5000,
         "tier": 0,
@@ -110,7 +110,7 @@
     }
 
 
-def quotas_of(s: Scenario) -> tuple[float, ...]:
+def tenant_quotas(s: Scenario) -> tuple[float, ...]:
     """Each tenant's, in requests a second."""
     return s.clients.quotas or (s.clients.rate / len(s.tenants) * 1.5,) * len(s.tenants)
 
@@ -153,7 +153,7 @@
     fresh.rename(path)
 
 
-def own_address(rng: Random) -> str:
+def unused_loopback_host(rng: Random) -> str:
     """A loopback host that nothing else uses, so that ports found free there stay free."""
     for _ in range(50):
         host = f"127.{rng.randrange(16, 250)}.{rng.randrange(1, 250)}.{rng.randrange(1, 250)}"
@@ -192,7 +192,7 @@
         self.folder = folder
         self.journal = journal
         self.seeds = Random(f"node {seed} {number}")
-        host = own_address(rng)
+        host = unused_loopback_host(rng)
         self.listen = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         self.datagrams = f"{host}:{free_port(host, socket.SOCK_DGRAM)}"
         self.rpc = f"{host}:{free_port(host, socket.SOCK_STREAM)}" if scenario.transport == "rpc" else ""
--- a/brackenladder/rehearsal/plan.py
+++ b/brackenladder/rehearsal/plan.py
@@ -25,8 +25,8 @@
 
 MICRO = 1_000_000
 DEPLOY_AT_ONCE = 0.2  # a deploy takes down this part of the fleet at a time
-APART = MICRO // 2  # between two faults at one server
-BOOT = MICRO  # from the end of a server to the start of its successor
+MIN_FAULT_GAP = MICRO // 2  # between two faults at one server
+BOOT_TIME = MICRO  # from the end of a server to the start of its successor
 
 
 class ServerPlan(msgspec.Struct, frozen=True):
@@ -90,14 +90,14 @@
 
 def plan_of(scenario: Scenario, seed: int) -> Plan:
     """The plan; a ScenarioError if the faults ask for more targets than there are."""
-    servers = fleet(scenario, Random(f"fleet {seed}"))
-    steps, born = faults(scenario, servers, Random(f"faults {seed}"))
+    servers = initial_servers(scenario, Random(f"fleet {seed}"))
+    steps, born = plan_faults(scenario, servers, Random(f"faults {seed}"))
     return Plan(
         seed=seed,
         length=micro(scenario.length_s),
         servers=(*servers, *born),
         steps=tuple(sorted(steps, key=lambda s: (s.at, s.kind, s.target))),
-        requests=requests(scenario, Random(f"requests {seed}")),
+        requests=plan_requests(scenario, Random(f"requests {seed}")),
     )
 
 
@@ -115,7 +115,7 @@
     return round(work)
 
 
-def fleet(scenario: Scenario, rng: Random) -> list[ServerPlan]:
+def initial_servers(scenario: Scenario, rng: Random) -> list[ServerPlan]:
     """The servers that stand at the start."""
     s, zones = scenario.servers, scenario.zones
     pods = -(-s.count // len(zones)) // s.pod + 1  # of one zone, at most
@@ -136,7 +136,9 @@
     ]
 
 
-def faults(scenario: Scenario, servers: list[ServerPlan], rng: Random) -> tuple[list[Step], list[ServerPlan]]:
+def plan_faults(
+    scenario: Scenario, servers: list[ServerPlan], rng: Random
+) -> tuple[list[Step], list[ServerPlan]]:
     """The faults' steps, and the servers that are born in the run."""
     steps: list[Step] = []
     born: list[ServerPlan] = []
@@ -150,8 +152,8 @@
             s.target
             for s in steps
             if (s.kind in ANSWER_FAULTS) == (fault.kind in ANSWER_FAULTS)
-            and s.at - APART < at + length
-            and at < s.end + APART
+            and s.at - MIN_FAULT_GAP < at + length
+            and at < s.end + MIN_FAULT_GAP
         }
         free = [s for s in alive.values() if s.id not in taken]
         picked = targets(scenario, fault, free, rng, f"faults[{i}].pick")
@@ -162,7 +164,7 @@
             step = Step(at + later, length, fault.kind, target, share=fault.share, count=fault.count)
             if fault.kind in ("replace", "drain", "drain-answering", "deploy"):
                 old = alive.pop(target)
-                new = heir(scenario, old, f"s{next(numbers)}-{rng.getrandbits(24):06x}", rng)
+                new = successor_of(scenario, old, f"s{next(numbers)}-{rng.getrandbits(24):06x}", rng)
                 if fault.kind == "replace":
                     new = msgspec.structs.replace(new, place=old.place, born=step.end)
                     step = msgspec.structs.replace(step, successor=new.id)
@@ -171,7 +173,7 @@
                     drains = round(fault.drain_s * MICRO)
                     start = step.at + k // batch * length // waves + round(rng.random() * MICRO / 4)
                     new = msgspec.structs.replace(
-                        new, place=next_place(servers, born), born=start + drains + BOOT
+                        new, place=next_place(servers, born), born=start + drains + BOOT_TIME
                     )
                     step = Step(start, drains, "drain", target, successor=new.id)
                 else:
@@ -188,7 +190,7 @@
     return 1 + max(s.place for s in (*servers, *born))
 
 
-def heir(scenario: Scenario, old: ServerPlan, name: str, rng: Random) -> ServerPlan:
+def successor_of(scenario: Scenario, old: ServerPlan, name: str, rng: Random) -> ServerPlan:
     """A successor in the old one's pod."""
     speed = round(rng.uniform(*scenario.servers.speed), 3)
     return msgspec.structs.replace(old, id=name, speed=speed)
@@ -219,7 +221,7 @@
     return rng.sample(names, wanted)
 
 
-def requests(scenario: Scenario, rng: Random) -> tuple[RequestPlan, ...]:
+def plan_requests(scenario: Scenario, rng: Random) -> tuple[RequestPlan, ...]:
     """Arrivals at random times (a Poisson process) up to the run's end."""
     clients, classes = scenario.clients, scenario.classes
     bounds = list(accumulate(c.share for c in classes))
@@ -227,7 +229,7 @@
     out: list[RequestPlan] = []
     time = 0.0
     while True:
-        time = later(clients, time, rng.expovariate(clients.rate))
+        time = next_arrival(clients, time, rng.expovariate(clients.rate))
         if time >= scenario.length_s:
             return tuple(out)
         klass = min(bisect_right(bounds, rng.random() * bounds[-1]), len(classes) - 1)
@@ -255,7 +257,7 @@
         )
 
 
-def later(clients: Clients, time: float, gap: float) -> float:
+def next_arrival(clients: Clients, time: float, gap: float) -> float:
     """The moment after `time` at which as many arrivals are due as in `gap` seconds of the plain rate."""
     if not clients.surges:
         return time + gap
@@ -271,7 +273,7 @@
     return time + gap / times
 
 
-WORDS = {
+DESCRIPTIONS = {
     "stall": "answers nothing",
     "stall-head": "stops in the head of each answer",
     "stall-body": "stops partway through the body of each answer",
@@ -312,7 +314,7 @@
 }
 
 
-def explained(scenario: Scenario, plan: Plan) -> list[str]:
+def describe_plan(scenario: Scenario, plan: Plan) -> list[str]:
     """The run in words, a line for each step."""
     zones = {s.id: s.zone for s in plan.servers}
     lines = [
@@ -323,7 +325,7 @@
     ]
     for step in plan.steps:
         where = f" ({zones[step.target]})" if step.target in zones else ""
-        text = f"{step.at / MICRO:7.2f} s  {step.target}{where} {WORDS[step.kind]}"
+        text = f"{step.at / MICRO:7.2f} s  {step.target}{where} {DESCRIPTIONS[step.kind]}"
         if step.kind == "silent-clients":
             text += f": {step.count}"
         if step.share < 1:
--- a/brackenladder/rehearsal/report.py
+++ b/brackenladder/rehearsal/report.py
@@ -46,7 +46,7 @@
     )
 
 
-def members_of(scenario: Scenario, result: Result) -> dict[MemberRule, Judged]:
+def member_verdicts(scenario: Scenario, result: Result) -> dict[MemberRule, Judged]:
     """What became of the nodes' knowledge of one another, if they had any."""
     if not scenario.members:
         return {}
@@ -60,7 +60,7 @@
     return not result.crashed and not {"broke", "not valid"} & verdicts
 
 
-def told(finding: Finding, begin: int) -> dict[str, Any]:
+def finding_entry(finding: Finding, begin: int) -> dict[str, Any]:
     """A finding as the report gives it: `at_s` from the run's start."""
     return {
         "what": finding.what,
@@ -78,7 +78,7 @@
         "scenario": name,
         "title": scenario.title,
         "seed": result.plan.seed,
-        "passed": passed(report, result, members := members_of(scenario, result)),
+        "passed": passed(report, result, members := member_verdicts(scenario, result)),
         "verdicts": {rule: report.verdicts[rule] for rule in RULES},
         "rules": {
             rule: {
@@ -86,8 +86,8 @@
                 "chances": report.rulings[rule].chances,
                 "broken": report.rulings[rule].broken,
                 "edges": report.rulings[rule].edges,
-                "evidence": [told(f, result.begin) for f in report.rulings[rule].evidence],
-                "edge_cases": [told(f, result.begin) for f in report.rulings[rule].edge_cases],
+                "evidence": [finding_entry(f, result.begin) for f in report.rulings[rule].evidence],
+                "edge_cases": [finding_entry(f, result.begin) for f in report.rulings[rule].edge_cases],
             }
             for rule in RULES
         },
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -316,7 +316,9 @@
     return await Run(scenario, seed, command, folder, progress).go()
 
 
-async def stand(scenario: Scenario, command: str, folder: Path, told: Callable[[str], None]) -> None:
+async def serve_without_clients(
+    scenario: Scenario, command: str, folder: Path, told: Callable[[str], None]
+) -> None:
     """Starts the nodes and their stand-ins without clients; `told` gets the first node's address.
 
     They stand until the task is cancelled.
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -338,14 +338,14 @@
     try:
         scenario = msgspec.convert(table, Scenario)
     except msgspec.ValidationError as e:
-        raise ScenarioError(f"{where}: {told(str(e))}") from None
-    wrong = impossible(scenario)
+        raise ScenarioError(f"{where}: {format_validation_error(str(e))}") from None
+    wrong = find_contradiction(scenario)
     if wrong:
         raise ScenarioError(f"{where}: {wrong}")
     return scenario
 
 
-def told(text: str) -> str:
+def format_validation_error(text: str) -> str:
     """msgspec's message with the key first."""
     what, _, place = text.partition(" - at `")
     key = re.sub(r"^\$\.?", "", place.rstrip("`"))
@@ -358,7 +358,7 @@
     return f"{key}: {what}" if key else what
 
 
-def impossible(s: Scenario) -> str:
+def find_contradiction(s: Scenario) -> str:
     """What no single key shows to be wrong, as `key: what`; empty if nothing is."""
     spans = {
         "servers.speed": s.servers.speed,
--- a/brackenladder/rehearsal/timeline.py
+++ b/brackenladder/rehearsal/timeline.py
@@ -64,7 +64,7 @@
     def lane(name: str) -> Lane:
         return lanes.setdefault(name, Lane(name))
 
-    def fell(server: str, t: int) -> None:
+    def close_server(server: str, t: int) -> None:
         up = up_since.pop(server, None)
         if up is None:
             return
@@ -86,7 +86,7 @@
             case Up():
                 up_since[event.server] = event
             case Down():
-                fell(event.server, event.t)
+                close_server(event.server, event.t)
             case Changed() if event.source == 0 and event.state == "draining" and event.server in up_since:
                 draining[event.server] = event.t
             case Fault():
@@ -106,7 +106,7 @@
     for name, since in node_since.items():
         lane(name).spans.append((since, last, "up", "ready"))
     for server in list(up_since):
-        fell(server, last)
+        close_server(server, last)
     for style, findings in (
         ("break", report.breaks),
         ("edge", [f for rule in RULES for f in report.rulings[rule].edge_cases]),
@@ -118,7 +118,7 @@
     return list(lanes.values())
 
 
-def page(scenario: Scenario, result: Result, report: Report) -> str:
+def render_page(scenario: Scenario, result: Result, report: Report) -> str:
     """The page's HTML, with nothing outside it."""
     begin = result.begin
     end = max((e.t for e in result.events), default=begin + 1)
@@ -129,7 +129,7 @@
 
     lanes = lanes_of(scenario, result, report)
     height = len(lanes) * (LANE + GAP) + 30
-    parts = [drawn(lane, 24 + i * (LANE + GAP), x, begin, span) for i, lane in enumerate(lanes)]
+    parts = [draw_lane(lane, 24 + i * (LANE + GAP), x, begin, span) for i, lane in enumerate(lanes)]
     ticks = "".join(
         f'<line class="axis" x1="{x(begin + span * k // TICKS):.1f}" x2="{x(begin + span * k // TICKS):.1f}"'
         f' y1="14" y2="{height}"/><text class="tick" x="{x(begin + span * k // TICKS):.1f}" y="10">'
@@ -141,7 +141,7 @@
         f"<td>{report.rulings[rule].chances}</td><td>{report.rulings[rule].broken}</td></tr>"
         for rule in RULES
     )
-    breaks = "".join(f"<li>{told(f, begin)}</li>" for f in report.breaks[:200])
+    breaks = "".join(f"<li>{describe_finding(f, begin)}</li>" for f in report.breaks[:200])
     title = escape(f"{scenario.title}, seed {result.plan.seed}")
     return f"""<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{title}</title><style>{STYLE}</style>
@@ -157,14 +157,14 @@
 """
 
 
-def told(finding: Finding, begin: int) -> str:
+def describe_finding(finding: Finding, begin: int) -> str:
     return escape(
         f"{(finding.t - begin) / 1e6:.3f} s, {finding.rule}: {finding.node} {finding.server} {finding.id}"
         f" {finding.text}"
     )
 
 
-def drawn(lane: Lane, y: int, x: Callable[[int], float], begin: int, span: int) -> str:
+def draw_lane(lane: Lane, y: int, x: Callable[[int], float], begin: int, span: int) -> str:
     """A lane's SVG."""
     out = [f'<text class="name" x="4" y="{y + LANE / 2 + 4:.0f}">{escape(lane.name)}</text>']
     order = {"up": 0, "cold": 0, "drains": 1, "fault": 2}
@@ -174,7 +174,7 @@
                 f'<rect class="{style}" x="{x(start):.1f}" y="{y}" width="{max(1.5, x(end) - x(start)):.1f}"'
                 f' height="{LANE}"><title>{escape(words)}</title></rect>'
             )
-    peak, points = loads(lane.load, begin, span)
+    peak, points = peak_loads(lane.load, begin, span)
     if peak:
         step = WIDTH / BINS
         path = " ".join(
@@ -192,7 +192,7 @@
     return "".join(out)
 
 
-def loads(changes: Sequence[tuple[int, int]], begin: int, span: int) -> tuple[int, list[int]]:
+def peak_loads(changes: Sequence[tuple[int, int]], begin: int, span: int) -> tuple[int, list[int]]:
     """The most in flight, in all and in each bin."""
     most: defaultdict[int, int] = defaultdict(int)
     level, bin_ = 0, 0
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -18,7 +18,7 @@
 from brackenladder.rehearsal import report as reports
 from brackenladder.rehearsal.checker import RULES
 from brackenladder.rehearsal.scenario import shipped
-from brackenladder.rehearsal.timeline import page
+from brackenladder.rehearsal.timeline import render_page
 
 PATIENCE = 60.0
 
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize("case", ["deploy"])
 def test_the_page_has_a_lane_for_each_server_and_node(case: str, runs: Runs) -> None:
     result, report, _ = runs[case]
-    html = page(CASES[case].scenario, result, report)
+    html = render_page(CASES[case].scenario, result, report)
     for server in result.plan.servers:
         assert f">{server.id}</text>" in html
     assert ">n0</text>" in html and 'class="cold"' in html and 'class="drains"' in html
--- a/tests/rehearsal/test_follow.py
+++ b/tests/rehearsal/test_follow.py
@@ -7,7 +7,7 @@
 
 from brackenladder.fleet.model import play
 from brackenladder.rehearsal.events import Answered, Arrived, Sent
-from brackenladder.rehearsal.follow import SHOWN, FollowError, chosen, outcomes, way
+from brackenladder.rehearsal.follow import SHOWN, FollowError, describe_request, outcomes, select_requests
 
 FAULT = {"kind": "reset-late", "at_s": 0.5, "for_s": 1.0, "share": 0.6, "pick": "all"}
 
@@ -18,8 +18,8 @@
 
 
 def test_every_step_of_a_request_is_told_in_both_tiers(events):
-    (name,) = chosen(events, chosen(events, "served")[0])
-    lines = way(events, name)
+    (name,) = select_requests(events, select_requests(events, "served")[0])
+    lines = describe_request(events, name)
     mine = [e for e in events if getattr(e, "id", "").split(".")[-1] == name]
     assert len(lines) == len(mine) and "sent to node" in lines[0] and "answered 200" in lines[-1]
     for kind, text in ((Sent, "sent to node"), (Arrived, "at server"), (Answered, "answered ")):
@@ -31,9 +31,9 @@
 def test_some_of_an_outcome_are_named_and_nobody_is_told_plainly(events):
     ends = outcomes(events)
     assert len(ends) == sum(isinstance(e, Sent) and "." not in e.id for e in events)
-    for name in chosen(events, "failed"):
-        assert ends[name] == "failed" and "answered 50" in way(events, name)[-1]
-    assert len(chosen(events, "served")) == SHOWN
+    for name in select_requests(events, "failed"):
+        assert ends[name] == "failed" and "answered 50" in describe_request(events, name)[-1]
+    assert len(select_requests(events, "served")) == SHOWN
     for nobody in ("lost", "nosuchid", ""):
         with pytest.raises(FollowError):
-            chosen(events, nobody)
+            select_requests(events, nobody)
--- a/tests/rehearsal/test_members.py
+++ b/tests/rehearsal/test_members.py
@@ -14,7 +14,7 @@
 from rehearsal.playing import play, small
 
 from brackenladder.rehearsal.events import AnyEvent, Datagram, Fault, Said
-from brackenladder.rehearsal.report import members_of
+from brackenladder.rehearsal.report import member_verdicts
 from brackenladder.rehearsal.scenario import Scenario
 
 ROGUE = Path(__file__).with_name("rogue_members.py")
@@ -54,7 +54,7 @@
     mode, faults, length, verdict = CASES[name]
     scenario = scenario_of(faults, length)
     result, report = play(scenario, tmp_path, f"{sys.executable} {ROGUE} {mode}")
-    found = members_of(scenario, result)
+    found = member_verdicts(scenario, result)
     broke = {rule: judged.evidence for rule, judged in found.items() if judged.verdict == "broke"}
     if mode != "right":
         assert verdict in broke
--- a/tests/rehearsal/test_plan.py
+++ b/tests/rehearsal/test_plan.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from rehearsal.playing import small
 
-from brackenladder.rehearsal.plan import APART, DEPLOY_AT_ONCE, explained, plan_of
+from brackenladder.rehearsal.plan import DEPLOY_AT_ONCE, MIN_FAULT_GAP, describe_plan, plan_of
 from brackenladder.rehearsal.scenario import ANSWER_FAULTS, load, shipped
 
 SEEDS = st.integers(0, 1 << 40)
@@ -20,7 +20,7 @@
     scenario = load(name)
     first, second = plan_of(scenario, seed), plan_of(scenario, seed)
     assert msgspec.json.encode(first) == msgspec.json.encode(second)
-    assert explained(scenario, first) == explained(scenario, second)
+    assert describe_plan(scenario, first) == describe_plan(scenario, second)
 
 
 def test_another_seed_gives_another_schedule() -> None:
@@ -40,7 +40,7 @@
         for other in steps[i + 1 :]:
             alike = (one.kind in ANSWER_FAULTS) == (other.kind in ANSWER_FAULTS)
             if one.target == other.target and alike:
-                assert one.end + APART <= other.at or other.end + APART <= one.at
+                assert one.end + MIN_FAULT_GAP <= other.at or other.end + MIN_FAULT_GAP <= one.at
 
 
 @given(SEEDS)
@@ -83,6 +83,6 @@
 
 def test_it_is_explained_in_words() -> None:
     scenario = load("rolling-deploy")
-    text = explained(scenario, plan_of(scenario, 1))
+    text = describe_plan(scenario, plan_of(scenario, 1))
     assert "2 nodes, 12 servers in east and west" in text[0]
     assert sum("drains, then ends" in line and "starts cold at" in line for line in text) == 11
--- a/tests/rehearsal/test_runner.py
+++ b/tests/rehearsal/test_runner.py
@@ -92,8 +92,9 @@
     """Failure prevented: they go on serving on their ports, and whoever starts next finds them."""
     script = (
         "import asyncio, sys; from pathlib import Path; sys.path.insert(0, 'tests');"
-        "from brackenladder.rehearsal.runner import stand; from rehearsal.playing import small;"
-        f"asyncio.run(stand(small(nodes=2), '', Path({str(tmp_path)!r}), lambda a: print(a, flush=True)))"
+        "from brackenladder.rehearsal.runner import serve_without_clients as serve;"
+        "from rehearsal.playing import small;"
+        f"asyncio.run(serve(small(nodes=2), '', Path({str(tmp_path)!r}), lambda a: print(a, flush=True)))"
     )
     with subprocess.Popen([sys.executable, "-c", script], stdout=subprocess.PIPE, text=True) as runner:
         assert runner.stdout is not None
--- a/tests/soak/test_soak_actors.py
+++ b/tests/soak/test_soak_actors.py
@@ -10,7 +10,7 @@
 from unittest import IsolatedAsyncioTestCase
 
 from brackenladder.local_site.layout import INTERNAL_PORTS, Machine
-from brackenladder.rehearsal.nodes import free_port, own_address
+from brackenladder.rehearsal.nodes import free_port, unused_loopback_host
 from brackenladder.rehearsal.standins.model_server import ServerSettings
 from brackenladder.soak.clients import Lane, Place
 from brackenladder.soak.configuration import PLAIN_HOST
@@ -37,7 +37,7 @@
 
 class RelayTest(IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        network = own_address(Random()).rpartition(".")[0]
+        network = unused_loopback_host(Random()).rpartition(".")[0]
         self.layout = SoakLayout(network, Path("/nowhere"))
         self.gateway, self.node = self.layout.gateways[0], self.layout.control[0]
         self.relay = Relay(self.layout, "", "", lambda _: None)
@@ -132,13 +132,13 @@
                 await self.body_of(answer)
 
     async def test_no_answer(self) -> None:
-        host = own_address(Random())
+        host = unused_loopback_host(Random())
         self.assertIsNone(await call(f"{host}:{free_port(host, socket.SOCK_STREAM)}", "GET", "/"))
 
 
 class LaneTest(IsolatedAsyncioTestCase):
     async def test_a_client_and_a_server_record_the_same_request(self) -> None:
-        host = own_address(Random())
+        host = unused_loopback_host(Random())
         address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         events: list[Event] = []
         settings = ServerSettings("chat-0.1", "chat", address, "north-a", ENGINE)
--- a/tests/system/test_system_standins.py
+++ b/tests/system/test_system_standins.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from brackenladder.rehearsal.nodes import free_port, own_address
+from brackenladder.rehearsal.nodes import free_port, unused_loopback_host
 from brackenladder.rehearsal.standins.model_clients import ModelClient, OutcomeKind, RequestSpec
 from brackenladder.rehearsal.standins.model_engine import EngineSettings, PromptCache, parse_prompt
 from brackenladder.rehearsal.standins.model_server import ModelServer, ServerSettings
@@ -51,7 +51,7 @@
 
     async def start(self, server_type: type[ModelServer], engine: EngineSettings) -> ModelServer:
         """Starts a server at its own address."""
-        host = own_address(Random())
+        host = unused_loopback_host(Random())
         address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         server = server_type(ServerSettings("i-1", "chat", address, "north-a", engine))
         await server.start()
