--- a/brackenladder/fleet/schedules.py
+++ b/brackenladder/fleet/schedules.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from brackenladder.rehearsal.scenario import NODE_FAULTS, Scenario, impossible
+from brackenladder.rehearsal.scenario import NODE_FAULTS, Scenario, find_contradiction
 
 Schedule = dict[str, Any]
 
@@ -145,7 +145,7 @@
         scenario = msgspec.convert(schedule, Scenario)
     except msgspec.ValidationError:
         return None
-    return None if impossible(scenario) else scenario
+    return None if find_contradiction(scenario) else scenario
 
 
 def reductions(schedule: Schedule) -> Iterator[Schedule]:
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -1,4 +1,4 @@
-"""A machine's disk in virtual time: it syncs, hangs, refuses, forgets what was not synced, or is lost."""
+"""A machine's disk in virtual time. It can hang, be full, be slow, lose unsynced writes or be lost."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from brackenladder.storage.writer import WriteCallback
 
 SYNC_TIME = 2_000  # microseconds
-HANG_LOOK = 20_000  # microseconds between two looks whether a hanging disk answers again
+HANG_POLL_TIME = 20_000  # microseconds between two checks whether a hanging disk responds again
 
 
 class Disk:
-    """What outlasts a process, and a loss of power."""
+    """The data that survives the end of a process and a loss of power."""
 
     def __init__(self, loop: VirtualEventLoop, random: Random, replica_id: str) -> None:
         self.loop = loop
@@ -31,15 +31,15 @@
         self.hangs = False
         self.full = False
         self.written = 0  # writes that became durable
-        self.made_at = loop.microseconds
+        self.created_at = loop.microseconds
 
     @property
     def replica_id(self) -> str:
-        """The id of the replica whose log it holds."""
+        """The id of the replica whose log is stored here."""
         return self.log.identity.replica_id
 
     def load(self) -> DurableState:
-        """What a process that starts now finds."""
+        """Returns the state that a newly started process reads."""
         self.log = self.log.reopen()
         return self.log.load().unwrap()
 
@@ -58,14 +58,14 @@
 
 
 class SimulatedWriter:
-    """The `StoreWriter` of one process: writes become durable one batch after another."""
+    """The `StoreWriter` of one process. Writes become durable in batches, one batch at a time."""
 
     def __init__(self, disk: Disk, process: Process) -> None:
         self._disk = disk
         self._process = process
         self._queue: deque[_Pending] = deque()
-        self._under_way: tuple[_Pending, ...] = ()
-        self._lost = False
+        self._batch: tuple[_Pending, ...] = ()
+        self._stopped = False
 
     def submit(self, write: Write, done: WriteCallback) -> None:
         """See `StoreWriter.submit`."""
@@ -73,51 +73,51 @@
         self._begin()
 
     def close(self) -> None:
-        """What was submitted is still written."""
+        """Does nothing: what was submitted is still written."""
 
     def join(self, timeout_s: float) -> bool:
-        """Nobody waits in a simulated run."""
+        """Returns at once: a simulated run has no writer thread."""
         return True
 
     def power_lost(self) -> None:
-        """The batch under way is durable as a whole or not at all; what waits behind it is gone."""
-        self._lost = True
-        if self._under_way and self._disk.random.random() < 0.5:
-            for pending in self._under_way:
+        """Makes the current batch durable as a whole or not at all, at random. Later writes are lost."""
+        self._stopped = True
+        if self._batch and self._disk.random.random() < 0.5:
+            for pending in self._batch:
                 self._disk.apply(pending.write)
 
     def killed(self) -> None:
-        """The process has ended; the system writes on what it was given."""
-        self._lost = True
-        for pending in self._under_way:
+        """Makes the current batch durable: the system completes its writes after the process has ended."""
+        self._stopped = True
+        for pending in self._batch:
             self._disk.apply(pending.write)
 
     def _begin(self) -> None:
-        if self._under_way or not self._queue:
+        if self._batch or not self._queue:
             return
-        self._under_way = tuple(self._queue)
+        self._batch = tuple(self._queue)
         self._queue.clear()
-        self._later(self._disk.sync_time)
+        self._schedule_end(self._disk.sync_time)
 
-    def _later(self, delay: int) -> None:
+    def _schedule_end(self, delay: int) -> None:
         loop = self._disk.loop
-        loop.call_outside(loop.microseconds + delay, self._end)
+        loop.call_external(loop.microseconds + delay, self._end)
 
     def _end(self) -> None:
-        if self._lost:
+        if self._stopped:
             return
         if self._disk.hangs:
-            self._later(HANG_LOOK)
+            self._schedule_end(HANG_POLL_TIME)
             return
-        finished, self._under_way = self._under_way, ()
+        finished, self._batch = self._batch, ()
         for pending in finished:
             result = self._disk.apply(pending.write)
-            self._tell(pending, result)
+            self._notify(pending, result)
         self._begin()
 
-    def _tell(self, pending: _Pending, result: Result[None, StoreError]) -> None:
+    def _notify(self, pending: _Pending, result: Result[None, StoreError]) -> None:
         process = self._process
-        process.when_running(lambda: process.enter(pending.done, pending.write, result))
+        process.when_running(lambda: process.run(pending.done, pending.write, result))
 
 
 class SimulatedRestartFile:
@@ -142,4 +142,4 @@
     async def _wait(self) -> None:
         await asyncio.sleep(self._disk.sync_time / MICROSECONDS)
         while self._disk.hangs:
-            await asyncio.sleep(HANG_LOOK / MICROSECONDS)
+            await asyncio.sleep(HANG_POLL_TIME / MICROSECONDS)
--- a/brackenladder/simulation/exchange/answer_reader.py
+++ b/brackenladder/simulation/exchange/answer_reader.py
@@ -1,4 +1,4 @@
-"""Reads answers from a client's connection, byte by byte if need be, and tells how each has ended."""
+"""Parses HTTP responses from a client's connection in pieces of any size and detects how each one ends."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Framing(Enum):
-    """What tells the end of a body."""
+    """How the end of a body is determined."""
 
     COUNTED = auto()
     CHUNKED = auto()
-    CLOSED = auto()  # the end of the connection
+    CLOSED = auto()  # by the end of the connection
 
 
 class NoAnswer(Exception):
-    """What came is no answer in the protocol."""
+    """The data is not a valid response."""
 
 
 class AnswerReader:
-    """Takes the bytes of one connection. `status` is 0 until the head of an answer is whole."""
+    """Parses the data of one connection. `status` is 0 until the head of a response has been received."""
 
     def __init__(self) -> None:
         self._data = b""
@@ -31,30 +31,30 @@
         self.status = 0
         self.headers: dict[str, str] = {}
         self.body = b""
-        self.whole = False
+        self.complete = False
         self._framing = Framing.COUNTED
         self._left = 0
         self._in_chunk = False
 
     @property
-    def begun(self) -> bool:
-        """Whether any byte of the next answer has come."""
+    def started(self) -> bool:
+        """Whether any byte of the next response has been received."""
         return bool(self._data or self.status)
 
     def feed(self, data: bytes) -> None:
-        """Takes bytes; `NoAnswer` if they are none of an answer."""
+        """Parses data; raises `NoAnswer` if it is not a valid response."""
         self._data += data
-        while not self.whole and self._step():
+        while not self.complete and self._step():
             pass
 
     def next(self) -> None:
-        """The answer was taken: what follows belongs to the next one."""
+        """Discards the current response. Remaining data belongs to the next one."""
         self._begin()
 
     def ended(self) -> bool:
-        """The connection has ended; whether the answer is whole by that."""
-        self.whole = self.whole or (self.status > 0 and self._framing is Framing.CLOSED)
-        return self.whole
+        """Handles the end of the connection and returns whether the response is complete."""
+        self.complete = self.complete or (self.status > 0 and self._framing is Framing.CLOSED)
+        return self.complete
 
     def _step(self) -> bool:
         if not self.status:
@@ -66,7 +66,7 @@
         self.body += part
         if self._framing is Framing.COUNTED:
             self._left -= len(part)
-            self.whole = self._left == 0
+            self.complete = self._left == 0
         return False
 
     def _read_head(self) -> bool:
@@ -86,16 +86,16 @@
             name.strip().lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)
         }
         self._set_framing()
-        return not self.whole
+        return not self.complete
 
     def _set_framing(self) -> None:
         if "chunked" in self.headers.get("transfer-encoding", ""):
             self._framing = Framing.CHUNKED
         elif "content-length" in self.headers:
             self._left = int(self.headers["content-length"])
-            self.whole = self._left == 0
+            self.complete = self._left == 0
         elif self.status in NO_BODY:
-            self.whole = True
+            self.complete = True
         else:
             self._framing = Framing.CLOSED
 
@@ -107,7 +107,7 @@
         self.body += self._data[: self._left]
         self._data = self._data[self._left + 2 :]
         self._in_chunk = False
-        self.whole = self._left == 0
+        self.complete = self._left == 0
         return True
 
     def _read_size(self) -> bool:
--- a/brackenladder/simulation/exchange/site.py
+++ b/brackenladder/simulation/exchange/site.py
@@ -1,4 +1,4 @@
-"""The deployment of a simulated exchange: where things are, and the configurations that are put in force."""
+"""The simulated deployment: addresses, zones, routes and the configurations applied in a run."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @frozen
-class RouteForm:
-    """A route as operators write it, without what a configuration may change. Times are milliseconds."""
+class RouteTemplate:
+    """The part of a route that does not change in a run. Times are in milliseconds."""
 
     name: str
     kind: str
@@ -37,7 +37,7 @@
 
     @property
     def prefix(self) -> str:
-        """Where its requests go."""
+        """The path prefix of its requests."""
         return f"/{self.name}/"
 
     @property
@@ -47,36 +47,36 @@
 
     @property
     def streaming(self) -> bool:
-        """Whether it is answered by events."""
+        """Whether its answers are event streams."""
         return self.kind == "streaming"
 
 
 ROUTES = (
-    RouteForm("plain", "unsafe"),
-    RouteForm("twice", "unsafe", max_attempts=3),
-    RouteForm("safe", "safe", max_attempts=2),
-    RouteForm("homed", "safe", max_attempts=2),
-    RouteForm("stream", "streaming", timeout_ms=4_000),
-    RouteForm("resumable", "streaming", max_attempts=3, resumable=True, timeout_ms=4_000),
-    RouteForm("beside", "unsafe", service="other"),
+    RouteTemplate("plain", "unsafe"),
+    RouteTemplate("twice", "unsafe", max_attempts=3),
+    RouteTemplate("safe", "safe", max_attempts=2),
+    RouteTemplate("homed", "safe", max_attempts=2),
+    RouteTemplate("stream", "streaming", timeout_ms=4_000),
+    RouteTemplate("resumable", "streaming", max_attempts=3, resumable=True, timeout_ms=4_000),
+    RouteTemplate("beside", "unsafe", service="other"),
 )
 HOMED = "homed"
 
 
 @frozen
 class Configuration:
-    """A configuration of a run: what changes from one version to the next."""
+    """A configuration of a run: the values that change between versions."""
 
     version: int
-    homes: tuple[str, ...] = ()  # of the route `HOMED`
-    most_attempts: int = 2  # of the route 'safe'
+    homes: tuple[str, ...] = ()  # home regions of the route `HOMED`
+    most_attempts: int = 2  # of the route "safe"
 
-    def attempts_of(self, route: RouteForm) -> int:
-        """`MaxAttempts` of a route."""
+    def attempts_of(self, route: RouteTemplate) -> int:
+        """Returns `MaxAttempts` of a route."""
         return self.most_attempts if route.name == "safe" else route.max_attempts
 
     def document(self) -> bytes:
-        """As control nodes keep it."""
+        """Returns the configuration document."""
         limits = {
             "MaxHeaderBytes": HEADER_BYTES,
             "MaxBodyBytes": BODY_BYTES,
@@ -88,10 +88,10 @@
             for name in SERVICES
         ]
         routes = [self._route(route) for route in ROUTES]
-        whole = {"Version": self.version, "Routes": routes, "Services": services, "Limits": limits}
-        return json.dumps(whole).encode()
+        complete = {"Version": self.version, "Routes": routes, "Services": services, "Limits": limits}
+        return json.dumps(complete).encode()
 
-    def _route(self, route: RouteForm) -> dict[str, Any]:
+    def _route(self, route: RouteTemplate) -> dict[str, Any]:
         return {
             "Name": route.name,
             "Hostname": HOST,
@@ -109,10 +109,10 @@
         }
 
 
-def latency(one: str, other: str) -> int:
-    """Microseconds one way between two zones; `clients` are near to all."""
-    if "clients" in (one, other):
+def latency(origin: str, destination: str) -> int:
+    """Returns the microseconds one way between two zones. `clients` are close to all zones."""
+    if "clients" in (origin, destination):
         return 1_000
-    if one == other:
+    if origin == destination:
         return 300
-    return 900 if ZONES[one] == ZONES[other] else 15_000
+    return 900 if ZONES[origin] == ZONES[destination] else 15_000
--- a/brackenladder/simulation/servers.py
+++ b/brackenladder/simulation/servers.py
@@ -1,4 +1,4 @@
-"""Servers that send heartbeats, drain and come back at the address of another one."""
+"""Servers that send heartbeats, drain and reuse the address of a former server."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from brackenladder.simulation.virtual_loop import Process
 
 CALL_BYTES = 400
-PATIENCE_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 DRAIN_SECONDS = 3.0
-GIVE_UP_SECONDS = 8.0  # without an acknowledgement a server ends all the same
-REUSE_SECONDS = 2.0  # until an address serves again
-MOST_CALLS = 3  # of one heartbeat
+GIVE_UP_SECONDS = 8.0  # a server that gets no acknowledgement ends after this time anyway
+REUSE_SECONDS = 2.0  # pause until an address is used again
+MAX_CALLS = 3  # nodes tried per heartbeat
 
 
 @frozen
-class Lives:
-    """How long servers live, in seconds."""
+class ServerLifetimes:
+    """How long servers live, in seconds, and how they end."""
 
     shortest: float = 8.0
     longest: float = 30.0
-    drains: float = 0.7  # of the ends; the others are crashes
-    deregisters_first: float = 0.2  # of the drains
+    drains: float = 0.7  # fraction of the ends; the others are crashes
+    deregisters_first: float = 0.2  # fraction of the drains
 
 
 class Server:
-    """One address at which one server after the other lives."""
+    """An address at which servers run one after the other."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         network: SimulatedNetwork,
         machines: list[ControlMachine],
         history: History,
-        lives: Lives,
+        server_lifetimes: ServerLifetimes,
         random: Random,
         acknowledged: Callable[[ServerAck], None],
     ) -> None:
@@ -54,45 +54,45 @@
         self._network = network
         self._machines = machines
         self._history = history
-        self._lives = lives
+        self._lives = server_lifetimes
         self._random = random
         self._acknowledged = acknowledged
         self._address = f"10.9.0.{number + 1}:80"
         self._zone = tuple(ZONES)[number % len(ZONES)]
         self._incarnation = 0
-        network.add_place(name, ZONES[self._zone], 1000.0).process = Process(name)
+        network.add_endpoint(name, ZONES[self._zone], 1000.0).process = Process(name)
 
-    async def work(self) -> None:
-        """One life after the other."""
+    async def run(self) -> None:
+        """Runs one server after the other until `active` is cleared."""
         while self.active:
             self._incarnation += 1
-            await self._live()
+            await self._run_incarnation()
             await asyncio.sleep(REUSE_SECONDS)
 
-    async def _live(self) -> None:
-        lives, random = self._lives, self._random
-        ends_at = self._now() + random.uniform(lives.shortest, lives.longest)
+    async def _run_incarnation(self) -> None:
+        server_lifetimes, random = self._lives, self._random
+        ends_at = self._now() + random.uniform(server_lifetimes.shortest, server_lifetimes.longest)
         record = self._first_record()
         while self.active and self._now() < ends_at:
             record = evolve(record, seq=record.seq + 1)
-            await self._say(record)
+            await self._report(record)
             await asyncio.sleep(HEARTBEAT_MS / 1000 * random.uniform(0.9, 1.1))
-        if self.active and random.random() < lives.drains:
-            await self._leave(record)
+        if self.active and random.random() < server_lifetimes.drains:
+            await self._drain(record)
 
-    async def _leave(self, record: ServerRecord) -> None:
+    async def _drain(self, record: ServerRecord) -> None:
         deregisters_first = self._random.random() < self._lives.deregisters_first
         until = self._now() + GIVE_UP_SECONDS
         while self._now() < until:
             record = evolve(record, seq=record.seq + 1, state=ServerState.DRAINING)
-            if await (self._deregister(record.id) if deregisters_first else self._say(record)):
+            if await (self._deregister(record.id) if deregisters_first else self._report(record)):
                 break
             await asyncio.sleep(0.2)
         await asyncio.sleep(DRAIN_SECONDS + self._random.random())
         if not deregisters_first:
             await self._deregister(record.id)
 
-    async def _say(self, record: ServerRecord) -> bool:
+    async def _report(self, record: ServerRecord) -> bool:
         return await self._call_some(
             record.id, record.state is ServerState.DRAINING, lambda node: _heartbeat(node, record)
         )
@@ -101,11 +101,11 @@
         return await self._call_some(server_id, True, lambda node: _deregister(node, server_id))
 
     async def _call_some(self, server_id: str, draining: bool, work: object) -> bool:
-        """Whether one of a few nodes has acknowledged."""
-        for machine in self._random.sample(self._machines, min(MOST_CALLS, len(self._machines))):
+        """Calls a few nodes in turn and returns whether one of them has acknowledged."""
+        for machine in self._random.sample(self._machines, min(MAX_CALLS, len(self._machines))):
             answer: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
             call: Call[bool] = Call(self._network, self.name, machine, work, answer)  # type: ignore[arg-type]
-            if await make_call(call, CALL_BYTES, PATIENCE_SECONDS):
+            if await make_call(call, CALL_BYTES, ANSWER_TIMEOUT_SECONDS):
                 ack = ServerAck(
                     server_id, draining, machine.name, call.answered_at, self._network.loop.microseconds
                 )
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -1,9 +1,10 @@
-"""Byte streams of a simulated run, as TCP carries them: in any portions, reset or ended at any byte, held up.
+"""Simulated byte streams that behave like TCP: data may be split, delayed, reset or ended at any byte.
 
-`StreamEnd` is an `asyncio.Transport`. Where TCP and asyncio have corners that programs stumble over, it has
-them too: what is written to an end that the other has forgotten meets a reset a round trip later; a process
-that stands still keeps its connections, and new ones come up; closing with bytes unread resets; a connection
-that is taken as its listener closes is dropped without a word to its protocol.
+`StreamEnd` is an `asyncio.Transport`. It also reproduces these corner cases of TCP and asyncio:
+- writing to a connection that the other system has dropped causes a reset one round trip later;
+- a frozen process keeps its connections, and its system accepts new ones;
+- closing with unread bytes sends a reset;
+- a connection accepted while its listener closes is dropped without a call to its protocol.
 """
 
 from __future__ import annotations
@@ -17,29 +18,29 @@
 
 from brackenladder.simulation.virtual_loop import Process, ProcessState, VirtualEventLoop, current_process
 
-WINDOW = 131_072  # bytes on the way to a reader, and not read by it
-HIGH_WATER = 65_536  # bytes that wait in the writing process, from which it is told to pause
+WINDOW = 131_072  # maximum number of bytes that are sent and not yet read by the receiving process
+HIGH_WATER = 65_536  # buffered bytes above which the writing process is told to pause
 LOW_WATER = 16_384
-LARGEST_READ = 262_144  # bytes handed to a protocol at once
-SMALL_PORTION_SHARE = 0.3  # of the portions that are cut short wherever it may be
-USER_TIMEOUT = 4_000_000  # microseconds without any acknowledgement that end a connection
-RETRANSMISSION = 200_000  # microseconds until what was lost is sent again
+LARGEST_READ = 262_144  # maximum number of bytes handed to a protocol at once
+SMALL_PORTION_SHARE = 0.3  # fraction of the writes that are sent in portions of random size
+USER_TIMEOUT = 4_000_000  # microseconds without an acknowledgement after which a connection ends
+RETRANSMISSION = 200_000  # microseconds until lost data is sent again
 
 ProtocolFactory = Callable[[], asyncio.BaseProtocol]
 Latency = Callable[[str, str], int]
 
 
 class StreamHost:
-    """A machine with an address. `dark`: it answers nothing at all."""
+    """A machine with an IP address. An `unreachable` one does not respond at all."""
 
-    def __init__(self, ip: str, place: str) -> None:
+    def __init__(self, ip: str, zone: str) -> None:
         self.ip = ip
-        self.place = place  # by which latency is told
-        self.dark = False
+        self.zone = zone  # determines the latency
+        self.unreachable = False
 
 
 class StreamListener:
-    """A bound address. A socket of an `asyncio.Server`."""
+    """A bound address; stands in for a socket of an `asyncio.Server`."""
 
     def __init__(
         self, network: StreamNetwork, host: StreamHost, port: int, factory: ProtocolFactory, process: Process
@@ -56,30 +57,30 @@
         return self.host.ip, self.port
 
     def close(self) -> None:
-        """Nothing more is taken."""
+        """Stops accepting connections."""
         self.open = False
         self._network.unbind(self)
 
-    def take(self, end: StreamEnd) -> None:
-        """A connection waits in the backlog; the process takes it when it runs."""
-        self.process.when_running(lambda: self.process.enter(self._accept, end))
+    def enqueue(self, end: StreamEnd) -> None:
+        """Queues a connection in the backlog. The process accepts it when it runs."""
+        self.process.when_running(lambda: self.process.run(self._accept, end))
 
     def _accept(self, end: StreamEnd) -> None:
         if not self.open:
-            end.kernel_closes(with_reset=True)
+            end.close_by_kernel(with_reset=True)
             return
         protocol = self._factory()
         asyncio.get_running_loop().call_soon(self._attach, end, protocol)
 
     def _attach(self, end: StreamEnd, protocol: asyncio.BaseProtocol) -> None:
-        if not self.open:  # asyncio drops it here, and its protocol never hears of it
-            end.kernel_closes(with_reset=True)
+        if not self.open:  # asyncio drops the connection here and does not call its protocol
+            end.close_by_kernel(with_reset=True)
             return
         end.attach(protocol)
 
 
 class StreamServer:
-    """What `create_server` returns."""
+    """The return value of `create_server`."""
 
     def __init__(self, listener: StreamListener) -> None:
         self.sockets: tuple[StreamListener, ...] = (listener,)
@@ -95,26 +96,26 @@
 
 
 class StreamNetwork:
-    """Hosts, listeners and the connections among them."""
+    """Hosts, listeners and the connections between them."""
 
     def __init__(self, loop: VirtualEventLoop, random: Random, latency: Latency) -> None:
-        """`latency`: microseconds one way between two places."""
+        """`latency` returns the microseconds one way between two zones."""
         self.loop = loop
         self.random = random
         self.latency = latency
         self.ends: list[StreamEnd] = []
-        self.portions = 0  # delivered
+        self.portions = 0  # portions of data delivered
         self._hosts: dict[str, StreamHost] = {}
         self._listeners: dict[tuple[str, int], StreamListener] = {}
         self._next_port = 30_000
 
-    def add_host(self, ip: str, place: str) -> StreamHost:
-        """A machine is there from now on."""
-        host = self._hosts[ip] = StreamHost(ip, place)
+    def add_host(self, ip: str, zone: str) -> StreamHost:
+        """Adds a host."""
+        host = self._hosts[ip] = StreamHost(ip, zone)
         return host
 
     def host(self, ip: str) -> StreamHost:
-        """The machine with an address."""
+        """Returns the host with an IP address."""
         return self._hosts[ip]
 
     def listen(self, ip: str, port: int, factory: ProtocolFactory, process: Process) -> StreamListener:
@@ -126,73 +127,76 @@
         return listener
 
     def unbind(self, listener: StreamListener) -> None:
-        """Frees an address."""
+        """Releases an address."""
         key = (listener.host.ip, listener.port)
         if self._listeners.get(key) is listener:
             del self._listeners[key]
 
     def connect(self, host: StreamHost, ip: str, port: int) -> asyncio.Future[StreamEnd]:
-        """A connection from a host; refused where nobody listens, and never there if the other is dark."""
-        made: asyncio.Future[StreamEnd] = self.loop.create_future()
-        way = self.way(host, self._hosts[ip])
-        self.loop.call_outside(self.loop.microseconds + way, self._syn, host, ip, port, made)
-        return made
-
-    def way(self, one: StreamHost, other: StreamHost) -> int:
-        """Microseconds from one host to another, as of now."""
-        return self.latency(one.place, other.place) + self.random.randrange(200)
-
-    def process_ends(self, process: Process) -> None:
-        """A process is gone: its system closes all that it had."""
-        for listener in [one for one in self._listeners.values() if one.process is process]:
+        """Connects to an address.
+
+        The connection is refused if nothing listens there, and never completes if a host is unreachable.
+        """
+        connected: asyncio.Future[StreamEnd] = self.loop.create_future()
+        delay = self.draw_latency(host, self._hosts[ip])
+        self.loop.call_external(self.loop.microseconds + delay, self._syn, host, ip, port, connected)
+        return connected
+
+    def draw_latency(self, source: StreamHost, destination: StreamHost) -> int:
+        """Draws the microseconds that a packet takes from one host to another."""
+        return self.latency(source.zone, destination.zone) + self.random.randrange(200)
+
+    def end_process(self, process: Process) -> None:
+        """Closes all listeners and connections of a process that has ended."""
+        for listener in [each for each in self._listeners.values() if each.process is process]:
             listener.close()
         for end in [end for end in self.ends if end.process is process]:
             end.protocol = None
-            end.kernel_closes(with_reset=self.random.random() < 0.5)
+            end.close_by_kernel(with_reset=self.random.random() < 0.5)
 
-    def forget(self, end: StreamEnd) -> None:
-        """Nothing happens at this end any more."""
+    def remove_end(self, end: StreamEnd) -> None:
+        """Removes a connection end that is closed."""
         if end in self.ends:
             self.ends.remove(end)
 
-    def _syn(self, host: StreamHost, ip: str, port: int, made: asyncio.Future[StreamEnd]) -> None:
-        other = self._hosts[ip]
-        if other.dark or host.dark:
-            return  # sent again by the system, and given up by whoever waits
+    def _syn(self, host: StreamHost, ip: str, port: int, connected: asyncio.Future[StreamEnd]) -> None:
+        peer = self._hosts[ip]
+        if peer.unreachable or host.unreachable:
+            return  # the system would send the SYN again; the caller times out
         listener = self._listeners.get((ip, port))
-        back = self.loop.microseconds + self.way(other, host)
+        back = self.loop.microseconds + self.draw_latency(peer, host)
         if listener is None or listener.process.state is ProcessState.ENDED:
-            self.loop.call_outside(back, _refuse, made)
+            self.loop.call_external(back, _refuse, connected)
             return
-        near, far = self._pair(host, listener)
-        listener.take(far)
-        self.loop.call_outside(back, _come_up, made, near)
+        near, far = self._create_pair(host, listener)
+        listener.enqueue(far)
+        self.loop.call_external(back, _complete_connect, connected, near)
 
-    def _pair(self, host: StreamHost, listener: StreamListener) -> tuple[StreamEnd, StreamEnd]:
+    def _create_pair(self, host: StreamHost, listener: StreamListener) -> tuple[StreamEnd, StreamEnd]:
         self._next_port += 1
         local, remote = (host.ip, self._next_port), (listener.host.ip, listener.port)
         near = StreamEnd(self, host, local, remote)
         far = StreamEnd(self, listener.host, remote, local)
-        near.other, far.other = far, near
+        near.peer, far.peer = far, near
         far.process = listener.process
         self.ends += [near, far]
         return near, far
 
 
-def _refuse(made: asyncio.Future[StreamEnd]) -> None:
-    if not made.done():
-        made.set_exception(ConnectionRefusedError(errno.ECONNREFUSED, "refused"))
+def _refuse(connected: asyncio.Future[StreamEnd]) -> None:
+    if not connected.done():
+        connected.set_exception(ConnectionRefusedError(errno.ECONNREFUSED, "refused"))
 
 
-def _come_up(made: asyncio.Future[StreamEnd], end: StreamEnd) -> None:
-    if made.done():
-        end.kernel_closes(with_reset=False)  # whoever dialled has given it up
+def _complete_connect(connected: asyncio.Future[StreamEnd], end: StreamEnd) -> None:
+    if connected.done():
+        end.close_by_kernel(with_reset=False)  # the caller has already given up
     else:
-        made.set_result(end)
+        connected.set_result(end)
 
 
 class StreamEnd(asyncio.Transport):
-    """One end of a connection: the process's transport and its system's buffers."""
+    """One end of a connection: the transport of a process and the socket buffers of its system."""
 
     def __init__(
         self, network: StreamNetwork, host: StreamHost, local: tuple[str, int], remote: tuple[str, int]
@@ -202,39 +206,38 @@
         self.host = host
         self.process: Process | None = current_process()
         self.protocol: asyncio.Protocol | None = None
-        self.other: StreamEnd
+        self.peer: StreamEnd
         self.sent = 0  # bytes that the system has taken from the process
-        self._inbox: deque[bytes] = deque()  # arrived, and not read by the process
-        self._ended = False  # the other's last byte has arrived
-        self._broken: OSError | None = None  # a reset has arrived
-        self._outbox = b""  # written by the process, and not taken by its system
-        self._on_the_way = 0  # sent, and not read by the other process
+        self._inbox: deque[bytes] = deque()  # received and not yet read by the process
+        self._eof_received = False  # the peer's end of stream was received
+        self._reset_error: OSError | None = None  # set when a reset was received
+        self._outbox = b""  # written by the process and not yet taken by its system
+        self._in_flight = 0  # sent and not yet read by the peer's process
         self._acknowledged_at = network.loop.microseconds
-        self._latest = 0  # when the latest event of this direction arrives
+        self._last_arrival = 0  # arrival time of the latest event in this direction
         self._reading = True
         self._closing = False
-        self._writer_ends = False  # the process writes no more
-        self._system_closed = False
-        self._paused_writer = False
-        self._lost = False  # connection_lost was, or is about to be, called
-        self._reader_due = False
-        self._held: list[
-            tuple[Callable[..., None], tuple[Any, ...]]
-        ] = []  # lost on the way, to be sent again
+        self._eof_written = False  # the process has ended this direction
+        self._socket_closed = False
+        self._writing_paused = False
+        self._connection_lost = False  # connection_lost was called or is scheduled
+        self._read_scheduled = False
+        # events lost on the way, to be sent again
+        self._retransmissions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
-    # ---- what a protocol calls ------------------------------------------------------------------------
+    # ---- methods for the protocol ---------------------------------------------------------------------
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """See `asyncio.WriteTransport`."""
-        if not data or self._lost or self._writer_ends:
+        if not data or self._connection_lost or self._eof_written:
             return
-        if self._broken is not None:
-            self._fail(self._broken)
+        if self._reset_error is not None:
+            self._fail(self._reset_error)
             return
         self._outbox += bytes(data)
-        self._pump()
-        if len(self._outbox) > HIGH_WATER and not self._paused_writer and self.protocol is not None:
-            self._paused_writer = True
+        self._send_buffered()
+        if len(self._outbox) > HIGH_WATER and not self._writing_paused and self.protocol is not None:
+            self._writing_paused = True
             self.protocol.pause_writing()
 
     def writelines(self, list_of_data: Any) -> None:
@@ -242,21 +245,21 @@
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """Ends this direction alone."""
-        if not self._writer_ends:
-            self._writer_ends = True
-            self._pump()
+        """Ends this direction only."""
+        if not self._eof_written:
+            self._eof_written = True
+            self._send_buffered()
 
     def can_write_eof(self) -> bool:
-        """It can."""
+        """Always true."""
         return True
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the system has not taken."""
+        """Returns the number of bytes not yet taken by the system."""
         return len(self._outbox)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """The bounds are fixed."""
+        """Does nothing: the limits are fixed."""
 
     def pause_reading(self) -> None:
         """See `asyncio.ReadTransport`."""
@@ -277,15 +280,15 @@
         return self._closing
 
     def close(self) -> None:
-        """Ends once what was written has been taken by the system."""
+        """Closes the connection once the system has taken all written data."""
         if self._closing:
             return
         self._closing = True
         if not self._outbox:
-            self._lose(None)
+            self._schedule_connection_lost(None)
 
     def abort(self) -> None:
-        """Ends at once; what the system has not taken is dropped."""
+        """Closes the connection at once and drops data that the system has not taken."""
         self._fail(None)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
@@ -298,174 +301,174 @@
         assert isinstance(protocol, asyncio.Protocol)
         self.protocol = protocol
 
-    # ---- life -----------------------------------------------------------------------------------------
+    # ---- connection state -----------------------------------------------------------------------------
 
     def attach(self, protocol: asyncio.BaseProtocol) -> None:
-        """A process takes the end over; to be called as that process."""
+        """Hands the end to the current process, which has to be the one that uses `protocol`."""
         assert isinstance(protocol, asyncio.Protocol)
         self.process = current_process()
         self.protocol = protocol
         protocol.connection_made(self)
         self._wake_reader()
 
-    def kernel_closes(self, with_reset: bool) -> None:
-        """The system ends it without its process."""
-        self._closing = self._lost = True
+    def close_by_kernel(self, with_reset: bool) -> None:
+        """Closes the end without its process."""
+        self._closing = self._connection_lost = True
         self._outbox = b""
-        self._close_system(with_reset or bool(self._inbox))
+        self._close_socket(with_reset or bool(self._inbox))
 
-    def vanish(self) -> None:
-        """The system has forgotten it, and tells nobody: whatever comes is answered with a reset."""
-        self._closing = self._lost = self._system_closed = True
+    def drop_silently(self) -> None:
+        """Drops the connection without notifying the peer, whose next data is answered with a reset."""
+        self._closing = self._connection_lost = self._socket_closed = True
         self._inbox.clear()
-        self.network.forget(self)
+        self.network.remove_end(self)
         if self.protocol is not None:
             protocol, self.protocol = self.protocol, None
             protocol.connection_lost(None)
 
     def reset_by_network(self) -> None:
-        """Something on the way resets both directions."""
-        for end in (self, self.other):
-            end.arrives_reset(ConnectionResetError(errno.ECONNRESET, "reset on the way"))
+        """Resets both directions, as a middlebox may do."""
+        for end in (self, self.peer):
+            end.receive_reset(ConnectionResetError(errno.ECONNRESET, "reset on the way"))
 
-    # ---- the system's side: sending -------------------------------------------------------------------
+    # ---- sending in the system ------------------------------------------------------------------------
 
-    def _pump(self) -> None:
-        """Sends as much as the window lets, in portions of any size."""
-        while self._outbox and self._on_the_way < WINDOW and not self._system_closed:
-            size = self._portion_size(min(len(self._outbox), WINDOW - self._on_the_way))
+    def _send_buffered(self) -> None:
+        """Sends as much as the window allows, in portions of random size."""
+        while self._outbox and self._in_flight < WINDOW and not self._socket_closed:
+            size = self._portion_size(min(len(self._outbox), WINDOW - self._in_flight))
             portion, self._outbox = self._outbox[:size], self._outbox[size:]
-            if not self._on_the_way:
+            if not self._in_flight:
                 self._acknowledged_at = self.network.loop.microseconds
-                self._watch_silence()
+                self._schedule_timeout_check()
             self.sent += size
-            self._on_the_way += size
-            self._send(self.other.arrives, portion)
-        if self._paused_writer and len(self._outbox) <= LOW_WATER and self.protocol is not None:
-            self._paused_writer = False
+            self._in_flight += size
+            self._send(self.peer.receive_bytes, portion)
+        if self._writing_paused and len(self._outbox) <= LOW_WATER and self.protocol is not None:
+            self._writing_paused = False
             self._call_process(self._resume_writer)
         if self._outbox:
             return
-        if self._closing and not self._lost:
-            self._lose(None)
-        elif self._writer_ends and not self._system_closed:
-            self._send(self.other.arrives_end)
+        if self._closing and not self._connection_lost:
+            self._schedule_connection_lost(None)
+        elif self._eof_written and not self._socket_closed:
+            self._send(self.peer.receive_eof)
 
     def _portion_size(self, most: int) -> int:
         random = self.network.random
         return random.randint(1, most) if random.random() < SMALL_PORTION_SHARE else most
 
     def _send(self, event: Callable[..., None], *arguments: Any) -> None:
-        """The event happens at the other end, behind all that was sent before."""
+        """Schedules an event at the peer, after all earlier ones of this direction."""
         loop = self.network.loop
-        at = loop.microseconds + self.network.way(self.host, self.other.host)
-        self._latest = max(at, self._latest + 1)
-        loop.call_outside(self._latest, self._deliver, event, arguments)
+        at = loop.microseconds + self.network.draw_latency(self.host, self.peer.host)
+        self._last_arrival = max(at, self._last_arrival + 1)
+        loop.call_external(self._last_arrival, self._deliver, event, arguments)
 
     def _deliver(self, event: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        if self._held or self.host.dark or self.other.host.dark:
-            if not self._held:
+        if self._retransmissions or self.host.unreachable or self.peer.host.unreachable:
+            if not self._retransmissions:
                 self._send_again_later()
-            self._held.append((event, arguments))
+            self._retransmissions.append((event, arguments))
         else:
             event(*arguments)
 
     def _send_again_later(self) -> None:
-        self.network.loop.call_outside(self.network.loop.microseconds + RETRANSMISSION, self._send_again)
+        self.network.loop.call_external(self.network.loop.microseconds + RETRANSMISSION, self._send_again)
 
     def _send_again(self) -> None:
-        """As TCP does with what was not acknowledged."""
-        if self.host.dark or self.other.host.dark:
+        """Sends again what was not acknowledged, as TCP does."""
+        if self.host.unreachable or self.peer.host.unreachable:
             self._send_again_later()
             return
-        held, self._held = self._held, []
-        for event, arguments in held:
+        retransmissions, self._retransmissions = self._retransmissions, []
+        for event, arguments in retransmissions:
             event(*arguments)
 
-    def _watch_silence(self) -> None:
+    def _schedule_timeout_check(self) -> None:
         loop = self.network.loop
-        loop.call_outside(loop.microseconds + USER_TIMEOUT, self._look_for_silence)
+        loop.call_external(loop.microseconds + USER_TIMEOUT, self._check_timeout)
 
-    def _look_for_silence(self) -> None:
-        unheard = self.network.loop.microseconds - self._acknowledged_at
-        if self._system_closed or not self._on_the_way:
+    def _check_timeout(self) -> None:
+        unacknowledged_for = self.network.loop.microseconds - self._acknowledged_at
+        if self._socket_closed or not self._in_flight:
             return
-        if not self.host.dark and not self.other.host.dark:
-            return  # whoever does not read is heard all the same
-        if unheard >= USER_TIMEOUT:
-            self.arrives_reset(TimeoutError(errno.ETIMEDOUT, "not acknowledged"))
+        if not self.host.unreachable and not self.peer.host.unreachable:
+            return  # the peer's system is reachable, its process only does not read
+        if unacknowledged_for >= USER_TIMEOUT:
+            self.receive_reset(TimeoutError(errno.ETIMEDOUT, "not acknowledged"))
         else:
-            self._watch_silence()
+            self._schedule_timeout_check()
 
     def _resume_writer(self) -> None:
-        if self.protocol is not None and not self._lost:
+        if self.protocol is not None and not self._connection_lost:
             self.protocol.resume_writing()
 
-    # ---- the system's side: receiving -----------------------------------------------------------------
+    # ---- receiving in the system ----------------------------------------------------------------------
 
-    def arrives(self, portion: bytes) -> None:
-        """Bytes have arrived."""
+    def receive_bytes(self, portion: bytes) -> None:
+        """Handles the arrival of data."""
         self.network.portions += 1
-        if self._system_closed:
-            self._send(self.other.arrives_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
+        if self._socket_closed:
+            self._send(self.peer.receive_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
             return
-        if self._broken is None:
+        if self._reset_error is None:
             self._inbox.append(portion)
             self._wake_reader()
 
-    def arrives_end(self) -> None:
-        """The other end writes no more."""
-        self._ended = True
+    def receive_eof(self) -> None:
+        """Handles the arrival of the peer's end of stream."""
+        self._eof_received = True
         self._wake_reader()
 
-    def arrives_reset(self, error: OSError) -> None:
-        """The connection is broken; what has come before may still be read, or not."""
-        if self._system_closed or self._broken is not None:
+    def receive_reset(self, error: OSError) -> None:
+        """Handles the arrival of a reset. Data received before is dropped in half of the cases."""
+        if self._socket_closed or self._reset_error is not None:
             return
-        self._broken = error
+        self._reset_error = error
         if self.network.random.random() < 0.5:
             self._inbox.clear()
-        if self._outbox or self._closing:  # the writer finds it
+        if self._outbox or self._closing:  # the writer notices the error first
             self._call_process(lambda: self._fail(error))
         self._wake_reader()
 
-    def arrives_acknowledgement(self, size: int) -> None:
-        """The other process has read so much."""
-        self._on_the_way -= size
+    def receive_acknowledgement(self, size: int) -> None:
+        """Handles the acknowledgement of `size` bytes that the peer's process has read."""
+        self._in_flight -= size
         self._acknowledged_at = self.network.loop.microseconds
-        self._pump()
+        self._send_buffered()
 
     def _wake_reader(self) -> None:
-        if self.protocol is not None and not self._reader_due and not self._closing:
-            self._reader_due = True
+        if self.protocol is not None and not self._read_scheduled and not self._closing:
+            self._read_scheduled = True
             self._call_process(self._read)
 
     def _call_process(self, call: Callable[[], None]) -> None:
         process = self.process
         if process is None:
-            self.network.loop.call_outside(self.network.loop.microseconds, call)
+            self.network.loop.call_external(self.network.loop.microseconds, call)
         else:
-            process.when_running(lambda: process.enter(call))
+            process.when_running(lambda: process.run(call))
 
     def _read(self) -> None:
-        """The process's event loop finds the socket readable."""
-        self._reader_due = False
+        """Runs when the process's event loop finds the socket readable."""
+        self._read_scheduled = False
         if not self._reading or self._closing or self.protocol is None:
             return
         if self._inbox:
-            data = self._take(LARGEST_READ)
-            self._send(self.other.arrives_acknowledgement, len(data))
-            self._hand_over(data)
-            if self._inbox or self._ended or self._broken is not None:
+            data = self._read_inbox(LARGEST_READ)
+            self._send(self.peer.receive_acknowledgement, len(data))
+            self._deliver_to_protocol(data)
+            if self._inbox or self._eof_received or self._reset_error is not None:
                 self._wake_reader()
-        elif self._broken is not None:
-            self._fail(self._broken)
-        elif self._ended:
-            self._ended = False
+        elif self._reset_error is not None:
+            self._fail(self._reset_error)
+        elif self._eof_received:
+            self._eof_received = False
             if not self.protocol.eof_received():
                 self.close()
 
-    def _take(self, most: int) -> bytes:
+    def _read_inbox(self, most: int) -> bytes:
         parts: list[bytes] = []
         size = 0
         while self._inbox and size < most:
@@ -473,46 +476,46 @@
             size += len(parts[-1])
         return b"".join(parts)
 
-    def _hand_over(self, data: bytes) -> None:
+    def _deliver_to_protocol(self, data: bytes) -> None:
         assert self.protocol is not None
         try:
             self.protocol.data_received(data)
-        except Exception as error:  # as asyncio does: the connection ends with it
+        except Exception as error:  # like asyncio: the connection is closed with the error
             self.network.loop.call_exception_handler({"message": "data_received", "exception": error})
             self._fail(error)
 
-    # ---- the end --------------------------------------------------------------------------------------
+    # ---- closing --------------------------------------------------------------------------------------
 
     def _fail(self, error: Exception | None) -> None:
-        if self._lost:
+        if self._connection_lost:
             return
         self._outbox = b""
         self._closing = True
-        self._lose(error)
+        self._schedule_connection_lost(error)
 
-    def _lose(self, error: Exception | None) -> None:
-        self._lost = True
+    def _schedule_connection_lost(self, error: Exception | None) -> None:
+        self._connection_lost = True
         loop = self.network.loop
         if self.process is None:
-            loop.call_soon(self._tell_lost, error)
+            loop.call_soon(self._call_connection_lost, error)
         else:
-            self.process.enter(loop.call_soon, self._tell_lost, error)
+            self.process.run(loop.call_soon, self._call_connection_lost, error)
 
-    def _tell_lost(self, error: Exception | None) -> None:
+    def _call_connection_lost(self, error: Exception | None) -> None:
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
             protocol.connection_lost(error)
-        self._close_system(with_reset=bool(self._inbox) or self._broken is not None)
+        self._close_socket(with_reset=bool(self._inbox) or self._reset_error is not None)
 
-    def _close_system(self, with_reset: bool) -> None:
-        """The socket is closed: unread bytes make it a reset."""
-        if self._system_closed:
+    def _close_socket(self, with_reset: bool) -> None:
+        """Closes the socket, with a reset if there are unread bytes."""
+        if self._socket_closed:
             return
-        self._system_closed = True
+        self._socket_closed = True
         self._inbox.clear()
-        if self._broken is None:
+        if self._reset_error is None:
             if with_reset:
-                self._send(self.other.arrives_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
-            elif not self._writer_ends:
-                self._send(self.other.arrives_end)
-        self.network.forget(self)
+                self._send(self.peer.receive_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
+            elif not self._eof_written:
+                self._send(self.peer.receive_eof)
+        self.network.remove_end(self)
