--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -13,14 +13,14 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from brackenladder.fleet.chase import Corpus, smallest
+from brackenladder.fleet.days import DAYS, LEAST_NODES, day_scenario
 from brackenladder.fleet.experiment import Cell, Run, digest_of
-from brackenladder.fleet.gate import LATE, PLAIN, Judged, Played, judge
-from brackenladder.fleet.hunt import digest
-from brackenladder.fleet.jobs import Done, played
+from brackenladder.fleet.gate import LATE, PLAIN, DayVerdict, PolicyRun, judge_day
+from brackenladder.fleet.jobs import FinishedRun, play_all
 from brackenladder.fleet.results import Results, ResultsError
-from brackenladder.fleet.standing import DAYS, LEAST_NODES, day
-from brackenladder.fleet.variants import OWN, files_of, policies
+from brackenladder.fleet.schedule_search import Corpus, minimal_break
+from brackenladder.fleet.schedules import digest
+from brackenladder.fleet.variants import MODULE_POLICY, files_of, policies
 from brackenladder.rehearsal.checker import RULES
 
 MAX_SEEDS = 10_000  # in one range
@@ -47,7 +47,9 @@
     "--nodes", type=click.IntRange(LEAST_NODES, MAX_NODES), default=200, help="Number of nodes in all tiers."
 )
 @click.option("--day", "days", multiple=True, type=click.Choice(DAYS), help="Only this day. May be repeated.")
-@click.option("--policy", type=click.Choice(policies()), default=OWN, help="The policy that the nodes use.")
+@click.option(
+    "--policy", type=click.Choice(policies()), default=MODULE_POLICY, help="The policy that the nodes use."
+)
 @click.option(
     "--jobs",
     type=click.IntRange(min=1, max=256),
@@ -82,7 +84,11 @@
         return write_scenarios(write, names, seed_numbers, nodes)
     compared_policies = dict.fromkeys((policy, LATE, PLAIN))
     planned_runs: list[tuple[Cell, Run, int]] = [
-        ((("day", name), ("policy", policy_name)), Run(day(name, seed, nodes), policy_name, "", {}), seed)
+        (
+            (("day", name), ("policy", policy_name)),
+            Run(day_scenario(name, seed, nodes), policy_name, "", {}),
+            seed,
+        )
         for seed in seed_numbers
         for name in names
         for policy_name in compared_policies
@@ -92,7 +98,7 @@
         stored = Results(results or ":memory:")
         stored.claim(
             f"gate at {nodes} nodes",
-            digest_of(day(DAYS[0], 0, nodes), [path.read_bytes() for path in files_of("")]),
+            digest_of(day_scenario(DAYS[0], 0, nodes), [path.read_bytes() for path in files_of("")]),
         )
         run_missing(
             console, stored, [run for run in planned_runs if not stored.has(run[0], run[2])], jobs or 0
@@ -104,13 +110,13 @@
     except ResultsError as e:
         raise click.ClickException(str(e)) from None
     stored.close()
-    verdicts: dict[tuple[str, int], Judged] = {}
+    verdicts: dict[tuple[str, int], DayVerdict] = {}
     for name in names:
         for seed in seed_numbers:
             others = {
                 other: rows[name, other, seed] for other in (LATE, PLAIN) if (name, other, seed) in rows
             }
-            verdicts[name, seed] = judge(name, rows[name, policy, seed], others)
+            verdicts[name, seed] = judge_day(name, rows[name, policy, seed], others)
             print_run(console, name, seed, rows[name, policy, seed], verdicts[name, seed])
     print_summary(console, names, seed_numbers, verdicts)
     if json_file:
@@ -138,7 +144,7 @@
         corpus = Corpus(folder)
         for name in names:
             for seed in seeds:
-                path = corpus.keep(f"{name}-{seed}", msgspec.to_builtins(day(name, seed, nodes)))
+                path = corpus.save(f"{name}-{seed}", msgspec.to_builtins(day_scenario(name, seed, nodes)))
                 click.echo(f"rehearse {path} --in model --seed {seed}")
     except OSError as e:
         raise click.ClickException(f"{e.filename or folder}: {e.strerror}") from None
@@ -153,12 +159,12 @@
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task("gate", total=len(missing))
         jobs: Iterator[tuple[Cell, Run, int]] = iter(missing)
-        for done in played(jobs, worker_count) if missing else ():
+        for done in play_all(jobs, worker_count) if missing else ():
             stored.add(done.cell, done.seed, stored_figures(done), {}, done.verdicts, done.seconds)
             progress.advance(task)
 
 
-def stored_figures(done: Done) -> dict[str, float]:
+def stored_figures(done: FinishedRun) -> dict[str, float]:
     """Returns the figures of a run in the form in which they are stored."""
     values = {"faults": float(done.faults), "nearest": done.figures["cold"]}
     for name, (share, weight) in done.worths.items():
@@ -166,14 +172,14 @@
     return values
 
 
-def restore_run(values: dict[str, float], verdicts: dict[str, str]) -> Played:
+def restore_run(values: dict[str, float], verdicts: dict[str, str]) -> PolicyRun:
     """Returns the run that `stored_figures` was given, from its stored form."""
     names = [key.removeprefix("worth ") for key in values if key.startswith("worth ")]
     worths = {name: (values[f"worth {name}"], values[f"weight {name}"]) for name in names}
-    return Played(worths, verdicts, values["nearest"], int(values["faults"]))
+    return PolicyRun(worths, verdicts, values["nearest"], int(values["faults"]))
 
 
-def print_run(console: Console, name: str, seed: int, run: Played, judged: Judged) -> None:
+def print_run(console: Console, name: str, seed: int, run: PolicyRun, judged: DayVerdict) -> None:
     rules = ", ".join(f"{rule} {run.verdicts[rule]}" for rule in RULES)
     console.print(
         f"{name:5s} {seed:4d}  served {judged.served:.3f} (gate {judged.wanted:.3f})  {rules},"
@@ -183,7 +189,7 @@
 
 
 def print_summary(
-    console: Console, names: list[str], seeds: list[int], verdicts: dict[tuple[str, int], Judged]
+    console: Console, names: list[str], seeds: list[int], verdicts: dict[tuple[str, int], DayVerdict]
 ) -> None:
     table = Table(title=f"{len(verdicts)} days", title_justify="left")
     for heading in ("day", "seeds", "served, mean", "least", "least above its gate", "failed"):
@@ -212,9 +218,9 @@
             first = next(((name, seed) for name, seed, problem in failed if problem == f"{rule} broke"), None)
             if first is None:
                 continue
-            schedule = msgspec.to_builtins(day(first[0], first[1], nodes))
-            minimised = smallest(schedule, rule, policy, first[1])
-            path = corpus.keep(f"break-{rule}-{digest(minimised.schedule)}", minimised.schedule)
+            schedule = msgspec.to_builtins(day_scenario(first[0], first[1], nodes))
+            minimised = minimal_break(schedule, rule, policy, first[1])
+            path = corpus.save(f"break-{rule}-{digest(minimised.schedule)}", minimised.schedule)
             console.print(f"{rule}: seed {first[1]}, after {minimised.tried} tries: {path}", soft_wrap=True)
     except OSError as e:
         raise click.ClickException(f"{e.filename or folder}: {e.strerror}") from None
--- a/brackenladder/cli/hunt.py
+++ b/brackenladder/cli/hunt.py
@@ -8,7 +8,7 @@
 import click
 from rich.console import Console
 
-from brackenladder.fleet.chase import Break, Corpus, Hunt
+from brackenladder.fleet.schedule_search import Corpus, MinimalBreak, ScheduleSearch
 from brackenladder.fleet.variants import policies
 from brackenladder.rehearsal.scenario import ScenarioError
 
@@ -39,7 +39,7 @@
     console = Console(highlight=False)
     status = console.status("drawing")
 
-    def report_break(found: Break, path: Path) -> None:
+    def report_break(found: MinimalBreak, path: Path) -> None:
         kinds = ", ".join(fault["kind"] for fault in found.schedule["faults"]) or "no fault"
         console.print(
             f"{found.rule} broke: {kinds}; {found.schedule['nodes']} nodes,"
@@ -54,10 +54,10 @@
 
     actual_seed = int(monotonic() * 1000) if seed is None else seed
     try:
-        hunting = Hunt(Corpus(corpus), actual_seed, policy, report_break, progress)
+        hunting = ScheduleSearch(Corpus(corpus), actual_seed, policy, report_break, progress)
         if console.is_terminal:
             status.start()
-        hunting.go(seconds, jobs or 0)
+        hunting.run(seconds, jobs or 0)
     except ScenarioError as e:
         raise click.ClickException(str(e)) from None
     except OSError as e:
--- a/brackenladder/fleet/figures.py
+++ b/brackenladder/fleet/figures.py
@@ -1,4 +1,4 @@
-"""What a run comes to, in figures, from its events alone."""
+"""Computes the summary figures of a run from its events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from brackenladder.rehearsal.runner import Result
 from brackenladder.rehearsal.scenario import Scenario
 
-# Name: what it is, and whether more is better.
+# Name: description, and whether a higher value is better.
 FIGURES: Mapping[str, tuple[str, bool]] = {
     "goodput": ("share of first tries answered within their class's aim, by whichever try", True),
     "served": ("share of first tries answered at all", True),
@@ -34,18 +34,18 @@
     "edges": ("cases between a rule's limit and its slack", False),
     "cold": ("the most that a cold server was sent, over what it may be", False),
 }
-SERIES = ("offered", "goodput", "worth", "refused", "attempts", "load")  # by second
-LATE_WORTH = 0.2  # of an answer after the aim, as the published settings have it
-EXCESS_WORTH = 0.05  # of what a tenant sends beyond its quota, as they have it
-QUOTA_TIME = 5  # seconds over which a quota is counted
-SETTLED = 5  # seconds after which a run has settled
-AGAIN = 3  # seconds over which goodput must be back...
-BACK = 0.95  # ...at this part of what it was
-LEAST_TRIES = 20  # in a second, for it to count as the worst
+SERIES = ("offered", "goodput", "worth", "refused", "attempts", "load")  # computed for each second
+LATE_WORTH = 0.2  # of an answer later than its class's aim, as in the published settings
+EXCESS_WORTH = 0.05  # of requests beyond a tenant's quota, as in the published settings
+QUOTA_TIME = 5  # seconds over which a quota is averaged
+WARM_UP = 5  # seconds at the start of a run that the baseline excludes
+RECOVERY_WINDOW = 3  # seconds over which the mean goodput must have recovered...
+RECOVERED_SHARE = 0.95  # ...to this share of the goodput before the faults
+LEAST_TRIES = 20  # in a second, for it to count in `worst_second`
 
 
 def figures_of(scenario: Scenario, result: Result, report: Report) -> dict[str, float]:
-    """All of `FIGURES`; a share of nothing is 0."""
+    """Computes all of `FIGURES`; a share of nothing is 0."""
     sent: set[str] = set()
     answers: dict[str, Answered] = {}
     work: Counter[str] = Counter()
@@ -72,8 +72,8 @@
             break
     statuses = Counter(a.status for a in answers.values())
     tries = max(1, len(sent))
-    able = {s.id: s.cores * s.speed for s in result.plan.servers if s.born < 0}
-    loads = [work[name] / size for name, size in able.items()]
+    capacity_of = {s.id: s.cores * s.speed for s in result.plan.servers if s.born < 0}
+    loads = [work[name] / size for name, size in capacity_of.items()]
     return {
         "goodput": sum(good.values()) / max(1, first),
         "served": len(times) / max(1, first),
@@ -98,9 +98,9 @@
 
 
 def worths_of(scenario: Scenario, result: Result) -> dict[str, tuple[float, float]]:
-    """Worth served of the worth asked for, and its part of all that was asked for: 'all', and by class.
+    """Share of requested worth that was served, and weight in all requested worth: for 'all' and by class.
 
-    Beyond a tenant's quota, counted over QUOTA_TIME, what is asked for and what is served have EXCESS_WORTH.
+    Requests beyond a tenant's quota, averaged over QUOTA_TIME, count with EXCESS_WORTH on both sides.
     """
     answers = {event.id: event for event in result.events if isinstance(event, Answered)}
     asked: Counter[tuple[int, int]] = Counter()
@@ -137,35 +137,36 @@
 
 
 def recovery(scenario: Scenario, goodput: Sequence[float]) -> float:
-    """Seconds until the mean goodput of `AGAIN` seconds is back at `BACK` of what it was before any trouble.
+    """Seconds after the last fault until the mean goodput over RECOVERY_WINDOW is back at RECOVERED_SHARE.
 
-    `goodput`: by second. Troubles are faults and surges; 0 where there are none.
+    `goodput`: by second; it is compared with the mean before the first fault. Surges count as faults.
+    Returns 0 if there are none.
     """
     spans = [(fault.at_s, fault.at_s + fault.for_s) for fault in scenario.faults]
     spans += [(surge.at_s, surge.at_s + surge.for_s) for surge in scenario.clients.surges]
     if not spans or not goodput:
         return 0.0
     first, last = min(at for at, _ in spans), max(end for _, end in spans)
-    before = goodput[min(SETTLED, int(first)) : int(first)]
-    wanted = BACK * sum(before) / len(before) if before else BACK
-    for second in range(int(last), len(goodput) - AGAIN + 1):
-        if sum(goodput[second : second + AGAIN]) / AGAIN >= wanted:
+    before = goodput[min(WARM_UP, int(first)) : int(first)]
+    wanted = RECOVERED_SHARE * sum(before) / len(before) if before else RECOVERED_SHARE
+    for second in range(int(last), len(goodput) - RECOVERY_WINDOW + 1):
+        if sum(goodput[second : second + RECOVERY_WINDOW]) / RECOVERY_WINDOW >= wanted:
             return float(max(0.0, second - last))
     return float(max(0.0, scenario.length_s - last))
 
 
 def series_of(scenario: Scenario, result: Result) -> dict[str, list[float]]:
-    """All of `SERIES` by second of the run, and beside them what was sampled of the nodes.
+    """Values of `SERIES` for each second of the run, together with the samples of the nodes.
 
-    `offered` counts first tries; `goodput`, `worth` (a late answer earns a fifth), `refused` and `attempts`
-    are for each of them; `load`: work of the busiest server over the mean.
+    `offered`: first tries; `goodput`, `worth` (a late answer counts a fifth), `refused` and `attempts`: per
+    first try; `load`: work of the busiest server relative to the mean.
     """
     length = -(-result.plan.length // 1_000_000)
     by_id = {}
     table = {name: np.zeros(length) for name in SERIES}
     most: list[Counter[str]] = [Counter() for _ in range(length)]
-    able: dict[str, float] = {}  # the processes that serve
-    serving: list[dict[str, float]] = [{} for _ in range(length)]  # at some time in the second
+    capacity_of: dict[str, float] = {}  # capacity of each running server
+    serving: list[dict[str, float]] = [{} for _ in range(length)]  # servers up in each second
     for plan in result.plan.requests:
         table["offered"][plan.at // 1_000_000] += 1
         for number in range(scenario.clients.retries + 1):
@@ -175,12 +176,12 @@
         second = (event.t - result.begin) // 1_000_000
         while passed < min(second, length - 1):
             passed += 1
-            serving[passed] = dict(able)
+            serving[passed] = dict(capacity_of)
         if isinstance(event, Up):
-            able[event.server] = event.capacity
+            capacity_of[event.server] = event.capacity
             serving[max(0, passed)][event.server] = event.capacity
         elif isinstance(event, Down):
-            able.pop(event.server, None)
+            capacity_of.pop(event.server, None)
         elif isinstance(event, Answered):
             asked = by_id.get(event.id)
             if asked is None:
