--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -1,4 +1,4 @@
-"""The command `gate`: the days of the standing fleet test in virtual time, and whether this build passes."""
+"""The command `gate`: simulates the days of the standing fleet test and decides whether this build passes."""
 
 from __future__ import annotations
 
--- a/brackenladder/system/local/local_system.py
+++ b/brackenladder/system/local/local_system.py
@@ -179,7 +179,7 @@
     async def _is_ready(self) -> bool:
         """Whether all gateways are ready, all servers registered, and all directories answer."""
         checks = [f"http://{machine.ready}/-/readyz" for machine in self.layout.gateways]
-        # With a host of the configuration: for a host that no route names there is no answer.
+        # A directory answers only for a host that a route names, hence the configured one.
         checks += [f"http://{directory}/-/resolve?Name={HOST}" for directory in self.layout.directories]
         if not all([await self._returns_ok(url) for url in checks]):
             return False
--- a/brackenladder/system/soak_command.py
+++ b/brackenladder/system/soak_command.py
@@ -28,7 +28,7 @@
 FAILED_RUNS_FOLDER = Path("found")
 MAX_PRINTED = 6  # violations printed for each rule and seed
 RUN_TIMEOUT_MARGIN_SECONDS = 600.0  # for start, recovery and end, beside the time for faults
-FIRST_NETWORK, LAST_NETWORK = 120, 199  # second number of the loopback addresses
+FIRST_NETWORK, LAST_NETWORK = 120, 199  # second byte of the loopback addresses
 
 
 def soak(
