--- a/brackenladder/fleet/compare.py
+++ b/brackenladder/fleet/compare.py
@@ -1,4 +1,4 @@
-"""Two sides of an experiment, paired by all else: the mean difference and what chance would make of it."""
+"""Compares two variants of an experiment over paired runs: mean difference and bootstrap interval."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from brackenladder.fleet.experiment import Cell, Value
 
 RESAMPLES = 4000
-LEVEL = 0.95
+CONFIDENCE = 0.95
 LEAST_PAIRS = 5
 
 
 class CompareError(Exception):
-    """The sides cannot be compared; the text is one line."""
+    """The variants cannot be compared; the text is one line."""
 
 
 @dataclass(frozen=True)
 class Difference:
-    """B less A over the pairs; `low` to `high` is the bootstrap's interval of its mean."""
+    """Mean of B minus A over the pairs; `low` to `high` is its bootstrap confidence interval."""
 
     pairs: int
     a: float
@@ -30,21 +30,21 @@
     high: float
 
     @property
-    def seen(self) -> bool:
-        """Whether the interval leaves 0 out."""
+    def significant(self) -> bool:
+        """Whether the interval excludes 0."""
         return self.low > 0 or self.high < 0
 
 
-def side(text: str) -> dict[str, str]:
-    """`key=value[,key=value]`, which names a side."""
+def parse_side(text: str) -> dict[str, str]:
+    """Parses `key=value[,key=value]`, which selects the runs of one variant."""
     pairs = [part.partition("=") for part in text.split(",")]
     if not all(key and sign for key, sign, _ in pairs):
         raise CompareError(f"'{text}': not of the form key=value[,key=value]")
     return {key: value for key, _, value in pairs}
 
 
-def chosen(cell: Cell, wanted: Mapping[str, str]) -> tuple[tuple[str, Value], ...] | None:
-    """What is left of a cell that a side names; None if it does not."""
+def remaining_keys(cell: Cell, wanted: Mapping[str, str]) -> tuple[tuple[str, Value], ...] | None:
+    """The other keys of a cell that has the wanted values; None if it does not have them."""
     values = dict(cell)
     if any(key not in values or str(values[key]) != value for key, value in wanted.items()):
         return None
@@ -54,14 +54,14 @@
 def paired(
     rows: Iterable[tuple[Cell, int, dict[str, float], dict[str, str]]], a: str, b: str
 ) -> list[tuple[dict[str, float], dict[str, float]]]:
-    """The figures of runs that differ in nothing but the side."""
+    """Pairs the figures of runs that are equal except for the selected keys."""
     sides: tuple[dict[object, dict[str, float]], ...] = ({}, {})
-    wanted = (side(a), side(b))
+    wanted = (parse_side(a), parse_side(b))
     if set(wanted[0]) != set(wanted[1]):
         raise CompareError(f"'{a}' and '{b}' name different keys")
     for cell, seed, figures, _ in rows:
         for found, want in zip(sides, wanted, strict=True):
-            rest = chosen(cell, want)
+            rest = remaining_keys(cell, want)
             if rest is not None:
                 found[rest, seed] = figures
     for text, found in zip((a, b), sides, strict=True):
@@ -74,11 +74,11 @@
 
 
 def difference(pairs: list[tuple[float, float]]) -> Difference:
-    """The same for the same pairs: the resamples are drawn from one fixed stream."""
+    """Computes the difference; deterministic, since the resampling uses a fixed seed."""
     table = np.array(pairs, dtype=float)
-    apart = table[:, 1] - table[:, 0]
+    differences = table[:, 1] - table[:, 0]
     rng = np.random.default_rng(len(pairs))
-    means = np.sort(rng.choice(apart, (RESAMPLES, len(apart))).mean(axis=1))
-    low, high = np.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    means = np.sort(rng.choice(differences, (RESAMPLES, len(differences))).mean(axis=1))
+    low, high = np.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
     a, b = table.mean(axis=0)
-    return Difference(len(pairs), float(a), float(b), float(apart.mean()), float(low), float(high))
+    return Difference(len(pairs), float(a), float(b), float(differences.mean()), float(low), float(high))
