--- a/benchmarks/gate_rogues.py
+++ b/benchmarks/gate_rogues.py
@@ -38,7 +38,7 @@
     ("waits-on", "join", "drain"),
 ]
 MODULES = {
-    "right": rogues.Right,
+    "right": rogues.Correct,
     "floods": rogues.Floods,
     "drained": rogues.Drained,
     "retries": rogues.Retries,
@@ -60,7 +60,7 @@
             patch.setattr(discovery.WatchRetry, "failed", lambda self, silent, chance: None)
         if name in HOSTS:
             HOSTS[name](patch)
-        result = play(scenario, 1, MODULES.get(name, rogues.Right))
+        result = play(scenario, 1, MODULES.get(name, rogues.Correct))
     rulings = check(result.events, terms_of(scenario)).rulings
     return {str(rule): ruling.broken for rule, ruling in rulings.items() if ruling.broken} | (
         {"fault": len(result.crashed)} if result.crashed else {}
--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -13,7 +13,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 from rich.table import Table
 
-from brackenladder.fleet.days import DAYS, LEAST_NODES, day_scenario
+from brackenladder.fleet.days import DAYS, MIN_NODES, day_scenario
 from brackenladder.fleet.experiment import Cell, Run, digest_of
 from brackenladder.fleet.gate import LATE, PLAIN, DayVerdict, PolicyRun, judge_day
 from brackenladder.fleet.jobs import FinishedRun, play_all
@@ -44,7 +44,7 @@
 @click.command()
 @click.option("--seeds", default="1-5", help="Such as 1-50, or 3,7.")
 @click.option(
-    "--nodes", type=click.IntRange(LEAST_NODES, MAX_NODES), default=200, help="Number of nodes in all tiers."
+    "--nodes", type=click.IntRange(MIN_NODES, MAX_NODES), default=200, help="Number of nodes in all tiers."
 )
 @click.option("--day", "days", multiple=True, type=click.Choice(DAYS), help="Only this day. May be repeated.")
 @click.option(
--- a/brackenladder/fleet/clients.py
+++ b/brackenladder/fleet/clients.py
@@ -33,43 +33,43 @@
 
     def node_answered(self, status: int, advice: float) -> None:
         """The node has answered; the answer arrives one network delay later."""
-        c = self.clients
-        c.queue.after(c.delay, self.answer_arrived, status, advice)
+        clients = self.clients
+        clients.queue.after(clients.delay, self.answer_arrived, status, advice)
 
     def answer_arrived(self, status: int, advice: float) -> None:
         if self.finish():
-            c = self.clients
-            c.record(Answered(c.queue.now, self.name, status, True, advice))
-            if not self.plan.drop and not c.nodes[self.node].closing:
-                c.idle_connections[self.node] += 1
-            c.try_ended(self, status, advice)
+            clients = self.clients
+            clients.record(Answered(clients.queue.now, self.name, status, True, advice))
+            if not self.plan.drop and not clients.nodes[self.node].closing:
+                clients.idle_connections[self.node] += 1
+            clients.try_ended(self, status, advice)
 
     def node_ended(self) -> None:
         """The node was killed, or was down when the request arrived."""
-        c = self.clients
-        c.queue.after(c.delay, self.connection_closed)
+        clients = self.clients
+        clients.queue.after(clients.delay, self.connection_closed)
 
     def connection_closed(self) -> None:
         """The client sees that the connection was closed."""
         if not self.finish():
             return
-        c = self.clients
-        c.record(Broken(c.queue.now, self.name, False))
-        if self.reused and c.queue.now - self.sent < c.slack:
+        clients = self.clients
+        clients.record(Broken(clients.queue.now, self.name, False))
+        if self.reused and clients.queue.now - self.sent < clients.slack:
             # The request crossed the close of a reused connection, so it is sent again under a new id.
-            send_retry = RequestTry(c, self.plan, self.number)
-            send_retry.name = f"{int(self.name, 16) ^ (1 << 63):016x}"
-            c.dispatch(send_retry, alone=True)
+            retry = RequestTry(clients, self.plan, self.number)
+            retry.name = f"{int(self.name, 16) ^ (1 << 63):016x}"
+            clients.dispatch(retry, alone=True)
         else:
-            c.try_ended(self, 0, 0.0)
+            clients.try_ended(self, 0, 0.0)
 
     def give_up(self, early: bool) -> None:
         call = self.call
         if self.finish():
-            c = self.clients
-            c.record(GaveUp(c.queue.now, self.name, early))
-            c.queue.after(c.delay, c.nodes[self.node].client_left, call)
-            c.try_ended(self, 0, 0.0)
+            clients = self.clients
+            clients.record(GaveUp(clients.queue.now, self.name, early))
+            clients.queue.after(clients.delay, clients.nodes[self.node].client_left, call)
+            clients.try_ended(self, 0, 0.0)
 
     def finish(self) -> bool:
         """Finishes the try; returns False if it had finished already."""
@@ -107,7 +107,7 @@
         self.give_up_margin = (
             round((scenario.rules.answer_ms + scenario.rules.slack_ms) * 1000) + GIVE_UP_MARGIN
         )
-        self.deadlines = [round(c.deadline_ms * 1000) for c in scenario.classes]
+        self.deadlines = [round(klass.deadline_ms * 1000) for klass in scenario.classes]
         self.counts = {"sent": 0, "served": 0, "refused": 0, "failed": 0, "unreached": 0}
 
     def send_first(self, plan: RequestPlan) -> None:
--- a/brackenladder/fleet/compare.py
+++ b/brackenladder/fleet/compare.py
@@ -11,7 +11,7 @@
 
 RESAMPLES = 4000
 CONFIDENCE = 0.95
-LEAST_PAIRS = 5
+MIN_PAIRS = 5
 
 
 class CompareError(Exception):
@@ -68,8 +68,8 @@
         if not found:
             raise CompareError(f"'{text}': no run of it")
     pairs = [(sides[0][key], sides[1][key]) for key in sides[0] if key in sides[1]]
-    if len(pairs) < LEAST_PAIRS:
-        raise CompareError(f"{len(pairs)} pairs, {LEAST_PAIRS} at least")
+    if len(pairs) < MIN_PAIRS:
+        raise CompareError(f"{len(pairs)} pairs, {MIN_PAIRS} at least")
     return pairs
 
 
--- a/brackenladder/fleet/days.py
+++ b/brackenladder/fleet/days.py
@@ -15,10 +15,8 @@
 
 DAYS = ("calm", "roll", "herd", "zone", "split", "join")
 TIERS = 3
-NODES_PER_FRONT = (
-    6  # one node of so many is a client's; the others stand beside the servers of the first two tiers
-)
-LEAST_NODES = 12
+NODES_PER_FRONT = 6  # one in six nodes serves clients; the others run beside servers of tiers 1 and 2
+MIN_NODES = 12
 MEAN_WORK_S = 0.33  # mean work of a request over all tiers, by the classes below
 TIER_WORK = (0.41, 0.31, 0.28)
 SHARES = (2.8, 0.8, 0.8, 0.8, 0.8)  # load of each tenant relative to its quota
@@ -38,8 +36,8 @@
     """Generates a day with about `nodes` nodes; raises ValueError for an unknown day or too few nodes."""
     if name not in DAYS:
         raise ValueError(f"no day '{name}'; there are {', '.join(DAYS)}")
-    if nodes < LEAST_NODES:
-        raise ValueError(f"{nodes} nodes, {LEAST_NODES} at the least")
+    if nodes < MIN_NODES:
+        raise ValueError(f"{nodes} nodes, {MIN_NODES} at the least")
     rng = Random(f"standing {name} {seed}")
     table = base_table(rng, nodes)
     DAY_FAULTS[name](rng, table)
--- a/brackenladder/fleet/experiment.py
+++ b/brackenladder/fleet/experiment.py
@@ -26,8 +26,8 @@
 from brackenladder.rehearsal.scenario import Scenario, find_contradiction, format_validation_error
 
 LARGEST_FILE = 1 << 20  # bytes
-MOST_RUNS = 100_000
-MOST_VALUES = 1000  # of one key
+MAX_RUNS = 100_000
+MAX_VALUES = 1000  # of one key
 
 Value = str | int | float | bool
 Cell = tuple[tuple[str, Value], ...]  # key and value, in the file's order
@@ -43,10 +43,10 @@
     title: str
     scenario: str
     seeds: (
-        Annotated[int, Meta(ge=1, le=MOST_RUNS)]
-        | Annotated[tuple[Annotated[int, Meta(ge=0)], ...], Meta(min_length=1, max_length=MOST_RUNS)]
+        Annotated[int, Meta(ge=1, le=MAX_RUNS)]
+        | Annotated[tuple[Annotated[int, Meta(ge=0)], ...], Meta(min_length=1, max_length=MAX_RUNS)]
     ) = 10
-    grid: dict[str, Annotated[tuple[Value, ...], Meta(min_length=1, max_length=MOST_VALUES)]] = {}
+    grid: dict[str, Annotated[tuple[Value, ...], Meta(min_length=1, max_length=MAX_VALUES)]] = {}
 
     def all_seeds(self) -> list[int]:
         return list(range(1, self.seeds + 1)) if isinstance(self.seeds, int) else list(self.seeds)
@@ -78,8 +78,8 @@
             raise ExperimentError(f"{where}: grid.{key}: a value stands twice")
     if len(set(experiment.all_seeds())) < len(experiment.all_seeds()):
         raise ExperimentError(f"{where}: seeds: one stands twice")
-    if experiment.runs() > MOST_RUNS:
-        raise ExperimentError(f"{where}: grid: {experiment.runs()} runs, {MOST_RUNS} at most")
+    if experiment.runs() > MAX_RUNS:
+        raise ExperimentError(f"{where}: grid: {experiment.runs()} runs, {MAX_RUNS} at most")
     return experiment
 
 
--- a/brackenladder/fleet/figures.py
+++ b/brackenladder/fleet/figures.py
@@ -15,24 +15,27 @@
 
 # Name: description, and whether a higher value is better.
 FIGURES: Mapping[str, tuple[str, bool]] = {
-    "goodput": ("share of first tries answered within their class's aim, by whichever try", True),
-    "served": ("share of first tries answered at all", True),
-    "worth": ("worth served of the worth asked for, late answers and excess at their part", True),
+    "goodput": ("share of requests answered within their class's aim, on any try", True),
+    "served": ("share of requests answered at all", True),
+    "worth": (
+        "share of the requested worth that was served; late answers and requests over quota count less",
+        True,
+    ),
     "refused": ("share of all tries that were refused", False),
     "failed": ("share of all tries that failed", False),
-    "tries": ("tries for each first try", False),
-    "attempts": ("attempts at servers for each first try", False),
-    "p50_ms": ("median time of a served first try, from its arrival", False),
-    "p99_ms": ("99th percentile of the same", False),
-    "worst_second": ("goodput of the second with the least, of those with 20 first tries or more", True),
+    "tries": ("tries per request", False),
+    "attempts": ("attempts at servers per request", False),
+    "p50_ms": ("median time from the arrival of a request to its answer", False),
+    "p99_ms": ("99th percentile of that time", False),
+    "worst_second": ("lowest goodput of a second with at least 20 requests", True),
     "recovery_s": (
-        "seconds from the last trouble's end until goodput is back at 95% of before, or to the run's end",
+        "seconds from the end of the last fault until goodput is back at 95%, or to the end of the run",
         False,
     ),
-    "spread": ("work of the busiest server over the mean, by what it can do", False),
-    "broken": ("breaks of rules", False),
-    "edges": ("cases between a rule's limit and its slack", False),
-    "cold": ("the most that a cold server was sent, over what it may be", False),
+    "spread": ("work of the busiest server relative to the mean, per capacity", False),
+    "broken": ("number of rule violations", False),
+    "edges": ("cases between a rule's limit and its tolerance", False),
+    "cold": ("highest load of a cold server relative to its limit", False),
 }
 SERIES = ("offered", "goodput", "worth", "refused", "attempts", "load")  # computed for each second
 LATE_WORTH = 0.2  # of an answer later than its class's aim, as in the published settings
@@ -41,7 +44,7 @@
 WARM_UP = 5  # seconds at the start of a run that the baseline excludes
 RECOVERY_WINDOW = 3  # seconds over which the mean goodput must have recovered...
 RECOVERED_SHARE = 0.95  # ...to this share of the goodput before the faults
-LEAST_TRIES = 20  # in a second, for it to count in `worst_second`
+MIN_TRIES = 20  # in a second, for it to count in `worst_second`
 
 
 def figures_of(scenario: Scenario, result: Result, report: Report) -> dict[str, float]:
@@ -85,7 +88,7 @@
         "p50_ms": float(np.percentile(times, 50)) / 1000 if times else 0.0,
         "p99_ms": float(np.percentile(times, 99)) / 1000 if times else 0.0,
         "worst_second": min(
-            (good[s] / count for s, count in seconds.items() if count >= LEAST_TRIES), default=0.0
+            (good[s] / count for s, count in seconds.items() if count >= MIN_TRIES), default=0.0
         ),
         "recovery_s": recovery(
             scenario, [good[s] / max(1, seconds[s]) for s in range(max(seconds, default=0))]
--- a/brackenladder/fleet/page.py
+++ b/brackenladder/fleet/page.py
@@ -14,7 +14,7 @@
 from brackenladder.fleet.experiment import Cell, Experiment, Value, name_of
 from brackenladder.fleet.figures import FIGURES
 
-MOST_LINES = 8  # most cells in one plot
+MAX_LINES = 8  # most cells in one plot
 BAND = (10, 90)  # percentiles over the seeds
 SIZE = (9.0, 2.6)  # of a plot, in inches
 SWEEP_FIGURES = ("goodput", "refused", "attempts", "p99_ms", "cold")  # figures plotted against a varied key
@@ -50,8 +50,8 @@
             cells=[(name_of(cell), table(rows, cell), verdicts(rows, cell)) for cell in cells],
             plots=list(by_second(cells, list(run_series))),
             sweeps=list(sweeps(experiment, rows)),
-            most=MOST_LINES,
-            left_out=max(0, len(cells) - MOST_LINES),
+            most=MAX_LINES,
+            left_out=max(0, len(cells) - MAX_LINES),
         )
 
 
@@ -85,7 +85,7 @@
         figure = Figure(figsize=SIZE)
         axes = figure.add_subplot()
         shown = 0
-        for cell in cells[:MOST_LINES]:
+        for cell in cells[:MAX_LINES]:
             mine = [found for at, found in run_series if at == cell and found.get(name)]
             if not mine:
                 continue
@@ -125,7 +125,7 @@
             for cell, _, figures, _ in rows:
                 rest = tuple(pair for pair in cell if pair[0] != key)
                 lines.setdefault(rest, {}).setdefault(dict(cell)[key], []).append(figures[name])
-            for rest, points in list(lines.items())[:MOST_LINES]:
+            for rest, points in list(lines.items())[:MAX_LINES]:
                 xs = sorted(points, key=float)
                 (line,) = axes.plot(
                     [float(x) for x in xs],
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -82,20 +82,20 @@
 
     # ---- decisions of a policy ------------------------------------------------------------------------
 
-    def admits(self, now: int, r: OpenRequest) -> bool:
+    def admits(self, now: int, open_request: OpenRequest) -> bool:
         """Whether to make a first attempt or to refuse the request."""
         return True
 
-    def may_retry(self, now: int, r: OpenRequest) -> bool:
+    def may_retry(self, now: int, open_request: OpenRequest) -> bool:
         """Whether to make a further attempt where the rules allow one."""
         return True
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
         """Returns one of the servers in `among` (sorted by number), or None to refuse."""
         raise NotImplementedError
 
     def ended(
-        self, now: int, r: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
+        self, now: int, open_request: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
     ) -> None:
         """Called when an attempt has ended."""
 
@@ -123,12 +123,12 @@
         self.members = dict(sorted(self.members.items()))
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        r = OpenRequest(request, klass, self.settings.classes[klass].effect, now + time_left)
-        self.requests[request] = r
-        if self.admits(now, r):
-            self.attempt(now, r)
+        open_request = OpenRequest(request, klass, self.settings.classes[klass].effect, now + time_left)
+        self.requests[request] = open_request
+        if self.admits(now, open_request):
+            self.attempt(now, open_request)
         else:
-            self.finish(r, refuse=True)
+            self.finish(open_request, refuse=True)
 
     def outcome(
         self,
@@ -141,34 +141,43 @@
         final: bool,
         report: Sequence[float],
     ) -> None:
-        r = self.requests.get(request)
+        open_request = self.requests.get(request)
         member = self.all.get(server)
         if member is not None and member.in_flight:
             member.in_flight -= 1
-            self.ended(now, r, member, outcome, latency)
-        if r is None or r.out is None or attempt != r.attempts - 1:
+            self.ended(now, open_request, member, outcome, latency)
+        if open_request is None or open_request.out is None or attempt != open_request.attempts - 1:
             return
-        r.out = None
+        open_request.out = None
         if final or outcome == Outcome.OK:
             del self.requests[request]
             return
-        if outcome not in NEVER_RAN and r.ran_on is None:
-            r.ran_on, r.ran_at = member, r.sent_at
-        ran = r.ran_on is not None
-        window = self.settings.classes[r.klass].window
-        allowed = not ran or r.effect == Effect.SAFE or (r.effect == Effect.KEYED and now < r.ran_at + window)
-        if allowed and r.attempts < self.settings.max_attempts and now < r.until and self.may_retry(now, r):
-            self.attempt(now, r)
+        if outcome not in NEVER_RAN and open_request.ran_on is None:
+            open_request.ran_on, open_request.ran_at = member, open_request.sent_at
+        ran = open_request.ran_on is not None
+        window = self.settings.classes[open_request.klass].window
+        allowed = (
+            not ran
+            or open_request.effect == Effect.SAFE
+            or (open_request.effect == Effect.KEYED and now < open_request.ran_at + window)
+        )
+        if (
+            allowed
+            and open_request.attempts < self.settings.max_attempts
+            and now < open_request.until
+            and self.may_retry(now, open_request)
+        ):
+            self.attempt(now, open_request)
         else:
-            self.finish(r, refuse=not ran or r.effect == Effect.SAFE)
+            self.finish(open_request, refuse=not ran or open_request.effect == Effect.SAFE)
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
         """Unused: the model has no streams."""
 
     def client_left(self, now: int, request: int) -> None:
-        r = self.requests.pop(request, None)
-        if r is not None and r.out is not None and self.settings.cancel:
-            self.actions.cancel(request, r.attempts - 1)
+        open_request = self.requests.pop(request, None)
+        if open_request is not None and open_request.out is not None and self.settings.cancel:
+            self.actions.cancel(request, open_request.attempts - 1)
 
     def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
         """Unused: baseline policies do not probe."""
@@ -181,12 +190,12 @@
 
     # ---- requests -------------------------------------------------------------------------------------
 
-    def among(self, r: OpenRequest) -> list[KnownServer]:
+    def candidates(self, open_request: OpenRequest) -> list[KnownServer]:
         """Servers that this request may be sent to."""
-        first = r.ran_on
-        if first is None or r.effect != Effect.KEYED:
+        first = open_request.ran_on
+        if first is None or open_request.effect != Effect.KEYED:
             return list(self.members.values())
-        group = self.settings.classes[r.klass].group
+        group = self.settings.classes[open_request.klass].group
         return [
             m
             for m in self.members.values()
@@ -198,22 +207,24 @@
             )
         ]
 
-    def attempt(self, now: int, r: OpenRequest) -> None:
-        among = self.among(r)
-        member = self.pick(now, r, among) if among else None
+    def attempt(self, now: int, open_request: OpenRequest) -> None:
+        candidates = self.candidates(open_request)
+        member = self.pick(now, open_request, candidates) if candidates else None
         if member is None:
-            self.finish(r, refuse=r.ran_on is None or r.effect == Effect.SAFE)
+            self.finish(
+                open_request, refuse=open_request.ran_on is None or open_request.effect == Effect.SAFE
+            )
             return
         member.in_flight += 1
-        r.out = member
-        r.sent_at = now
-        r.attempts += 1
-        self.actions.send(r.id, member.entry.server, r.until - now)
+        open_request.out = member
+        open_request.sent_at = now
+        open_request.attempts += 1
+        self.actions.send(open_request.id, member.entry.server, open_request.until - now)
 
-    def finish(self, r: OpenRequest, refuse: bool) -> None:
-        del self.requests[r.id]
+    def finish(self, open_request: OpenRequest, refuse: bool) -> None:
+        del self.requests[open_request.id]
         if refuse:
-            wait = self.settings.classes[r.klass].aim // 8 if self.settings.retry_after else 0
-            self.actions.refuse(r.id, min(wait, self.settings.max_retry_after))
+            wait = self.settings.classes[open_request.klass].aim // 8 if self.settings.retry_after else 0
+            self.actions.refuse(open_request.id, min(wait, self.settings.max_retry_after))
         else:
-            self.actions.fail(r.id)
+            self.actions.fail(open_request.id)
--- a/brackenladder/fleet/rivals/detectors.py
+++ b/brackenladder/fleet/rivals/detectors.py
@@ -21,7 +21,7 @@
 HEARTBEAT = bytes(31)  # as long as an empty frame of this project's detector
 SAMPLES = 50  # gaps between heartbeats that phi accrual keeps
 PHI = 8.0  # threshold that the authors recommend
-LEAST_DEVIATION = 100_000.0  # microseconds
+MIN_DEVIATION = 100_000.0  # microseconds
 SWIM_SUSPICION_TIME = 2_150_000  # microseconds; the shortest suspicion time of this project's detector
 
 
@@ -93,7 +93,7 @@
     def silent(self, number: int, now: int) -> bool:
         gaps = self.gaps[number]
         mean = sum(gaps) / len(gaps)
-        deviation = max(LEAST_DEVIATION, sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps)))
+        deviation = max(MIN_DEVIATION, sqrt(sum((gap - mean) ** 2 for gap in gaps) / len(gaps)))
         later = erfc((now - self.heard[number] - mean) / deviation / sqrt(2)) / 2
         return later <= 0 or -log10(later) > PHI
 
--- a/brackenladder/fleet/rivals/envoy_like.py
+++ b/brackenladder/fleet/rivals/envoy_like.py
@@ -12,15 +12,15 @@
 EJECT_TIME = 30_000_000
 EJECT_SHARE = 0.1  # largest share of ejected servers, but at least one
 RETRY_BUDGET = 0.2  # retries as a share of the open calls...
-RETRY_LEAST = 3  # ...or this many, if that is more
-SLOW_START_LEAST = 0.1  # least share of a server's weight
+MIN_RETRIES = 3  # ...or this many, if that is more
+MIN_SLOW_START_WEIGHT = 0.1  # least share of a server's weight
 WINDOW = 100_000
 PERCENTILE = 0.9
 BUFFER = 0.25
 MIN_RTT_EVERY = 60_000_000
 MIN_RTT_CALLS = 50
 MIN_RTT_LIMIT = 3
-LIMIT_MOST = 1000
+MAX_LIMIT = 1000
 GRADIENT = (0.5, 2.0)
 
 
@@ -41,13 +41,13 @@
         self.retrying: set[int] = set()
         self.window_at = self.measured_at = now
 
-    def admits(self, now: int, r: OpenRequest) -> bool:
+    def admits(self, now: int, open_request: OpenRequest) -> bool:
         return self.open < (MIN_RTT_LIMIT if self.measuring else int(self.limit))
 
-    def may_retry(self, now: int, r: OpenRequest) -> bool:
-        if len(self.retrying) >= max(RETRY_LEAST, RETRY_BUDGET * len(self.requests)):
+    def may_retry(self, now: int, open_request: OpenRequest) -> bool:
+        if len(self.retrying) >= max(MIN_RETRIES, RETRY_BUDGET * len(self.requests)):
             return False
-        self.retrying.add(r.id)
+        self.retrying.add(open_request.id)
         return True
 
     def weight(self, now: int, member: KnownServer) -> float:
@@ -56,10 +56,10 @@
         age = now - member.entry.ready_at
         if not member.entry.ready_at or not window or age >= window:
             return 1.0
-        return max(SLOW_START_LEAST, age / window)
+        return max(MIN_SLOW_START_WEIGHT, age / window)
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
-        able = [m for m in among if m.ejected_until <= now] or among
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
+        able = [m for m in candidates if m.ejected_until <= now] or candidates
         first, second = (able[int(self.rng.random() * len(able))] for _ in range(2))
         a = (first.in_flight + 1) / self.weight(now, first)
         b = (second.in_flight + 1) / self.weight(now, second)
@@ -67,11 +67,11 @@
         return first if a <= b else second
 
     def ended(
-        self, now: int, r: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
+        self, now: int, open_request: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
     ) -> None:
         self.open -= 1
-        if r is not None and (outcome == Outcome.OK or r.attempts > 1):
-            self.retrying.discard(r.id)
+        if open_request is not None and (outcome == Outcome.OK or open_request.attempts > 1):
+            self.retrying.discard(open_request.id)
         if outcome in (Outcome.OK, Outcome.REJECTED):
             member.consecutive_failures = 0
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
@@ -102,7 +102,7 @@
         self.window_at = now
         gradient = self.min_rtt * (1 + BUFFER) / max(1, self.percentile())
         gradient = min(GRADIENT[1], max(GRADIENT[0], gradient))
-        self.limit = min(LIMIT_MOST, max(MIN_RTT_LIMIT, gradient * self.limit + sqrt(self.limit)))
+        self.limit = min(MAX_LIMIT, max(MIN_RTT_LIMIT, gradient * self.limit + sqrt(self.limit)))
         if now - self.measured_at >= MIN_RTT_EVERY * (1 + 0.15 * self.rng.random()):
             self.measuring = True
 
--- a/brackenladder/fleet/rivals/oracle.py
+++ b/brackenladder/fleet/rivals/oracle.py
@@ -14,15 +14,19 @@
     costly requests in favour of cheap ones would serve more. It picks only servers on the node's list.
     """
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
         assert self.true_state is not None
         true_state = self.true_state
         ends = [
-            (true_state.wait(m.entry.server) + true_state.work(r.id, m.entry.server), m.entry.server, m)
-            for m in among
+            (
+                true_state.wait(m.entry.server) + true_state.work(open_request.id, m.entry.server),
+                m.entry.server,
+                m,
+            )
+            for m in candidates
         ]
         end, _, best = min(ends, key=lambda e: e[:2])
-        aim = self.settings.classes[r.klass].aim
-        begun = r.sent_at if r.attempts else now
-        left = min(r.until, begun + aim) - now
+        aim = self.settings.classes[open_request.klass].aim
+        begun = open_request.sent_at if open_request.attempts else now
+        left = min(open_request.until, begun + aim) - now
         return best if end + MARGIN <= left else None
--- a/brackenladder/fleet/rivals/simple.py
+++ b/brackenladder/fleet/rivals/simple.py
@@ -8,8 +8,8 @@
 class RandomChoice(BaselinePolicy):
     """Picks uniformly at random."""
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
-        return among[int(self.rng.random() * len(among))]
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
+        return candidates[int(self.rng.random() * len(candidates))]
 
 
 class RoundRobin(BaselinePolicy):
@@ -17,16 +17,16 @@
 
     turn = -1
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
         if self.turn < 0:
-            self.turn = int(self.rng.random() * len(among))
+            self.turn = int(self.rng.random() * len(candidates))
         self.turn += 1
-        return among[self.turn % len(among)]
+        return candidates[self.turn % len(candidates)]
 
 
 class LeastOfTwo(BaselinePolicy):
     """Picks the one of two random servers with fewer calls of this node (Mitzenmacher, 2001)."""
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
-        first, second = (among[int(self.rng.random() * len(among))] for _ in range(2))
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
+        first, second = (candidates[int(self.rng.random() * len(candidates))] for _ in range(2))
         return first if first.in_flight <= second.in_flight else second
--- a/brackenladder/fleet/rivals/stale_oracle.py
+++ b/brackenladder/fleet/rivals/stale_oracle.py
@@ -29,23 +29,25 @@
             self.seen[server] = at, wait, room
         return max(0, wait - (now - at)), room
 
-    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
+    def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
         assert self.true_state is not None
-        s = self.settings
-        drawn = among if len(among) <= SAMPLED_SERVERS else self.rng.sample(among, SAMPLED_SERVERS)
+        settings = self.settings
+        drawn = (
+            candidates if len(candidates) <= SAMPLED_SERVERS else self.rng.sample(candidates, SAMPLED_SERVERS)
+        )
         best: tuple[int, int, KnownServer] | None = None
         for m in drawn:
             number = m.entry.server
             wait, room = self.look(now, number)
             if room:
-                work = self.true_state.work(r.id, number)
+                work = self.true_state.work(open_request.id, number)
                 end = (wait + work * (1 + m.in_flight), number, m)
                 if best is None or end[:2] < best[:2]:
                     best = end
-        begun = r.sent_at if r.attempts else now
-        left = min(r.until, begun + s.classes[r.klass].aim) - now
-        if best is None or best[0] > left / (s.tiers - s.tier):
+        begun = open_request.sent_at if open_request.attempts else now
+        left = min(open_request.until, begun + settings.classes[open_request.klass].aim) - now
+        if best is None or best[0] > left / (settings.tiers - settings.tier):
             return None
         at, wait, room = self.seen[best[1]]
-        self.seen[best[1]] = at, wait + self.true_state.work(r.id, best[1]) // 2, room
+        self.seen[best[1]] = at, wait + self.true_state.work(open_request.id, best[1]) // 2, room
         return best[2]
--- a/brackenladder/fleet/schedules.py
+++ b/brackenladder/fleet/schedules.py
@@ -49,7 +49,7 @@
     "node-kill": ((0.2, 3.0), (1.0, 1.0)),
     "node-term": ((0.2, 3.0), (1.0, 1.0)),
 }
-MOST_SHRINKS = 300  # schedules tried while shrinking one
+MAX_SHRINKS = 300  # schedules tried while shrinking one
 SMALL = 0.05  # seconds; smaller reductions of a length are not tried
 
 
@@ -206,7 +206,7 @@
     tried = 0
     while True:
         for less in reductions(schedule):
-            if tried >= MOST_SHRINKS or not may_go_on():
+            if tried >= MAX_SHRINKS or not may_go_on():
                 return schedule, tried
             tried += 1
             if to_scenario(less) is not None and shows(less):
--- a/brackenladder/fleet/servers.py
+++ b/brackenladder/fleet/servers.py
@@ -218,17 +218,17 @@
 
     def speed(self) -> float:
         """Current speed of a core; 1 is the standard."""
-        t = self.settings
-        speed = self.plan.speed * (t.slow_speed if self.slow else 1.0)
+        settings = self.settings
+        speed = self.plan.speed * (settings.slow_speed if self.slow else 1.0)
         if self.overload is not None:
             speed *= self.overload.speed
         step = self.active_fault("slow")
         if step is not None:
             speed *= step.share
-        if self.cold_since < 0 or not t.warm_s:
+        if self.cold_since < 0 or not settings.warm_s:
             return speed
-        warm = min(1.0, (self.queue.now - self.cold_since) / (t.warm_s * MICRO))
-        return speed * (t.cold_share + (1 - t.cold_share) * warm)
+        warm = min(1.0, (self.queue.now - self.cold_since) / (settings.warm_s * MICRO))
+        return speed * (settings.cold_share + (1 - settings.cold_share) * warm)
 
     def time_to_core(self) -> int:
         """Microseconds until a core is free for a request that arrives now, at the current speed."""
@@ -350,9 +350,8 @@
                 self.slots_taken -= self.slots > 0
             else:
                 self.busy_cores += 1
-                part = (
-                    2 if self.slots and self.next_tier is not None else 1
-                )  # as much before the call as after it
+                # Half of the work is done before the call to the next tier, half after it.
+                part = 2 if self.slots and self.next_tier is not None else 1
                 time = round(attempt.work / part / self.speed())
                 self.busy_until.append(self.queue.now + time)
                 self.queue.after(time, self.core_done, attempt, self.incarnation)
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: the grid, the results file, and what a comparison makes of chance."""
+"""Experiments: the grid, the results file, and the statistics of comparisons."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         (HEAD + "[grid]\nmodule.SUBSET_MOST = ['x']", "e.toml: grid.module.SUBSET_MOST: not a number"),
     ],
 )
-def test_what_cannot_be_run_is_named_before_it_starts(text, wrong):
+def test_invalid_experiments_are_rejected_before_running(text, wrong):
     with pytest.raises(ExperimentError) as error:
         experiment = parse(text.encode(), "e.toml")
         for cell in experiment.cells():
@@ -49,12 +49,12 @@
     assert str(error.value).startswith(wrong) and "\n" not in str(error.value)
 
 
-def test_a_run_too_large_for_memory_is_told_before_it_starts():
+def test_a_run_too_large_for_memory_is_rejected():
     with pytest.raises(ExperimentError, match="one run would take [0-9]+ GB"):
         run_of(load("cold-restart"), (("clients.rate", 1000.0), ("length_s", 1900.0)), "e.toml")
 
 
-def test_a_cell_changes_the_scenario_and_who_decides():
+def test_a_cell_changes_the_scenario_and_the_policy():
     experiment = parse((SMALL + "module.SUBSET_MOST = [8]\nservers.speed = [1.5]\n").encode(), "e")
     with pytest.raises(ExperimentError, match="grid.servers.speed"):
         run_of(load("cold-restart"), next(experiment.cells()), "e")
@@ -70,7 +70,7 @@
     assert experiment.runs() == 8
 
 
-def test_results_are_kept_and_continued_and_no_others_are_mixed_in(tmp_path):
+def test_a_results_file_is_continued_for_its_own_experiment_only(tmp_path):
     path, cell = str(tmp_path / "r.sqlite"), (("policy", "random"), ("clients.rate", 20.0))
     first = Results(path)
     first.claim("t", "d1")
@@ -96,13 +96,13 @@
         Results(str(tmp_path / "t.sqlite"))
 
 
-def test_a_module_that_changed_is_another_experiment():
+def test_a_changed_module_is_another_experiment():
     base = load("cold-restart")
     assert digest_of(base, [b"a"]) == digest_of(base, [b"a"]) != digest_of(base, [b"b"])
 
 
 @pytest.mark.parametrize(("shift", "seen"), [(0.0, False), (0.05, False), (1.0, True), (-1.0, True)])
-def test_a_difference_is_seen_only_where_chance_does_not_make_it(shift, seen):
+def test_a_difference_is_significant_only_beyond_chance(shift, seen):
     rng = np.random.default_rng(5)
     noise = rng.normal(0, 0.5, (2, 40))
     noise -= noise.mean(axis=1, keepdims=True)
@@ -110,14 +110,14 @@
     assert d.significant == seen and d.low <= d.mean <= d.high and abs(d.mean - shift) < 1e-9
 
 
-def test_chance_is_taken_for_a_difference_about_as_often_as_it_says():
-    """Scaled down: 300 comparisons of nothing with nothing, of 20 pairs each."""
+def test_the_false_positive_rate_is_near_its_level():
+    """Scaled down: 300 comparisons without a real difference, of 20 pairs each."""
     rng = np.random.default_rng(11)
     wrong = sum(difference(list(rng.normal(0, 1, (20, 2)))).significant for _ in range(300))
-    assert wrong / 300 < 0.11  # 5% is meant; a bootstrap of so few pairs is a little bold
+    assert wrong / 300 < 0.11  # nominally 5%; a bootstrap of so few pairs exceeds it a little
 
 
-def test_sides_are_paired_by_all_else():
+def test_runs_are_paired_by_all_other_keys():
     rows = [
         ((("policy", p), ("rate", r)), seed, {"x": 10 * r + seed + (p == "b")}, {})
         for p in "ab"
@@ -136,8 +136,8 @@
             paired(rows, a, b)
 
 
-def test_the_command_plays_continues_and_compares(tmp_path, capsys):
-    """Scaled down: two policies, a few seconds of a small fleet."""
+def test_the_command_runs_continues_and_compares(tmp_path, capsys):
+    """Scaled down: two policies on a small fleet for a few seconds."""
     file, out = tmp_path / "e.toml", tmp_path / "out.json"
     file.write_text(SMALL)
     assert main(["experiment", str(file), "--jobs", "2", "--json", str(out)]) == 0
@@ -146,7 +146,7 @@
     file.write_text(SMALL.replace("seeds = 2", "seeds = 6"))
     assert main(["experiment", str(file), "--compare", "policy=random", "policy=random"]) == 0
     assert "no difference seen" in capsys.readouterr().out
-    assert main(["experiment", str(file), "--json", str(out)]) == 0  # nothing is left to be played
+    assert main(["experiment", str(file), "--json", str(out)]) == 0  # nothing is left to run
     assert json.loads(out.read_text())[:2] == first[:2]
     html = tmp_path / "page.html"
     assert main(["experiment", str(file), "--html", str(html)]) == 0
@@ -167,12 +167,12 @@
 @pytest.mark.parametrize(
     ("goodput", "seconds"),
     [
-        ([1.0] * 10 + [0.2] * 3 + [0.5] * 2 + [0.98] * 10, 3.0),  # back two seconds after the end at 12
-        ([1.0] * 10 + [0.2] * 3 + [0.9] * 12, 13.0),  # never: to the run's end
-        ([0.5] * 10 + [0.2] * 2 + [0.5] * 13, 0.0),  # against what was before
+        ([1.0] * 10 + [0.2] * 3 + [0.5] * 2 + [0.98] * 10, 3.0),  # recovers 3 s after the surge ends at 12
+        ([1.0] * 10 + [0.2] * 3 + [0.9] * 12, 13.0),  # never recovers: counts to the end of the run
+        ([0.5] * 10 + [0.2] * 2 + [0.5] * 13, 0.0),  # relative to the goodput before the surge
     ],
 )
-def test_recovery_is_told_from_the_end_of_the_trouble(goodput, seconds):
+def test_recovery_is_measured_from_the_end_of_the_surge(goodput, seconds):
     from brackenladder.fleet.figures import recovery
     from brackenladder.rehearsal.scenario import parse as scenario
 
--- a/tests/fleet/test_gate.py
+++ b/tests/fleet/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate: how a server turns slow, the days that are drawn, the verdict, the command."""
+"""The gate: server overload, generated days, the verdict and the command."""
 
 from __future__ import annotations
 
@@ -16,19 +16,21 @@
 from brackenladder.rehearsal.scenario import Choke as ChokeTable
 from brackenladder.rehearsal.scenario import load, parse
 
-TABLE = ChokeTable(at=4.0, over_s=2.0, slower=2.5, rest_s=3.0, below=0.3, most_s=20.0)  # four cores: above 12
+TABLE = ChokeTable(
+    at=4.0, over_s=2.0, slower=2.5, rest_s=3.0, below=0.3, most_s=20.0
+)  # with four cores: overloaded above 12
 
 
 @pytest.mark.parametrize(
     "held, slow_at",
     [
-        ([(0, 12)], None),  # as many as it bears
-        ([(0, 24)], 1.1),  # 24 for so long are 12 in the mean of 2 s
+        ([(0, 12)], None),  # exactly the threshold
+        ([(0, 24)], 1.1),  # 24 for 1 s give a mean of 12 over 2 s
         ([(0, 24), (0.9, 0)], None),
         ([(0, 13)], 1.9),
     ],
 )
-def test_a_server_turns_slow_by_its_mean_crowd(held, slow_at):
+def test_a_server_becomes_slow_by_its_mean_number_of_requests(held, slow_at):
     overload = OverloadState(TABLE, 4, 0)
     slow = None
     for tenth in range(60):
@@ -40,9 +42,7 @@
 
 
 @pytest.mark.parametrize("busy, rested_at", [(0, 6.1), (1, 6.8), (2, 21.2), (4, 21.2)])
-def test_it_rests_when_its_cores_were_nearly_idle_or_its_time_is_over_and_does_not_choke_again(
-    busy, rested_at
-):
+def test_it_recovers_once_idle_or_after_its_time_and_is_not_overloaded_again(busy, rested_at):
     overload = OverloadState(TABLE, 4, 0)
     for tenth in range(40):
         overload.observe(tenth * MICRO // 10, 24, 4)
@@ -75,7 +75,7 @@
 
 
 def test_with_slots_a_core_is_free_while_the_next_tier_works():
-    """Work of 50 and 100 ms at one core each: holding the core through the call serves 6.7 a second."""
+    """Work of 50 and 100 ms on one core each; holding the core during calls allows 6.7 requests a second."""
     text = SLOTS + "[[classes]]\nname = 'view'\neffect = 'safe'\nwork_ms = [100, 100]\n"
     served = {}
     for slots in ("0", "4"):
@@ -84,7 +84,7 @@
     assert served["4"] > served["0"]
 
 
-def test_a_fault_strikes_its_targets_in_waves():
+def test_a_fault_hits_its_targets_in_waves():
     text = "title = 'w'\nnodes = 20\nlength_s = 20\n[[faults]]\nkind = 'node-term'\nat_s = 2\npick = 'all'\n"
     steps = plan_of(parse((text + "waves = 4\nspread_s = 8\n").encode(), "here"), 1).steps
     assert [step.at / MICRO for step in steps] == [2.0] * 5 + [4.0] * 5 + [6.0] * 5 + [8.0] * 5
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_days_are_drawn_by_their_seed_inside_the_deployments_ranges(name):
+def test_days_are_reproducible_and_within_the_deployments_ranges(name):
     for seed in range(4):
         scenario = day_scenario(name, seed, 200)
         assert scenario == day_scenario(name, seed, 200) != day_scenario(name, seed + 1, 200)
@@ -133,11 +133,11 @@
         ("herd", run(0.6, broke="cold", faults=2), run(0.8), None, ("cold broke", "2 nodes failed")),
     ],
 )
-def test_the_verdict_is_the_operators(name, module, late, plain, wrong):
+def test_the_verdict_follows_the_gates_criteria(name, module, late, plain, wrong):
     assert judge_day(name, module, {LATE: late} | ({PLAIN: plain} if plain else {})).wrong == wrong
 
 
-def test_the_command_passes_the_module_and_convicts_who_spares_no_cold_server(tmp_path, capsys):
+def test_the_command_passes_the_module_and_fails_a_policy_that_overloads_cold_servers(tmp_path, capsys):
     kept, told = str(tmp_path / "gate.sqlite"), tmp_path / "gate.json"
     asked = ["gate", "--seeds", "1", "--nodes", "24", "--day", "roll", "--jobs", "2", "--results", kept]
     assert main([*asked, "--json", str(told)]) == 0
@@ -150,7 +150,7 @@
         assert capsys.readouterr().err.startswith("brackenladder: --seeds: ")
 
 
-def test_the_days_it_writes_are_those_that_it_plays(tmp_path):
+def test_written_days_equal_those_that_are_run(tmp_path):
     assert main(["gate", "--write", str(tmp_path), "--seeds", "1-3", "--nodes", "30"]) == 0
     for name in DAYS:
         for seed in (1, 2, 3):
--- a/tests/fleet/test_hunt.py
+++ b/tests/fleet/test_hunt.py
@@ -1,4 +1,4 @@
-"""The hunt: its grammar, its shrinking, its folder, and that it finds a fault that is there."""
+"""The schedule search: generation, shrinking, the corpus, and that it finds a planted fault."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 @given(st.integers(0, 10**9))
 @settings(max_examples=100, deadline=None)
-def test_what_is_drawn_or_changed_can_be_read_and_is_drawn_again_by_its_seed(seed):
+def test_schedules_are_valid_and_reproducible_by_seed(seed):
     schedule = random_schedule(Random(seed))
     assert to_scenario(schedule) is not None and random_schedule(Random(seed)) == schedule
     before = repr(schedule)
     changed = [mutate(schedule, Random(seed + i)) for i in range(5)]
-    assert repr(schedule) == before  # in a copy
+    assert repr(schedule) == before  # mutation works on a copy
     assert sum(to_scenario(c) is not None for c in changed) >= 1
     for less in reductions(schedule):
         assert less != schedule
@@ -34,8 +34,8 @@
 
 @given(st.integers(0, 10**6))
 @settings(max_examples=20, deadline=None)
-def test_shrinking_ends_with_the_least_that_still_shows_it(seed):
-    """What shows it here: a restart, and three servers or more."""
+def test_shrinking_ends_with_a_minimal_schedule(seed):
+    """The property to keep here: a restart fault and at least three servers."""
 
     def shows(schedule):
         return schedule["servers"]["count"] >= 3 and any(f["kind"] == "restart" for f in schedule["faults"])
@@ -57,8 +57,8 @@
 
 
 def test_a_planted_fault_is_found_and_shrunk(monkeypatch):
-    """Scaled down: the first break of at most 200 schedules, made smaller in 40 steps at most."""
-    monkeypatch.setattr("brackenladder.fleet.schedules.MOST_SHRINKS", 40)
+    """Scaled down: the first break among at most 200 schedules, shrunk in at most 40 steps."""
+    monkeypatch.setattr("brackenladder.fleet.schedules.MAX_SHRINKS", 40)
     monkeypatch.setattr(Balancer, "draw", floods)
     rng = Random(1)
     found = next(
@@ -73,12 +73,12 @@
 
 
 @pytest.mark.parametrize("path", sorted(FOUND.glob("*.toml")), ids=lambda p: p.stem)
-def test_what_a_hunt_once_found_holds(path):
+def test_schedules_found_earlier_no_longer_break_a_rule(path):
     found = play_schedule(tomllib.loads(path.read_text()), "module")
     assert found.valid and found.broke == ()
 
 
-def test_a_corpus_is_gone_on_from_and_keeps_the_nearest(tmp_path):
+def test_a_corpus_is_reloaded_and_keeps_the_nearest(tmp_path):
     corpus = Corpus(str(tmp_path / "hunt"))
     schedules = [random_schedule(Random(i)) for i in range(3)]
     corpus.save_nearest([PlayedSchedule(s, (), 0.5) for s in schedules])
@@ -92,8 +92,8 @@
             corpus.load()
 
 
-def test_the_command_hunts_and_goes_on(tmp_path, capsys):
-    """Scaled down: a second, which begins with what the corpus holds."""
+def test_the_command_searches_and_continues_a_corpus(tmp_path, capsys):
+    """Scaled down: one second, starting from the schedules in the corpus."""
     folder = tmp_path / "hunt"
     for i in range(3):
         Corpus(str(folder)).save(f"near-{i}", random_schedule(Random(i)))
--- a/tests/fleet/test_parts.py
+++ b/tests/fleet/test_parts.py
@@ -1,4 +1,4 @@
-"""What a run of the model is made of: discovery, connections, servers, nodes' lives, tiers, clients."""
+"""Parts of the fleet model: discovery, connections, servers, node processes, tiers and clients."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def run(text="", plain=PLAIN, seed=1, **tables):
-    """A run; `tables` replace lines of the plain scenario's tables."""
+    """Runs a scenario; `tables` adds lines to the plain scenario's tables."""
     for table, lines in tables.items():
         key = f"[{table}]\n"
         plain = plain.replace(key, key + lines) if key in plain else f"{plain}{key}{lines}"
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("text", ["", fault("stall", pick=6, length=2.0), fault("restart", pick=2)])
 def test_littles_law_and_conservation_hold_in_every_run(text):
-    """Attempts in servers, by their mean number and by rate times mean stay; every one ends once."""
+    """Little's law for attempts in servers; each attempt ends exactly once."""
     _, result = run(text)
     came = {e.attempt: e.t for e in of(result, Arrived)}
     ended = Counter(e.attempt for e in of(result, Replied, Closed))
@@ -86,7 +86,7 @@
     fleet, result = run()
     shakes = sum(node.upstream.handshakes for node in fleet.nodes.values())
     assert 0 < shakes < len(of(result, Arrived)) / 2
-    fleet, result = run(servers="idle_s = 0.02\n")  # nothing is kept for so short a time
+    fleet, result = run(servers="idle_s = 0.02\n")  # too short for any reuse
     assert sum(node.upstream.handshakes for node in fleet.nodes.values()) > 0.7 * len(of(result, Arrived))
 
 
@@ -95,7 +95,7 @@
     [("closed", "refused at once"), ("vanish", "after the connect time-out"), ("backlog", "after it too")],
 )
 def test_a_server_that_cannot_be_reached_costs_what_it_costs_on_sockets(kind, outcome):
-    """One server of two, on new connections: it is refused in a moment, or after 250 ms."""
+    """One of two servers is unreachable: new connections to it fail at once or after 250 ms."""
     plain = PLAIN.replace("count = 6", "count = 2\nidle_s = 0.01").replace("nodes = 4", "nodes = 1")
     quick = "[[classes]]\nname = 'view'\neffect = 'safe'\nwork_ms = [2, 4]\n"
     _, result = run(quick + fault(kind, at=1.0, length=4.0), plain)
@@ -109,8 +109,8 @@
     assert waited == (kind != "closed")
 
 
-def test_zones_are_apart():
-    """A way is 20 ms across: no answer from there within 40 ms, and a node's own zone answers sooner."""
+def test_requests_to_another_zone_take_the_zone_delay():
+    """The network delay between zones is 20 ms: requests to another zone take at least that long."""
     _, result = run(network="far_ms = 20.0\n")
     zones = {s.id: s.zone for s in result.plan.servers}
     node_zone = {f"n{i}": ("east", "west")[i % 2] for i in range(4)}
@@ -121,7 +121,7 @@
         assert (arrived.t - sent >= 20_000) >= apart
 
 
-def test_a_cut_is_between_some_nodes_and_some_servers():
+def test_a_cut_separates_some_nodes_from_some_servers():
     _, result = run(fault("cut", at=1.0, length=4.0, pick=3, share=0.5))
     cut = {s.target for s in result.plan.steps}
     node = {e.id: e.node for e in of(result, Sent)}
@@ -135,10 +135,10 @@
     deaf = {s.target for s in result.plan.steps if s.kind == "unheard"}
     told = {e.node for e in of(result, Told) if 0.6 < when(e, result) < 4.4 and e.servers}
     assert told == {"n0", "n1", "n2", "n3"} - deaf
-    assert deaf <= {e.node for e in of(result, Told) if when(e, result) > 4.5}  # once it hears them again
+    assert deaf <= {e.node for e in of(result, Told) if when(e, result) > 4.5}  # after the fault
 
 
-def test_a_silent_watch_is_opened_anew_before_what_it_missed_counts_as_told():
+def test_a_silent_watch_is_reopened_in_time():
     _, result = run(fault("silent-watch", at=1.0, length=0.1, pick=3) + fault("drain", at=1.1, length=3.0))
     asked = {e.call: e for e in of(result, Asked)}
     silent = [asked[e.call] for e in of(result, Hushed)]
@@ -150,7 +150,7 @@
         assert learned <= call.t + call.wait + 1_000_000
 
 
-def test_discovery_writes_so_many_lines_a_second_and_no_more():
+def test_discovery_keeps_to_its_output_rate():
     _, result = run(fault("deploy", at=1.0, length=1.0, pick=2), discovery="lines_per_s = 20\n")
     lines = [(e.t, len(e.servers)) for e in of(result, Told)]
     for start, _ in lines:
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("kind", ["half-list", "old-list", "silence"])
-def test_discovery_at_fault_is_as_the_stand_in_is(kind):
+def test_discovery_faults_match_the_stand_in(kind):
     _, result = run(fault("drain", at=0.4, length=5.0) + fault(kind, at=2.5, length=2.0))
     during = [e for e in of(result, Told) if 2.5 <= when(e, result) < 4.5]
     if kind == "silence":
@@ -169,7 +169,7 @@
         assert {len(e.servers) for e in during if e.full} == {3 if kind == "half-list" else 6}
 
 
-def test_a_killed_node_breaks_what_it_held_and_comes_back():
+def test_a_killed_node_breaks_its_calls_and_restarts():
     _, result = run(fault("node-kill", at=2.0, length=1.5), clients="notice_s = 0.5\n")
     (node,) = {s.target for s in result.plan.steps}
     assert [when(e, result) for e in of(result, NodeEnded)] == [2.0]
@@ -179,19 +179,19 @@
     sent = [when(e, result) for e in of(result, Sent) if e.node == node]
     assert not [t for t in sent if 2.6 < t < ups[1]] and [t for t in sent if t > ups[1]]
     closed = [e for e in of(result, Closed) if abs(when(e, result) - 2.0) < 0.01 and e.by == "node"]
-    assert closed  # its attempts end with it
+    assert closed  # its attempts end when it is killed
 
 
-def test_a_node_that_is_told_to_end_answers_what_it_took():
+def test_a_terminated_node_answers_accepted_calls():
     fleet, result = run(fault("node-term", at=1.0, length=2.0))
     (end,) = of(result, NodeEnded)
-    assert end.code == 0 and when(end, result) >= 3.0  # connections stay open to further calls for 2 s
+    assert end.code == 0 and when(end, result) >= 3.0  # connections accept further calls for 2 s
     assert not of(result, Broken) and fleet.nodes[end.node].starts == 2
 
 
-def test_datagrams_meet_their_fault():
+def test_datagram_faults_apply():
     fleet, result = run(fault("datagrams-lost", at=0.0, length=3.0))
-    assert not of(result, Datagram)  # the module sends none
+    assert not of(result, Datagram)  # the decision module sends none
     fleet = Fleet(fleet.scenario, 1)
     heard = []
     for i, node in enumerate(fleet.nodes.values()):
@@ -205,14 +205,14 @@
     assert sorted(heard) == [(0, 1), (2, 1), (2, 1), (3, 1)]
 
 
-def test_a_processor_makes_events_wait_and_is_off_by_default():
+def test_processor_time_delays_events_and_is_off_by_default():
     _, fast = run(limits="")
-    _, slow = run(limits="event_us = 4000\n")  # 8 ms a request, at 10 a second and node
+    _, slow = run(limits="event_us = 4000\n")  # 8 ms per request, at 10 requests a second per node
     half = [sorted(e.t for e in of(r, Answered))[100] for r in (fast, slow)]
     assert half[1] > half[0]
 
 
-def test_a_cold_server_that_is_pushed_falls_and_starts_anew():
+def test_an_overloaded_cold_server_crashes_and_restarts():
     from brackenladder.fleet.rivals.simple import RoundRobin
 
     text = PLAIN.replace("rate = 40", "rate = 90") + fault("restart", at=1.0, length=0.5)
@@ -221,11 +221,11 @@
     (target,) = {s.target for s in result.plan.steps}
     assert len([e for e in of(result, Down) if e.server == target]) >= 2
     assert len([e for e in of(result, Up) if e.server == target]) >= 3
-    assert len(of(Fleet(scenario, 1).run(), Down)) == 1  # the module does not push it
+    assert len(of(Fleet(scenario, 1).run(), Down)) == 1  # the decision module does not overload it
 
 
 def test_a_long_queue_slows_a_server_until_it_is_empty():
-    """Served in the same seconds, with work to do throughout: fewer where queues slow servers."""
+    """With steady load, fewer requests are served in the same time if long queues slow servers."""
     busy = PLAIN.replace("rate = 40", "rate = 200")
     counts = [
         run("", busy, servers=lines)[1].counts["served"]
@@ -234,25 +234,25 @@
     assert counts[1] < 0.8 * counts[0]
 
 
-def test_a_slow_state_ends_with_its_queue():
+def test_a_slow_server_recovers_once_its_queue_is_empty():
     busy = PLAIN.replace("rate = 40", "rate = 10\nsurges = [{at_s = 0.5, for_s = 1, times = 30.0}]")
     fleet, _ = run("", busy, servers="slow_queue = 2\nslow_speed = 0.5\n")
     assert not any(server.slow for server in fleet.servers_by_id.values())
 
 
-def test_a_node_that_starts_in_silence_is_not_answered():
+def test_a_node_started_during_silence_gets_no_answer():
     _, result = run(fault("silence", at=1.0, length=4.5) + fault("node-kill", at=1.5, length=0.2))
     asked = [when(e, result) for e in of(result, Asked)]
     assert any(2 < t < 5 for t in asked)
     assert not [e for e in of(result, Told) if 1.0 <= when(e, result) < 5.5]
 
 
-def test_tiers_hold_the_core_above_and_are_judged_alike():
-    """Three tiers: each served request has three attempts, one inside the other, and a cut one ends below."""
+def test_attempts_of_tiers_are_nested():
+    """Three tiers: each served request has three nested attempts."""
     fleet, result = run(
         plain=PLAIN.replace("nodes = 4", "nodes = 4\ntiers = 3").replace("rate = 40", "rate = 12")
     )
-    assert len(fleet.server_nodes) == 12  # two tiers of servers that call on
+    assert len(fleet.server_nodes) == 12  # servers of the first two tiers have nodes
     spans = {e.id: [e.t, 0] for e in of(result, Arrived)}
     for e in of(result, Replied):
         spans[e.id][1] = e.t
@@ -263,8 +263,8 @@
     assert {e.node for e in of(result, Sent)} >= set(fleet.server_nodes)
 
 
-def test_a_server_that_is_back_calls_the_next_tier_again():
-    """Failure prevented: its node is the dead one, and whatever comes to the server fails."""
+def test_a_restarted_server_calls_the_next_tier_again():
+    """Prevents a restarted server from using its old, dead node, by which all its requests would fail."""
     plain = PLAIN.replace("nodes = 4", "nodes = 4\ntiers = 2").replace("rate = 40", "rate = 30")
     _, result = run(fault("restart", at=1.0, length=0.5, pick="all"), plain, servers="cold_share = 0.9\n")
     below = [e for e in of(result, Replied) if "." in e.id and e.how == "served" and when(e, result) > 3]
@@ -294,7 +294,7 @@
     assert 0.35 < sum(r.node == 0 for r in plan.requests) / len(plan.requests) < 0.45
 
 
-def test_costly_requests_are_the_same_wherever_they_go():
+def test_costly_requests_are_determined_by_their_id():
     from brackenladder.rehearsal.plan import work_of
     from brackenladder.rehearsal.scenario import Class
 
@@ -304,13 +304,13 @@
     assert {round(b / a) for a, b in works} == {1, 30} and 60 < sum(b > a for a, b in works) < 140
 
 
-def test_streams_are_apart_and_the_same_everywhere():
+def test_random_streams_are_independent_and_reproducible():
     one, again, other = (RandomStreams(s).stream(n) for s, n in ((1, "a"), (1, "a"), (1, "b")))
     assert list(one.random(4)) == list(again.random(4)) != list(other.random(4))
     assert RandomStreams(1).stream("discovery").integers(1 << 30) == 445940766
 
 
-def test_what_sockets_cannot_play_is_named_and_left_out():
+def test_parts_that_sockets_cannot_run_are_named_and_removed():
     text = (
         'title = "x"\ntiers = 2\n[network]\nfar_ms = 3\n[limits]\nevent_us = 5\n'
         + fault("cut")
--- a/tests/fleet/test_rivals.py
+++ b/tests/fleet/test_rivals.py
@@ -1,4 +1,4 @@
-"""Rivals beside the module: they keep the rule on effects, and the oracle does as it says."""
+"""Baseline policies: they never repeat unsafe calls, and each works as described."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         return lambda *args: self.done.append((name, *args))
 
 
-def rival(make, servers=4, **changes):
+def start_policy(make, servers=4, **changes):
     recorder = Recorder()
     made = make(Settings(classes=CLASSES, **({"max_attempts": 3} | changes)), 1, recorder)
     made.start(0)
@@ -41,7 +41,7 @@
     return made, recorder
 
 
-def judged(policy, name, seed=1):
+def run_and_check(policy, name, seed=1):
     scenario = load(name)
     result = play(scenario, seed, variant(policy, "", {}))
     report = check(result.events, terms_of(scenario))
@@ -49,35 +49,35 @@
 
 
 @pytest.mark.parametrize("policy", BASELINE_POLICIES)
-def test_a_rival_loses_nothing_and_repeats_nothing(policy):
-    _, verdicts, result = judged(policy, "rolling-deploy")
+def test_a_baseline_policy_loses_and_repeats_no_call(policy):
+    _, verdicts, result = run_and_check(policy, "rolling-deploy")
     assert not result.crashed
     assert {r: verdicts[r] for r in ("lost", "effect", "drain")} == dict.fromkeys(
         ("lost", "effect", "drain"), "held"
     )
 
 
-def test_who_spares_no_cold_server_is_convicted_and_the_oracle_is_not():
-    assert judged("random", "rolling-deploy")[1]["cold"] == "broke"
-    assert judged("oracle", "rolling-deploy")[1]["cold"] == "held"
+def test_random_choice_overloads_cold_servers_and_the_oracle_does_not():
+    assert run_and_check("random", "rolling-deploy")[1]["cold"] == "broke"
+    assert run_and_check("oracle", "rolling-deploy")[1]["cold"] == "held"
 
 
-def test_those_that_see_the_true_state_serve_the_most():
-    figures = {policy: judged(policy, "rolling-deploy")[0] for policy in policies()}
+def test_policies_that_see_the_true_state_serve_the_most():
+    figures = {policy: run_and_check(policy, "rolling-deploy")[0] for policy in policies()}
     best = max(figures, key=lambda policy: figures[policy]["goodput"])
     assert best in ("oracle", "late") and figures["oracle"]["refused"] < figures["module"]["refused"]
 
 
-def test_turns_are_even_and_the_less_busy_of_two_is_taken():
-    made, recorder = rival(BASELINE_POLICIES["round-robin"])
+def test_round_robin_is_even_and_least_of_two_balances():
+    made, recorder = start_policy(BASELINE_POLICIES["round-robin"])
     for i in range(40):
         made.request(i, i, 0, 0, 1_000_000, False)
     assert Counter(server for _, _, server, _ in recorder.done) == dict.fromkeys(range(4), 10)
-    made, recorder = rival(BASELINE_POLICIES["least-of-two"], servers=2)
+    made, recorder = start_policy(BASELINE_POLICIES["least-of-two"], servers=2)
     for i in range(200):
         made.request(i, i, 0, 0, 1_000_000, False)
     counts = Counter(server for _, _, server, _ in recorder.done)
-    assert abs(counts[0] - counts[1]) <= 20  # at random they would differ by 14 as often as not
+    assert abs(counts[0] - counts[1]) <= 20  # random choice would give a standard deviation of 14
 
 
 @given(
@@ -87,7 +87,7 @@
 )
 @settings(max_examples=200, deadline=None)
 def test_an_unsafe_call_that_may_have_run_is_never_sent_again(policy, outcomes, klass):
-    made, recorder = rival(BASELINE_POLICIES[policy])
+    made, recorder = start_policy(BASELINE_POLICIES[policy])
     made.request(0, 7, klass, 0, 3_000_000, False)
     may_have_run = False
     for number, outcome in enumerate(outcomes):
@@ -105,18 +105,18 @@
     assert len(finals) <= 1
 
 
-def test_a_cluster_limits_ejects_and_starts_slowly():
-    made, recorder = rival(EnvoyLike, servers=20, cold_time=10_000_000)
+def test_the_envoy_like_policy_limits_ejects_and_starts_slowly():
+    made, recorder = start_policy(EnvoyLike, servers=20, cold_time=10_000_000)
     for i in range(MIN_RTT_LIMIT + 1):
         made.request(0, i, 0, 0, 1_000_000, False)
-    assert [d[0] for d in recorder.done].count("refuse") == 1  # a pass is on
+    assert [d[0] for d in recorder.done].count("refuse") == 1  # it is measuring the minimum round-trip time
     for i in range(MIN_RTT_LIMIT):
         made.outcome(1, i, 0, recorder.done[i][2], Outcome.OK, 1000, True, ())
     for _ in range(MIN_RTT_CALLS):
         made.sample(2, 10_000)
     assert not made.measuring and made.min_rtt == 10_000
     before = made.limit
-    made.sample(200_000, 20_000)  # twice the round-trip: half the limit and the headroom
+    made.sample(200_000, 20_000)  # twice the round-trip time: half the limit plus headroom
     assert before * 0.5 < made.limit < before * 1.5
     bad = made.members[3]
     for _ in range(EJECT_AFTER):
@@ -131,8 +131,8 @@
     assert made.weight(20_000_000, cold) == 1.0
 
 
-def test_a_list_takes_servers_away_and_a_new_process_is_a_new_member():
-    made, recorder = rival(BASELINE_POLICIES["round-robin"], servers=3)
+def test_a_list_removes_servers_and_resets_restarted_ones():
+    made, recorder = start_policy(BASELINE_POLICIES["round-robin"], servers=3)
     made.members[0].consecutive_failures = 4
     made.server_list(1, ListKind.CHANGES, [ServerEntry(0, ready_at=5), ServerEntry(1, State.DRAINING)])
     assert sorted(made.members) == [0, 2] and made.members[0].consecutive_failures == 0
@@ -152,7 +152,7 @@
         ("module", "/nowhere", {}, "checkout: no /nowhere"),
     ],
 )
-def test_a_variant_that_is_none_is_named(policy, checkout, constants, text):
+def test_an_invalid_variant_is_named(policy, checkout, constants, text):
     if not text:
         assert variant(policy, checkout, constants) is not variant(policy, checkout, {})
         return
@@ -160,10 +160,12 @@
         variant(policy, checkout, constants)
 
 
-def test_a_constant_reaches_its_variant_alone(tmp_path):
+def test_a_changed_constant_affects_only_its_variant(tmp_path):
     from brackenladder.policy import subset as balance
 
-    made = variant("module", "", {"SUBSET_MOST": 2, "WINDOW": 1})  # one room's, and one that another imports
+    made = variant(
+        "module", "", {"SUBSET_MOST": 2, "WINDOW": 1}
+    )  # one is used in its own module, the other is imported by others
     assert made.wanted_size.__globals__["SUBSET_MOST"] == 2 and balance.SUBSET_MOST == 24
     assert (
         made.record_end.__globals__["WINDOW"]
@@ -176,8 +178,8 @@
         variant("module", str(tmp_path), {})
 
 
-def test_the_oracle_refuses_only_what_would_be_late():
-    """Scaled down: one server of one core, at twice what it can do."""
+def test_the_oracle_refuses_only_requests_that_would_be_late():
+    """Scaled down: one server with one core, at twice its capacity."""
     text = (
         b'title = "x"\nlength_s = 10\nnodes = 1\nzones = ["a"]\n[servers]\ncount = 1\ncores = 1\n'
         b"speed = [1, 1]\n[clients]\nrate = 20\nretries = 0\nbudget = [1, 1]\n"
@@ -188,4 +190,4 @@
     figures = figures_of(scenario, result, check(result.events, terms_of(scenario)))
     served = figures["goodput"] * len(result.plan.requests)
     assert served == figures["served"] * len(result.plan.requests)  # nothing is served late
-    assert 98 <= served <= 111  # ten a second, and a queue of less than a second at the end
+    assert 98 <= served <= 111  # ten a second, plus a queue of under one second at the end
--- a/tests/fleet/test_rogues.py
+++ b/tests/fleet/test_rogues.py
@@ -1,7 +1,7 @@
-"""The rehearsal kit's rogues in virtual time, on the kit's own scenarios: each convicted by its rule alone.
+"""The rehearsal's planted faults in virtual time, on its scenarios: each breaks only its own rule.
 
-What a module can do wrong is planted as a module; what the host or the front would do, in the model's own.
-A module that answers late or never is answered for by the core's guard, which is a fault of the run.
+Faults of a decision module are planted as a policy; faults of the host or the clients, by patching the model.
+For a module that answers late or never the core's guard answers, which counts as a fault of the run.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from brackenladder.rehearsal.report import terms_of
 
 
-class Right(BaselinePolicy):
-    """Each warm server in turn."""
+class Correct(BaselinePolicy):
+    """A correct policy: sends to warm servers in turn."""
 
     turn = 0
 
@@ -38,18 +38,18 @@
         return able[self.turn % len(able)] if able else None
 
 
-class Floods(Right):
+class Floods(Correct):
     def pick(self, now, r, among):
         return max(among, key=lambda m: m.entry.ready_at)
 
 
-class Drained(Right):
+class Drained(Correct):
     def server_list(self, now, kind, entries):
         super().server_list(now, kind, [e for e in entries if e.state == State.READY])
 
 
-class PeerDrains(Right):
-    """Only the first node minds what discovery says of drains; it tells the others."""
+class PeerDrains(Correct):
+    """Only the first node reads drains from discovery; it tells the others by peer messages."""
 
     def server_list(self, now, kind, entries):
         gone = [e for e in entries if e.state != State.READY]
@@ -65,7 +65,7 @@
         self.members.pop(int.from_bytes(data, "big"), None)
 
 
-class Retries(Right):
+class Retries(Correct):
     def outcome(self, now, request, attempt, server, outcome, latency, final, report):
         r = self.requests.get(request)
         if r is not None and r.effect == Effect.UNSAFE and outcome == Outcome.RESET:
@@ -73,15 +73,15 @@
         super().outcome(now, request, attempt, server, outcome, latency, final, report)
 
 
-class Outside(Right):
-    def among(self, r):
+class Outside(Correct):
+    def candidates(self, r):
         if r.ran_on is None or r.effect != Effect.KEYED:
-            return super().among(r)
+            return super().candidates(r)
         return [m for m in self.members.values() if m.entry.cell != r.ran_on.entry.cell]
 
 
-class Window(Right):
-    """A keyed repeat that waits until nobody remembers the first."""
+class Window(Correct):
+    """Repeats a keyed call after its deduplication window."""
 
     def outcome(self, now, request, attempt, server, outcome, latency, final, report):
         r = self.requests.get(request)
@@ -100,25 +100,25 @@
             super().timer(now, token)
 
 
-class Refuses(Right):
+class Refuses(Correct):
     def finish(self, r, refuse):
         super().finish(r, refuse or r.effect == Effect.UNSAFE)
 
 
-class Loses(Right):
+class Loses(Correct):
     def request(self, now, request, klass, tenant, time_left, repeat):
         if request % 5:
             super().request(now, request, klass, tenant, time_left, repeat)
 
 
-class Crashes(Right):
+class Crashes(Correct):
     def request(self, now, request, klass, tenant, time_left, repeat):
         if request > 40:
             raise ValueError("no more")
         super().request(now, request, klass, tenant, time_left, repeat)
 
 
-def judged(case, module=None):
+def run_case(case, module=None):
     scenario = case.scenario
     result = play(scenario, case.seed, *([module] if module else []))
     report = check(result.events, terms_of(scenario))
@@ -126,14 +126,14 @@
 
 
 @pytest.mark.parametrize("name", sorted(FAULTS))
-def test_this_builds_node_breaks_nothing(name):
-    report, result = judged(FAULTS[name])
+def test_the_real_module_breaks_no_rule(name):
+    report, result = run_case(FAULTS[name])
     assert report.breaks == () and not result.crashed and report.verdicts["lost"] == "held"
 
 
 @pytest.mark.parametrize("name", sorted(RIGHT))
-def test_a_right_one_is_not_convicted(name):
-    report, result = judged(RIGHT[name], PeerDrains if name == "right-peers" else Right)
+def test_a_correct_policy_breaks_no_rule(name):
+    report, result = run_case(RIGHT[name], PeerDrains if name == "right-peers" else Correct)
     assert report.breaks == () and not result.crashed
 
 
@@ -151,16 +151,16 @@
         ("crashes", Crashes, ""),
     ],
 )
-def test_a_module_with_one_fault_is_convicted_by_its_rule_alone(name, module, rule, monkeypatch):
-    if rule == "drain":  # the upstream sends nothing to who is not listed, whatever a module says
+def test_a_faulty_policy_breaks_only_its_rule(name, module, rule, monkeypatch):
+    if rule == "drain":  # otherwise the upstream sends nothing to unlisted servers, whatever a module decides
         monkeypatch.setattr(Links, "retire", lambda self, number: None)
-    report, result = judged(ROGUES[name], module)
+    report, result = run_case(ROGUES[name], module)
     assert {f.rule for f in report.breaks} == ({rule} if rule else set())
     assert bool(result.crashed) == (not rule)
 
 
 class Stray(Exchange):
-    """An attempt that nobody asked for, which the model's own checks would not let out."""
+    """An attempt that no policy asked for; it skips the model's own checks."""
 
     def send_request(self, link):
         self.link, link.exchange = link, self
@@ -186,7 +186,7 @@
 
 
 def after_it(monkeypatch, klass, delay):
-    """A further attempt some time after a call of a class was served."""
+    """Makes a further attempt some time after a call of one class was served."""
 
     def attempt(links, server, call, expires, done):
         def ended(outcome, answer, report):
@@ -218,7 +218,7 @@
 
 
 def late(monkeypatch):
-    """The guard itself is late."""
+    """Makes the core's guard late."""
     monkeypatch.setattr("brackenladder.core.host.EXPIRY_DELAY", 2_600_000)
     monkeypatch.setattr(FleetCall, "served", lambda self, answer: None)
     monkeypatch.setattr(FleetCall, "refused", lambda self, after: None)
@@ -236,7 +236,7 @@
         ("late", late, "lost"),
     ],
 )
-def test_a_host_with_one_fault_is_convicted(name, plant, rule, monkeypatch):
+def test_a_faulty_host_breaks_its_rule(name, plant, rule, monkeypatch):
     plant(monkeypatch)
-    report, _ = judged(ROGUES[name], Right)
+    report, _ = run_case(ROGUES[name], Correct)
     assert rule in {f.rule for f in report.breaks}
--- a/tests/fleet/test_theory.py
+++ b/tests/fleet/test_theory.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-# By its path: a folder of scripts on the search path would hide the tests' own packages.
+# Loaded by path: with `benchmarks` on sys.path its modules would hide the tests' packages.
 PATH = Path(__file__).parents[2] / "benchmarks" / "fleet_theory.py"
 SPEC = importlib.util.spec_from_file_location("fleet_theory", PATH)
 assert SPEC is not None and SPEC.loader is not None
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(("cores", "load"), [(1, 0.5), (2, 0.6)])
-def test_waits_are_erlangs_and_nobody_is_lost(cores, load):
+def test_waits_match_erlang_c_and_no_customer_is_lost(cores, load):
     figures = theory.off(cores, load, 150_000)
     assert figures["served"] == 0 and abs(figures["Little's law"]) < 1e-9
     assert abs(figures["mean wait"]) < 0.05 and abs(figures["99th percentile"]) < 0.05
