--- a/brackenladder/fleet/__init__.py
+++ b/brackenladder/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Whole fleets in virtual time: the real decision modules, and a model of all that is around them."""
+"""Simulates whole fleets in virtual time: the real decision modules in a model of their environment."""
--- a/brackenladder/fleet/days.py
+++ b/brackenladder/fleet/days.py
@@ -202,7 +202,7 @@
         {"kind": "reset-answer", "at_s": at, "for_s": 10.0, "share": 0.05, "pick": max(1, count // 8)},
         {
             "kind": "silent-watch",
-            "at_s": round(at + 0.1, 1),  # before discovery knows of the first change
+            "at_s": round(at + 0.1, 1),  # before discovery learns the first change
             "for_s": 0.1,
             "pick": max(1, round(SILENT_WATCH_SHARE * table["nodes"])),
         },
--- a/brackenladder/fleet/overload.py
+++ b/brackenladder/fleet/overload.py
@@ -21,7 +21,7 @@
 
     def __init__(self, span: int, now: int) -> None:
         self.span = span
-        self.segments: deque[tuple[int, int, int]] = deque()  # from, to, level
+        self.segments: deque[tuple[int, int, int]] = deque()  # (start, end, level)
         self.weighted_sum = 0
         self.changed_at = now
         self.level = 0
@@ -60,7 +60,7 @@
     def __init__(self, settings: ChokeTable, cores: int, now: int) -> None:
         self.settings = settings
         self.cores = cores
-        self.threshold = cores + settings.at * sqrt(cores)  # requests
+        self.threshold = cores + settings.at * sqrt(cores)  # held requests above which it is overloaded
         self.held_average = MovingAverage(round(settings.over_s * MICRO), now)
         self.busy_average = MovingAverage(round(settings.rest_s * MICRO), now)
         self.slow_since = -1  # time when it became slow; -1: it has not
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -47,7 +47,7 @@
 
 
 class OpenRequest:
-    """An open request."""
+    """An open request as a policy knows it."""
 
     __slots__ = ("id", "klass", "effect", "until", "attempts", "out", "ran_on", "ran_at", "sent_at")
 
--- a/brackenladder/fleet/servers.py
+++ b/brackenladder/fleet/servers.py
@@ -75,7 +75,7 @@
         self.link = link
         self.work = work
         self.done = False
-        self.next_tier_answered = False  # the next tier has answered
+        self.next_tier_answered = False  # whether the call to the next tier has succeeded
         self.give_up: Callable[[], None] | None = None  # cancels its call to the next tier
 
 
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -254,7 +254,7 @@
     # -- operators
 
     def _check_orders(self) -> None:
-        """CONFIG: orders and reads are one history; what was acknowledged is acknowledged again."""
+        """CONFIG: orders and reads form a consistent history; a repeated order is acknowledged again."""
         orders, reads = list(self._events_of(seen.Ordered)), list(self._events_of(seen.ReadBack))
         self._verdict.checked["CONFIG orders"] = len(orders)
         self._verdict.checked["CONFIG reads"] = len(reads)
--- a/brackenladder/soak/contact.py
+++ b/brackenladder/soak/contact.py
@@ -8,7 +8,7 @@
 from brackenladder.platform_settings import DEFAULT_BOUNDS
 from brackenladder.soak.events import Event, Lagged, Trouble
 
-CONTACT = round(DEFAULT_BOUNDS.contact_ms * 1000)  # microseconds
+CONTACT = round(DEFAULT_BOUNDS.contact_ms * 1000)  # bound of ContactMs in microseconds
 LAG_SLACK = 100_000  # microseconds an actor needs after a lag to process its backlog
 RELOAD = "reload"
 Span = tuple[int, int]
--- a/brackenladder/soak/schedule.py
+++ b/brackenladder/soak/schedule.py
@@ -17,7 +17,7 @@
 POWER_LOSS_SHARE = 0.1  # of the kills hit all eligible machines, as a power loss does
 PLANNED_SHARE, STORM_SHARE, LATE_SHARE = 0.3, 0.45, 0.25  # of the total time, by phase
 CALM_SECONDS = 4.5  # without faults before planned work; longer than ContactMs
-FIRST_SECONDS = 0.5  # until the first step of a phase
+FIRST_SECONDS = 0.5  # from the start of a phase to its first step
 STEP_GAPS = (0.4, 2.0)  # seconds between two steps, shortest and longest
 
 
--- a/brackenladder/soak/servers.py
+++ b/brackenladder/soak/servers.py
@@ -19,7 +19,7 @@
 from brackenladder.soak.site import SoakLayout
 
 COLD_SECONDS = 2.0  # warm-up time after a restart
-LONGEST_STAY_SECONDS = 6.0  # beyond DrainMs
+LONGEST_STAY_SECONDS = 6.0  # longest time that a leaving server stays beyond DrainMs
 FINISH_SECONDS = 10.0  # for running requests to finish when a server stops
 
 
--- a/brackenladder/soak/versions.py
+++ b/brackenladder/soak/versions.py
@@ -14,7 +14,7 @@
 from brackenladder.soak.configuration import RouteRule, rules_of
 from brackenladder.soak.events import Ordered, ReadBack
 
-CONFIG = round(DEFAULT_BOUNDS.config_ms * 1000)  # microseconds
+CONFIG = round(DEFAULT_BOUNDS.config_ms * 1000)  # bound of ConfigMs in microseconds
 Rules = dict[tuple[str, str], RouteRule]
 
 
--- a/tests/fleet/test_rivals.py
+++ b/tests/fleet/test_rivals.py
@@ -77,7 +77,7 @@
     for i in range(200):
         made.request(i, i, 0, 0, 1_000_000, False)
     counts = Counter(server for _, _, server, _ in recorder.done)
-    assert abs(counts[0] - counts[1]) <= 20  # random choice would give a standard deviation of 14
+    assert abs(counts[0] - counts[1]) <= 20  # random choice gives a standard deviation of 14
 
 
 @given(
@@ -189,5 +189,5 @@
     result = play(scenario, 1, variant("oracle", "", {}))
     figures = figures_of(scenario, result, check(result.events, terms_of(scenario)))
     served = figures["goodput"] * len(result.plan.requests)
-    assert served == figures["served"] * len(result.plan.requests)  # nothing is served late
+    assert served == figures["served"] * len(result.plan.requests)  # no answer is late
     assert 98 <= served <= 111  # ten a second, plus a queue of under one second at the end
