--- a/tests/fleet/test_rivals.py
+++ b/tests/fleet/test_rivals.py
@@ -163,9 +163,8 @@
 def test_a_changed_constant_affects_only_its_variant(tmp_path):
     from brackenladder.policy import subset as balance
 
-    made = variant(
-        "module", "", {"SUBSET_MOST": 2, "WINDOW": 1}
-    )  # one is used in its own module, the other is imported by others
+    # SUBSET_MOST is used in its own module; WINDOW is imported by other modules too.
+    made = variant("module", "", {"SUBSET_MOST": 2, "WINDOW": 1})
     assert made.wanted_size.__globals__["SUBSET_MOST"] == 2 and balance.SUBSET_MOST == 24
     assert (
         made.record_end.__globals__["WINDOW"]
