--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -50,7 +50,7 @@
 async def measured(command: str, folder: Path) -> tuple[float, int]:
     """Microseconds for one answered call, and how many were answered meanwhile."""
     run = Run(SCENARIO, 1, command, folder, None)
-    task = asyncio.create_task(run.go())
+    task = asyncio.create_task(run.execute())
     while not run.begin or now() < run.begin + SKIPPED * 1e6:
         await asyncio.sleep(0.01)
         if task.done():
--- a/brackenladder/rehearsal/__init__.py
+++ b/brackenladder/rehearsal/__init__.py
@@ -1,4 +1,4 @@
-"""Rehearsals: stand-ins that break on a schedule round real nodes, and a checker of the four rules.
+"""Rehearsals: real nodes among stand-ins that inject faults on a schedule, and a checker of four rules.
 
-Nothing here imports the node: it is met through its sockets, its environment and its configuration.
+Nothing here imports the node's code: nodes are used through sockets, environment and configuration only.
 """
--- a/brackenladder/rehearsal/checker/__init__.py
+++ b/brackenladder/rehearsal/checker/__init__.py
@@ -1,15 +1,15 @@
-"""The four rules, read from journals alone: events in, verdicts out. No I/O and no clock.
+"""Checks the four rules on journals alone: takes events, returns verdicts. No I/O and no clock.
 
-| rule | in short |
+| rule | meaning |
 | --- | --- |
-| lost | every request taken gets one final answer, in time, and nothing is sent for it afterwards |
-| effect | no repeat that the class does not allow, no two attempts at once, no refusal of what may have run |
-| drain | nothing new to a server a grace after the node was told that it drains or is gone |
-| cold | no cold server is sent more than a multiple of what it can do, by all nodes together |
+| lost | every accepted request gets one final answer in time, and nothing is sent for it afterwards |
+| effect | no retry that the class forbids, no concurrent attempts, no refusal of what may have run |
+| drain | no new request to a server later than a grace period after the node was told it drains or is gone |
+| cold | all nodes together send a cold server no more than a multiple of its capacity |
 
-Each limit of time has a slack on top, since bytes take their time on sockets; what falls into the slack is
-counted as an edge, and is no break. A rule with no chance to be broken was not tried. Stand-ins that ran
-later than the bound make every verdict that rests on times 'not valid'.
+Each time limit has a slack on top, since delivery on sockets takes time; a case within the slack counts as an
+edge case, not as a break. A rule that could not have been broken gets 'not tried'. If a stand-in ran later
+than the allowed lag, every verdict that depends on times is 'not valid'.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
     "check",
 ]
 
-EVIDENCE = 50  # breaks and edges of one rule that are told in full
+MAX_EVIDENCE = 50  # breaks and edge cases of one rule that are reported in full
 
 
 def check(events: Iterable[AnyEvent], terms: Terms) -> Report:
-    """The verdicts for journals merged by time."""
+    """The verdicts for events that are sorted by time."""
     history, evidence = History(events), Evidence()
     knowledge = Knowledge(history)
     LostCheck(history, terms, evidence).check()
@@ -64,7 +64,7 @@
 
 
 def report(history: History, terms: Terms, evidence: Evidence) -> Report:
-    """A ruling for each rule, from all that was found."""
+    """Builds the report: a ruling for each rule."""
     late = history.worst.lag > terms.lag
     findings = sorted(evidence.findings, key=lambda f: f.t)
     rulings: dict[Rule, Ruling] = {}
@@ -85,8 +85,8 @@
             evidence.chances[rule],
             len(broken),
             len(edges),
-            tuple(broken[:EVIDENCE]),
-            tuple(edges[:EVIDENCE]),
+            tuple(broken[:MAX_EVIDENCE]),
+            tuple(edges[:MAX_EVIDENCE]),
             evidence.nearest if rule == "cold" else 0.0,
         )
     return Report(rulings, history.worst.lag, history.worst.who, tuple(findings))
--- a/brackenladder/rehearsal/checker/cold.py
+++ b/brackenladder/rehearsal/checker/cold.py
@@ -1,4 +1,4 @@
-"""The rule `cold`: no cold server is sent more than a multiple of what it can do, by all nodes together."""
+"""The rule `cold`: all nodes together send a cold server no more than a multiple of its capacity."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from itertools import accumulate
 
 from brackenladder.rehearsal.checker.evidence import RuleCheck
-from brackenladder.rehearsal.checker.history import FAR, ServerProcess
+from brackenladder.rehearsal.checker.history import NEVER, ServerProcess
 from brackenladder.rehearsal.checker.knowledge import Knowledge
 from brackenladder.rehearsal.checker.verdicts import Finding
 from brackenladder.rehearsal.events import Up
 
 
 class ColdCheck(RuleCheck):
-    """Work sent to servers that are warming up, against what they can do."""
+    """Compares the work sent to servers that are warming up with their capacity."""
 
     def check(self, knowledge: Knowledge) -> None:
-        """The work sent to each cold server in every window of the length in which it would fall."""
+        """Checks each cold start, over every window as long as an overload takes to crash a server."""
         arrivals: defaultdict[str, list[tuple[int, int, str, str]]] = defaultdict(list)
         for request in self.history.requests.values():
             node = request.sent.node if request.sent is not None else ""
@@ -28,7 +28,7 @@
         everything = sorted((t, work) for sent in arrivals.values() for t, work, _, _ in sent)
         all_times = [t for t, _ in everything]
         all_work = [0, *accumulate(work for _, work in everything)]
-        knew = {
+        known_states = {
             node: knowledge.server_states(node) for node in set(self.history.told) | set(self.history.began)
         }
         for server, processes in self.history.processes.items():
@@ -36,25 +36,25 @@
             for process in processes:
                 if process.up.warm:
                     mine = [a for a in sent if process.up.t <= a[0] < process.down]
-                    self.check_warming(server, process, mine, knew, all_times, all_work)
+                    self.check_warming(server, process, mine, known_states, all_times, all_work)
 
     def check_warming(
         self,
         server: str,
         process: ServerProcess,
         sent: Sequence[tuple[int, int, str, str]],
-        knew: dict[str, dict[str, list[tuple[int, bool, int]]]],
+        known_states: dict[str, dict[str, list[tuple[int, bool, int]]]],
         all_times: Sequence[int],
         all_work: Sequence[int],
     ) -> None:
-        """One cold start."""
+        """Checks one cold start. `sent`: the server's attempts as (time, work, node, request id)."""
         up, fall = process.up, self.terms.fall
-        heard = {  # when each node was told of this start
+        told_at = {  # when each node was told that this process is ready
             node: min(
                 (t for t, ready, started in server_states.get(server, ()) if ready and started == up.started),
-                default=FAR,
+                default=NEVER,
             )
-            for node, server_states in knew.items()
+            for node, server_states in known_states.items()
         }
         warm_at = up.t + up.warm
         first = 0
@@ -67,44 +67,44 @@
                 first += 1
             if start >= warm_at:
                 break
-            # With room for one request, since a whole one is the least that can be sent.
+            # One request more is allowed, since nodes cannot send a part of one.
             room = self.terms.multiple * capacity_between(up, start, start + fall) + work
             if total <= min(1.0, self.evidence.nearest) * room:
                 continue
             window = sent[first : i + 1]
-            aware = sum(w for at, w, node, _ in window if heard.get(node, FAR) <= at)
-            if aware * 3 < 2 * total:
+            aware = sum(w for at, w, node, _ in window if told_at.get(node, NEVER) <= at)
+            if aware * 3 < 2 * total:  # over a third came from nodes that did not know of the cold start
                 continue
             self.evidence.nearest = max(self.evidence.nearest, total / room)
             if total > room:
                 text = (
-                    f"{total / 1e6:.2f} core-seconds sent in {fall / 1e6:g} s, {room / 1e6:.2f} are the most,"
+                    f"{total / 1e6:.2f} core-seconds sent in {fall / 1e6:g} s, {room / 1e6:.2f} are allowed,"
                     f" {(t - up.t) / 1e6:.1f} s after its start"
                 )
                 self.evidence.findings.append(Finding("cold", "pushed", t, "", server, name, text, True))
-                break  # it has fallen
-        self.evidence.chances["cold"] += self.overload_chance(process, heard, warm_at, all_times, all_work)
+                break  # the server counts as crashed from here on
+        self.evidence.chances["cold"] += self.overload_chance(process, told_at, warm_at, all_times, all_work)
 
     def overload_chance(
         self,
         process: ServerProcess,
-        heard: dict[str, int],
+        told_at: dict[str, int],
         warm_at: int,
         all_times: Sequence[int],
         all_work: Sequence[int],
     ) -> int:
-        """1 if an equal share of the work would have pushed the server over at some time, else 0."""
+        """1 if an equal share of all work would have overloaded the server at some time, else 0."""
         up, fall = process.up, self.terms.fall
-        start = max(up.t, min(heard.values(), default=FAR))
+        start = max(up.t, min(told_at.values(), default=NEVER))
         while start + fall <= min(warm_at + fall, process.down, self.history.last) and start < warm_at:
             work = all_work[bisect_left(all_times, start + fall)] - all_work[bisect_left(all_times, start)]
-            standing = sum(
+            up_count = sum(
                 1
                 for processes in self.history.processes.values()
                 for x in processes
                 if x.up.t <= start and x.down > start + fall
             )
-            if work / max(1, standing) > self.terms.multiple * capacity_between(up, start, start + fall):
+            if work / max(1, up_count) > self.terms.multiple * capacity_between(up, start, start + fall):
                 return 1
             start += fall // 2
         return 0
@@ -114,7 +114,7 @@
     """The work, in microseconds on a standard core, that a server can do between two moments."""
 
     def done(t: int) -> float:
-        """Since its start."""
+        """The work that can be done from the start of the server until `t`."""
         span = max(0, t - up.t)
         warming = min(span, up.warm)
         rise = (1 - up.share) * warming * warming / (2 * up.warm) if up.warm else 0.0
--- a/brackenladder/rehearsal/checker/drain.py
+++ b/brackenladder/rehearsal/checker/drain.py
@@ -1,4 +1,4 @@
-"""The rule `drain`: nothing new to a server a grace after the node was told that it drains or is gone."""
+"""The rule `drain`: a grace period after a node learns that a server is not ready, it sends it nothing."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from collections.abc import Sequence
 
 from brackenladder.rehearsal.checker.evidence import RuleCheck
-from brackenladder.rehearsal.checker.history import FAR, Attempt, Request
+from brackenladder.rehearsal.checker.history import NEVER, Attempt, Request
 from brackenladder.rehearsal.checker.knowledge import Knowledge
 
 
 class DrainCheck(RuleCheck):
-    """First bytes of attempts against what the node knew by then."""
+    """Compares when attempts were sent with what their node knew then."""
 
     def check(self, knowledge: Knowledge) -> None:
-        """Attempts by their first byte, against what the node had been told by then."""
+        """Checks the intervals in which a node knew a server as not ready; first bytes count."""
         by_pair: defaultdict[tuple[str, str], list[tuple[Attempt, Request]]] = defaultdict(list)
         taken: defaultdict[str, list[int]] = defaultdict(list)
         for request in self.history.requests.values():
@@ -31,7 +31,7 @@
                 for i, (t, ready, _) in enumerate(steps):
                     if ready:
                         continue
-                    until = steps[i + 1][0] if i + 1 < len(steps) else FAR
+                    until = steps[i + 1][0] if i + 1 < len(steps) else NEVER
                     self.check_interval(node, server, t, until, sends, taken[node])
 
     def check_interval(
@@ -43,10 +43,10 @@
         sends: Sequence[tuple[Attempt, Request]],
         taken: Sequence[int],
     ) -> None:
-        """A time in which the node knew that it must leave a server alone."""
+        """Checks one interval, from `told` to `until`, in which the node knew that a server is not ready."""
         limit = told + self.terms.drain
         sure = limit + self.terms.slack
-        # A chance: the node had used the server, it could still be reached, and there was work to send.
+        # The rule could be broken if the node had used the server, could reach it and got more requests.
         reachable = min(
             until, next((x.down for x in self.history.processes[server] if x.up.t <= told < x.down), told)
         )
@@ -60,6 +60,6 @@
             late = (attempt.first - told) / 1000
             text = f"sent {late:.0f} ms after {node} was told that {server} is not ready"
             if attempt.first > sure:
-                self.evidence.broke("drain", "sent", attempt.first, request, server, text, True)
+                self.evidence.add_break("drain", "sent", attempt.first, request, server, text, True)
             else:
-                self.evidence.edge("drain", "sent", attempt.first, request, server, text)
+                self.evidence.add_edge_case("drain", "sent", attempt.first, request, server, text)
--- a/brackenladder/rehearsal/checker/evidence.py
+++ b/brackenladder/rehearsal/checker/evidence.py
@@ -1,4 +1,4 @@
-"""What the rules find: breaks, cases within the slack, and how often each rule could have been broken."""
+"""Results of the checks: breaks, edge cases, and how often each rule could have been broken."""
 
 from __future__ import annotations
 
@@ -7,29 +7,31 @@
 
 
 class Evidence:
-    """Collects what all rules find."""
+    """Collects the results of all checks."""
 
     def __init__(self) -> None:
         self.findings: list[Finding] = []
         self.edges: list[Finding] = []
         self.chances: dict[Rule, int] = dict.fromkeys(RULES, 0)
-        self.nearest = 0.0  # of `cold`: see Ruling
+        self.nearest = 0.0  # of the rule `cold`; see `Ruling.nearest`
 
-    def broke(self, rule: Rule, what: str, t: int, by: Request, server: str, text: str, timed: bool) -> None:
-        """A break of a rule."""
+    def add_break(
+        self, rule: Rule, what: str, t: int, by: Request, server: str, text: str, timed: bool
+    ) -> None:
+        """Adds a break. `timed`: it depends on times."""
         sent = by.sent
         node, name = (sent.node, sent.id) if sent is not None else ("", "")
         self.findings.append(Finding(rule, what, t, node, server, name, text, timed))
 
-    def edge(self, rule: Rule, what: str, t: int, by: Request, server: str, text: str) -> None:
-        """A case within the slack."""
+    def add_edge_case(self, rule: Rule, what: str, t: int, by: Request, server: str, text: str) -> None:
+        """Adds a case within the slack."""
         sent = by.sent
         node, name = (sent.node, sent.id) if sent is not None else ("", "")
         self.edges.append(Finding(rule, what, t, node, server, name, f"within the slack: {text}", True))
 
 
 class RuleCheck:
-    """What every rule's check reads and writes."""
+    """Base of the checks: the history and the limits that they read, and the evidence that they fill."""
 
     def __init__(self, history: History, terms: Terms, evidence: Evidence) -> None:
         self.history = history
--- a/brackenladder/rehearsal/checker/history.py
+++ b/brackenladder/rehearsal/checker/history.py
@@ -1,4 +1,4 @@
-"""The events of a run, indexed once: attempts, requests, servers' processes, nodes' calls and ends."""
+"""The events of a run, indexed by request, server and node."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     Up,
 )
 
-FAR = 1 << 62  # a time that never comes
+NEVER = 1 << 62  # stands for a time after the end of every run
 
 
 class Attempt:
-    """What a server saw of one attempt."""
+    """One attempt as its server saw it. `first`, `whole`: when its first and its last byte came."""
 
     __slots__ = ("first", "whole", "server", "number", "end", "how", "queued", "work")
 
@@ -41,8 +41,8 @@
         self.whole = event.t
         self.server = event.server
         self.number = event.attempt
-        self.end = FAR
-        self.how = ""  # served, error, rejected, node or server (who closed it)
+        self.end = NEVER
+        self.how = ""  # "served", "error", "rejected", or who closed the connection: "node" or "server"
         self.queued = event.queued
         self.work = event.work
 
@@ -52,7 +52,7 @@
 
 
 class Request:
-    """A request with an id of its own, from both sides."""
+    """One try of a client's request, as the client and the servers saw it."""
 
     __slots__ = ("sent", "answer", "broken", "gave_up", "again", "attempts")
 
@@ -66,17 +66,17 @@
 
 
 class ServerProcess:
-    """A server's process: from `up` to `down`."""
+    """One process of a server, from its start `up` to its end `down`."""
 
     __slots__ = ("up", "down")
 
     def __init__(self, up: Up) -> None:
         self.up = up
-        self.down = FAR
+        self.down = NEVER
 
 
 class History:
-    """The events by request, server and node. `worst`: the largest delay that a stand-in reported."""
+    """The indexed events. `worst`: the largest lag that a stand-in reported."""
 
     def __init__(self, events: Iterable[AnyEvent]) -> None:
         self.requests: defaultdict[str, Request] = defaultdict(Request)
@@ -84,26 +84,30 @@
         self.told: defaultdict[str, list[Told]] = defaultdict(list)
         self.calls: defaultdict[str, list[Asked | Told | Untold]] = defaultdict(list)
         self.pauses: defaultdict[str, list[tuple[int, int]]] = defaultdict(list)
-        self.hushed: defaultdict[str, dict[int, int]] = defaultdict(dict)  # when a node's call fell silent
+        self.hushed: defaultdict[str, dict[int, int]] = defaultdict(
+            dict
+        )  # by node and call: when a fault silenced it
         self.changed: list[Changed] = []
-        self.ends: defaultdict[str, list[tuple[int, str]]] = defaultdict(list)  # of nodes: signals, ends
+        self.ends: defaultdict[str, list[tuple[int, str]]] = defaultdict(
+            list
+        )  # by node: (time, signal or "ended")
         self.began: defaultdict[str, list[int]] = defaultdict(list)
         self.worst = Lag(0, "", 0)
         self.last = 0
-        self.sort(events)
+        self.index_events(events)
 
-    def sort(self, events: Iterable[AnyEvent]) -> None:
-        """Puts each event where the rules look for it."""
-        out: dict[int, Attempt] = {}
+    def index_events(self, events: Iterable[AnyEvent]) -> None:
+        """Sorts the events into the indexes."""
+        open_attempts: dict[int, Attempt] = {}
         for event in events:
             self.last = event.t
             kind = type(event)
             if kind is Arrived:
                 assert isinstance(event, Arrived)
-                attempt = out[event.attempt] = Attempt(event)
+                attempt = open_attempts[event.attempt] = Attempt(event)
                 self.requests[event.id].attempts.append(attempt)
             elif isinstance(event, (Replied, Closed)):
-                ended = out.pop(event.attempt, None)
+                ended = open_attempts.pop(event.attempt, None)
                 if ended is not None:
                     ended.end = event.t
                     ended.how = event.how if isinstance(event, Replied) else event.by
@@ -132,13 +136,13 @@
                 self.changed.append(event)
             elif isinstance(event, NodeSignal):
                 if event.signal == "stop":
-                    self.pauses[event.node].append((event.t, FAR))
+                    self.pauses[event.node].append((event.t, NEVER))
                 elif event.signal == "cont" and self.pauses[event.node]:
                     self.pauses[event.node][-1] = (self.pauses[event.node][-1][0], event.t)
                 elif event.signal != "hup":
                     self.ends[event.node].append((event.t, event.signal))
             elif isinstance(event, NodeEnded):
-                # What a node held as it crashed is the client's to retry; the crash itself is told apart.
+                # As after a kill, clients retry what a crashed node held; the crash is reported elsewhere.
                 self.ends[event.node].append((event.t, "ended" if event.wanted else "kill"))
             elif isinstance(event, NodeUp):
                 self.began[event.node].append(event.t)
@@ -146,20 +150,20 @@
                 self.worst = event
 
     def killed(self, node: str, start: int, end: int) -> bool:
-        """Whether the node was killed outright between two moments."""
+        """Whether the node was killed with SIGKILL, or crashed, in this interval."""
         return any(kind == "kill" and start <= t <= end for t, kind in self.ends[node])
 
     def paused(self, node: str, start: int, end: int) -> bool:
-        """Whether a node's process was stopped for a part of this time: nobody answers then."""
+        """Whether the node's process was paused, so could not answer, at some time in this interval."""
         return any(begin <= end and start <= over for begin, over in self.pauses[node])
 
     def ending(self, request: Request) -> int:
-        """When the client knew that it would get no answer."""
+        """When the client knew that it would get no answer; the end of the run if it never did."""
         ends = [e.t for e in (request.broken, request.gave_up) if e is not None]
         return min(ends, default=self.last)
 
     def group(self, server: str, kind: str) -> str:
-        """The group of servers that share a key with this one."""
+        """The name of the group of servers that share idempotency keys with this one."""
         processes = self.processes.get(server)
         if kind == "all" or not processes:
             return ""
--- a/brackenladder/rehearsal/checker/knowledge.py
+++ b/brackenladder/rehearsal/checker/knowledge.py
@@ -1,28 +1,29 @@
-"""What each node knew of servers, and since when: what it was told, and what counts as told."""
+"""What each node knew of the servers and since when, including changes that it should have fetched."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 
-from brackenladder.rehearsal.checker.history import FAR, History
+from brackenladder.rehearsal.checker.history import NEVER, History
 from brackenladder.rehearsal.events import Asked, Changed, Told, Untold
 
-ASK_WITHIN = 10_000_000  # microseconds without a call, after which what was listed counts as told...
-AFTER_FAILURE = 4  # ...so many times that after a call that failed
-SILENT = 6_000_000  # microseconds after which what a silent call misses counts as told...
-AFTER_WAIT = 2_000_000  # ...or so long after the wait it asked for, if that is later
+ASK_WITHIN = 10_000_000  # microseconds without a discovery call, after which changes count as told...
+FAILED_CALL_FACTOR = 4  # ...multiplied by this after a call that failed
+SILENCE_LIMIT = 6_000_000  # microseconds after which changes that a silenced call missed count as told...
+WAIT_MARGIN = 2_000_000  # ...or so long after the end of the wait that the call asked for, if that is later
 
 
 class Knowledge:
-    """What nodes knew, from the history of their discovery calls."""
+    """Reconstructs the nodes' knowledge from the history of their discovery calls."""
 
     def __init__(self, history: History) -> None:
         self.history = history
 
     def server_states(self, node: str) -> dict[str, list[tuple[int, bool, int]]]:
-        """For each server what the node knew and since when: (time, ready, started_ms), by time.
+        """For each server the states that the node knew, by time, as (time, ready, started_ms).
 
-        The highest version told holds, whatever older one comes after it; another source begins anew.
+        A list older than the newest one received is ignored. Versions are compared only within one
+        discovery source.
         """
         out: dict[str, list[tuple[int, bool, int]]] = defaultdict(list)
         state: dict[str, tuple[bool, int]] = {}
@@ -56,8 +57,10 @@
         return out
 
     def treated_as_told(self, node: str) -> list[tuple[int, Told | Changed]]:
-        """Changes that count as told: the node has made no call for too long, or its call fell silent."""
-        spans: list[tuple[int, int, int]] = []  # no call is out: from, to, until what was listed counts
+        """Changes that count as told since the node made no call for too long, or its call was silenced."""
+        spans: list[
+            tuple[int, int, int]
+        ] = []  # without an open call: (from, to, wait until changes count as told)
         calls = self.history.calls[node]
         out_since: set[int] = set()
         free_since, wait = 0, ASK_WITHIN
@@ -68,7 +71,7 @@
                 out_since.add(call.call)
             else:
                 out_since.discard(call.call)
-                wait = ASK_WITHIN * (AFTER_FAILURE if isinstance(call, Untold) else 1)
+                wait = ASK_WITHIN * (FAILED_CALL_FACTOR if isinstance(call, Untold) else 1)
                 free_since = call.t
         if not out_since and (calls or self.history.began[node]):
             spans.append((free_since, self.history.last, wait))
@@ -83,7 +86,7 @@
         return found + self.missed_changes(node)
 
     def missed_changes(self, node: str) -> list[tuple[int, Told | Changed]]:
-        """What silent calls of a node missed, and from when on it counts as told."""
+        """Changes that a node's silenced calls missed, with the time from which they count as told."""
         found: list[tuple[int, Told | Changed]] = []
         asked: dict[int, Asked] = {}
         for call in self.history.calls[node]:
@@ -91,9 +94,9 @@
                 asked[call.call] = call
         over = {call.call: call.t for call in self.history.calls[node] if isinstance(call, Untold)}
         for number, hushed in self.history.hushed[node].items():
-            watch = asked[number]
-            due = max(hushed + SILENT, watch.t + watch.wait + AFTER_WAIT)
+            call_start = asked[number]
+            due = max(hushed + SILENCE_LIMIT, call_start.t + call_start.wait + WAIT_MARGIN)
             for change in self.history.changed:
-                if hushed <= change.t < min(due, over.get(number, FAR)):
+                if hushed <= change.t < min(due, over.get(number, NEVER)):
                     found.append((due, change))
         return found
--- a/brackenladder/rehearsal/checker/verdicts.py
+++ b/brackenladder/rehearsal/checker/verdicts.py
@@ -1,4 +1,4 @@
-"""What the checker is given, and what it returns: the rules' figures, findings, a ruling for each rule."""
+"""The checker's input and output: the rules' limits, findings, and a ruling for each rule."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class ClassTerms(msgspec.Struct, frozen=True):
-    """What a class allows. `window`: microseconds, for keyed repeats; `group`: all, zone or pod."""
+    """What a request class allows.
+
+    `window`: microseconds in which servers drop a repeated key; `group`: the servers that share keys.
+    """
 
     effect: Literal["safe", "keyed", "unsafe"]
     group: Literal["all", "zone", "pod"] = "pod"
@@ -20,7 +23,7 @@
 
 
 class Terms(msgspec.Struct, frozen=True):
-    """The rules' figures; times in microseconds."""
+    """The rules' limits; times in microseconds."""
 
     classes: tuple[ClassTerms, ...]
     attempts: int = 3
@@ -30,11 +33,11 @@
     answer: int = 20_000
     slack: int = 50_000
     lag: int = 50_000
-    tries: tuple[Rule, ...] = RULES  # the others are 'not tried' unless they break: their chances are luck
+    tries: tuple[Rule, ...] = RULES  # others are 'not tried' unless broken, since only chance exercises them
 
 
 class Finding(msgspec.Struct, frozen=True):
-    """A break, or a case within the slack. `timed`: it rests on times, which late stand-ins get wrong."""
+    """A break or an edge case. `timed`: it depends on times, which are wrong if a stand-in ran late."""
 
     rule: Rule
     what: str
@@ -47,7 +50,7 @@
 
 
 class Ruling(msgspec.Struct, frozen=True):
-    """What was found of one rule."""
+    """The result for one rule. `chances`: how often it could have been broken."""
 
     verdict: Verdict
     chances: int
@@ -55,11 +58,11 @@
     edges: int
     evidence: tuple[Finding, ...]
     edge_cases: tuple[Finding, ...]
-    nearest: float = 0.0  # of `cold`: the most that was sent, over what may be; a break is above 1
+    nearest: float = 0.0  # of `cold`: the largest ratio of work sent to work allowed; above 1 it is a break
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All rules. `lag`: the worst of the stand-ins, in microseconds."""
+    """The results for all rules. `lag`: the largest of a stand-in, in microseconds; `late`: which one."""
 
     rulings: dict[Rule, Ruling]
     lag: int
--- a/brackenladder/rehearsal/events.py
+++ b/brackenladder/rehearsal/events.py
@@ -1,8 +1,8 @@
-"""What the stand-ins see, and the journal they write it to.
+"""The events that stand-ins and the runner record, and the journal files that hold them.
 
-A journal is a file of JSON lines, one event a line: an array that begins with the event's name. Times are
-microseconds of the machine's monotonic clock, which all processes share. Files may end in half a line
-(a process that was killed); what is whole before it counts.
+A journal has one event a line: a JSON array that begins with the event's name. Times are microseconds of the
+machine's monotonic clock, which all processes share. A file may end in an incomplete line if its process was
+killed; the lines before it are valid.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 def now() -> int:
-    """Microseconds of the clock that all events carry."""
+    """The current time in microseconds, by the clock of the events."""
     return monotonic_ns() // 1000
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True, tag=True, gc=False):
-    """`t`: when it was seen."""
+    """Base of the events. `t`: when it was observed."""
 
     t: int
 
@@ -29,7 +29,7 @@
 
 
 class Sent(Event, frozen=True, tag="sent", gc=False):
-    """A request's last byte was handed to the system. `budget`: microseconds; `due`: its planned time."""
+    """The last byte of a request was handed to the kernel. `budget`: microseconds; `due`: planned time."""
 
     id: str
     node: str
@@ -40,36 +40,36 @@
 
 
 class Answered(Event, frozen=True, tag="answered", gc=False):
-    """The last byte of a whole answer. `own`: the body is the one that a server made for this request."""
+    """A complete answer arrived. `own`: its body is the one that a server made for this request."""
 
     id: str
     status: int
     own: bool
-    retry_after: float  # seconds; 0 = no advice
+    retry_after: float  # seconds; 0: not given
 
 
 class Broken(Event, frozen=True, tag="broken", gc=False):
-    """The connection ended with no whole answer. `begun`: a part of one had come."""
+    """The connection ended without a complete answer. `begun`: a part of one had come."""
 
     id: str
     begun: bool
 
 
 class GaveUp(Event, frozen=True, tag="gave-up", gc=False):
-    """The client closed the connection: its time and a margin were over, or (`early`) it left before."""
+    """The client closed the connection, after its time and a margin or, if `early`, before."""
 
     id: str
     early: bool
 
 
 class Again(Event, frozen=True, tag="again", gc=False):
-    """Bytes that came on a connection whose request had had its answer."""
+    """Bytes arrived on a connection whose request was already answered."""
 
     id: str
 
 
 class Unreached(Event, frozen=True, tag="unreached", gc=False):
-    """No connection to the node: it has not taken the request."""
+    """The client could not connect to the node, which therefore has not accepted the request."""
 
     id: str
     node: str
@@ -79,15 +79,15 @@
 
 
 class Up(Event, frozen=True, tag="up", gc=False):
-    """A server's process serves.
+    """A server's process begins to serve.
 
-    `capacity`: standard cores when warm. `warm`: microseconds until then; 0 = warm. `share`: the part of its
-    capacity that it begins with.
+    `capacity`: standard cores when warm. `warm`: microseconds until it is warm; 0: at once. `share`: the part
+    of its capacity that it starts with.
     """
 
     server: str
     pod: str
-    started: int  # milliseconds of Unix time, as in the list; 0 = long ago
+    started: int  # Unix time in milliseconds, as in the server list; 0: before the run
     capacity: float
     share: float
     warm: int
@@ -100,28 +100,28 @@
 
 
 class Arrived(Event, frozen=True, tag="arrived", gc=False):
-    """An attempt's last byte has come; `first`: when its first byte came.
+    """The last byte of an attempt has come; `first`: when its first byte came.
 
-    `queued`: it waited in the system for a server that did not look, so nobody knows when it was sent.
+    `queued`: it waited in the kernel's backlog of a server that did not accept, so its send time is unknown.
     """
 
     first: int
     server: str
-    attempt: int  # counted by the process that hosts the server
+    attempt: int  # number, unique in the run
     id: str
     work: int  # microseconds on a standard core
     queued: bool
 
 
 class Partial(Event, frozen=True, tag="partial", gc=False):
-    """An attempt whose connection ended before its last byte had come: it never ran."""
+    """An attempt's connection ended before its last byte had come, so it never ran."""
 
     server: str
     id: str
 
 
 class Begun(Event, frozen=True, tag="begun", gc=False):
-    """The first bytes of an answer that goes out in parts were written, `bytes` of them."""
+    """The first `bytes` bytes of an answer that is sent in parts were written."""
 
     server: str
     attempt: int
@@ -139,7 +139,7 @@
 
 
 class Closed(Event, frozen=True, tag="closed", gc=False):
-    """An attempt's connection ended before its whole answer. `by`: node or server."""
+    """An attempt's connection ended before its answer was complete. `by`: node or server."""
 
     server: str
     attempt: int
@@ -151,9 +151,9 @@
 
 
 class Asked(Event, frozen=True, tag="asked", gc=False):
-    """A node's call to discovery has come. `since`: the version it has, -1 for the whole list.
+    """A node's discovery call has come. `since`: the version it has, -1 to get the full list.
 
-    `wait`: microseconds that it waits for news.
+    `wait`: microseconds that it waits for changes.
     """
 
     node: str
@@ -163,32 +163,32 @@
 
 
 class Told(Event, frozen=True, tag="told", gc=False):
-    """An answer was written to a node. `servers`: (id, state, started_ms) of each line."""
+    """A discovery answer was written to a node. `servers`: (id, state, started_ms) of each line."""
 
     node: str
     call: int
-    source: int  # which discovery: versions of one say nothing of another's
+    source: int  # number of the discovery service; each has its own versions
     version: int
     full: bool
     servers: tuple[tuple[str, str, int], ...]
 
 
 class Untold(Event, frozen=True, tag="untold", gc=False):
-    """A call to discovery ended with no answer."""
+    """A discovery call ended without an answer."""
 
     node: str
     call: int
 
 
 class Hushed(Event, frozen=True, tag="hushed", gc=False):
-    """A fault has made a call to discovery fall silent: it stays open, and is never answered."""
+    """A fault silenced an open discovery call: it stays open but is never answered."""
 
     node: str
     call: int
 
 
 class Changed(Event, frozen=True, tag="changed", gc=False):
-    """Discovery knows from now on that a server is `state`."""
+    """Discovery has learnt that a server is in state `state`."""
 
     source: int
     version: int
@@ -210,7 +210,7 @@
 
 
 class NodeUp(Event, frozen=True, tag="node-up", gc=False):
-    """`GET /ready` was answered 200."""
+    """A node has become ready: it answered `GET /ready` with 200."""
 
     node: str
 
@@ -223,7 +223,7 @@
 
 
 class NodeEnded(Event, frozen=True, tag="node-ended", gc=False):
-    """A node's process has ended; `wanted`: after a kill or a SIGTERM (then with status 0)."""
+    """A node's process has ended. `wanted`: after SIGKILL, or with status 0 after SIGTERM."""
 
     node: str
     code: int
@@ -231,7 +231,7 @@
 
 
 class Said(Event, frozen=True, tag="said", gc=False):
-    """A node has changed its mind about a member, or about itself, at the moment `at`."""
+    """A node changed its view of a member, or of itself, at the time `at`."""
 
     at: int
     node: str
@@ -244,7 +244,7 @@
 
 
 class Viewed(Event, frozen=True, tag="viewed", gc=False):
-    """What a node says of all members, in the order of their numbers; `own`: of itself."""
+    """A node's view of all members, in the order of their numbers; `own`: of itself."""
 
     node: str
     own: str
@@ -254,7 +254,7 @@
 
 
 class Fault(Event, frozen=True, tag="fault", gc=False):
-    """A fault began; it lasts until `end`."""
+    """A fault began, which lasts until `end`."""
 
     end: int
     kind: str
@@ -299,40 +299,40 @@
 
 DECODER = msgspec.json.Decoder(AnyEvent)
 ENCODER = msgspec.json.Encoder()
-BUFFERED = 512  # events that are kept back before they are written
+BUFFERED = 512  # events that are buffered before they are written
 
 
 class Journal:
-    """Appends events to a file. What is buffered is lost with the process; `flush` loses nothing."""
+    """Appends events to a file. Buffered events are lost if the process is killed before `flush`."""
 
     def __init__(self, path: Path) -> None:
         self.file = path.open("ab", buffering=0)
-        self.waiting: list[Event] = []
+        self.buffer: list[Event] = []
 
     def add(self, event: Event) -> None:
-        """Notes an event."""
-        self.waiting.append(event)
-        if len(self.waiting) >= BUFFERED:
+        """Adds an event to the buffer; writes the buffer when it is full."""
+        self.buffer.append(event)
+        if len(self.buffer) >= BUFFERED:
             self.flush()
 
     def flush(self) -> None:
-        """Writes what is kept back."""
-        if self.waiting:
-            waiting, self.waiting = self.waiting, []
+        """Writes the buffered events."""
+        if self.buffer:
+            waiting, self.buffer = self.buffer, []
             self.file.write(ENCODER.encode_lines(waiting))
 
     def close(self) -> None:
-        """Writes what is kept back, and ends."""
+        """Writes the buffered events and closes the file."""
         self.flush()
         self.file.close()
 
 
 class JournalError(Exception):
-    """A journal that cannot be read; the text names file and line."""
+    """A journal is not readable; the text names file and line."""
 
 
 def read(path: Path) -> Iterator[AnyEvent]:
-    """A journal's events in the order written. Half a line at its end is passed over."""
+    """A journal's events in the order written. An incomplete last line is skipped."""
     with open(path, "rb") as file:
         for number, line in enumerate(file, 1):
             if not line.endswith(b"\n"):
@@ -344,7 +344,7 @@
 
 
 def merged(paths: Iterable[Path]) -> list[AnyEvent]:
-    """All journals' events by time; at one time in the order of the files."""
+    """The events of all journals by time; those of the same time in the order of the files."""
     events = [event for path in paths for event in read(path)]
     events.sort(key=lambda event: event.t)
     return events
--- a/brackenladder/rehearsal/follow.py
+++ b/brackenladder/rehearsal/follow.py
@@ -1,7 +1,7 @@
-"""One request's way through every node and server, from a run's events. Pure.
+"""Traces a request through nodes and servers, from the events of a run.
 
-A server that calls the next tier for a request gives that call an id of its own, which ends in a dot and the
-request's: so the whole chain is found from the first id.
+A server that calls the next tier for a request uses an id that ends in a dot and the request's id, so the
+request's id finds all calls that were made for it.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
     Up,
 )
 
-SHOWN = 3  # requests of an outcome that are followed
+SHOWN = 3  # requests that are traced if an outcome is given
 OUTCOMES = ("served", "refused", "failed", "broken", "given-up", "lost")
 REFUSED = (429, 503)
-LEAST_ID = 4  # characters of an id that may stand for all of it
+MIN_ID_PREFIX = 4  # characters of an id's prefix, at the least
 
 
 class FollowError(Exception):
-    """Nobody to follow; the text is one line."""
+    """No request matches; the text is one line."""
 
 
 def outcomes(events: Sequence[Event]) -> dict[str, str]:
-    """How each client's request ended, by id. `lost`: no end was seen."""
+    """How each client's request ended, by id. `lost`: no end was recorded."""
     found: dict[str, str] = {}
     for event in events:
         match event:
@@ -52,23 +52,23 @@
 
 
 def select_requests(events: Sequence[Event], what: str) -> list[str]:
-    """The ids that `what` names: some requests of an outcome, spread over the run, or one by its id."""
+    """The ids that `what` selects: some requests of an outcome, spread over the run, or one by its id."""
     ends = outcomes(events)
     if what in OUTCOMES:
         ids = [name for name, end in ends.items() if end == what]
         if not ids:
             raise FollowError(f"no request ended as '{what}'")
         return [ids[i * len(ids) // SHOWN] for i in range(min(SHOWN, len(ids)))]
-    ids = [name for name in ends if name == what or (len(what) >= LEAST_ID and name.startswith(what))]
+    ids = [name for name in ends if name == what or (len(what) >= MIN_ID_PREFIX and name.startswith(what))]
     if len(ids) != 1:
         raise FollowError(
-            f"{len(ids)} requests have the id '{what}'; {', '.join(OUTCOMES)} name some by their end"
+            f"{len(ids)} requests have the id '{what}'; to select by outcome: {', '.join(OUTCOMES)}"
         )
     return ids
 
 
 def describe_request(events: Sequence[Event], name: str) -> list[str]:
-    """What happened to a request, a line an event: time, time since it was sent, its tier, the event."""
+    """One line for each event of a request: time, time since it was sent, tier, description."""
     ends = "." + name
     up: dict[str, Up] = {}
     lines: list[str] = []
@@ -77,21 +77,21 @@
         if isinstance(event, Up):
             up[event.server] = event
             continue
-        of = getattr(event, "id", "")
-        if of != name and not of.endswith(ends):
+        event_id = getattr(event, "id", "")
+        if event_id != name and not event_id.endswith(ends):
             continue
         if not began:
             began = event.t
         text = describe_event(event, up)
         if text:
-            tier = of.count(".")
+            tier = event_id.count(".")
             since = (event.t - began) / 1000
             lines.append(f"{event.t / 1e6:10.6f} s {since:+9.1f} ms  tier {tier + 1}  {'  ' * tier}{text}")
     return lines
 
 
 def describe_event(event: Event, up: dict[str, Up]) -> str:
-    """An event in words."""
+    """A description of an event; empty if it isn't shown."""
     match event:
         case Sent():
             return f"sent to node {event.node}, class {event.klass}, {event.budget / 1000:.0f} ms left"
@@ -104,7 +104,7 @@
                 cold = f", cold for {(since.warm - event.t + since.t) / 1e6:.1f} s more"
             return f"at server {event.server}{cold}: {event.work / 1000:.0f} ms of work"
         case Partial():
-            return f"server {event.server} never had it whole"
+            return f"server {event.server} did not get it whole"
         case Begun():
             return f"server {event.server} begins to answer"
         case Replied():
@@ -112,12 +112,12 @@
         case Closed():
             return f"its connection to server {event.server} was ended by the {event.by}"
         case Answered():
-            advice = f", come again in {event.retry_after:g} s" if event.retry_after else ""
+            advice = f"; retry after {event.retry_after:g} s" if event.retry_after else ""
             return f"answered {event.status}{'' if event.own else ', not with its own answer'}{advice}"
         case Broken():
-            return "its connection ended with no whole answer"
+            return "its connection ended without a complete answer"
         case GaveUp():
             return "the client left" if event.early else "the client's time was over"
         case Again():
-            return "more came on its connection after the answer"
+            return "more bytes came on its connection after the answer"
     return ""
--- a/brackenladder/rehearsal/members.py
+++ b/brackenladder/rehearsal/members.py
@@ -1,17 +1,17 @@
-"""What nodes say of one another, judged by what was done to them.
+"""Verdicts on the nodes' membership views, judged against the faults that were injected.
 
-Events in, verdicts out; no I/O and no clock.
+Takes events and returns verdicts; no I/O and no clock.
 
-| verdict | in short |
+| verdict | meaning |
 | --- | --- |
-| complete | each node that was killed is dead in the view of all that could know, in time |
-| accurate | nobody who is there and can be reached, directly or through others, is said to be dead |
-| agreed | after the last fault all views are the same, and right |
-| no-return | an older process of a node, once outdone, never wins again |
-| bounded | no node sends the others more than its bound of bytes |
-
-What was done comes from the runner's signals, the relay's datagrams and the plan; only what is judged is
-the nodes' own word. One that had no chance to break was not tried.
+| complete | every node that could detect a killed node reports it dead within the time bound |
+| accurate | no running node that is reachable, directly or through others, is reported dead |
+| agreed | some time after the last fault all views are equal and correct |
+| no-return | once a newer process of a node is known, an older one never replaces it |
+| bounded | no node sends the others more bytes than its limit |
+
+The injected faults are known from the runner's signals, the relay's datagrams and the plan; the views
+are those that the nodes report. A rule that could not have been broken gets 'not tried'.
 """
 
 from __future__ import annotations
@@ -41,54 +41,55 @@
 Verdict = Literal["held", "broke", "not tried", "not valid"]
 MEMBER_RULES: tuple[MemberRule, ...] = ("complete", "accurate", "agreed", "no-return", "bounded")
 MICRO = 1_000_000
-KNOWN = 5 * MICRO  # microseconds from a death until all know...
-KNOWN_LOSSY = 8 * MICRO  # ...while a fault touches datagrams
-REACHED = MICRO // 2  # who could be reached for so long before a word was said, was there
-BORNE = 2_100_000  # a pause so long or shorter is no death, and who says so is wrong
-SLACKS = 5  # slacks of the scenario that a bound on time is longer by
-AGREEMENT = 10 * MICRO  # from the last fault until all views are the same
-STARTING = 5 * MICRO  # of the run, in which nodes come to know one another
-WINDOW = 10 * MICRO  # of the bound on bytes
-MOST_BYTES = 3_000 * 10 + 12_000  # that a node may send within it, by its rate and what it may send at once
-EVIDENCE = 20  # breaks of one rule that are told
+DETECTION_BOUND = 5 * MICRO  # microseconds within which a death must be detected by all...
+DETECTION_BOUND_LOSSY = 8 * MICRO  # ...and while a fault affects datagrams
+REACHABLE_FOR = MICRO // 2  # a node that was reachable for so long before a report counts as running
+TOLERATED_PAUSE = 2_100_000  # microseconds; to report a node dead for a shorter pause is an error
+SLACK_FACTOR = 5  # multiples of the scenario's slack that are added to each time bound
+AGREEMENT_BOUND = 10 * MICRO  # microseconds from the last fault until all views must be equal
+STARTUP = 5 * MICRO  # microseconds at the start of a run, in which deaths are not judged
+WINDOW = 10 * MICRO  # microseconds over which sent bytes are summed
+MAX_BYTES = 3_000 * 10 + 12_000  # in one window: the rate limit times 10 s, plus the burst
+MAX_EVIDENCE = 20  # breaks of one rule that are reported in words
 
 
 class Judged(msgspec.Struct, frozen=True):
-    """A verdict, the chances there were, and the first breaks in words."""
+    """A verdict, how often the rule could have been broken, and the first breaks in words."""
 
     verdict: Verdict
     chances: int
     broken: int
     evidence: tuple[str, ...]
-    worst_ms: int = 0  # complete: the latest that a death was known, of those in time
+    worst_ms: int = 0  # of `complete`: the slowest detection that was within the bound
 
 
-class Spans:
-    """When something held: (from, to)."""
+class Intervals:
+    """The intervals in which a condition held, as (from, to)."""
 
     def __init__(self) -> None:
-        self.spans: list[tuple[int, int]] = []
+        self.intervals: list[tuple[int, int]] = []
 
-    def touch(self, start: int, end: int) -> bool:
-        return any(begin <= end and start <= over for begin, over in self.spans)
+    def overlaps(self, start: int, end: int) -> bool:
+        return any(begin <= end and start <= over for begin, over in self.intervals)
 
-    def cover(self, at: int) -> bool:
-        return self.touch(at, at)
+    def contains(self, at: int) -> bool:
+        return self.overlaps(at, at)
 
 
-class Case:
-    """A run's events, sorted by what they say."""
+class RunHistory:
+    """The events of a run, indexed by kind and node."""
 
     def __init__(
         self, events: Iterable[AnyEvent], steps: Sequence[Step], begin: int, slack: int, lag: int
     ) -> None:
         self.begin = begin
-        self.slack = SLACKS * slack
+        self.slack = SLACK_FACTOR * slack
         self.steps = [s for s in steps if s.kind in (*LINK_FAULTS, *DATAGRAM_FAULTS)]
-        self.down: defaultdict[str, Spans] = defaultdict(Spans)  # the process is not there, or stands still
-        self.gone: defaultdict[str, Spans] = defaultdict(Spans)  # the same, less pauses that are borne
-        self.deaths: list[tuple[int, int, str]] = []  # killed at, up again at, node
-        self.said: list[Said] = []
+        # `down`: the process does not run or is paused. `absent`: the same without tolerated pauses.
+        self.down: defaultdict[str, Intervals] = defaultdict(Intervals)
+        self.absent: defaultdict[str, Intervals] = defaultdict(Intervals)
+        self.deaths: list[tuple[int, int, str]] = []  # (ended at, ready again at, node)
+        self.transitions: list[Said] = []
         self.views: dict[str, Viewed] = {}
         self.viewed: defaultdict[str, list[Viewed]] = defaultdict(list)
         self.sent: defaultdict[str, list[tuple[int, int]]] = defaultdict(list)
@@ -104,8 +105,8 @@
                     self.nodes.append(event.node)
                 elif event.node in ended:
                     at = ended.pop(event.node)
-                    self.down[event.node].spans.append((at, event.t))
-                    self.gone[event.node].spans.append((at, event.t))
+                    self.down[event.node].intervals.append((at, event.t))
+                    self.absent[event.node].intervals.append((at, event.t))
                     self.deaths.append((at, event.t, event.node))
             elif isinstance(event, NodeEnded):
                 ended[event.node] = event.t
@@ -114,11 +115,11 @@
                     stopped[event.node] = event.t
                 elif event.signal == "cont" and event.node in stopped:
                     pause = (stopped.pop(event.node), event.t)
-                    self.down[event.node].spans.append(pause)
-                    if pause[1] - pause[0] > BORNE:
-                        self.gone[event.node].spans.append(pause)
+                    self.down[event.node].intervals.append(pause)
+                    if pause[1] - pause[0] > TOLERATED_PAUSE:
+                        self.absent[event.node].intervals.append(pause)
             elif isinstance(event, Said):
-                self.said.append(event)
+                self.transitions.append(event)
             elif isinstance(event, Viewed):
                 self.views[event.node] = event
                 self.viewed[event.node].append(event)
@@ -127,27 +128,29 @@
             elif isinstance(event, Lag):
                 self.late |= event.lag > lag
         over = self.last + 1
-        # Nodes end with the run: what ended in its last moments was not a fault.
+        # The runner ends all nodes with the run: an end in the last 2 s is not a fault.
         self.over = min((t for t in ended.values() if t > self.last - 2 * MICRO), default=over)
         for node, at in ended.items():
             if at < self.over:
-                self.down[node].spans.append((at, over))
-                self.gone[node].spans.append((at, over))
+                self.down[node].intervals.append((at, over))
+                self.absent[node].intervals.append((at, over))
                 self.deaths.append((at, over, node))
 
-    def links(self, kind: str, node: str, start: int, end: int) -> bool:
-        """Whether a fault of this kind kept a node's datagrams for a part of this time."""
+    def link_fault(self, kind: str, node: str, start: int, end: int) -> bool:
+        """Whether a link fault of this kind affected the node at some time in the interval."""
         return any(
             s.kind == kind and s.target == node and self.begin + s.at <= end and start <= self.begin + s.end
             for s in self.steps
         )
 
-    def grouped(self, one: str, other: str, start: int, end: int) -> bool:
-        return self.links("cut-group", one, start, end) != self.links("cut-group", other, start, end)
+    def group_cut(self, one: str, other: str, start: int, end: int) -> bool:
+        return self.link_fault("cut-group", one, start, end) != self.link_fault(
+            "cut-group", other, start, end
+        )
 
     def cut_off(self, node: str, start: int, end: int) -> bool:
-        """Whether it could not be reached, or not make itself heard."""
-        return any(self.links(kind, node, start, end) for kind in ("deaf", "mute"))
+        """Whether the node could not receive, or could not send, at some time in the interval."""
+        return any(self.link_fault(kind, node, start, end) for kind in ("deaf", "mute"))
 
     def lossy(self, start: int, end: int) -> bool:
         return any(
@@ -159,20 +162,20 @@
 def judge(
     events: Iterable[AnyEvent], steps: Sequence[Step], begin: int, slack: int, lag: int
 ) -> dict[MemberRule, Judged]:
-    """All verdicts. `begin`: of the run; `slack`, `lag`: microseconds.
+    """All verdicts. `begin`: start of the run; `slack`, `lag`: microseconds.
 
-    Bounds on time are longer by SLACKS slacks; if stand-ins ran later than `lag`, no verdict on times is
-    valid.
+    SLACK_FACTOR times `slack` is added to each time bound. If a stand-in ran later than `lag`, verdicts that
+    depend on times are not valid.
     """
-    case = Case(events, steps, begin, slack, lag)
+    run = RunHistory(events, steps, begin, slack, lag)
     found: dict[MemberRule, Judged] = {
-        "complete": complete(case),
-        "accurate": accurate(case),
-        "agreed": agreed(case),
-        "no-return": no_return(case),
-        "bounded": bounded(case),
+        "complete": complete(run),
+        "accurate": accurate(run),
+        "agreed": agreed(run),
+        "no-return": no_return(run),
+        "bounded": bounded(run),
     }
-    if case.late:
+    if run.late:
         timed: tuple[MemberRule, ...] = ("complete", "accurate", "agreed", "bounded")
         for rule in timed:
             if found[rule].verdict != "not tried":
@@ -182,115 +185,125 @@
 
 def ruling(chances: int, breaks: list[str], worst: int = 0) -> Judged:
     verdict: Verdict = "broke" if breaks else "held" if chances else "not tried"
-    return Judged(verdict, chances, len(breaks), tuple(breaks[:EVIDENCE]), worst // 1000)
+    return Judged(verdict, chances, len(breaks), tuple(breaks[:MAX_EVIDENCE]), worst // 1000)
 
 
-def complete(case: Case) -> Judged:
-    """Each death, at each node that could know of it."""
+def complete(run: RunHistory) -> Judged:
+    """Checks for each death that every node which could detect it did so in time."""
     breaks: list[str] = []
     chances = worst = 0
-    for at, back, node in case.deaths:
-        bound = (KNOWN_LOSSY if case.lossy(at - MICRO, at + KNOWN) else KNOWN) + case.slack
-        if at < case.begin + STARTING or min(back, case.over) < at + bound:
-            continue  # it was back, or the run over, before all had to know
-        for other in case.nodes:
-            could = not (
+    for at, back, node in run.deaths:
+        bound = (
+            DETECTION_BOUND_LOSSY if run.lossy(at - MICRO, at + DETECTION_BOUND) else DETECTION_BOUND
+        ) + run.slack
+        if at < run.begin + STARTUP or min(back, run.over) < at + bound:
+            continue  # the node was back, or the run over, before the bound
+        for other in run.nodes:
+            could_detect = not (
                 other == node
-                or case.down[other].touch(at - MICRO, at + bound)
-                or case.cut_off(other, at - MICRO, at + bound)
-                or case.grouped(other, node, at - MICRO, at + bound)
+                or run.down[other].overlaps(at - MICRO, at + bound)
+                or run.cut_off(other, at - MICRO, at + bound)
+                or run.group_cut(other, node, at - MICRO, at + bound)
             )
-            if not could:
+            if not could_detect:
                 continue
             chances += 1
-            knew = [
-                s.at for s in case.said if s.node == other and s.about == node and s.after in ("dead", "left")
+            known_at = [
+                s.at
+                for s in run.transitions
+                if s.node == other and s.about == node and s.after in ("dead", "left")
             ]
-            first = min((t for t in knew if t >= at), default=None)
+            first = min((t for t in known_at if t >= at), default=None)
             if first is None or first > at + bound:
                 when = "never" if first is None else f"after {(first - at) / MICRO:.1f} s"
-                breaks.append(f"{other} knew {when} that {node} was dead")
+                breaks.append(f"{other} detected {when} that {node} was dead")
             else:
                 worst = max(worst, first - at)
     return ruling(chances, breaks, worst)
 
 
-def accurate(case: Case) -> Judged:
-    """Each word that somebody is dead."""
+def accurate(run: RunHistory) -> Judged:
+    """Checks each report that another node is dead."""
     breaks: list[str] = []
-    for s in case.said:
-        if s.after != "dead" or s.about == s.node or s.at >= case.over:
+    for s in run.transitions:
+        if s.after != "dead" or s.about == s.node or s.at >= run.over:
             continue
-        start = s.at - REACHED
+        start = s.at - REACHABLE_FOR
         excused = (
-            case.gone[s.about].touch(start, s.at)
-            or case.cut_off(s.about, start, s.at)
-            or case.grouped(s.about, s.node, start, s.at)
+            run.absent[s.about].overlaps(start, s.at)
+            or run.cut_off(s.about, start, s.at)
+            or run.group_cut(s.about, s.node, start, s.at)
         )
         if not excused:
-            when = (s.at - case.begin) / MICRO
-            breaks.append(f"{when:.3f} s: {s.node} took {s.about} for dead, which was there: {s.reason}")
-    pairs = len(case.nodes) * (len(case.nodes) - 1)
-    return ruling(pairs if case.said or case.views else 0, breaks)
+            when = (s.at - run.begin) / MICRO
+            breaks.append(
+                f"{when:.3f} s: {s.node} reported {s.about} dead, which was running and reachable: {s.reason}"
+            )
+    pairs = len(run.nodes) * (len(run.nodes) - 1)
+    return ruling(pairs if run.transitions or run.views else 0, breaks)
 
 
-def agreed(case: Case) -> Judged:
-    """The last views of those that are there."""
-    ends = [case.begin + s.end for s in case.steps]
+def agreed(run: RunHistory) -> Judged:
+    """Compares the last views of the nodes that run at the end."""
+    ends = [run.begin + s.end for s in run.steps]
     ends += [
-        edge for spans in case.down.values() for span in spans.spans for edge in span if edge < case.over
+        edge
+        for intervals in run.down.values()
+        for span in intervals.intervals
+        for edge in span
+        if edge < run.over
     ]
-    last = max(ends, default=case.begin)
-    there = [n for n in case.nodes if not case.down[n].cover(case.over - 1)]
-    if last + AGREEMENT + case.slack > case.over or len(there) < 2:
+    last = max(ends, default=run.begin)
+    running = [n for n in run.nodes if not run.down[n].contains(run.over - 1)]
+    if last + AGREEMENT_BOUND + run.slack > run.over or len(running) < 2:
         return ruling(0, [])
-    right = tuple(n in there for n in case.nodes)
+    expected = tuple(n in running for n in run.nodes)
     breaks = []
-    for node in there:
-        view = case.views.get(node)
-        order = sorted(case.nodes, key=lambda n: int(n[1:]))
+    for node in running:
+        view = run.views.get(node)
+        order = sorted(run.nodes, key=lambda n: int(n[1:]))
         alive = {} if view is None else dict(zip(order, view.states, strict=False))
-        seen = tuple(alive.get(n) in ("alive", "suspect") for n in case.nodes)
-        if seen != right:
-            wrong = [n for n, one, other in zip(case.nodes, seen, right, strict=True) if one != other]
-            breaks.append(f"{node} is wrong of {', '.join(wrong)} at the end")
-    return ruling(len(there), breaks)
+        seen = tuple(alive.get(n) in ("alive", "suspect") for n in run.nodes)
+        if seen != expected:
+            wrong = [n for n, one, other in zip(run.nodes, seen, expected, strict=True) if one != other]
+            breaks.append(f"{node} has a wrong view of {', '.join(wrong)} at the end")
+    return ruling(len(running), breaks)
 
 
-def no_return(case: Case) -> Judged:
-    """The epochs that each process's words and views hold, in their order."""
+def no_return(run: RunHistory) -> Judged:
+    """Checks that the epochs in each process's reports and views never decrease."""
     breaks: list[str] = []
     chances = 0
     highest: dict[tuple[str, str], int] = {}
-    begun = sorted((at, node) for at, _, node in case.deaths)
-    for s in sorted(case.said, key=lambda said: said.at):
-        while begun and begun[0][0] <= s.at:  # a new process begins with nothing
+    begun = sorted((at, node) for at, _, node in run.deaths)
+    for s in sorted(run.transitions, key=lambda transition: transition.at):
+        while begun and begun[0][0] <= s.at:  # a new process has no state
             _, node = begun.pop(0)
             highest = {pair: epoch for pair, epoch in highest.items() if pair[0] != node}
         before = highest.get((s.node, s.about), 0)
         chances += s.epoch != before
         if s.epoch < before:
-            breaks.append(f"{s.node} went back to an older process of {s.about}: {s.reason}")
+            breaks.append(f"{s.node} accepted an older process of {s.about} again: {s.reason}")
         highest[s.node, s.about] = max(before, s.epoch)
-    for node, views in case.viewed.items():
-        starts = [at for at, _, name in case.deaths if name == node]
+    for node, views in run.viewed.items():
+        starts = [at for at, _, name in run.deaths if name == node]
         for one, other in zip(views, views[1:], strict=False):
             if any(one.t <= start <= other.t for start in starts):
                 continue
             for number, (old, new) in enumerate(zip(one.epochs, other.epochs, strict=False)):
                 chances += new != old
                 if new < old:
-                    breaks.append(f"{node} went back to an older process of n{number}")
+                    breaks.append(f"{node} accepted an older process of n{number} again")
     return ruling(chances, breaks)
 
 
-def bounded(case: Case) -> Judged:
-    """Bytes of each node, in every window that ends with a datagram."""
+def bounded(run: RunHistory) -> Judged:
+    """Sums each node's bytes over every window that ends with a datagram."""
     breaks: list[str] = []
-    for node, sent in case.sent.items():
+    for node, sent in run.sent.items():
         times = [t for t, _ in sent]
         total = [0, *accumulate(size for _, size in sent)]
         worst = max(total[i + 1] - total[bisect_left(times, t - WINDOW)] for i, t in enumerate(times))
-        if worst > MOST_BYTES:
+        if worst > MAX_BYTES:
             breaks.append(f"{node} sent {worst} bytes within {WINDOW // MICRO} s")
-    return ruling(len(case.sent), breaks)
+    return ruling(len(run.sent), breaks)
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -1,4 +1,4 @@
-"""The nodes under rehearsal: real processes, told what the deployment page says and nothing more."""
+"""Node processes under test: configured only by what the deployment page documents, started and signalled."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 from brackenladder.rehearsal.scenario import Scenario
 from brackenladder.rehearsal.standins.codecs import FAILED
 
-READY_TIME = 20.0  # seconds for a node to be ready
-LOOK = 0.03  # seconds between two looks at it
+READY_TIME = 20.0  # seconds within which a node must be ready
+READY_POLL = 0.03  # seconds between two readiness checks
 TERM_MARGIN = 0.7  # seconds after the longest deadline until SIGKILL follows SIGTERM
-LONGEST_TERM = 3.0  # of the longest deadline, what counts there
+LONGEST_TERM = 3.0  # seconds; a longer deadline does not extend the time before SIGKILL
 EFFECTS = {"safe": "free", "keyed": "guarded", "unsafe": "single_shot"}
 GROUPS = {"all": "all", "zone": "zone", "pod": "cell"}
 SIGNALS = {
@@ -34,17 +34,17 @@
     "stop": signal.SIGSTOP,
     "cont": signal.SIGCONT,
 }
-ENDING = ("kill", "term")  # of them, those that end the process
-EVERY = 0.25  # seconds between two questions what a node knows of the others
-ANSWERING = 1.0  # seconds for an answer; a node that is paused gives none
+ENDING_SIGNALS = ("kill", "term")  # those of SIGNALS that end the process
+MEMBERS_POLL = 0.25  # seconds between two queries of a node's membership view
+MEMBERS_TIMEOUT = 1.0  # seconds; a paused node does not answer
 
 
 class NodeError(Exception):
-    """A node that does not come up; the text says which and why."""
+    """A node that does not start; the text says which and why."""
 
 
 def settings_of(scenario: Scenario, number: int) -> dict[str, Any]:
-    """The settings object that a node is given, in its published names; times in microseconds."""
+    """The settings object of a node, with its documented keys; times in microseconds."""
     s = scenario
     micro = 1_000_000
     ratio = 1 / len(s.tenants)
@@ -111,12 +111,12 @@
 
 
 def tenant_quotas(s: Scenario) -> tuple[float, ...]:
-    """Each tenant's, in requests a second."""
+    """Each tenant's quota, in requests a second."""
     return s.clients.quotas or (s.clients.rate / len(s.tenants) * 1.5,) * len(s.tenants)
 
 
 def operator_text(scenario: Scenario, listen: str, discovery: str) -> str:
-    """The operator file of a node that serves MessagePack-RPC."""
+    """The operator file for a node that serves MessagePack-RPC."""
     lines = [
         "[rpc]",
         f'listen = "{listen}"',
@@ -136,7 +136,7 @@
 
 
 def members_text(socket_path: str, key: str, folder: Path | None, recovery: bool) -> str:
-    """The operator file of a node that knows the others; `folder`: of its state, if it keeps one."""
+    """The operator file for a node with membership; `folder`: where it stores its state, if it does."""
     text = f'[control]\nsocket = "{socket_path}"\n\n[members]\nkey = "{key}"\n'
     if recovery:
         text += "[recovery]\n"
@@ -146,22 +146,22 @@
     return text
 
 
-def put(path: Path, text: str) -> None:
-    """Writes a file in whole, then into its place."""
+def write_atomically(path: Path, text: str) -> None:
+    """Writes the file under another name and renames it, so that no reader sees a part of it."""
     fresh = path.with_name(f"{path.name}.new")
     fresh.write_text(text)
     fresh.rename(path)
 
 
 def unused_loopback_host(rng: Random) -> str:
-    """A loopback host that nothing else uses, so that ports found free there stay free."""
+    """A random loopback host, so that no other process takes the ports that are found free there."""
     for _ in range(50):
         host = f"127.{rng.randrange(16, 250)}.{rng.randrange(1, 250)}.{rng.randrange(1, 250)}"
         with socket.socket() as sock:
             try:
                 sock.bind((host, 0))
             except OSError:
-                break  # a system with one loopback address
+                break  # the system has only 127.0.0.1
             return host
     return "127.0.0.1"
 
@@ -173,7 +173,7 @@
 
 
 class NodeProcess:
-    """One node: its configuration, its process, and what was done to it."""
+    """One node: its configuration, its process and the signals sent to it."""
 
     def __init__(
         self,
@@ -191,34 +191,39 @@
         self.command = shlex.split(command) if command else [sys.executable, "-m", "brackenladder"]
         self.folder = folder
         self.journal = journal
-        self.seeds = Random(f"node {seed} {number}")
+        self.seed_rng = Random(f"node {seed} {number}")
         host = unused_loopback_host(rng)
         self.listen = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         self.datagrams = f"{host}:{free_port(host, socket.SOCK_DGRAM)}"
         self.rpc = f"{host}:{free_port(host, socket.SOCK_STREAM)}" if scenario.transport == "rpc" else ""
-        # Over RPC, HTTP's side of the node asks where nobody answers: what it heard would pass for RPC's.
-        self.nowhere = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
+        # With RPC, the node's HTTP side gets an address where nothing listens, since discovery could not tell
+        # its calls from those of the RPC side.
+        self.unused_address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         self.discovery: list[str] = []
         self.peers: list[str] = []
-        self.known: dict[str, Any] = {}  # the list that its configuration gives
+        self.known: dict[str, Any] = {}  # the initial server list in its configuration
         self.source = 0
-        self.ward: Callable[[int, bool], None] = lambda pid, runs: None  # hears of each process
+        self.on_process_change: Callable[[int, bool], None] = lambda pid, runs: (
+            None
+        )  # called with each pid at its start and end
         self.process: asyncio.subprocess.Process | None = None
         self.signalled = ""
-        self.crashed: list[int] = []  # exit codes that nobody asked for
+        self.crashed: list[int] = []  # exit codes of ends that the runner did not cause
         self.starts = 0
-        # The folder's own path may be longer than a socket's may be.
+        # The run's folder may have a longer path than a Unix socket allows.
         self.control = str(Path(tempfile.gettempdir()) / f"lb-{os.getpid()}-{rng.getrandbits(32):08x}")
-        self.last_said = -1  # of the present process, by its clock
+        self.last_transition = (
+            -1
+        )  # time of the newest transition recorded, by the clock of the current process
 
     def write(self) -> Path:
-        """Writes the configuration file: in whole, then into its place."""
+        """Writes the configuration file, and the operator file if the node needs one; returns the first."""
         s = self.scenario
         table = {
             "name": self.name,
             "listen": self.listen,
-            "discovery": self.nowhere if self.rpc else self.discovery[self.source],
-            "seed": f"{self.seeds.getrandbits(64):016x}",
+            "discovery": self.unused_address if self.rpc else self.discovery[self.source],
+            "seed": f"{self.seed_rng.getrandbits(64):016x}",
             "limits": {"cores": 1.0, "memory_mb": s.limits.memory_mb, "sockets": s.limits.sockets},
             "peer_listen": self.datagrams,
             "peers": self.peers[:-1],
@@ -229,13 +234,13 @@
         text = operator_text(s, self.rpc, self.discovery[self.source]) if self.rpc else ""
         if s.members:
             key = self.folder / "members.key"
-            put(key, f"rehearsal-{self.folder.name:16.40}\n")
+            write_atomically(key, f"rehearsal-{self.folder.name:16.40}\n")
             state = self.folder / f"{self.name}.state" if s.recovery == "store" else None
             text += members_text(self.control, str(key), state, bool(s.recovery))
         if text:
-            put(self.operator_file, text)
+            write_atomically(self.operator_file, text)
         path = self.folder / f"{self.name}.json"
-        put(path, json.dumps(table))
+        write_atomically(path, json.dumps(table))
         return path
 
     @property
@@ -244,18 +249,18 @@
 
     @property
     def clients_address(self) -> str:
-        """Where clients connect."""
+        """The address that clients connect to."""
         return self.rpc or self.listen
 
     async def start(self) -> None:
-        """Starts the process and waits until it is ready. A NodeError if it never is."""
+        """Starts the process and waits until it is ready; raises NodeError if that fails."""
         path = self.write()
         self.signalled = ""
         self.starts += 1
         environ = dict(os.environ) | {
             "LB_NAME": self.name,
             "LB_LISTEN": self.listen,
-            "LB_DISCOVERY": self.nowhere if self.rpc else self.discovery[self.source],
+            "LB_DISCOVERY": self.unused_address if self.rpc else self.discovery[self.source],
             "LB_CONFIG": str(path),
         }
         log = (self.folder / f"{self.name}.log").open("ab")
@@ -271,13 +276,13 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                start_new_session=True,  # Ctrl-C is for the runner, which ends its nodes itself
+                start_new_session=True,  # Ctrl-C reaches only the runner, which ends its nodes itself
             )
         except OSError as e:
             raise NodeError(f"{self.command[0]}: {e.strerror}") from None
         finally:
             log.close()
-        self.ward(self.process.pid, True)
+        self.on_process_change(self.process.pid, True)
         self.watcher = asyncio.create_task(self.watch(self.process))
         until = asyncio.get_running_loop().time() + READY_TIME
         while not await self.ready():
@@ -287,7 +292,7 @@
                 )
             if asyncio.get_running_loop().time() > until:
                 raise NodeError(f"{self.name} was not ready after {READY_TIME:g} s")
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(READY_POLL)
         self.journal.add(NodeUp(now(), self.name))
 
     async def ready(self) -> bool:
@@ -303,53 +308,60 @@
         return line.split(b" ")[1:2] == [b"200"]
 
     async def watch(self, process: asyncio.subprocess.Process) -> None:
-        """Notes the process's end."""
+        """Waits for the end of the process and records it."""
         code = await process.wait()
-        self.ward(process.pid, False)
+        self.on_process_change(process.pid, False)
         wanted = self.signalled == "kill" or (self.signalled == "term" and code == 0)
         if not wanted:
             self.crashed.append(code)
         self.journal.add(NodeEnded(now(), self.name, code, wanted))
 
     def signal(self, name: str) -> None:
-        """Sends one of SIGNALS, and notes it before."""
+        """Records and sends one of SIGNALS."""
         if self.process is None or self.process.returncode is not None:
             return
-        if name in ENDING:
+        if name in ENDING_SIGNALS:
             self.signalled = name
         self.journal.add(NodeSignal(now(), self.name, name))
         self.process.send_signal(SIGNALS[name])
 
-    async def listened(self) -> None:
-        """Notes what the node says of the others, as it says it, to the run's end."""
+    async def record_members(self) -> None:
+        """Queries the node's membership view until the run ends, and records each change."""
         view: tuple[Any, ...] = ()
         while True:
-            await asyncio.sleep(EVERY)
+            await asyncio.sleep(MEMBERS_POLL)
             try:
-                async with asyncio.timeout(ANSWERING):
+                async with asyncio.timeout(MEMBERS_TIMEOUT):
                     reader, writer = await asyncio.open_unix_connection(self.control, limit=1 << 24)
                     writer.write(b'{"version":1,"do":"members"}\n')
-                    told = json.loads(await reader.readline())
+                    reply = json.loads(await reader.readline())
                     writer.close()
             except (OSError, TimeoutError, ValueError):
                 continue
-            if not told.get("ok"):
+            if not reply.get("ok"):
                 continue
-            for said in told["transitions"]:
-                if said["at_us"] > self.last_said:
-                    self.last_said = said["at_us"]
-                    about = node_name(said["number"])
-                    fields = (said["before"], said["after"], said["epoch"], said["incarnation"])
-                    self.journal.add(Said(now(), said["at_us"], self.name, about, *fields, said["reason"]))
-            own, members = told["self"], told["members"]
+            for transition in reply["transitions"]:
+                if transition["at_us"] > self.last_transition:
+                    self.last_transition = transition["at_us"]
+                    about = node_name(transition["number"])
+                    fields = (
+                        transition["before"],
+                        transition["after"],
+                        transition["epoch"],
+                        transition["incarnation"],
+                    )
+                    self.journal.add(
+                        Said(now(), transition["at_us"], self.name, about, *fields, transition["reason"])
+                    )
+            own, members = reply["self"], reply["members"]
             states = tuple(m["state"] for m in members)
             seen = (own["state"], own["living"], states, tuple(m["epoch"] for m in members))
             if seen != view:
                 view = seen
                 self.journal.add(Viewed(now(), self.name, *seen))
 
-    async def ended(self, time: float) -> bool:
-        """Waits for the process's end, so long at most."""
+    async def wait_ended(self, time: float) -> bool:
+        """Waits up to `time` seconds for the end of the process; returns whether it has ended."""
         if self.process is None:
             return True
         try:
@@ -360,15 +372,15 @@
         return True
 
     async def terminate(self) -> None:
-        """SIGTERM, and SIGKILL when its time is over."""
+        """Sends SIGTERM, then SIGKILL if the process does not end in time."""
         longest = max(c.deadline_ms for c in self.scenario.classes) / 1000
         self.signal("term")
-        if not await self.ended(min(longest, LONGEST_TERM) + TERM_MARGIN):
+        if not await self.wait_ended(min(longest, LONGEST_TERM) + TERM_MARGIN):
             self.signal("kill")
-            await self.ended(READY_TIME)
+            await self.wait_ended(READY_TIME)
 
     async def end(self) -> None:
-        """The run is over: the process is killed, whatever it does."""
+        """Kills the process at the end of the run."""
         if self.process is not None and self.process.returncode is None:
             self.signalled = "kill"
             self.process.kill()
--- a/brackenladder/rehearsal/plan.py
+++ b/brackenladder/rehearsal/plan.py
@@ -1,4 +1,4 @@
-"""What a run will do, from a scenario and a seed: pure, and the same for the same two.
+"""The plan of a run, computed from scenario and seed alone, so that both always give the same plan.
 
 All times are microseconds from the run's start.
 """
@@ -24,27 +24,27 @@
 )
 
 MICRO = 1_000_000
-DEPLOY_AT_ONCE = 0.2  # a deploy takes down this part of the fleet at a time
-MIN_FAULT_GAP = MICRO // 2  # between two faults at one server
-BOOT_TIME = MICRO  # from the end of a server to the start of its successor
+DEPLOY_AT_ONCE = 0.2  # share of the servers that a deploy takes down at a time
+MIN_FAULT_GAP = MICRO // 2  # between two faults of the same sort at one server
+BOOT_TIME = MICRO  # from the end of a deployed server to the start of its successor
 
 
 class ServerPlan(msgspec.Struct, frozen=True):
-    """A server: `id` is the same at every node and after a restart."""
+    """A server. Its `id` is the same at every node, and stays after a restart."""
 
     id: str
     zone: str
     cell: int
     cores: int
     speed: float
-    born: int  # -1: it stood before the run; else the time of its first start
-    place: int  # servers of one place have one address, one after another
-    process: int  # which stand-in process hosts it
-    tier: int = 0  # 0: clients' nodes send there; above: the servers of the tier before
+    born: int  # time of its first start; -1: it runs before the run begins
+    place: int  # number of its address; a replacement gets the place of its predecessor
+    process: int  # number of the stand-in process that hosts it
+    tier: int = 0  # 0: called by the nodes; else called by the servers of the tier before
 
 
 class Step(msgspec.Struct, frozen=True):
-    """A fault at one target. `successor`: the server that takes a replaced or drained one's part."""
+    """A fault at one target. `successor`: the server that replaces the target, if one does."""
 
     at: int
     length: int
@@ -60,7 +60,11 @@
 
 
 class RequestPlan(msgspec.Struct, frozen=True):
-    """A client's request. `budgets`: one a try; `leave`: the client's patience if it leaves early, or 0."""
+    """A client's request.
+
+    `budgets`: the time for each try; `leave`: when the client disconnects early, or 0; `drop`: it closes its
+    connection after the answer.
+    """
 
     at: int
     id: str
@@ -75,7 +79,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """The whole run."""
+    """The plan of a run: servers, faults and requests."""
 
     seed: int
     length: int
@@ -89,7 +93,7 @@
 
 
 def plan_of(scenario: Scenario, seed: int) -> Plan:
-    """The plan; a ScenarioError if the faults ask for more targets than there are."""
+    """Makes the plan. Raises ScenarioError if a fault needs more targets than there are."""
     servers = initial_servers(scenario, Random(f"fleet {seed}"))
     steps, born = plan_faults(scenario, servers, Random(f"faults {seed}"))
     return Plan(
@@ -106,7 +110,7 @@
 
 
 def work_of(klass: Class, name: str) -> int:
-    """Microseconds of a standard core that a request takes, whichever server it comes to."""
+    """Microseconds of work on a standard core for a request, the same at every server."""
     rng = Random(f"work {name}")
     low, high = klass.work_ms
     work = 1000 * rng.uniform(low, high)
@@ -116,9 +120,9 @@
 
 
 def initial_servers(scenario: Scenario, rng: Random) -> list[ServerPlan]:
-    """The servers that stand at the start."""
+    """The servers that run at the start."""
     s, zones = scenario.servers, scenario.zones
-    pods = -(-s.count // len(zones)) // s.pod + 1  # of one zone, at most
+    pods = -(-s.count // len(zones)) // s.pod + 1  # in a zone, at most
     return [
         ServerPlan(
             id=f"{f't{tier}' * (tier > 0)}s{i}-{rng.getrandbits(24):06x}",
@@ -139,15 +143,15 @@
 def plan_faults(
     scenario: Scenario, servers: list[ServerPlan], rng: Random
 ) -> tuple[list[Step], list[ServerPlan]]:
-    """The faults' steps, and the servers that are born in the run."""
+    """The steps of all faults, and the servers that start during the run."""
     steps: list[Step] = []
     born: list[ServerPlan] = []
-    alive = {s.id: s for s in servers}  # those that no fault has ended or will end
+    alive = {s.id: s for s in servers}  # servers that no planned fault ends
     numbers = count(len(servers))
     for i, fault in sorted(enumerate(scenario.faults), key=lambda pair: pair[1].at_s):
         at = micro(fault.at_s) + round(rng.random() * micro(fault.jitter_s))
         length = micro(fault.for_s)
-        # Two faults of a port or a process at one server would cross, and so would two of its answers.
+        # Faults of answers, and likewise faults of port or process, must not overlap at one server.
         taken = {
             s.target
             for s in steps
@@ -169,7 +173,7 @@
                     new = msgspec.structs.replace(new, place=old.place, born=step.end)
                     step = msgspec.structs.replace(step, successor=new.id)
                 elif fault.kind == "deploy":
-                    # In batches over the fault's length; a successor starts when its server has ended.
+                    # In batches over the fault's length; a successor starts once the old server has ended.
                     drains = round(fault.drain_s * MICRO)
                     start = step.at + k // batch * length // waves + round(rng.random() * MICRO / 4)
                     new = msgspec.structs.replace(
@@ -181,7 +185,7 @@
                     continue
                 born.append(new)
             elif fault.kind in ("restart", "vanish"):
-                del alive[target]  # one end for each process, lest two faults cross
+                del alive[target]  # a server is ended only once, so that no two such faults overlap
             steps.append(step)
     return steps, born
 
@@ -191,7 +195,7 @@
 
 
 def successor_of(scenario: Scenario, old: ServerPlan, name: str, rng: Random) -> ServerPlan:
-    """A successor in the old one's pod."""
+    """A successor in the same pod as the old server."""
     speed = round(rng.uniform(*scenario.servers.speed), 3)
     return msgspec.structs.replace(old, id=name, speed=speed)
 
@@ -199,7 +203,7 @@
 def targets(
     scenario: Scenario, fault: FaultTable, alive: list[ServerPlan], rng: Random, key: str
 ) -> list[str]:
-    """The names that a fault falls on, drawn from the seed."""
+    """The names of a fault's targets, drawn by `rng`."""
     if fault.kind in DISCOVERY_FAULTS:
         return ["discovery"]
     if fault.kind in DATAGRAM_FAULTS:
@@ -217,12 +221,12 @@
     else:
         wanted = int(fault.pick)
     if wanted > whole or not whole:
-        raise ScenarioError(f"{key}: {wanted} wanted, {whole} left that can be picked")
+        raise ScenarioError(f"{key}: {wanted} wanted, {whole} available")
     return rng.sample(names, wanted)
 
 
 def plan_requests(scenario: Scenario, rng: Random) -> tuple[RequestPlan, ...]:
-    """Arrivals at random times (a Poisson process) up to the run's end."""
+    """The requests; they arrive as a Poisson process until the end of the run."""
     clients, classes = scenario.clients, scenario.classes
     bounds = list(accumulate(c.share for c in classes))
     tenants = list(accumulate(clients.tenants))
@@ -238,7 +242,7 @@
         budgets = tuple(int(deadline * rng.uniform(*clients.budget)) // 1000 * 1000 for _ in tries)
         waits = tuple(round(rng.uniform(*clients.wait_ms) * 1000) for _ in tries)
         leaves = rng.random() < clients.leave
-        # Drawn only where it is asked for, so that all else of a seed stays what it was.
+        # Drawn only if configured, so that other scenarios keep their random sequence.
         hot = clients.hot > 0 and rng.random() < clients.hot
         tenant = min(bisect_right(tenants, rng.random() * tenants[-1]), len(tenants) - 1) if tenants else -1
         out.append(
@@ -258,7 +262,7 @@
 
 
 def next_arrival(clients: Clients, time: float, gap: float) -> float:
-    """The moment after `time` at which as many arrivals are due as in `gap` seconds of the plain rate."""
+    """The next arrival time if `gap` is the time to it at the base rate; surges shorten or stretch it."""
     if not clients.surges:
         return time + gap
     edges = sorted(edge for s in clients.surges for edge in (s.at_s, s.at_s + s.for_s))
@@ -274,24 +278,24 @@
 
 
 DESCRIPTIONS = {
-    "stall": "answers nothing",
+    "stall": "does not answer",
     "stall-head": "stops in the head of each answer",
     "stall-body": "stops partway through the body of each answer",
     "drip": "answers byte by byte",
-    "reset-early": "resets connections before a request is whole",
+    "reset-early": "resets connections before a request is complete",
     "reset-late": "resets connections after a request's last byte",
     "reset-answer": "resets connections partway through the answer",
-    "reject": "turns requests away unseen (503 with X-Rejected)",
+    "reject": "rejects requests before it runs them (503 with X-Rejected)",
     "error": "answers 500",
     "closed": "closes its port",
-    "backlog": "takes no connections: its backlog is full",
-    "restart": "dies, and comes back cold under its id",
-    "replace": "dies; another comes up cold at its address",
-    "drain": "drains, then ends",
-    "drain-answering": "drains as it writes an answer, then ends",
-    "half-list": "gives whole lists with half of the servers",
-    "old-list": "gives an old version of the list",
-    "silence": "says nothing",
+    "backlog": "accepts no connections: its backlog is full",
+    "restart": "crashes, and restarts cold with the same id",
+    "replace": "crashes; another server starts cold at its address",
+    "drain": "drains, then stops",
+    "drain-answering": "drains while it writes an answer, then stops",
+    "half-list": "returns complete lists without half of the servers",
+    "old-list": "returns an old version of the list",
+    "silence": "does not answer",
     "datagrams-late": "delivers datagrams late",
     "datagrams-twice": "delivers datagrams twice",
     "datagrams-swapped": "delivers datagrams in another order",
@@ -299,23 +303,23 @@
     "node-kill": "is killed, and starts again",
     "node-term": "gets SIGTERM, and starts again once it has ended",
     "node-move": "is moved to another discovery by SIGHUP",
-    "silent-clients": "gets connections that say nothing",
+    "silent-clients": "gets connections that send nothing",
     "unheard": "is cut off from discovery",
-    "silent-watch": "has its watch fall silent, once",
-    "node-pause": "stands still (SIGSTOP)",
-    "node-stall": "stands still (SIGSTOP) while clients go on",
-    "deaf": "hears no other node",
-    "mute": "is heard by no other node",
-    "cut-oneway": "is not heard by the next node",
+    "silent-watch": "gets no answer to its current watch",
+    "node-pause": "is paused (SIGSTOP)",
+    "node-stall": "is paused (SIGSTOP) while clients go on sending to it",
+    "deaf": "receives nothing from other nodes",
+    "mute": "is cut off from sending to other nodes",
+    "cut-oneway": "is cut off from sending to the next node",
     "cut-group": "is cut off from the nodes outside its group",
-    "vanish": "is gone without a reset, and comes back cold",
+    "vanish": "disappears without a reset, and restarts cold",
     "cut": "cannot be reached by some nodes",
     "slow": "works slowly",
 }
 
 
 def describe_plan(scenario: Scenario, plan: Plan) -> list[str]:
-    """The run in words, a line for each step."""
+    """A description of the run, one line for each step."""
     zones = {s.id: s.zone for s in plan.servers}
     lines = [
         f"{scenario.title}: {scenario.nodes} nodes{' over rpc' * (scenario.transport == 'rpc')},"
--- a/brackenladder/rehearsal/report.py
+++ b/brackenladder/rehearsal/report.py
@@ -1,4 +1,4 @@
-"""A run's report: the terms it was judged by, JSON, JUnit and a table's rows."""
+"""A run's report as JSON and as JUnit XML, and the terms that the run is judged by."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from brackenladder.rehearsal.scenario import Scenario
 
 MEANINGS = {
-    "lost": "one final answer, in time, and nothing after it",
-    "effect": "nothing repeated or refused that may have run, no two attempts at once",
-    "drain": "nothing new to a server that drains or is gone",
-    "cold": "no cold server pushed over",
+    "lost": "one final answer in time, and nothing sent after it",
+    "effect": "nothing that may have run is repeated or refused, no concurrent attempts",
+    "drain": "no new requests to a server that drains or is gone",
+    "cold": "no cold server is overloaded",
 }
 MEMBER_MEANINGS: dict[MemberRule, str] = {
-    "complete": "who was killed is dead in all views that could know, in time",
-    "accurate": "nobody who is there and can be reached is taken for dead",
-    "agreed": "after the last fault all views are the same, and right",
-    "no-return": "an older process of a node never wins again",
-    "bounded": "no node sends the others more than its bound of bytes",
+    "complete": "a killed node is reported dead in time by all that can detect it",
+    "accurate": "no running and reachable node is reported dead",
+    "agreed": "after the last fault all views are equal and correct",
+    "no-return": "an older process of a node never replaces a newer one",
+    "bounded": "no node sends the others more bytes than its limit",
 }
 NONE: Mapping[MemberRule, Judged] = {}
 
 
 def terms_of(scenario: Scenario) -> Terms:
-    """The figures that a scenario's runs are judged by."""
+    """The limits that a scenario's runs are judged by; times in microseconds."""
     rules = scenario.rules
     return Terms(
         classes=tuple(ClassTerms(c.effect, c.group, round(c.window_s * 1e6)) for c in scenario.classes),
@@ -47,7 +47,7 @@
 
 
 def member_verdicts(scenario: Scenario, result: Result) -> dict[MemberRule, Judged]:
-    """What became of the nodes' knowledge of one another, if they had any."""
+    """The verdicts on the nodes' membership views; empty if the scenario has no membership."""
     if not scenario.members:
         return {}
     slack, lag = round(scenario.rules.slack_ms * 1000), round(scenario.rules.lag_ms * 1000)
@@ -61,7 +61,7 @@
 
 
 def finding_entry(finding: Finding, begin: int) -> dict[str, Any]:
-    """A finding as the report gives it: `at_s` from the run's start."""
+    """A finding as it stands in the JSON report; `at_s` counts from the start of the run."""
     return {
         "what": finding.what,
         "at_s": round((finding.t - begin) / 1e6, 3),
@@ -73,7 +73,7 @@
 
 
 def as_json(name: str, scenario: Scenario, result: Result, report: Report) -> bytes:
-    """The whole report. Only `verdicts` is the same for each run of a seed."""
+    """The whole report as JSON. Only `verdicts` is the same in every run of a seed."""
     table = {
         "scenario": name,
         "title": scenario.title,
@@ -105,23 +105,23 @@
 
 
 def notes(scenario: Scenario, result: Result) -> list[str]:
-    """What a reader should know of what was put to the test, beside the rules."""
+    """Remarks on how much the run exercised: datagrams affected and faults that took place."""
     lines: list[str] = []
     asked = [f for f in scenario.faults if f.kind.startswith("datagrams")]
     if asked:
         passed_on = [e for e in result.events if isinstance(e, Datagram)]
         touched = sum(e.fate != "passed" for e in passed_on)
         if not passed_on:
-            lines.append("nothing to lose: the nodes sent one another no datagrams")
+            lines.append("the nodes sent one another no datagrams, so datagram faults had no effect")
         else:
-            lines.append(f"{touched} of {len(passed_on)} datagrams between nodes were touched")
+            lines.append(f"{touched} of {len(passed_on)} datagrams between nodes were affected")
     happened = sum(isinstance(e, Fault) for e in result.events)
-    lines.append(f"{happened} of {len(result.plan.steps)} faults happened")
+    lines.append(f"{happened} of {len(result.plan.steps)} faults took place")
     return lines
 
 
 def as_junit(name: str, report: Report, result: Result) -> bytes:
-    """A test case a rule, and one for the nodes' lives."""
+    """JUnit XML: one test case for each rule, and one that fails if a node crashed."""
     verdicts = report.verdicts
     failures = sum(v == "broke" for v in verdicts.values()) + bool(result.crashed)
     suite = ElementTree.Element(
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -1,4 +1,4 @@
-"""Runs a rehearsal: starts stand-ins and nodes, does to nodes what the plan says, gathers the journals."""
+"""Runs a rehearsal: starts stand-ins and nodes, applies the planned node faults, collects the journals."""
 
 from __future__ import annotations
 
@@ -16,23 +16,26 @@
 from brackenladder.rehearsal.events import AnyEvent, Fault, Journal, merged, now
 from brackenladder.rehearsal.nodes import NodeError, NodeProcess
 from brackenladder.rehearsal.plan import MICRO, Plan, Step, plan_of
-from brackenladder.rehearsal.scenario import DONE_TO_PROCESSES, Scenario
+from brackenladder.rehearsal.scenario import PROCESS_FAULTS, Scenario
 
-HEADSTART = 0.5  # seconds between the last order and the run's beginning
-OPENING = 30.0  # seconds for a stand-in to open its sockets
-FRONT_NOTICE = 0.3  # seconds after SIGTERM in which new connections go on coming
-CLOSING = 20.0  # seconds after the schedule's end for all that is open to end
+HEADSTART = 0.5  # seconds between the order to start and the start of the run
+OPENING = 30.0  # seconds within which a stand-in must open its sockets, or end
+FRONT_NOTICE = 0.3  # seconds after SIGTERM in which clients still open connections to the node
+CLOSING = 20.0  # seconds after the end of the schedule within which open requests must end
 LARGEST_REPORT = 16 << 20
 
-Progress = Callable[[float, dict[str, int], str], None]  # seconds of the run, counts, what happened
+Progress = Callable[[float, dict[str, int], str], None]  # seconds since the start, request counts, event text
 
 
 class RunError(Exception):
-    """A run that could not be made; the text is one line."""
+    """A run that could not be carried out; the text is one line."""
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What a run left. `begin`: its first moment in the events' clock; `memory_kb`: the largest process."""
+    """The result of a run.
+
+    `begin`: its start by the clock of the events; `memory_kb`: of the largest process.
+    """
 
     plan: Plan
     events: list[AnyEvent]
@@ -41,18 +44,18 @@
     memory_kb: int
     crashed: dict[str, list[int]]
     counts: dict[str, int]
-    samples: dict[str, list[float]] = {}  # of the nodes, a second apart; in the model only
+    samples: dict[str, list[float]] = {}  # one a second from the nodes; only with the simulation model
 
 
 class StandIn:
-    """A stand-in's process."""
+    """The process of one stand-in."""
 
     def __init__(self, role: str, name: str) -> None:
         self.role = role
         self.name = name
 
     async def open(self, brief: dict[str, Any]) -> dict[str, Any]:
-        """Starts it; what it reports of its sockets."""
+        """Starts the process; returns the addresses that it reports."""
         self.process = await asyncio.create_subprocess_exec(
             *(sys.executable, "-m", "brackenladder.rehearsal.standins", self.role),
             stdin=asyncio.subprocess.PIPE,
@@ -60,19 +63,19 @@
             start_new_session=True,
             limit=LARGEST_REPORT,
         )
-        self.tell({"role": self.role, "name": self.name} | brief)
+        self.send({"role": self.role, "name": self.name} | brief)
         async with asyncio.timeout(OPENING):
-            report = await self.hear()
+            report = await self.receive()
         ready: dict[str, Any] = report.get("ready", {})
         return ready
 
-    def tell(self, order: dict[str, Any]) -> None:
+    def send(self, order: dict[str, Any]) -> None:
         assert self.process.stdin is not None
         if not self.process.stdin.is_closing():
             self.process.stdin.write(msgspec.json.encode(order) + b"\n")
 
-    async def hear(self) -> dict[str, Any]:
-        """The next report; a RunError if the process has ended."""
+    async def receive(self) -> dict[str, Any]:
+        """The next report; raises RunError if the process has ended."""
         assert self.process.stdout is not None
         line = await self.process.stdout.readline()
         if not line:
@@ -81,12 +84,12 @@
         return report
 
     def check(self) -> None:
-        """A RunError if it has ended before its time: what it saw since is missing."""
+        """Raises RunError if the process has ended early, since its journal is then incomplete."""
         if self.process.returncode is not None:
             raise RunError(f"the stand-in '{self.name}' has ended with status {self.process.returncode}")
 
     async def end(self) -> None:
-        """Ends its orders, and waits until its journal is written."""
+        """Closes the order stream and waits until the process has written its journal."""
         if self.process.returncode is None:
             assert self.process.stdin is not None
             self.process.stdin.close()
@@ -116,21 +119,21 @@
         ]
         self.standins: list[StandIn] = []
         self.begin = 0
-        self.asking = asyncio.Lock()  # one question to the network's stand-in at a time
-        self.restarting = {node.name: asyncio.Lock() for node in self.nodes}
+        self.query_lock = asyncio.Lock()  # one query to the network stand-in at a time
+        self.restart_locks = {node.name: asyncio.Lock() for node in self.nodes}
 
     async def end(self) -> None:
-        """Ends all processes, the nodes first."""
+        """Ends all processes, nodes first."""
         for node in self.nodes:
             await node.end()
         for standin in self.standins:
             await standin.end()
         self.journal.close()
 
-    async def go(self) -> Result:
-        """The whole run. A RunError or a NodeError if it could not begin."""
+    async def execute(self) -> Result:
+        """Carries out the run. Raises RunError or NodeError if it fails."""
         try:
-            await self.play()
+            await self.run_schedule()
         finally:
             await self.end()
         usage = resource.getrusage(resource.RUSAGE_CHILDREN)
@@ -160,7 +163,7 @@
         return standin, report
 
     async def prepare(self) -> StandIn:
-        """Starts servers, discovery, the relay and the nodes; the network's stand-in."""
+        """Starts the server and network stand-ins and the nodes; returns the network stand-in."""
         address: dict[str, str] = {}
         hosts = await asyncio.gather(
             *(self.open("servers", i, {}) for i in range(self.scenario.servers.processes))
@@ -170,7 +173,7 @@
         address |= {f"datagrams {node.number}": node.datagrams for node in self.nodes}
         network, report = await self.open("network", 0, address)
         for node in self.nodes:
-            node.ward = lambda pid, runs: network.tell({"ward": pid, "runs": runs})
+            node.on_process_change = lambda pid, runs: network.send({"ward": pid, "runs": runs})
             node.discovery = [source[node.number] for source in report["discovery"]]
             node.peers = report["peers"]
             lines = [
@@ -192,39 +195,39 @@
         return network
 
     def start(self) -> None:
-        """The run's beginning, a moment from now, for all stand-ins."""
+        """Tells all stand-ins when the run starts, HEADSTART seconds from now."""
         self.begin = now() + round(HEADSTART * MICRO)
         wall = (time_ns() // 1000 + self.begin - now()) // 1000
         for standin in self.standins:
-            standin.tell({"start": self.begin, "wall": wall})
+            standin.send({"start": self.begin, "wall": wall})
 
-    async def play(self) -> None:
+    async def run_schedule(self) -> None:
         network = await self.prepare()
         clients, _ = await self.open(
             "clients", 0, {f"node {node.name}": node.clients_address for node in self.nodes}
         )
         self.start()
         tasks = [
-            asyncio.create_task(self.do(step, network, clients))
+            asyncio.create_task(self.apply_fault(step, network, clients))
             for step in self.plan.steps
-            if step.kind in DONE_TO_PROCESSES
+            if step.kind in PROCESS_FAULTS
         ]
         tasks.append(asyncio.create_task(self.announce()))
         if self.scenario.members:
-            tasks += [asyncio.create_task(node.listened()) for node in self.nodes]
+            tasks += [asyncio.create_task(node.record_members()) for node in self.nodes]
         try:
             async with asyncio.timeout(HEADSTART + self.plan.length / MICRO + CLOSING):
                 while True:
-                    report = await clients.hear()
+                    report = await clients.receive()
                     if "counts" in report:
                         self.counts = report["counts"]
-                        self.say("")
+                        self.report_progress("")
                     if report.get("done"):
                         break
             for standin in self.standins:
                 standin.check()
         except TimeoutError:
-            raise RunError("the clients did not come to an end") from None
+            raise RunError("the client stand-in did not finish in time") from None
         finally:
             for task in tasks:
                 task.cancel()
@@ -233,78 +236,78 @@
             if isinstance(result, (NodeError, RunError)):
                 raise result
 
-    def say(self, text: str) -> None:
+    def report_progress(self, text: str) -> None:
         if self.progress is not None:
             self.progress((now() - self.begin) / MICRO, self.counts, text)
 
     async def announce(self) -> None:
-        """Tells of the faults as they happen."""
+        """Reports each fault to `progress` as it begins."""
         for step in self.plan.steps:
-            await self.until(step.at)
-            self.say(f"{step.kind} {step.target}")
+            await self.sleep_until(step.at)
+            self.report_progress(f"{step.kind} {step.target}")
 
-    async def until(self, time: int) -> None:
+    async def sleep_until(self, time: int) -> None:
         await asyncio.sleep(max(0, self.begin + time - now()) / MICRO)
 
-    async def do(self, step: Step, network: StandIn, clients: StandIn) -> None:
-        """A fault of a node."""
+    async def apply_fault(self, step: Step, network: StandIn, clients: StandIn) -> None:
+        """Applies a node fault at its time."""
         node = next(n for n in self.nodes if n.name == step.target)
-        await self.until(step.at)
+        await self.sleep_until(step.at)
         if step.kind in ("node-kill", "node-term"):
-            async with self.restarting[node.name]:
-                await self.restart(self.put_off(step), node, network, clients)
+            async with self.restart_locks[node.name]:
+                await self.restart(self.postponed(step), node, network, clients)
             return
         self.note(step)
         if step.kind == "node-move":
-            network.tell({"moved": node.name})
+            network.send({"moved": node.name})
             node.source = 1
             node.write()
             node.signal("hup")
         if step.kind in ("node-pause", "node-stall"):
             noticed = step.kind == "node-pause"
             if noticed:
-                clients.tell({"node": node.name, "state": "closed"})
+                clients.send({"node": node.name, "state": "closed"})
             node.signal("stop")
-            await self.until(step.end)
+            await self.sleep_until(step.end)
             node.signal("cont")
             if noticed:
-                clients.tell({"node": node.name, "state": "up"})
+                clients.send({"node": node.name, "state": "up"})
 
     async def restart(self, step: Step, node: NodeProcess, network: StandIn, clients: StandIn) -> None:
-        """Ends a node's process, and starts the next one when the fault is over.
+        """Ends a node's process and starts a new one when the fault is over.
 
-        One at a time for each node. Failure prevented: a node that takes long to start meets its next planned
-        end, which is taken for one that doesn't come up.
+        The caller runs one restart at a time for each node. Otherwise the next planned kill could hit a node
+        that is slow to start, and would be reported as a node that does not start.
         """
         self.note(step)
         if step.kind == "node-kill":
             node.signal("kill")
             await asyncio.sleep(self.scenario.clients.notice_s)
-            clients.tell({"node": node.name, "state": "closed"})
+            clients.send({"node": node.name, "state": "closed"})
         else:
             ending = asyncio.create_task(node.terminate())
             await asyncio.sleep(FRONT_NOTICE)
-            clients.tell({"node": node.name, "state": "closed"})
+            clients.send({"node": node.name, "state": "closed"})
             await ending
-        await self.until(step.end)
-        await node.ended(OPENING)
-        await self.hand_down(node, network)
+        await self.sleep_until(step.end)
+        await node.wait_ended(OPENING)
+        await self.update_known_servers(node, network)
         await node.start()
-        clients.tell({"node": node.name, "state": "up"})
+        clients.send({"node": node.name, "state": "up"})
 
-    def put_off(self, step: Step) -> Step:
-        """The same fault from now on, if it is late."""
+    def postponed(self, step: Step) -> Step:
+        """The same fault, beginning now if its time has passed."""
         return msgspec.structs.replace(step, at=max(step.at, now() - self.begin))
 
     def note(self, step: Step) -> None:
-        """Writes down that a fault begins."""
+        """Records that a fault begins."""
         self.journal.add(Fault(now(), self.begin + step.end, step.kind, step.target))
 
-    async def hand_down(self, node: NodeProcess, network: StandIn) -> None:
-        """The configuration of the next process gives the list as the node last had it."""
-        async with self.asking:
-            network.tell({"handed": node.name})
-            had = await network.hear()
+    async def update_known_servers(self, node: NodeProcess, network: StandIn) -> None:
+        """Puts the server list that the node last received into the configuration of its next process."""
+        async with self.query_lock:
+            network.send({"handed": node.name})
+            had = await network.receive()
         if had["version"] >= 0:
             node.known = {"version": had["version"], "full": True, "servers": had["servers"]}
 
@@ -312,22 +315,22 @@
 async def rehearse(
     scenario: Scenario, seed: int, command: str, folder: Path, progress: Progress | None = None
 ) -> Result:
-    """Runs a scenario; `folder` takes the journals, the nodes' configuration and their logs."""
-    return await Run(scenario, seed, command, folder, progress).go()
+    """Runs a scenario. Journals, the nodes' configurations and their logs are written to `folder`."""
+    return await Run(scenario, seed, command, folder, progress).execute()
 
 
 async def serve_without_clients(
-    scenario: Scenario, command: str, folder: Path, told: Callable[[str], None]
+    scenario: Scenario, command: str, folder: Path, on_ready: Callable[[str], None]
 ) -> None:
-    """Starts the nodes and their stand-ins without clients; `told` gets the first node's address.
+    """Runs the nodes and their stand-ins, without clients, until the task is cancelled.
 
-    They stand until the task is cancelled.
+    `on_ready` is called with the first node's address.
     """
     run = Run(scenario, 1, command, folder, None)
     try:
         await run.prepare()
         run.start()
-        told(run.nodes[0].clients_address)
+        on_ready(run.nodes[0].clients_address)
         await asyncio.Event().wait()
     finally:
         await run.end()
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -1,4 +1,4 @@
-"""A scenario: what stands, what clients send, and what breaks when. TOML, read into frozen structs.
+"""Scenario files: servers, network, clients, limits and scheduled faults. TOML, read into frozen structs.
 
 Times in the file are seconds or, where the key says so, milliseconds.
 """
@@ -14,9 +14,9 @@
 import msgspec
 from msgspec import Meta
 
-LARGEST_FILE = 1 << 20  # bytes of a scenario
-MOST_REQUESTS = 2_000_000  # of one run: rate times length
-MOST_NODES, MOST_SERVERS = 40, 200  # that are played by processes, on one machine
+LARGEST_FILE = 1 << 20  # bytes of a scenario file
+MOST_REQUESTS = 2_000_000  # in one run: rate times length
+MOST_NODES, MOST_SERVERS = 40, 200  # in a run with processes on one machine
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Group = Literal["all", "zone", "pod"]
@@ -40,7 +40,12 @@
 )
 DISCOVERY_FAULTS = ("half-list", "old-list", "silence")
 DATAGRAM_FAULTS = ("datagrams-late", "datagrams-twice", "datagrams-swapped", "datagrams-lost")
-LINK_FAULTS = ("deaf", "mute", "cut-oneway", "cut-group")  # between nodes, at the relay
+LINK_FAULTS = (
+    "deaf",
+    "mute",
+    "cut-oneway",
+    "cut-group",
+)  # on the datagrams between nodes, applied by the relay
 NODE_FAULTS = (
     "node-kill",
     "node-term",
@@ -52,8 +57,8 @@
     "silent-watch",
     *LINK_FAULTS,
 )
-DONE_TO_PROCESSES = ("node-kill", "node-term", "node-move", "node-pause", "node-stall")  # by the runner
-MODEL_FAULTS = ("vanish", "cut", "slow")  # that loopback sockets cannot play
+PROCESS_FAULTS = ("node-kill", "node-term", "node-move", "node-pause", "node-stall")  # applied by the runner
+MODEL_FAULTS = ("vanish", "cut", "slow")  # cannot be produced on loopback sockets
 
 Kind = Literal[
     "stall",
@@ -102,13 +107,13 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file; a key that is not known is an error."""
+    """A table of the file; an unknown key is an error."""
 
 
 class Choke(Table, frozen=True):
-    """How a crowded server turns slow, and when it has rested (`fleet/choke.py`)."""
+    """When an overloaded server becomes slow, and when it recovers (see `fleet/choke.py`)."""
 
-    at: Positive = 5.5  # times the root of its cores
+    at: Positive = 5.5  # requests in work, as a multiple of the square root of the cores
     over_s: Positive = 2.0
     slower: Annotated[float, Meta(ge=1)] = 2.5
     rest_s: Positive = 3.5
@@ -117,46 +122,46 @@
 
 
 class Servers(Table, frozen=True):
-    """The servers at the start; they are spread over the zones in turn, and in each zone over pods."""
+    """The servers at the start; assigned to the zones in turn, and in each zone to pods."""
 
     count: Annotated[int, Meta(ge=1, le=10_000)] = 4
-    pod: Annotated[int, Meta(ge=1)] = 2  # servers of one pod, which share the keys they have seen
+    pod: Annotated[int, Meta(ge=1)] = 2  # servers in a pod, which share the idempotency keys seen
     cores: Annotated[int, Meta(ge=1, le=64)] = 2
-    speed: Span = (0.85, 1.1)  # of a core, against the standard one
-    queue: Annotated[int, Meta(ge=0)] = 64  # requests that wait; beyond that they are turned away
+    speed: Span = (0.85, 1.1)  # of a core, relative to the standard core
+    queue: Annotated[int, Meta(ge=0)] = 64  # requests that can wait; more are rejected
     connections: Annotated[int, Meta(ge=1)] = 512
-    idle_s: Positive = 5.0  # idle connections are closed after it
+    idle_s: Positive = 5.0  # after which idle connections are closed
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.12
     warm_s: AtLeastZero = 24.0
-    report_ms: Span = (330.0, 1500.0)  # how often load reports are refreshed
-    processes: Annotated[int, Meta(ge=1, le=16)] = 1  # that host the servers
-    falls: bool = False  # a cold one that is pushed over the rules' figures dies, and starts anew
-    slow_queue: Annotated[int, Meta(ge=0)] = 0  # from so many waiting on it works slower; 0: it does not
-    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # ...at this part of its speed, until none waits
+    report_ms: Span = (330.0, 1500.0)  # interval at which load reports are refreshed
+    processes: Annotated[int, Meta(ge=1, le=16)] = 1  # stand-in processes that host the servers
+    falls: bool = False  # a cold server that is overloaded beyond `rules` crashes and starts again
+    slow_queue: Annotated[int, Meta(ge=0)] = 0  # number waiting from which a server works slower; 0: never
+    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # ...at this share of its speed, until none waits
     slots: Annotated[int, Meta(ge=0)] = (
-        0  # requests in work, which free their core while they call; 0: none do
+        0  # requests in work, which release their core while calling the next tier; 0: they hold it
     )
-    tier_work: tuple[Positive, ...] = ()  # of a class's work, in each tier; all of it in each if not given
+    tier_work: tuple[Positive, ...] = ()  # share of a class's work in each tier; empty: all of it in each
     choke: Choke | None = None
 
 
 class Discovery(Table, frozen=True):
-    """The server list: `ask` (watches and fetches) or `push` (an agent that answers at once)."""
+    """Service discovery: `ask` (nodes fetch and watch the list) or `push` (an agent that answers at once)."""
 
     how: Literal["ask", "push"] = "ask"
-    late_ms: Span = (500.0, 1500.0)  # after a change, until discovery knows of it
-    lines_per_s: AtLeastZero = 0.0  # that it can write, to all nodes together; 0: any number
+    late_ms: Span = (500.0, 1500.0)  # from a change until discovery knows of it
+    lines_per_s: AtLeastZero = 0.0  # server lines that it can send to all nodes together; 0: unlimited
 
 
 class Network(Table, frozen=True):
-    """One way between two machines, in the model."""
+    """One-way delay between two machines; used by the simulation model only."""
 
-    near_ms: AtLeastZero = 0.1  # in one zone
-    far_ms: AtLeastZero = 0.1  # between two
+    near_ms: AtLeastZero = 0.1  # within a zone
+    far_ms: AtLeastZero = 0.1  # between zones
 
 
 class Surge(Table, frozen=True):
-    """A time in which more clients come, or fewer."""
+    """An interval in which the request rate is multiplied by `times`."""
 
     at_s: AtLeastZero
     for_s: Positive
@@ -164,26 +169,26 @@
 
 
 class Clients(Table, frozen=True):
-    """Requests arrive at random times whatever the answers."""
+    """The clients; requests arrive at random times, independent of the answers (open loop)."""
 
-    rate: Positive = 60.0  # first tries a second, at all nodes together
+    rate: Positive = 60.0  # first tries a second, over all nodes
     retries: Annotated[int, Meta(ge=0, le=5)] = 2
-    wait_ms: Span = (0.0, 200.0)  # before a retry, where the answer carries no advice
-    budget: Span = (0.42, 1.0)  # a try's time, as a part of the class's deadline
-    leave: Share = 0.0  # clients that leave before their time is over
-    drop: Share = 0.02  # answers after which the client closes its connection
+    wait_ms: Span = (0.0, 200.0)  # before a retry, if the answer has no Retry-After
+    budget: Span = (0.42, 1.0)  # time for a try, as a share of the class's deadline
+    leave: Share = 0.0  # share of clients that disconnect before their time is over
+    drop: Share = 0.02  # share of answers after which the client closes the connection
     body_bytes: Annotated[int, Meta(ge=0, le=65536)] = 200
-    notice_s: AtLeastZero = 1.0  # until the front takes a dead node out
-    hot: Share = 0.0  # of the requests that come to the first node, beside its equal part of the rest
-    tenants: tuple[Positive, ...] = ()  # how often each comes, against the others; all alike if not given
+    notice_s: AtLeastZero = 1.0  # until clients stop using a dead node
+    hot: Share = 0.0  # share of requests that all go to the first node; the rest is spread evenly
+    tenants: tuple[Positive, ...] = ()  # weight of each tenant's requests; empty: equal
     quotas: tuple[
         Positive, ...
-    ] = ()  # requests a second of each; half as much again as its part if not given
+    ] = ()  # requests a second for each tenant; empty: 1.5 times an equal share of `rate`
     surges: tuple[Surge, ...] = ()
 
 
 class Class(Table, frozen=True):
-    """A class of request."""
+    """A request class; `aim_ms` is its latency target."""
 
     name: Name
     effect: Effect
@@ -193,7 +198,7 @@
     deadline_ms: Positive = 3000.0
     group: Group = "pod"
     window_s: Positive = 10.0
-    costly: Share = 0.0  # of its requests that take so many times their work
+    costly: Share = 0.0  # share of its requests whose work is multiplied by `costly_times`
     costly_times: Positive = 10.0
 
 
@@ -205,41 +210,41 @@
 
 
 class Limits(Table, frozen=True):
-    """What a node is allowed."""
+    """Resource limits of a node."""
 
     attempts: Annotated[int, Meta(ge=1, le=9)] = 3
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=16)] = 128
     connect_ms: Positive = 250.0
-    event_us: AtLeastZero = 0.0  # of the node's one core, for each event, in the model
-    line_us: AtLeastZero = 0.0  # and for each server that it knows, at each change of the list
+    event_us: AtLeastZero = 0.0  # core time of a node for each event; in the model only
+    line_us: AtLeastZero = 0.0  # and for each known server at each change of the list
 
 
 class Rules(Table, frozen=True):
-    """The rules' figures."""
+    """Limits that the checker and the nodes use."""
 
     drain_ms: Positive = 250.0
     fall_multiple: Positive = 2.5
     fall_s: Positive = 3.0
-    answer_ms: AtLeastZero = 20.0  # after the client's time in which an answer still counts
-    slack_ms: Positive = 50.0  # on each limit of time, on sockets
-    lag_ms: Positive = 50.0  # stand-ins that run later than this make the run not valid
+    answer_ms: AtLeastZero = 20.0  # after the client's deadline, within which an answer counts as in time
+    slack_ms: Positive = 50.0  # added to each time limit, for delays on sockets
+    lag_ms: Positive = 50.0  # a stand-in that runs later than this makes the run not valid
 
 
 class FaultTable(Table, frozen=True):
-    """A fault. `pick`: how many targets, a share of them (under 1), or all."""
+    """A fault. `pick`: the number of targets, a share of them (below 1), or "all"."""
 
     kind: Kind
     at_s: AtLeastZero
     for_s: AtLeastZero = 1.0
     pick: Annotated[float, Meta(gt=0)] | Literal["all"] = 1
-    zone: str = ""  # targets of this zone only
-    jitter_s: AtLeastZero = 0.0  # the seed moves the time later by up to so much
-    share: Share = 1.0  # of the answers, lines or datagrams that the fault touches
-    count: Annotated[int, Meta(ge=1, le=2000)] = 200  # connections of silent clients
-    waves: Annotated[int, Meta(ge=1, le=1000)] = 1  # its targets are struck in so many groups...
-    spread_s: AtLeastZero = 0.0  # ...over so long
-    drain_s: Positive = 2.0  # how long a server of a deploy drains before it ends
+    zone: str = ""  # only targets of this zone
+    jitter_s: AtLeastZero = 0.0  # the seed delays the fault by up to so much
+    share: Share = 1.0  # of the answers, lines or datagrams that the fault affects
+    count: Annotated[int, Meta(ge=1, le=2000)] = 200  # connections that silent clients open
+    waves: Annotated[int, Meta(ge=1, le=1000)] = 1  # its targets are hit in so many groups...
+    spread_s: AtLeastZero = 0.0  # ...spread over this time
+    drain_s: Positive = 2.0  # in a deploy, how long a server drains before it stops
 
 
 class Scenario(Table, frozen=True):
@@ -248,13 +253,19 @@
     title: str
     about: str = ""
     length_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
-    transport: Transport = "http"  # of clients and servers; rpc: the nodes' own HTTP side gets nothing to do
+    transport: Transport = (
+        "http"  # between clients, nodes and servers; with rpc the nodes' HTTP side is unused
+    )
     nodes: Annotated[int, Meta(ge=1, le=2_000)] = 2
-    members: bool = False  # the nodes know one another ([members] in their operator files)
-    recovery: Literal["", "peers", "store"] = ""  # they ask one another at a start, and keep their state
+    members: bool = False  # the nodes run the membership protocol ([members] in their operator files)
+    recovery: Literal["", "peers", "store"] = (
+        ""  # how nodes recover state at a start: from peers, or also from disk ("store")
+    )
     zones: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=8)] = ("east", "west")
     tenants: Annotated[tuple[Name, ...], Meta(min_length=1)] = ("acme", "brook")
-    tiers: Annotated[int, Meta(ge=1, le=4)] = 1  # a server holds its core while it calls the next tier
+    tiers: Annotated[int, Meta(ge=1, le=4)] = (
+        1  # of servers; a server holds its core while it calls the next tier
+    )
     network: Network = Network()
     servers: Servers = Servers()
     discovery: Discovery = Discovery()
@@ -262,11 +273,11 @@
     classes: Annotated[tuple[Class, ...], Meta(min_length=1)] = CLASSES
     limits: Limits = Limits()
     rules: Rules = Rules()
-    tries: tuple[Rule, ...] = ("lost", "effect", "drain", "cold")  # what it puts to the test, in any run
+    tries: tuple[Rule, ...] = ("lost", "effect", "drain", "cold")  # the rules that every run of it exercises
     faults: tuple[FaultTable, ...] = ()
 
 
-# Keys by table that only the model plays.
+# Keys by table that only the simulation model supports.
 MODEL_KEYS = {
     "": ("tiers",),
     "network": ("near_ms", "far_ms"),
@@ -277,7 +288,7 @@
 
 
 def too_large(s: Scenario) -> str:
-    """Why a scenario is for the model only, as `key: what`; empty if it is not."""
+    """Why a scenario can only run in the model, as `key: reason`; empty if it can run on sockets."""
     if s.nodes > MOST_NODES:
         return f"nodes: {s.nodes}, and sockets take {MOST_NODES}: play it with --in model"
     if s.servers.count > MOST_SERVERS:
@@ -286,7 +297,7 @@
 
 
 def on_sockets(s: Scenario) -> tuple[Scenario, list[str]]:
-    """What sockets can play of a scenario, and the keys and faults that they pass over."""
+    """The scenario without what cannot run on sockets, and the names of the keys and faults removed."""
     plain, named = s, []
     defaults = Scenario(title="")
     for table, keys in MODEL_KEYS.items():
@@ -305,13 +316,13 @@
 
 
 def shipped() -> list[str]:
-    """The names of the scenarios that come with the package."""
+    """The names of the scenarios in the package."""
     folder = files("brackenladder.rehearsal") / "scenarios"
     return sorted(f.name.removesuffix(".toml") for f in folder.iterdir() if f.name.endswith(".toml"))
 
 
 def load(name: str) -> Scenario:
-    """A shipped scenario by its name, or a file's. A ScenarioError if it cannot be used."""
+    """Loads a packaged scenario by name, or a file. Raises ScenarioError if it is not usable."""
     if name in shipped():
         where = f"{name}.toml"
         data = (files("brackenladder.rehearsal") / "scenarios" / where).read_bytes()
@@ -330,7 +341,7 @@
 
 
 def parse(data: bytes, where: str) -> Scenario:
-    """A scenario from TOML; `where` names the file in errors."""
+    """Parses a scenario; `where` names the file in error messages."""
     try:
         table = tomllib.loads(data.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, RecursionError) as e:
@@ -346,7 +357,7 @@
 
 
 def format_validation_error(text: str) -> str:
-    """msgspec's message with the key first."""
+    """Rewrites a message of msgspec so that it begins with the key."""
     what, _, place = text.partition(" - at `")
     key = re.sub(r"^\$\.?", "", place.rstrip("`"))
     unknown = re.fullmatch(r"Object contains unknown field `(.*)`", what)
@@ -359,7 +370,7 @@
 
 
 def find_contradiction(s: Scenario) -> str:
-    """What no single key shows to be wrong, as `key: what`; empty if nothing is."""
+    """The first error that msgspec's checks of single keys miss, as `key: reason`; empty if there is none."""
     spans = {
         "servers.speed": s.servers.speed,
         "servers.report_ms": s.servers.report_ms,
--- a/brackenladder/rehearsal/standins/__init__.py
+++ b/brackenladder/rehearsal/standins/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-ins: processes of their own that do as the plan says and write down what they see."""
+"""Stand-ins for clients, servers and network: processes that follow the plan and record what they observe."""
--- a/brackenladder/rehearsal/standins/clients.py
+++ b/brackenladder/rehearsal/standins/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients behind a front: they send at set times whatever the answers."""
+"""Stand-in clients, spread over the nodes as by a load balancer; they send at planned times (open loop)."""
 
 from __future__ import annotations
 
@@ -7,38 +7,40 @@
 
 from brackenladder.rehearsal.events import Again, Answered, Broken, Fault, GaveUp, Sent, Unreached, now
 from brackenladder.rehearsal.plan import RequestPlan, node_name
-from brackenladder.rehearsal.standins.codecs import RPC, Answer, Garbled, Outgoing, client_codec
+from brackenladder.rehearsal.standins.codecs import RPC, Answer, MalformedStream, Outgoing, client_codec
 from brackenladder.rehearsal.standins.process import Host, report, reset
 
-PATIENCE = 1_000_000  # microseconds after an answer's last moment, so that a late one can be told from none
-AHEAD = 50_000  # microseconds of the schedule that are handed to the event loop at once
+LATE_ANSWER_GRACE = (
+    1_000_000  # microseconds that a client waits past the limit, to tell a late answer from none
+)
+LOOKAHEAD = 50_000  # microseconds of the schedule for which timers are set at a time
 CONNECT_TIME = 2.0
-COUNTS = 0.5  # seconds between two reports of the counts
+COUNTS = 0.5  # seconds between two reports of the request counts
 
 
 class Try:
-    """One try of a request: an id of its own."""
+    """One try of a request, with its own id."""
 
     def __init__(self, plan: RequestPlan, number: int, began: int) -> None:
         self.plan = plan
         self.number = number
-        self.began = began  # when the first try was due, in the events' clock
+        self.began = began  # when the first try was due, by the clock of the events
         self.id = f"{(int(plan.id, 16) + number) & 0xFFFFFFFFFFFFFFFF:016x}"
         self.due = 0
         self.resent = False
         self.budget = 0
         self.sent = 0
-        self.reused = False  # of its connection, which had carried a request before
+        self.reused = False  # its connection had carried a request before
         self.timer: asyncio.TimerHandle | None = None
 
     def stop(self) -> None:
-        """It is over: its time does not matter any more."""
+        """Cancels the timeout."""
         if self.timer is not None:
             self.timer.cancel()
 
 
 class Connection(asyncio.Protocol):
-    """A connection to a node; its codec says how many requests are open on it at once."""
+    """A connection to a node; its codec limits how many requests are open on it at once."""
 
     def __init__(self, clients: Clients, node: str) -> None:
         self.clients = clients
@@ -48,14 +50,14 @@
         self.open: dict[str, Try] = {}  # by id, the oldest first
         self.last = ""  # the id of the latest request
         self.used = 0
-        self.unwritten: list[Try] = []  # whose last byte the system has not taken
+        self.unwritten: list[Try] = []  # whose last byte the kernel has not accepted yet
         self.writing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
 
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         return len(self.open) < self.codec.calls and not self.transport.is_closing()
 
     def send(self, attempt: Try, call: Outgoing) -> None:
@@ -77,7 +79,7 @@
             self.written()
 
     def written(self) -> None:
-        """The last byte is with the system: the node's time runs."""
+        """The kernel has accepted all bytes: the tries count as sent from now on."""
         unwritten, self.unwritten = self.unwritten, []
         for attempt in unwritten:
             if self.open.get(attempt.id) is attempt:
@@ -102,7 +104,7 @@
         attempt.timer = c.host.loop.call_later(time / 1e6, self.give_up, attempt, bool(early))
 
     def give_up(self, attempt: Try, early: bool) -> None:
-        """Closes the connection, which is all that a client can do; whoever else waits here leaves too."""
+        """Resets the connection, since a try can't be cancelled alone; other tries on it are given up too."""
         if self.open.get(attempt.id) is not attempt:
             return
         given_up, self.open = self.open, {}
@@ -111,37 +113,37 @@
             other.stop()
             if other.sent:
                 self.clients.host.journal.add(GaveUp(now(), other.id, early or other is not attempt))
-                self.clients.over(other, 0)
+                self.clients.finish_try(other, 0)
             else:
                 self.unreached(other)
 
     def unreached(self, attempt: Try) -> None:
-        """The node never had it whole."""
+        """Records that the node never got the whole request."""
         self.clients.host.journal.add(Unreached(now(), attempt.id, self.node))
-        self.clients.over(attempt, -1)
+        self.clients.finish_try(attempt, -1)
 
     def data_received(self, data: bytes) -> None:
         if not self.open:
-            # A second answer, or more of the first.
+            # A second answer, or extra bytes after the first.
             self.clients.host.journal.add(Again(now(), self.last))
             reset(self.transport)
             return
         try:
             answers = self.codec.feed(data)
-        except Garbled:
+        except MalformedStream:
             reset(self.transport)
             return
         for answer in answers:
             name = answer.id or next(iter(self.open), "")
             if name in self.open:
-                self.whole(self.open.pop(name), answer)
+                self.answered(self.open.pop(name), answer)
             else:
                 self.clients.host.journal.add(Again(now(), name or self.last))
         if not self.open and self.codec.begun():
             self.clients.host.journal.add(Again(now(), self.last))
 
-    def whole(self, attempt: Try, answer: Answer) -> None:
-        """The last byte of an answer has come."""
+    def answered(self, attempt: Try, answer: Answer) -> None:
+        """Handles a complete answer."""
         attempt.stop()
         own = answer.status != 200 or attempt.id.encode() in answer.body
         c = self.clients
@@ -154,7 +156,7 @@
             if self in free:
                 free.remove(self)
             c.host.loop.call_later(0.05, self.transport.close)
-        c.over(attempt, answer.status, answer.retry_after)
+        c.finish_try(attempt, answer.status, answer.retry_after)
 
     def connection_lost(self, exc: Exception | None) -> None:
         free = self.clients.free.get(self.node, [])
@@ -163,13 +165,13 @@
         left, self.open = self.open, {}
         for attempt in left.values():
             attempt.stop()
-            self.lost(attempt, self.codec.ended() if exc is None else None)
+            self.ended_with_connection(attempt, self.codec.ended() if exc is None else None)
 
-    def lost(self, attempt: Try, answer: Answer | None) -> None:
-        """The connection ended with this request open."""
+    def ended_with_connection(self, attempt: Try, answer: Answer | None) -> None:
+        """Handles a try that was open when its connection ended."""
         c = self.clients
         if answer is not None:
-            self.whole(attempt, answer)  # the end was the framing
+            self.answered(attempt, answer)  # the answer was delimited by the end of the connection
             return
         if not attempt.sent:
             self.unreached(attempt)
@@ -178,13 +180,13 @@
         c.host.journal.add(Broken(now(), attempt.id, begun))
         crossed = attempt.reused and not begun and now() - attempt.sent < c.slack
         if crossed and not attempt.resent:
-            c.again(attempt)  # it crossed the connection's end, so it goes out once more
+            c.resend(attempt)  # sent as the node closed the idle connection, so it is sent once more
         else:
-            c.over(attempt, 0)
+            c.finish_try(attempt, 0)
 
 
-class Silent(asyncio.Protocol):
-    """A client that connects and says nothing; the node may close it."""
+class SilentClient(asyncio.Protocol):
+    """A connection that sends nothing; the node may close it."""
 
     def __init__(self, held: set[asyncio.Transport]) -> None:
         self.held = held
@@ -198,18 +200,20 @@
 
 
 class Clients:
-    """All clients, and the front that deals them out among the nodes."""
+    """The role `clients`: all clients, and the choice of a node for each try."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
         s = host.scenario
         self.classes = s.classes
         self.slack = round(s.rules.slack_ms * 1000)
-        self.margin = round((s.rules.answer_ms + s.rules.slack_ms) * 1000) + PATIENCE
-        self.free: dict[str, list[Connection]] = {}  # with room for a request, the last used last
+        self.margin = round((s.rules.answer_ms + s.rules.slack_ms) * 1000) + LATE_ANSWER_GRACE
+        self.free: dict[
+            str, list[Connection]
+        ] = {}  # idle or shared connections with room, by node; the last used one last
         self.address: dict[str, tuple[str, int]] = {}
-        self.taking: dict[str, bool] = {}  # nodes that the front gives new connections to
-        self.left = 0  # requests that are not over
+        self.accepting: dict[str, bool] = {}  # whether a node gets new connections
+        self.unfinished = 0  # requests in progress
         self.counts = {"sent": 0, "served": 0, "refused": 0, "failed": 0, "unreached": 0}
         self.next = 0
         self.tasks: set[asyncio.Task[None]] = set()
@@ -217,16 +221,16 @@
         self.held: set[asyncio.Transport] = set()
 
     async def open(self) -> dict[str, Any]:
-        """Clients listen nowhere."""
+        """Opens nothing, since clients do not listen."""
         return {}
 
     def order(self, order: dict[str, Any]) -> None:
-        """`node` is `up` at an address, or `closed` to new connections."""
+        """Sets a node to `up`, with an address, or to `closed` for new connections."""
         name = order["node"]
         if "address" in order:
             host, _, port = order["address"].rpartition(":")
             self.address[name] = (host, int(port))
-        self.taking[name] = order["state"] == "up"
+        self.accepting[name] = order["state"] == "up"
 
     def start(self) -> None:
         for name, address in self.host.brief.address.items():
@@ -235,47 +239,47 @@
                 self.order({"node": node, "address": address, "state": "up"})
         for step in self.host.plan.steps:
             if step.kind == "silent-clients":
-                self.host.at(step.at, self.silence, step.target, step.count, step.end)
+                self.host.at(step.at, self.hold_silent_connections, step.target, step.count, step.end)
         self.feed()
-        self.tell()
+        self.report_counts()
 
     def feed(self) -> None:
-        """Hands the next stretch of the schedule to the event loop."""
+        """Sets timers for the next part of the schedule; reports the end after the last request."""
         plans = self.host.plan.requests
-        until = self.host.time() + 2 * AHEAD
+        until = self.host.time() + 2 * LOOKAHEAD
         while self.next < len(plans) and plans[self.next].at < until:
             plan = plans[self.next]
             self.next += 1
-            self.left += 1
-            self.host.at(plan.at, self.first, plan)
-        if self.next < len(plans) or self.left:
-            self.host.loop.call_later(AHEAD / 1e6, self.feed)
+            self.unfinished += 1
+            self.host.at(plan.at, self.start_first_try, plan)
+        if self.next < len(plans) or self.unfinished:
+            self.host.loop.call_later(LOOKAHEAD / 1e6, self.feed)
         else:
             report({"done": True, **self.counts})
 
-    def tell(self) -> None:
-        report({"counts": self.counts, "open": self.left})
-        self.host.loop.call_later(COUNTS, self.tell)
+    def report_counts(self) -> None:
+        report({"counts": self.counts, "open": self.unfinished})
+        self.host.loop.call_later(COUNTS, self.report_counts)
 
     # ---- tries ----------------------------------------------------------------------------------------
 
-    def first(self, plan: RequestPlan) -> None:
+    def start_first_try(self, plan: RequestPlan) -> None:
         due = self.host.begin + plan.at
-        self.host.late(now() - due - 2_000)
-        self.go(Try(plan, 0, due), due)
+        self.host.note_lag(now() - due - 2_000)
+        self.start_try(Try(plan, 0, due), due)
 
-    def go(self, attempt: Try, due: int) -> None:
-        """Sends a try on a kept connection of its node, or on a new one."""
+    def start_try(self, attempt: Try, due: int) -> None:
+        """Sends a try on an open connection to its node, or on a new one."""
         attempt.due = due
-        node = self.deal(attempt)
+        node = self.choose_node(attempt)
         free = self.free.get(node, [])
-        # Who will leave closes a connection of its own, where several share one.
+        # A client that will disconnect early gets its own connection where several share one.
         alone = attempt.resent or (
             attempt.plan.leave and not attempt.number and self.host.scenario.transport == RPC
         )
         while free and not alone:
             connection = free[-1]
-            if not connection.room():
+            if not connection.has_room():
                 free.pop()
                 continue
             self.send(connection, attempt)
@@ -284,12 +288,12 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def deal(self, attempt: Try) -> str:
-        """The node that a try goes to: the plan's, or the next one that is taken in."""
+    def choose_node(self, attempt: Try) -> str:
+        """The node for a try: the planned one, or else the next that accepts connections."""
         nodes = self.host.scenario.nodes
         for offset in range(nodes):
             name = node_name((attempt.plan.node + attempt.number + offset) % nodes)
-            if self.taking.get(name) or (self.free.get(name) and not attempt.resent):
+            if self.accepting.get(name) or (self.free.get(name) and not attempt.resent):
                 return name
         return node_name(attempt.plan.node)
 
@@ -301,7 +305,7 @@
                 )
         except (OSError, TimeoutError):
             self.host.journal.add(Unreached(now(), attempt.id, node))
-            self.over(attempt, -1)
+            self.finish_try(attempt, -1)
             return
         self.send(connection, attempt)
 
@@ -327,22 +331,25 @@
                     body=self.body,
                 ),
             )
-        if connection.room() and connection not in free:
+        if connection.has_room() and connection not in free:
             free.append(connection)
-        elif not connection.room() and connection in free:
+        elif not connection.has_room() and connection in free:
             free.remove(connection)
         if attempt.budget <= 0:
-            self.over(attempt, 0)
+            self.finish_try(attempt, 0)
 
-    def again(self, attempt: Try) -> None:
-        """Sends a try once more, with an id of its own, on a new connection."""
+    def resend(self, attempt: Try) -> None:
+        """Sends a try once more, with a new id, on a new connection."""
         new = Try(attempt.plan, attempt.number, attempt.began)
         new.id = f"{int(attempt.id, 16) ^ (1 << 63):016x}"
         new.resent = True
-        self.go(new, now())
+        self.start_try(new, now())
 
-    def over(self, attempt: Try, status: int, advice: float = 0.0) -> None:
-        """A try has ended: 0 broken or given up, -1 the node was not reached. Perhaps there is another."""
+    def finish_try(self, attempt: Try, status: int, advice: float = 0.0) -> None:
+        """Counts a try that has ended, and starts a retry if that is allowed.
+
+        `status`: of the answer; 0: broken or given up; -1: the node was not reached.
+        """
         effect = self.classes[attempt.plan.klass].effect
         refused = status in (429, 503)
         left = attempt.plan.leave and not attempt.number and status == 0
@@ -356,14 +363,14 @@
             deadline = attempt.began + round(self.classes[attempt.plan.klass].deadline_ms * 1000)
             if now() + wait < deadline:
                 following = Try(attempt.plan, attempt.number + 1, attempt.began)
-                self.host.loop.call_later(wait / 1e6, self.go, following, now() + wait)
+                self.host.loop.call_later(wait / 1e6, self.start_try, following, now() + wait)
                 return
-        self.left -= 1
+        self.unfinished -= 1
 
     # ---- silent clients -------------------------------------------------------------------------------
 
-    def silence(self, node: str, connections: int, end: int) -> None:
-        """Opens connections that say nothing, again and again as the node closes them."""
+    def hold_silent_connections(self, node: str, connections: int, end: int) -> None:
+        """Holds `connections` silent connections to a node until `end`, reopening those that it closes."""
         self.host.journal.add(Fault(now(), self.host.begin + end, "silent-clients", node))
 
         async def hold() -> None:
@@ -372,7 +379,7 @@
                     try:
                         async with asyncio.timeout(CONNECT_TIME):
                             await self.host.loop.create_connection(
-                                lambda: Silent(self.held), *self.address[node]
+                                lambda: SilentClient(self.held), *self.address[node]
                             )
                     except (OSError, TimeoutError):
                         break
--- a/brackenladder/rehearsal/standins/codecs.py
+++ b/brackenladder/rehearsal/standins/codecs.py
@@ -1,6 +1,6 @@
-"""The two transports as the stand-ins speak them: bytes in, requests or answers out, without sockets.
+"""HTTP and MessagePack-RPC codecs of the stand-ins: bytes in, requests or answers out, without sockets.
 
-A codec belongs to one connection. What it cannot read is a `Garbled`; the connection is then of no use.
+A codec belongs to one connection, which must be closed once the codec has raised `MalformedStream`.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from brackenladder.rehearsal.scenario import Scenario
 
-PADDING = 512  # bytes of an answer's body at the least, so that it has a middle
-LARGEST_REQUEST = 256 << 10  # bytes of a request with its head
+PADDING = 512  # bytes of an answer's body, so that it can be cut in the middle
+LARGEST_REQUEST = 256 << 10  # bytes of a request, including its head
 LARGEST_ANSWER = 1 << 20
-ADVICE_MOST = 5.0  # seconds of Retry-After that a client obeys
-PIPELINE = 32  # RPC calls that a client has open on one connection
-FAILED = "lost"  # a server's error by which it has failed; the node's file names it
+MAX_RETRY_AFTER = 5.0  # seconds; a client caps longer values
+PIPELINE = 32  # RPC calls that a client opens on one connection at once
+FAILED = "lost"  # the error that a failing server returns; the nodes' operator file lists it
 PROBES = ("/health", "/status/load")
 HTTP, RPC = "http", "rpc"
 
 
-class Garbled(Exception):
-    """The stream cannot be read any further."""
+class MalformedStream(Exception):
+    """The bytes received are not valid; nothing more can be read from the connection."""
 
 
 class Outgoing(msgspec.Struct, frozen=True):
-    """A client's request. `budget`: milliseconds; `key`: of a keyed one."""
+    """A client's request. `budget`: milliseconds; `key`: idempotency key, or empty."""
 
     id: str
     klass: str
@@ -42,7 +42,11 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer. `id`: whose, where the transport says so; `status`: HTTP's, or what it would be."""
+    """A complete answer.
+
+    `id`: of its request, if the transport tells it; `status`: the HTTP status, or the one that matches an RPC
+    result; `keep`: the connection stays open.
+    """
 
     id: str
     status: int
@@ -52,7 +56,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request that came whole to a server. `ref`: what its answer must carry; `probe`: a path, or none."""
+    """A complete request at a server. `ref`: msgid that its answer must carry; `probe`: path of a probe."""
 
     id: str
     klass: str
@@ -61,45 +65,45 @@
 
 
 class ClientCodec(Protocol):
-    """A client's side. `calls`: that one connection has open at once."""
+    """The client's side. `calls`: the limit of requests open on the connection at once."""
 
     calls: int
 
     def request(self, call: Outgoing) -> bytes:
-        """A request's bytes."""
+        """Encodes a request."""
 
     def feed(self, data: bytes) -> list[Answer]:
         """The answers that these bytes complete."""
 
     def begun(self) -> bool:
-        """Whether a part of an answer has come."""
+        """Whether a part of an answer has been received."""
 
     def ended(self) -> Answer | None:
-        """The answer that ends with the connection, if it is framed by that."""
+        """The answer that is delimited by the end of the connection, if there is one."""
 
 
 class ServerCodec(Protocol):
-    """A server's side."""
+    """The server's side."""
 
     def feed(self, data: bytes) -> list[Request]:
         """The requests that these bytes complete."""
 
     def partial(self) -> str | None:
-        """The id of a request that has begun, "" while it is not known; None if none has."""
+        """The id of an incomplete request, "" if not known yet; None if there is no such request."""
 
     def answer(self, ref: int, server: str, name: str, how: str) -> bytes:
-        """A `served`, `rejected` or `error` answer; the body names server and request."""
+        """Encodes an answer. `how`: served, rejected or error; the body names server and request."""
 
     def bad(self, status: int) -> bytes:
-        """The answer to what cannot be served."""
+        """Encodes the answer to an invalid request."""
 
 
 def body_of(server: str, name: str) -> bytes:
     return f"{server} {name}\n".encode().ljust(PADDING, b".")
 
 
-def middle_of(data: bytes, part: str) -> int:
-    """Where an answer's bytes are cut: in the middle of its `head` or of its `body`."""
+def cut_position(data: bytes, part: str) -> int:
+    """The offset of the middle of an answer's `head` or `body`, where faults cut it."""
     head = len(data) - PADDING
     return head // 2 if part == "head" else head + PADDING // 2
 
@@ -108,7 +112,7 @@
 
 
 class HttpClient:
-    """One request at a time."""
+    """HTTP/1.1, client's side; one request at a time."""
 
     calls = 1
 
@@ -116,9 +120,9 @@
         self.parser = httptools.HttpResponseParser(self)
         self.answers: list[Answer] = []
         self.started = False
-        self.fresh()
+        self.reset_message()
 
-    def fresh(self) -> None:
+    def reset_message(self) -> None:
         self.body = b""
         self.framed = False
         self.retry_after = 0.0
@@ -143,7 +147,7 @@
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            raise Garbled from None
+            raise MalformedStream from None
         finally:
             answers, self.answers = self.answers, []
         return answers
@@ -157,7 +161,7 @@
 
     def on_message_begin(self) -> None:
         self.started = True
-        self.fresh()
+        self.reset_message()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key = name.lower()
@@ -165,7 +169,7 @@
             self.framed = True
         elif key == b"retry-after":
             try:
-                self.retry_after = min(ADVICE_MOST, max(0.0, float(value)))
+                self.retry_after = min(MAX_RETRY_AFTER, max(0.0, float(value)))
             except ValueError:
                 self.retry_after = 0.0
 
@@ -182,7 +186,7 @@
 
 
 class HttpServer:
-    """One request at a time."""
+    """HTTP/1.1, server's side; one request at a time."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -194,11 +198,11 @@
     def feed(self, data: bytes) -> list[Request]:
         self.size += len(data)
         if self.size > LARGEST_REQUEST:
-            raise Garbled
+            raise MalformedStream
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            raise Garbled from None
+            raise MalformedStream from None
         finally:
             requests, self.requests = self.requests, []
         return requests
@@ -245,7 +249,7 @@
     def __init__(self, largest: int) -> None:
         self.unpacker = msgpack.Unpacker(strict_map_key=False, max_buffer_size=largest)
         self.given = 0  # bytes fed
-        self.read = 0  # bytes of the messages that came whole
+        self.read = 0  # bytes of complete messages
 
     def feed(self, data: bytes) -> list[list[Any]]:
         messages: list[list[Any]] = []
@@ -255,10 +259,10 @@
             for message in self.unpacker:
                 self.read = self.unpacker.tell()
                 if not isinstance(message, list) or not message:
-                    raise Garbled
+                    raise MalformedStream
                 messages.append(message)
         except (ValueError, msgpack.UnpackException):
-            raise Garbled from None
+            raise MalformedStream from None
         return messages
 
     def partial(self) -> bool:
@@ -266,7 +270,7 @@
 
 
 class RpcClient:
-    """Calls by msgid, answers in any order."""
+    """MessagePack-RPC, client's side; answers are matched by msgid and may come in any order."""
 
     calls = PIPELINE
 
@@ -290,13 +294,13 @@
 
     def answer(self, message: list[Any]) -> Answer:
         if len(message) != 4 or message[0] != 1 or message[1] not in self.ids:
-            raise Garbled
+            raise MalformedStream
         _, msgid, error, result = message
         status, advice = 200, 0.0
         if error is not None:
             word = error[0] if isinstance(error, list) and error else ""
             status = {"refused": 503, "failed": 502}.get(word, 500)
-            advice = min(ADVICE_MOST, max(0.0, float(error[1]))) if word == "refused" else 0.0
+            advice = min(MAX_RETRY_AFTER, max(0.0, float(error[1]))) if word == "refused" else 0.0
         body = result if isinstance(result, bytes) else b""
         return Answer(self.ids[msgid], status, body, advice, True)
 
@@ -308,7 +312,7 @@
 
 
 class RpcServer:
-    """Calls by msgid."""
+    """MessagePack-RPC, server's side."""
 
     def __init__(self) -> None:
         self.stream = Stream(LARGEST_REQUEST)
@@ -320,7 +324,7 @@
         if message[0] == 2 and len(message) == 3:
             return Request(str(message[2][0]["id"]), str(message[1]), -1)
         if message[0] != 0 or len(message) != 4:
-            raise Garbled
+            raise MalformedStream
         return Request(str(message[3][0]["id"]), str(message[2]), message[1])
 
     def partial(self) -> str | None:
--- a/brackenladder/rehearsal/standins/heartbeats.py
+++ b/brackenladder/rehearsal/standins/heartbeats.py
@@ -1,4 +1,4 @@
-"""A stand-in server's heartbeats: it calls one control node after the other until one acknowledges."""
+"""Heartbeats of a stand-in server: calls the control nodes in turn until one acknowledges."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from brackenladder.rehearsal.standins.model_server import ModelServer
 
 CALL_SECONDS = 1.0
-RETRY_SECONDS = 0.05  # between two calls of a beat that nobody has acknowledged
-FAREWELL_SECONDS = 5.0  # for the acknowledgement of an end
+RETRY_SECONDS = 0.05  # between two calls for a heartbeat that is not acknowledged
+FAREWELL_SECONDS = 5.0  # to get a drain or a deregistration acknowledged
 
 
 class Heartbeats:
-    """Registers one server at the control nodes for as long as it runs."""
+    """Keeps one server registered at the control nodes while it runs."""
 
     def __init__(self, server: ModelServer, control: tuple[str, ...], interval_s: float) -> None:
         self._server = server
@@ -30,20 +30,20 @@
         self._due = asyncio.Event()
 
     async def start(self) -> None:
-        """Begins to call."""
+        """Starts sending heartbeats."""
         timeout = aiohttp.ClientTimeout(total=CALL_SECONDS)
         self._session = aiohttp.ClientSession(timeout=timeout)
         self._task = asyncio.create_task(self._run())
 
     async def drain(self) -> None:
-        """Says that the server leaves; returns once that is acknowledged."""
+        """Announces that the server drains; returns once that is acknowledged."""
         self._server.draining = True
         async with asyncio.timeout(FAREWELL_SECONDS):
             while not await self._beat():
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def deregister(self) -> None:
-        """Says that the server has ended, and calls no more."""
+        """Deregisters the server and stops sending heartbeats."""
         path = f"/-/Instances.Deregister/{self._server.settings.id}"
         with suppress(TimeoutError):
             async with asyncio.timeout(FAREWELL_SECONDS):
@@ -52,7 +52,7 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Calls no more, without a word."""
+        """Stops sending heartbeats without deregistering."""
         if self._task is not None:
             self._task.cancel()
             with suppress(asyncio.CancelledError):
@@ -60,7 +60,7 @@
         await self._session.close()
 
     def loses_answer(self) -> bool:
-        """Whether an acknowledgement is lost on its way; a server that plays this overrides it."""
+        """Whether to treat an acknowledgement as lost; overridden to inject that fault."""
         return False
 
     async def _run(self) -> None:
@@ -86,7 +86,7 @@
         return await self._call(f"/-/Instances.Heartbeat/{settings.id}", beat)
 
     async def _call(self, path: str, document: dict[str, object] | None) -> bool:
-        """One call of one node; after a failure the next call goes to the next node."""
+        """Calls one control node; after a failure the next call goes to the next one."""
         node = self._control[self._next]
         try:
             async with self._session.post(f"http://{node}{path}", json=document) as answer:
--- a/brackenladder/rehearsal/standins/model_clients.py
+++ b/brackenladder/rehearsal/standins/model_clients.py
@@ -1,4 +1,4 @@
-"""A stand-in client of the whole system: it asks the directory, sends requests and checks what comes back."""
+"""A test client of the whole system: resolves gateways, sends requests and checks the answers."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 RESOLVE_SECONDS = 1.0
 CONNECT_SECONDS = 1.0
 RETRY_SECONDS = 0.1
-PROMISES = frozenset({408, 421, 429, 503})  # the request has not run
-FINAL = frozenset({400, 401, 404, 413, 431})  # asking again is of no use
+PROMISES = frozenset({408, 421, 429, 503})  # statuses that guarantee that the request has not run
+FINAL = frozenset({400, 401, 404, 413, 431})  # statuses after which a retry cannot succeed
 _EVENT = re.compile(rb"id: (\d+)\ndata: piece (\d+) of (\d+)\n\n")
 
 
@@ -43,29 +43,29 @@
 
 @frozen
 class Outcome:
-    """The end of one request."""
+    """The result of one request."""
 
     kind: OutcomeKind
-    seconds: float  # from the first try to the first event or the whole answer; a failure: to its end
+    seconds: float  # from the first try to the first event or complete answer, or to the failure
     detail: str = ""
 
 
 @frozen
 class RequestSpec:
-    """What is asked. A streaming request counts as resumable."""
+    """A request to send. A streaming request counts as resumable."""
 
     host: str
     path: str
     streaming: bool
     deadline_s: float = 8.0
-    prompt: str = ""  # `Prompt-Prefix`
+    prompt: str = ""  # value of the header `Prompt-Prefix`
     tokens_in: int = 0
     tokens_out: int = 0
 
 
 @define
 class Progress:
-    """What has come of one request, over all its tries."""
+    """What was received for one request, over all its tries."""
 
     began: float
     last_event: int = 0
@@ -75,16 +75,16 @@
     complete: bool = False
 
     def seconds(self) -> float:
-        """Until the first event, or until now."""
+        """The time from the first try until the first event, or until now."""
         return (self.first_at if self.first_at is not None else monotonic()) - self.began
 
 
 class FinalAnswer(Exception):
-    """Trying again is of no use: a final status, or a stream that is not what a server sent."""
+    """A retry cannot succeed: a final status, or a stream with wrong content."""
 
 
 class ModelClient:
-    """One client in a place. Each try has an id of its own and a connection of its own."""
+    """One client in a region and zone. Each try has its own id and connection."""
 
     def __init__(self, directories: tuple[str, ...], region: str, zone: str, random: Random) -> None:
         self._directories = directories
@@ -95,17 +95,17 @@
         self._session: aiohttp.ClientSession
 
     async def start(self) -> None:
-        """Makes the session."""
+        """Opens the HTTP session."""
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
         connector = aiohttp.TCPConnector(force_close=True, limit=0)
         self._session = aiohttp.ClientSession(timeout=timeout, connector=connector)
 
     async def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         await self._session.close()
 
     async def resolve(self, host: str) -> list[str]:
-        """The gateways that the directory names; those of the last answer if it names none now."""
+        """The gateways that the directory returns; those of its last answer if no directory answers."""
         if monotonic() < self._addresses_until:
             return self._addresses
         for directory in self._directories:
@@ -127,9 +127,9 @@
     async def ask(
         self, spec: RequestSpec, on_event: Callable[[int], None] = lambda _: None, gateway: str = ""
     ) -> Outcome:
-        """Sends a request, again if that is allowed, until it is served or its time is over.
+        """Sends a request and retries it until it is served, fails finally or its deadline has passed.
 
-        `on_event` is told the number of each event. `gateway`: where the first try goes.
+        `on_event` is called with the number of each event. `gateway`: address for the first try.
         """
         progress = Progress(monotonic())
         until = progress.began + spec.deadline_s
@@ -162,7 +162,7 @@
         on_event: Callable[[int], None],
         gateway: str,
     ) -> float:
-        """One try; if it was refused, the pause after which the next one may come."""
+        """Makes one try; if it was refused, returns the seconds to wait before the next one."""
         addresses = [gateway] if gateway else await self.resolve(spec.host)
         if not addresses:
             progress.detail = "the directory names no gateway"
@@ -188,7 +188,7 @@
     async def _read_stream(
         self, answer: aiohttp.ClientResponse, progress: Progress, on_event: Callable[[int], None]
     ) -> None:
-        """Takes the events; they must follow one another and reach the last one."""
+        """Reads the events, which must be numbered without gaps up to the announced last one."""
         rest, total = b"", 0
         async for data in answer.content.iter_any():
             rest += data
@@ -218,10 +218,10 @@
 
 
 def _check_event(event: bytes, expected: int) -> int:
-    """The number of events that its stream announces."""
+    """Checks an event's form and number; returns the number of events that it announces."""
     match = _EVENT.fullmatch(event)
     if match is None:
-        raise FinalAnswer(f"no whole event: {event[:40]!r}")
+        raise FinalAnswer(f"malformed event: {event[:40]!r}")
     if int(match[1]) != expected:
         raise FinalAnswer(f"event {int(match[1])} where {expected} was due")
     return int(match[3])
--- a/brackenladder/rehearsal/standins/model_engine.py
+++ b/brackenladder/rehearsal/standins/model_engine.py
@@ -1,4 +1,4 @@
-"""The engine of a stand-in model server: how long a prompt takes to read, which parts are kept, the pace."""
+"""The simulated engine of a model server: prefill time, prompt cache and token rate."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from attrs import frozen
 
-DEFAULT_EVENTS = 12  # of a stream whose request names no length
+DEFAULT_EVENTS = 12  # events of a stream whose request gives no length
 
 
 @frozen
 class EngineSettings:
-    """One engine. Prompts are read and tokens made the more slowly the more requests run at once."""
+    """One engine. Prefill and decoding slow down with the number of concurrent requests."""
 
     slots: int = 8
-    queue: int = 8  # requests that wait for a slot; more are turned away
+    queue: int = 8  # requests that can wait for a slot; more are refused
     kv_tokens: int = 60_000
     prefill_tokens_a_second: float = 40_000.0
     event_seconds: float = 0.02  # between two events of a stream, with nothing else running
@@ -23,7 +23,7 @@
 
 @frozen
 class PromptPart:
-    """A part of a prompt; equal ids are equal texts."""
+    """A part of a prompt; parts with equal ids have equal text."""
 
     id: str
     tokens: int
@@ -31,7 +31,7 @@
 
 @frozen
 class Prompt:
-    """What a request says of its prompt and of its answer's length."""
+    """A request's prompt and the number of events of its answer."""
 
     parts: tuple[PromptPart, ...] = ()
     tokens: int = 0
@@ -39,7 +39,7 @@
 
 
 def parse_prompt(prefix: str, usage: str, tokens_an_event: int) -> Prompt:
-    """Reads the headers `Prompt-Prefix` and `Token-Usage`; a ValueError for what can't be read."""
+    """Parses the headers `Prompt-Prefix` and `Token-Usage`; raises ValueError if they are malformed."""
     fields = (part.strip().rpartition(":") for part in prefix.split(",") if part.strip())
     parts = tuple(PromptPart(name, int(tokens)) for name, _, tokens in fields)
     if not usage:
@@ -50,7 +50,7 @@
 
 
 class PromptCache:
-    """Parts that were read, in the order of their last use. A part counts only after all before it."""
+    """An LRU cache of prompt parts. A part is a hit only if all parts before it are."""
 
     def __init__(self, kv_tokens: int) -> None:
         self._capacity = kv_tokens
@@ -58,7 +58,7 @@
         self.kept_tokens = 0
 
     def unread(self, prompt: Prompt) -> int:
-        """The tokens of the prompt that have to be read now; uses what is kept of it."""
+        """The number of the prompt's tokens that are not cached; marks cached parts as used."""
         known = 0
         for chain, part in _chains(prompt):
             if chain not in self._kept:
@@ -68,7 +68,7 @@
         return max(0, prompt.tokens - known)
 
     def keep(self, prompt: Prompt) -> None:
-        """Keeps all parts of a prompt that was read; those unused longest give way."""
+        """Caches all parts of a prompt; evicts the least recently used."""
         for chain, part in _chains(prompt):
             if chain not in self._kept:
                 self.kept_tokens += part.tokens
@@ -80,6 +80,6 @@
 
 
 def _chains(prompt: Prompt) -> list[tuple[tuple[str, ...], PromptPart]]:
-    """Each part with the ids up to and with its own."""
+    """Each part with its cache key: the ids of all parts up to and including it."""
     ids = tuple(part.id for part in prompt.parts)
     return [(ids[: index + 1], part) for index, part in enumerate(prompt.parts)]
--- a/brackenladder/rehearsal/standins/model_server.py
+++ b/brackenladder/rehearsal/standins/model_server.py
@@ -1,7 +1,7 @@
-"""A stand-in server of the whole system: a model server, or a plain application behind the same interface.
+"""A simulated server for tests of the whole system: a model server, or an application without a model.
 
-It speaks what the servers of the system speak: streams of numbered events, `/-/report`, `/healthz`, 421 for
-another instance, `Not-Executed` where a request has not run. Its heartbeats: `heartbeats.py`.
+It implements the interface that gateways expect of servers: streams of numbered events, `/-/report`,
+`/healthz`, 421 for another instance, `Not-Executed` if a request has not run. `heartbeats.py` registers it.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
 
 @frozen
 class ServerSettings:
-    """Who a server is."""
+    """A server's identity and capacity."""
 
-    id: str  # of this incarnation
+    id: str  # of this process; a restart gets a new one
     service: str
     address: str  # "ip:port"
     zone: str
-    engine: EngineSettings | None = None  # None: a plain application
+    engine: EngineSettings | None = None  # None: an application without a model
     slots: int = 16
     model: str = "m"
 
 
 class ModelServer:
-    """One server. `executed` counts by request id what it has begun to work on."""
+    """One server. `executed`: by request id, how often work on it has begun."""
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
@@ -65,19 +65,19 @@
         self._listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens; an OSError if the address can't be had."""
+        """Starts listening; raises OSError if the address is not available."""
         host, _, port = self.settings.address.rpartition(":")
         self._listener = await asyncio.get_running_loop().create_server(
             self._protocols, host, int(port), reuse_address=True
         )
 
     async def finish(self) -> None:
-        """Waits until nothing runs, then ends."""
+        """Waits until no request runs, then stops."""
         await self._idle.wait()
         await self._end(CLOSE_SECONDS)
 
     async def crash(self) -> None:
-        """Ends at once: connections are reset, streams break off."""
+        """Stops at once: aborts all connections, also in the middle of streams."""
         for protocol in self._protocols.connections:
             if protocol.transport is not None:
                 protocol.transport.abort()
@@ -101,17 +101,17 @@
         return await self._serve(request)
 
     def arrived(self, request_id: str, path: str) -> None:
-        """A request has come; a server that keeps a record overrides this and the next two."""
+        """Hook for an arrived request; overridden, as are the next two, by servers that record requests."""
 
     def begun(self, request_id: str) -> None:
-        """Work on a request begins."""
+        """Hook for the begin of work on a request."""
         self.executed[request_id] += 1
 
     def turned_away(self, request_id: str, status: int) -> None:
-        """A request has not run and will not."""
+        """Hook for a request that was refused and will not run."""
 
     def cold_remaining_ms(self) -> int:
-        """How long the server says that it is still cold."""
+        """The remaining warm-up time that the server reports."""
         return 0
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -173,11 +173,11 @@
         return answer
 
     def event_numbers(self, first: int, last: int) -> Iterable[int]:
-        """The numbers of a stream's events; a server that is to go wrong overrides it."""
+        """The numbers of a stream's events; overridden to inject wrong streams."""
         return range(first, last + 1)
 
     async def _prefill(self, prompt: Prompt) -> None:
-        """Reads what is not kept of the prompt; the time is that of an engine that others use as well."""
+        """Simulates the prefill of the uncached part, slower the more requests run."""
         unread = self._cache.unread(prompt)
         self.prefilled_tokens += unread
         await asyncio.sleep(unread / self._engine.prefill_tokens_a_second * self._crowding())
@@ -203,7 +203,7 @@
         return headers | {"Connection": "close"} if self.draining else headers
 
     def _refused(self, request_id: str, status: int) -> web.Response:
-        """The request has not run."""
+        """The answer for a request that has not run."""
         self.turned_away(request_id, status)
         return web.Response(status=status, headers=self._headers(request_id) | {NOT_EXECUTED: "true"})
 
@@ -221,5 +221,5 @@
         }
 
     def model_entry(self) -> dict[str, object]:
-        """The model as reports and heartbeats name it."""
+        """The model's entry in reports and heartbeats."""
         return {"Name": self.settings.model, "Version": 1, "Adapters": []}
--- a/brackenladder/rehearsal/standins/network.py
+++ b/brackenladder/rehearsal/standins/network.py
@@ -1,4 +1,4 @@
-"""Stand-in discovery, one address a node, and the relay of the datagrams between nodes."""
+"""Stand-in for service discovery, with one address for each node, and a relay for datagrams between nodes."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from brackenladder.rehearsal.events import Asked, Changed, Datagram, Hushed, Told, Untold, now
 from brackenladder.rehearsal.plan import MICRO, ServerPlan, Step, node_name
 from brackenladder.rehearsal.scenario import DATAGRAM_FAULTS, DISCOVERY_FAULTS, LINK_FAULTS
-from brackenladder.rehearsal.standins.process import Host, listener, named, report, reset
+from brackenladder.rehearsal.standins.process import Host, address_of, listener, report, reset
 
-LONGEST_WAIT = 60.0  # seconds of a watch
-LARGEST_REQUEST = 16 << 10  # bytes of a call's head
+LONGEST_WAIT = 60.0  # seconds that a watch may wait
+LARGEST_REQUEST = 16 << 10  # bytes of a call
 LARGEST_DATAGRAM = 256
-FIRST_VERSION = (41, 7001)  # of each source; versions of one say nothing of the other's
-PASSING = (0.001, 0.010)  # seconds that a datagram takes
-LATE = 0.5  # and a late one
-SWAPPED = 0.05  # and one that others overtake
+FIRST_VERSION = (41, 7001)  # of each source; the two number their versions independently
+DELAY = (0.001, 0.010)  # seconds that a datagram takes, drawn from this range
+LATE_DELAY = 0.5  # seconds for a late one
+SWAPPED_DELAY = 0.05  # seconds for one that others overtake
 
 
 class Call(asyncio.Protocol):
-    """A node's connection to discovery."""
+    """A node's connection to a discovery source."""
 
     def __init__(self, source: Source, node: str) -> None:
         self.source = source
@@ -71,7 +71,7 @@
         self.open = True
         time = min(int(wait) / 1000 if wait.isdigit() else 0.0, LONGEST_WAIT)
         self.source.host.journal.add(Asked(now(), self.node, self.call, self.since, round(time * MICRO)))
-        if self.source.silent(self.node):
+        if self.source.unanswered(self.node):
             return
         self.source.waiting.add(self)
         if self.since >= 0:
@@ -88,7 +88,7 @@
 
 
 class Source:
-    """One discovery: what it knows, in versions, and the calls that wait for more."""
+    """A discovery service: its versioned server list, and the calls that wait for changes."""
 
     def __init__(self, network: Network, number: int) -> None:
         self.network = network
@@ -96,22 +96,27 @@
         self.number = number
         self.version = FIRST_VERSION[number]
         self.lines: dict[str, dict[str, Any]] = {}
-        self.changed: dict[str, int] = {}  # the version in which each line changed last
+        self.changed: dict[str, int] = {}  # the version in which each server's line last changed
         self.history: list[tuple[int, str, dict[str, Any]]] = []
-        self.frozen: tuple[int, list[dict[str, Any]]] | None = None  # an old version that is given instead
-        self.half: set[str] | None = None  # ids that whole lists leave out
+        self.old_list: tuple[int, list[dict[str, Any]]] | None = (
+            None  # fault `old-list`: the version and lines to return
+        )
+        self.left_out: set[str] | None = None  # fault `half-list`: ids that full lists omit
         self.waiting: set[Call] = set()
         self.snapshots: list[tuple[int, list[dict[str, Any]]]] = []
 
-    def silent(self, node: str) -> bool:
-        """Whether calls of a node go without an answer now."""
-        if self.network.step("silence") is not None or self.network.step("unheard", target=node) is not None:
+    def unanswered(self, node: str) -> bool:
+        """Whether calls of a node get no answer now."""
+        if (
+            self.network.active_fault("silence") is not None
+            or self.network.active_fault("unheard", target=node) is not None
+        ):
             return True
         return self.number == 0 and node in self.network.moved
 
-    def put(self, *lines: dict[str, Any]) -> None:
-        """Takes note of new states of servers; a version for all of them."""
-        self.snapshots.append((self.version, self.whole()))
+    def update(self, *lines: dict[str, Any]) -> None:
+        """Sets the lines of servers under one new version."""
+        self.snapshots.append((self.version, self.full_list()))
         self.version += 1
         for line in lines:
             self.lines[line["id"]] = line
@@ -119,34 +124,36 @@
             self.host.journal.add(
                 Changed(now(), self.number, self.version, line["id"], line["state"], line["started_ms"])
             )
-        self.tell()
+        self.answer_waiting()
 
-    def whole(self) -> list[dict[str, Any]]:
-        """The whole list: whoever is gone is not on it."""
+    def full_list(self) -> list[dict[str, Any]]:
+        """All lines except those of servers that are gone."""
         return [line for line in self.lines.values() if line["state"] != "gone"]
 
-    def tell(self) -> None:
+    def answer_waiting(self) -> None:
         for call in list(self.waiting):
             self.answer(call, False)
 
-    def answer(self, call: Call, now_or_never: bool) -> None:
-        """Answers a call if there is news for it, or if its wait is over."""
+    def answer(self, call: Call, must_answer: bool) -> None:
+        """Answers a call if there are changes for it, or if `must_answer` (its wait is over)."""
         if not call.open or call not in self.waiting:
             return
-        if self.frozen is not None:
-            version, lines = self.frozen
+        if self.old_list is not None:
+            version, lines = self.old_list
             if call.since != version:
                 self.write(call, version, True, lines)
-            elif now_or_never:
+            elif must_answer:
                 self.write(call, version, False, [])
         elif (
             call.since < 0
             or call.since > self.version
-            or (self.half is not None and call.since < self.version)
+            or (self.left_out is not None and call.since < self.version)
         ):
-            lines = [line for line in self.whole() if self.half is None or line["id"] not in self.half]
+            lines = [
+                line for line in self.full_list() if self.left_out is None or line["id"] not in self.left_out
+            ]
             self.write(call, self.version, True, lines)
-        elif call.since < self.version or now_or_never:
+        elif call.since < self.version or must_answer:
             changed = [line for line in self.lines.values() if self.changed[line["id"]] > call.since]
             self.write(call, self.version, False, changed)
 
@@ -161,8 +168,8 @@
             b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
             % (len(body), body)
         )
-        self.network.hand(call.node, self.number, version, full, lines)
-        # Noted after the write: from this moment on the node can know.
+        self.network.record_list(call.node, self.number, version, full, lines)
+        # Recorded after the write, since the node cannot know of it earlier.
         self.host.journal.add(Told(now(), call.node, call.call, self.number, version, full, seen))
 
     # ---- faults ---------------------------------------------------------------------------------------
@@ -170,45 +177,45 @@
     def begin(self, step: Step) -> None:
         if step.kind == "half-list":
             rng = Random(f"half {self.host.brief.seed} {step.at}")
-            names = sorted(line["id"] for line in self.whole())
-            self.half = set(rng.sample(names, len(names) // 2))
+            names = sorted(line["id"] for line in self.full_list())
+            self.left_out = set(rng.sample(names, len(names) // 2))
             self.version += 1
-            self.tell()
+            self.answer_waiting()
         elif step.kind == "old-list":
-            self.frozen = self.snapshots[0] if self.snapshots else (self.version, self.whole())
-            self.tell()
+            self.old_list = self.snapshots[0] if self.snapshots else (self.version, self.full_list())
+            self.answer_waiting()
 
     def end(self, step: Step) -> None:
-        if step.kind == "half-list" and self.half is not None:
-            # The lines that were left out are news again to whoever was given the half.
+        if step.kind == "half-list" and self.left_out is not None:
+            # The omitted lines count as changed, so that nodes with the half list get them.
             self.version += 1
-            for name in self.half:
+            for name in self.left_out:
                 self.changed[name] = self.version
-            self.half = None
-            self.tell()
+            self.left_out = None
+            self.answer_waiting()
         elif step.kind == "old-list":
-            self.frozen = None
-            self.tell()
+            self.old_list = None
+            self.answer_waiting()
 
 
 class Relay(asyncio.DatagramProtocol):
-    """A node's address as its peers know it: what comes goes on to the node, from its sender's address."""
+    """The address of a node that its peers use; forwards datagrams to the node."""
 
     def __init__(self, network: Network, node: int) -> None:
         self.network = network
-        self.node = node  # -1: every node of the tier
+        self.node = node  # -1: the address of all nodes
         self.transport: asyncio.DatagramTransport = cast(asyncio.DatagramTransport, None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        self.network.pass_on(self.node, data, (addr[0], addr[1]))
+        self.network.relay_datagram(self.node, data, (addr[0], addr[1]))
 
 
 @dataclass
-class Handed:
-    """The list as a node last had it."""
+class KnownList:
+    """The server list that a node last received."""
 
     source: int
     version: int
@@ -216,7 +223,7 @@
 
 
 class Network:
-    """Discovery, twice (a node may be moved to the second), and the relay."""
+    """The role `network`: two discovery sources (nodes may be moved to the second) and the relay."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -226,11 +233,11 @@
         self.relays: dict[int, Relay] = {}
         self.rng = Random(f"network {host.brief.seed}")
         self.delays = Random(f"late {host.brief.seed}")
-        self.peers: dict[tuple[str, int], int] = {}  # a node's own address for datagrams, to its number
+        self.peers: dict[tuple[str, int], int] = {}  # number of each node, by its own datagram address
         self.plans = {s.id: s for s in host.plan.servers}
         self.servers: list[asyncio.Server] = []
         self.last: dict[str, int] = {}
-        self.handed: dict[str, Handed] = {}  # by node
+        self.known_lists: dict[str, KnownList] = {}  # by node
 
     async def open(self) -> dict[str, Any]:
         self.prepare()
@@ -243,7 +250,7 @@
                 self.servers.append(
                     await self.host.loop.create_server(lambda s=source, n=name: Call(s, n), sock=sock)  # type: ignore[misc]
                 )
-                found["discovery"][source.number].append(named(sock))
+                found["discovery"][source.number].append(address_of(sock))
         for node in (*nodes, -1):
             relay = self.relays[node] = Relay(self, node)
             await self.host.loop.create_datagram_endpoint(lambda r=relay: r, local_addr=("127.0.0.1", 0))  # type: ignore[misc]
@@ -252,10 +259,10 @@
         return found
 
     def order(self, order: dict[str, Any]) -> None:
-        """`moved`: a node has the other discovery. `handed`: a report of the list as a node last had it."""
+        """`moved`: a node now uses the second source. `handed`: asks for a node's last list."""
         if "handed" in order:
             name = order["handed"]
-            had = self.handed.get(name)
+            had = self.known_lists.get(name)
             lines = [] if had is None else [x for x in had.lines.values() if x["state"] != "gone"]
             report({"handed": name, "version": -1 if had is None else had.version, "servers": lines})
         if "moved" in order:
@@ -264,17 +271,19 @@
             for call in [c for c in self.sources[0].waiting if c.node == name]:
                 self.sources[0].waiting.discard(call)
 
-    def hand(self, node: str, source: int, version: int, full: bool, lines: list[dict[str, Any]]) -> None:
-        """A list was written to a node. The highest version holds, as for the checker."""
-        had = self.handed.get(node)
+    def record_list(
+        self, node: str, source: int, version: int, full: bool, lines: list[dict[str, Any]]
+    ) -> None:
+        """Records an answer to a node. Older versions are ignored, as by the checker."""
+        had = self.known_lists.get(node)
         if had is None or had.source != source:
-            had = self.handed[node] = Handed(source, -1, {} if had is None else had.lines)
+            had = self.known_lists[node] = KnownList(source, -1, {} if had is None else had.lines)
         if version >= had.version:
             had.version = version
             had.lines = ({} if full else had.lines) | {line["id"]: line for line in lines}
 
     def prepare(self) -> None:
-        """The list as it stands at the start, from the addresses that the brief gives."""
+        """Sets up the initial server list and the nodes' datagram addresses from the brief."""
         for source in self.sources:
             for plan in self.host.plan.servers:
                 if plan.born < 0:
@@ -302,48 +311,48 @@
     def start(self) -> None:
         for plan in self.host.plan.servers:
             if plan.born >= 0:
-                self.know(plan.born, plan, "ready", plan.born)
+                self.schedule_change(plan.born, plan, "ready", plan.born)
         for step in self.host.plan.steps:
             server = self.plans.get(step.target)
             if step.kind in ("restart", "replace"):
                 assert server is not None
-                self.know(step.at, server, "gone", server.born)
+                self.schedule_change(step.at, server, "gone", server.born)
                 if step.kind == "restart":
-                    self.know(step.end, server, "ready", step.end)
+                    self.schedule_change(step.end, server, "ready", step.end)
             elif step.kind in ("drain", "drain-answering"):
                 assert server is not None
-                self.know(step.at, server, "draining", server.born, late=step.kind == "drain")
-                self.know(step.end, server, "gone", server.born)
+                self.schedule_change(step.at, server, "draining", server.born, late=step.kind == "drain")
+                self.schedule_change(step.end, server, "gone", server.born)
             elif step.kind in DISCOVERY_FAULTS:
                 self.host.at(step.at, self.begin, step)
                 self.host.at(step.end, self.end, step)
             elif step.kind in (*DATAGRAM_FAULTS, *LINK_FAULTS):
-                self.host.at(step.at, self.host.fault, step)
+                self.host.at(step.at, self.host.note_fault, step)
             elif step.kind in ("unheard", "silent-watch"):
-                self.host.at(step.at, self.unheard, step)
+                self.host.at(step.at, self.silence_calls, step)
 
-    def know(self, at: int, plan: ServerPlan, state: str, born: int, late: bool = True) -> None:
-        """Discovery learns of a change some time after it, and of a server's changes in their order."""
+    def schedule_change(self, at: int, plan: ServerPlan, state: str, born: int, late: bool = True) -> None:
+        """Schedules when discovery learns of a change: some time later, changes of a server in order."""
         low, high = self.host.scenario.discovery.late_ms
         time = at + (round(self.delays.uniform(low, high) * 1000) if late else 0)
         time = self.last[plan.id] = max(time, self.last.get(plan.id, 0) + 1)
-        self.host.at(time, self.learn, self.line(plan, state, born))
+        self.host.at(time, self.apply_change, self.line(plan, state, born))
 
-    def learn(self, line: dict[str, Any]) -> None:
+    def apply_change(self, line: dict[str, Any]) -> None:
         for source in self.sources:
-            source.put(line)
+            source.update(line)
 
-    def step(self, *kinds: str, target: str = "") -> Step | None:
-        """The fault of these kinds, and at this target if one is named, that is on now."""
+    def active_fault(self, *kinds: str, target: str = "") -> Step | None:
+        """The active fault of one of these kinds, at `target` if given; None if there is none."""
         time = self.host.time()
         for step in self.host.plan.steps:
             if step.kind in kinds and step.at <= time < step.end and target in ("", step.target):
                 return step
         return None
 
-    def unheard(self, step: Step) -> None:
-        """The calls that a node has out go without an answer; if it is cut off, later ones too."""
-        self.host.fault(step)
+    def silence_calls(self, step: Step) -> None:
+        """Leaves a node's open calls unanswered (faults `silent-watch` and `unheard`)."""
+        self.host.note_fault(step)
         for source in self.sources:
             for call in [call for call in source.waiting if call.node == step.target]:
                 source.waiting.discard(call)
@@ -351,7 +360,7 @@
                     self.host.journal.add(Hushed(now(), call.node, call.call))
 
     def begin(self, step: Step) -> None:
-        self.host.fault(step)
+        self.host.note_fault(step)
         for source in self.sources:
             source.begin(step)
             if step.kind == "silence":
@@ -363,17 +372,17 @@
 
     # ---- datagrams ------------------------------------------------------------------------------------
 
-    def pass_on(self, target: int, data: bytes, sender: tuple[str, int]) -> None:
-        """Carries a datagram as the fault of the moment lets it."""
+    def relay_datagram(self, target: int, data: bytes, sender: tuple[str, int]) -> None:
+        """Forwards a datagram to its target, or to all other nodes."""
         source = self.peers.get(sender)
         if source is None or len(data) > LARGEST_DATAGRAM:
             return
         for address, number in self.peers.items():
             if number != source and target in (-1, number):
-                self.carry(source, number, address, data)
+                self.forward(source, number, address, data)
 
-    def severed(self, source: int, number: int) -> bool:
-        """Whether a fault of this moment keeps one node's datagrams from another."""
+    def link_cut(self, source: int, number: int) -> bool:
+        """Whether an active link fault blocks datagrams from node `source` to node `number`."""
         time, links = self.host.time(), set()
         for step in self.host.plan.steps:
             if step.kind in LINK_FAULTS and step.at <= time < step.end:
@@ -386,23 +395,23 @@
             or (("cut-group", one) in links) != (("cut-group", other) in links)
         )
 
-    def carry(self, source: int, number: int, address: tuple[str, int], data: bytes) -> None:
+    def forward(self, source: int, number: int, address: tuple[str, int], data: bytes) -> None:
         time = self.host.time()
-        fate, delays = "passed", [self.rng.uniform(*PASSING)]
+        fate, delays = "passed", [self.rng.uniform(*DELAY)]
         for step in self.host.plan.steps:
             on = step.kind in DATAGRAM_FAULTS and step.at <= time < step.end
             if not on or self.rng.random() >= step.share:
                 continue
             fate = step.kind.removeprefix("datagrams-")
             if fate == "late":
-                delays = [LATE] * len(delays)
+                delays = [LATE_DELAY] * len(delays)
             elif fate == "twice":
                 delays *= 2
             elif fate == "swapped":
-                delays = [self.rng.choice((0.0, SWAPPED)) for _ in delays]
+                delays = [self.rng.choice((0.0, SWAPPED_DELAY)) for _ in delays]
             else:
                 delays = []
-        if self.severed(source, number):
+        if self.link_cut(source, number):
             fate, delays = "cut", []
         self.host.journal.add(Datagram(now(), node_name(source), node_name(number), len(data), fate))
         for delay in delays:
