--- a/brackenladder/rehearsal/standins/process.py
+++ b/brackenladder/rehearsal/standins/process.py
@@ -1,7 +1,7 @@
-"""What all stand-ins share: their orders on standard input, the run's clock, their lag, their journal.
+"""Code that all stand-in processes share: orders on standard input, the clock, lag measurement, the journal.
 
-Orders and reports are JSON lines. The first order is a Brief; the stand-in answers with a report once its
-sockets are open, gets `start` with the time of the run's beginning, and ends at the end of its input.
+Orders and reports are JSON lines. The first order is a Brief. The stand-in reports once its sockets are open,
+then gets the order `start` with the time at which the run starts, and stops at the end of its input.
 """
 
 from __future__ import annotations
@@ -25,45 +25,45 @@
 from brackenladder.rehearsal.plan import Plan, Step, plan_of
 from brackenladder.rehearsal.scenario import Scenario
 
-BEAT = 0.01  # seconds between two looks at the own lag
-NOTABLE = 5_000  # microseconds of lag that are written down
+LAG_INTERVAL = 0.01  # seconds between two measurements of the process's lag
+MIN_REPORTED_LAG = 5_000  # microseconds; smaller lags are not recorded
 LARGEST_ORDER = 64 << 20  # bytes of one line
-TIMER_STEP = 1_000  # microseconds: the event loop's timers may run so much early
-FLUSH = 0.25  # seconds after which the journal's buffer is written, whatever it holds
-FAILED = 3  # exit code of a stand-in that could not do as planned
-LINGER_OFF = struct.pack("ii", 1, 0)  # a close is a reset
+TIMER_STEP = 1_000  # microseconds by which the event loop's timers may fire early
+FLUSH = 0.25  # seconds between two flushes of the journal
+FAILED = 3  # exit code after an unexpected exception
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER value that makes a close send a reset
 
 
 class Brief(msgspec.Struct, frozen=True):
-    """What a stand-in is told first. `address`: where things of other stand-ins are, by name."""
+    """The first order. `address`: addresses of nodes and other stand-ins, by name."""
 
     role: str
     name: str
     journal: str
     scenario: Scenario
     seed: int
-    number: int = 0  # of this process among those of its role
+    number: int = 0  # of this process within its role
     address: dict[str, str] = {}
 
 
-class Part(Protocol):
-    """One role."""
+class Role(Protocol):
+    """What a stand-in process does: servers, network or clients."""
 
     async def open(self) -> dict[str, Any]:
-        """Opens the sockets; the report names what others must know."""
+        """Opens the sockets; returns the addresses that other processes need."""
 
     def start(self) -> None:
-        """The run begins: `Host.start` is set."""
+        """Called when the start of the run is known (`Host.begin`)."""
 
     def order(self, order: dict[str, Any]) -> None:
-        """A later order."""
+        """Handles an order that came after the Brief."""
 
     async def finish(self) -> None:
-        """The run is over."""
+        """Called at the end of the run."""
 
 
 class Host:
-    """The surroundings of a part."""
+    """What a role gets from its process: plan, timers, journal."""
 
     def __init__(self, brief: Brief, loop: asyncio.AbstractEventLoop) -> None:
         self.brief = brief
@@ -71,22 +71,22 @@
         self.scenario = brief.scenario
         self.plan: Plan = plan_of(brief.scenario, brief.seed)
         self.journal = Journal(Path(brief.journal))
-        self.begin = 0  # microseconds of the events' clock
-        self.wall = 0  # milliseconds of Unix time at that moment
+        self.begin = 0  # start of the run, by the clock of the events
+        self.wall = 0  # the same in milliseconds of Unix time
         self.worst = 0
-        self.wards: set[int] = set()  # processes that must not outlive the runner
+        self.child_pids: set[int] = set()  # node processes, killed if the runner ends without them
 
     def at(self, time: int, action: Callable[..., None], *args: Any) -> None:
-        """Calls `action` at a time of the plan, never before it; at once if it is over."""
+        """Calls `action` at a time of the plan, never earlier; at once if the time has passed."""
         self.loop.call_later(
-            (max(0, self.begin + time - now()) + TIMER_STEP) / 1e6, self.due, time, action, args
+            (max(0, self.begin + time - now()) + TIMER_STEP) / 1e6, self.run_if_due, time, action, args
         )
 
-    def due(self, time: int, action: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Calls it, unless the timer is early.
+    def run_if_due(self, time: int, action: Callable[..., None], args: tuple[Any, ...]) -> None:
+        """Calls `action`, or sets the timer again if it fired early.
 
-        Failure prevented: the loop's timers count from the moment at which it last looked at its clock, which
-        may be some milliseconds old, and a fault begins before its time.
+        The loop's timers count from its cached time, which may be some milliseconds old. Without this check a
+        fault could begin before its time.
         """
         if now() < self.begin + time:
             self.at(time, action, *args)
@@ -94,51 +94,51 @@
             action(*args)
 
     def time(self) -> int:
-        """The plan's time now."""
+        """Microseconds since the start of the run."""
         return now() - self.begin
 
     def started_ms(self, born: int) -> int:
-        """A server's start as the list gives it; 0 for one that stood before the run."""
+        """A server's start as in the server list; 0 if it was before the run."""
         return 0 if born < 0 else self.wall + born // 1000
 
-    def fault(self, step: Step) -> None:
-        """Notes that a step begins."""
+    def note_fault(self, step: Step) -> None:
+        """Records that a fault begins."""
         self.journal.add(Fault(now(), self.begin + step.end, step.kind, step.target))
 
-    def late(self, lag: int) -> None:
-        """Notes a lag that is worse than those before it."""
-        if lag > NOTABLE and lag > self.worst:
+    def note_lag(self, lag: int) -> None:
+        """Records a lag that is larger than all before it."""
+        if lag > MIN_REPORTED_LAG and lag > self.worst:
             self.worst = lag
             self.journal.add(Lag(now(), self.brief.name, lag))
 
-    def order(self, order: dict[str, Any], part: Part) -> None:
-        """Keeps the runner's wards; the rest is the part's."""
+    def order(self, order: dict[str, Any], role: Role) -> None:
+        """Tracks the pids of the nodes; passes all other orders on to the role."""
         if "ward" in order:
-            (self.wards.add if order["runs"] else self.wards.discard)(order["ward"])
+            (self.child_pids.add if order["runs"] else self.child_pids.discard)(order["ward"])
         elif "start" not in order:
-            part.order(order)
+            role.order(order)
 
-    async def beat(self) -> None:
-        """Measures the lag: how much later than asked this process runs."""
+    async def measure_lag(self) -> None:
+        """Measures how late timers run in this process, and flushes the journal."""
         flushed = now()
         while True:
             before = now()
-            await asyncio.sleep(BEAT)
+            await asyncio.sleep(LAG_INTERVAL)
             moment = now()
-            self.late(moment - before - round(BEAT * 1e6))
+            self.note_lag(moment - before - round(LAG_INTERVAL * 1e6))
             if moment - flushed > FLUSH * 1e6:
                 self.journal.flush()
                 flushed = moment
 
 
 def report(table: dict[str, Any]) -> None:
-    """Tells the runner something."""
+    """Sends a report to the runner."""
     sys.stdout.buffer.write(msgspec.json.encode(table) + b"\n")
     sys.stdout.buffer.flush()
 
 
 def listener(address: str = "", backlog: int = 512, small: bool = False) -> socket.socket:
-    """A listening socket on loopback; `small`: what it accepts holds few bytes that nobody reads."""
+    """A listening socket on loopback. `small`: accepted connections get a small receive buffer."""
     host, _, port = address.rpartition(":")
     sock = socket.socket()
     sock.setblocking(False)
@@ -150,21 +150,24 @@
     return sock
 
 
-def named(sock: socket.socket) -> str:
+def address_of(sock: socket.socket) -> str:
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Ends a connection as a process that dies does."""
+    """Closes a connection with a reset, as the kernel does for a killed process."""
     sock = transport.get_extra_info("socket")
     if sock is not None and not transport.is_closing():
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_OFF)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
     transport.abort()
 
 
-def failed(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """A stand-in that does not do as planned ends: no verdict rests on it. A peer's end is no failure."""
+def exit_on_error(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    """Ends the process on an unexpected exception, so that its journal yields no verdict.
+
+    Errors of a connection are ignored, since peers may close it.
+    """
     error = context.get("exception")
     if isinstance(error, OSError) and "future" not in context and "task" not in context:
         return
@@ -172,36 +175,36 @@
     os._exit(FAILED)
 
 
-async def serve(make: Callable[[Host], Part]) -> None:
-    """Runs a part until the orders end."""
+async def serve(make: Callable[[Host], Role]) -> None:
+    """Runs a role until the end of its input."""
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(failed)
+    loop.set_exception_handler(exit_on_error)
     reader = asyncio.StreamReader(limit=LARGEST_ORDER)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     host = Host(msgspec.json.decode(await reader.readline(), type=Brief), loop)
-    part = make(host)
-    report({"ready": await part.open()})
+    role = make(host)
+    report({"ready": await role.open()})
     order: dict[str, Any] = {}
     while "start" not in order and (line := await reader.readline()):
         order = msgspec.json.decode(line)
-        host.order(order, part)
+        host.order(order, role)
     if "start" in order:
         host.begin, host.wall = order["start"], order["wall"]
         gc.collect()
         gc.freeze()
         gc.set_threshold(100_000, 50, 50)
-        part.start()
-        beat = loop.create_task(host.beat())
+        role.start()
+        lag_task = loop.create_task(host.measure_lag())
         while line := await reader.readline():
-            host.order(msgspec.json.decode(line), part)
-        beat.cancel()
-        await part.finish()
-    # Failure prevented: a runner that is killed outright leaves its nodes behind.
-    for pid in host.wards:
+            host.order(msgspec.json.decode(line), role)
+        lag_task.cancel()
+        await role.finish()
+    # Ends the nodes of a runner that was killed and could not end them itself.
+    for pid in host.child_pids:
         with suppress(ProcessLookupError):
             os.kill(pid, signal.SIGKILL)
     host.journal.close()
 
 
-def main(make: Callable[[Host], Part]) -> None:
+def main(make: Callable[[Host], Role]) -> None:
     uvloop.run(serve(make))
--- a/brackenladder/rehearsal/standins/server_connection.py
+++ b/brackenladder/rehearsal/standins/server_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a stand-in server, and the requests that are open on it."""
+"""A connection to a simulated server, and the requests that are open on it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from brackenladder.rehearsal.events import Event, Partial, now
 from brackenladder.rehearsal.plan import ServerPlan, Step
-from brackenladder.rehearsal.standins.codecs import Garbled, Request, server_codec
+from brackenladder.rehearsal.standins.codecs import MalformedStream, Request, server_codec
 from brackenladder.rehearsal.standins.process import reset
 from brackenladder.rehearsal.standins.server_context import ServerContext
 
 
 class RequestHandler(Protocol):
-    """What a connection needs of its server."""
+    """The interface of a server that its connections use."""
 
     context: ServerContext
     plan: ServerPlan
@@ -24,20 +24,20 @@
     queued: bool
 
     def fault(self, *kinds: str) -> Step | None:
-        """The fault of these kinds that is on now."""
+        """The active fault of one of these kinds, if any."""
 
     def arrived(self, connection: Connection, first: int, request: Request) -> None:
-        """A request's last byte has come."""
+        """Handles a complete request; `first`: when its first byte came."""
 
     def probed(self, connection: Connection, path: str) -> None:
-        """A probe has come."""
+        """Handles a health or load probe."""
 
     def abandoned(self, attempt: Attempt, by: str) -> None:
-        """The connection has ended before the answer was whole."""
+        """Handles the end of a connection before its answer was complete."""
 
 
 class Attempt:
-    """A request that has come whole. `ref`: what its answer must carry."""
+    """A complete request. `ref`: the id that its answer must carry, if the transport has ids."""
 
     __slots__ = ("number", "id", "ref", "connection", "work", "done")
 
@@ -47,7 +47,7 @@
         self.ref = ref
         self.connection = connection
         self.work = work
-        self.done = False  # its answer is out, or its connection has ended
+        self.done = False  # its answer is written, or its connection has ended
 
 
 class Connection(asyncio.Protocol):
@@ -57,23 +57,23 @@
         self.server = server
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.codec = server_codec(server.context.scenario)
-        self.first = 0  # when the first byte of the request came that has not come whole
+        self.first = 0  # when the first byte of an incomplete request came; 0: there is none
         self.asked = False
         self.open: list[Attempt] = []
-        self.partway: Attempt | None = None  # whose answer has begun: all others wait behind it
-        self.behind: list[tuple[Attempt, bytes]] = []
+        self.answering: Attempt | None = None  # whose answer is partly written; other answers must wait
+        self.queued_answers: list[tuple[Attempt, bytes]] = []
         self.idle_since = 0.0
         self.ignoring = False
         self.queued = server.queued
-        self.limited = False
-        self.early = False  # reset once its first bytes are read, of which the socket holds few
+        self.over_limit = False
+        self.reset_early = False  # to be reset after the first read, which the small buffer keeps short
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.idle_since = self.server.loop.time()
-        self.limited = len(self.server.connections) >= self.server.context.scenario.servers.connections
+        self.over_limit = len(self.server.connections) >= self.server.context.scenario.servers.connections
         self.server.connections.add(self)
-        self.early = self.server.fault("reset-early") is not None
+        self.reset_early = self.server.fault("reset-early") is not None
 
     def data_received(self, data: bytes) -> None:
         if self.ignoring:
@@ -82,7 +82,7 @@
         self.first = self.first or moment
         try:
             requests = self.codec.feed(data)
-        except Garbled:
+        except MalformedStream:
             self.ignoring = True
             self.transport.write(self.codec.bad(400))
             self.transport.close()
@@ -90,12 +90,12 @@
         for request in requests:
             if not self.transport.is_closing():
                 self.request_received(request)
-            self.first = moment  # of the next one, if it has begun
+            self.first = moment  # for the next request, if a part of it has come
         if self.codec.partial() is None:
             self.first = 0
-        if self.early:
+        if self.reset_early:
             self.ignoring = True
-            for attempt in list(self.open):  # small enough to come whole: it may have run
+            for attempt in list(self.open):  # came complete in the first read, so it may have run
                 self.server.abandoned(attempt, "server")
             reset(self.transport)
 
@@ -108,14 +108,14 @@
             self.server.arrived(self, self.first, request)
 
     def write(self, attempt: Attempt, data: bytes, whole: bool) -> None:
-        """Writes an answer or a part of it. What others answer waits behind one that has begun."""
-        if self.partway is not None and self.partway is not attempt:
-            self.behind.append((attempt, data))
+        """Writes an answer or a part of it; queues it while another answer is partly written."""
+        if self.answering is not None and self.answering is not attempt:
+            self.queued_answers.append((attempt, data))
             return
         self.transport.write(data)
-        self.partway = None if whole else attempt
-        while self.partway is None and self.behind:
-            _, data = self.behind.pop(0)
+        self.answering = None if whole else attempt
+        while self.answering is None and self.queued_answers:
+            _, data = self.queued_answers.pop(0)
             self.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/brackenladder/rehearsal/standins/server_context.py
+++ b/brackenladder/rehearsal/standins/server_context.py
@@ -1,4 +1,4 @@
-"""What the servers of one stand-in process share: the plan's faults, classes of requests, addresses."""
+"""State that the servers of one process share: planned faults, request classes, addresses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ServerContext:
-    """`places`: the address of each place; `steps`: each server's faults; `numbers`: of attempts."""
+    """`places`: the address of each place; `steps`: the faults of each server; `numbers`: for attempts."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -24,5 +24,5 @@
             self.steps.setdefault(step.target, []).append(step)
 
     def pod(self, plan: ServerPlan) -> str:
-        """The group that shares keys: the cell."""
+        """The name of a server's pod, whose servers share idempotency keys: zone and cell."""
         return f"{plan.zone}/{plan.cell}"
--- a/brackenladder/rehearsal/standins/servers.py
+++ b/brackenladder/rehearsal/standins/servers.py
@@ -1,4 +1,4 @@
-"""The stand-in servers of one process: when each starts, and when its faults begin and end."""
+"""The simulated servers of one process: starts each at its time, and begins and ends its faults."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from typing import Any
 
 from brackenladder.rehearsal.plan import ServerPlan, Step
-from brackenladder.rehearsal.standins.process import Host, named
+from brackenladder.rehearsal.standins.process import Host, address_of
 from brackenladder.rehearsal.standins.server_context import ServerContext
 from brackenladder.rehearsal.standins.simulated_server import SimulatedServer
 
-SWEEP = 0.1  # seconds between two looks at idle connections
+SWEEP_INTERVAL = 0.1  # seconds between two checks for idle connections
 
 
 class Servers:
-    """The servers that one process hosts."""
+    """The role `servers`."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
@@ -23,16 +23,16 @@
         self.mine = [s for s in host.plan.servers if s.process == host.brief.number]
         self.running: dict[str, SimulatedServer] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.held: dict[int, socket.socket] = {}
+        self.reserved: dict[int, socket.socket] = {}
 
     async def open(self) -> dict[str, Any]:
         for place in sorted({s.place for s in self.mine}):
-            # Bound for the whole run, so that nobody else gets the port while the server is away.
+            # Bound during the whole run, so that no other process gets the port while the server is down.
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(("127.0.0.1", 0))
-            self.held[place] = sock
-            self.context.places[place] = named(sock)
+            self.reserved[place] = sock
+            self.context.places[place] = address_of(sock)
         for server in self.mine:
             if server.born < 0:
                 await self.start_server(server, -1)
@@ -45,10 +45,10 @@
     def run(self, coroutine: Any) -> None:
         task = self.host.loop.create_task(coroutine)
         self.tasks.add(task)
-        task.add_done_callback(self.ended)
+        task.add_done_callback(self.task_ended)
 
-    def ended(self, task: asyncio.Task[None]) -> None:
-        """A failure goes on to the loop's handler at once, not when the task is collected."""
+    def task_ended(self, task: asyncio.Task[None]) -> None:
+        """Passes an exception to the loop's handler at once, not when the task is garbage collected."""
         self.tasks.discard(task)
         if not task.cancelled():
             task.result()
@@ -57,31 +57,31 @@
         plans = {s.id: s for s in self.mine}
         for server in self.mine:
             if server.born >= 0:
-                self.host.at(server.born, self.later, server, server.born)
+                self.host.at(server.born, self.start_later, server, server.born)
         for step in self.host.plan.steps:
             if step.target in plans:
-                self.host.at(step.at, self.begin, step, plans[step.target])
+                self.host.at(step.at, self.begin_fault, step, plans[step.target])
         self.sweep()
 
-    def later(self, plan: ServerPlan, cold_since: int) -> None:
+    def start_later(self, plan: ServerPlan, cold_since: int) -> None:
         self.run(self.start_server(plan, cold_since))
 
-    def begin(self, step: Step, plan: ServerPlan) -> None:
-        """A step's time has come."""
-        self.host.fault(step)
+    def begin_fault(self, step: Step, plan: ServerPlan) -> None:
+        """Begins a fault and schedules its end."""
+        self.host.note_fault(step)
         server = self.running[plan.id]
         if step.kind in ("restart", "replace"):
             server.die()
             if step.kind == "restart":
-                self.host.at(step.end, self.later, plan, step.end)
+                self.host.at(step.end, self.start_later, plan, step.end)
         elif step.kind in ("drain", "drain-answering"):
             self.host.at(step.end, lambda: self.run(server.retire()))
         elif step.kind in ("closed", "reset-early"):
-            server.shut()
+            server.close_port()
             server.drop_idle()
             if step.kind == "reset-early":
-                self.run(server.reopen())  # the new socket holds few bytes
-                self.host.at(step.end, server.shut)
+                self.run(server.reopen())  # the new socket has a small receive buffer
+                self.host.at(step.end, server.close_port)
             self.host.at(step.end, lambda: self.run(server.reopen()))
         elif step.kind == "backlog":
             server.block()
@@ -90,13 +90,13 @@
     def sweep(self) -> None:
         for server in self.running.values():
             server.sweep()
-        self.host.loop.call_later(SWEEP, self.sweep)
+        self.host.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def order(self, order: dict[str, Any]) -> None:
-        """Servers get no further orders."""
+        """This role gets no further orders."""
 
     async def finish(self) -> None:
         for server in self.running.values():
-            server.shut()
-        for sock in self.held.values():
+            server.close_port()
+        for sock in self.reserved.values():
             sock.close()
--- a/brackenladder/rehearsal/standins/simulated_server.py
+++ b/brackenladder/rehearsal/standins/simulated_server.py
@@ -1,4 +1,4 @@
-"""One stand-in server: cores, a queue, a cold start, limits on connections, load reports, and faults."""
+"""A simulated server with cores, a queue, cold start, connection limit, load reports and injected faults."""
 
 from __future__ import annotations
 
@@ -10,28 +10,30 @@
 
 from brackenladder.rehearsal.events import Arrived, Begun, Closed, Down, Event, Replied, Up, now
 from brackenladder.rehearsal.plan import MICRO, ServerPlan, Step, work_of
-from brackenladder.rehearsal.standins.codecs import Request, middle_of
+from brackenladder.rehearsal.standins.codecs import Request, cut_position
 from brackenladder.rehearsal.standins.process import listener, reset
 from brackenladder.rehearsal.standins.server_connection import Attempt, Connection
 from brackenladder.rehearsal.standins.server_context import ServerContext
 
-DRIP = 0.02  # seconds between two bytes
-FINISH = 3.0  # seconds that a drained server has for what it still holds
-CUT = 0.005  # seconds in which the first part of an answer may go out before the reset
-FILLERS = 8  # connections that fill a backlog
-SETTLE = 0.1  # seconds after a backlog's end in which what comes may have waited in it
-HELD_BEFORE = 300_000  # microseconds before a drain that answers are held back for
+DRIP_INTERVAL = 0.02  # seconds between two bytes of the fault `drip`
+DRAIN_TIMEOUT = 3.0  # seconds that a drained server has to finish its requests
+RESET_DELAY = 0.005  # seconds for the first part of an answer to be sent before the reset
+FILLERS = 8  # connections that fill the backlog
+BACKLOG_SETTLE = 0.1  # seconds after the fault `backlog` in which new connections may have waited in it
+HOLD_BEFORE_DRAIN = (
+    300_000  # microseconds before `drain-answering` from which on answers are held back until it
+)
 
 
 class SimulatedServer:
-    """One server's process, from its start to its end."""
+    """One process of a server, from start to end."""
 
     def __init__(self, context: ServerContext, plan: ServerPlan, cold_since: int) -> None:
         self.context = context
         self.plan = plan
         self.loop = context.host.loop
         self.note: Callable[[Event], None] = context.host.journal.add
-        self.cold_since = cold_since  # -1: warm
+        self.cold_since = cold_since  # start time of a cold start; -1: warm
         self.connections: set[Connection] = set()
         self.running = 0
         self.waiting: deque[Attempt] = deque()
@@ -48,7 +50,7 @@
     # ---- start and end --------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Starts to serve."""
+        """Records the start and opens the port."""
         s = self.context.scenario.servers
         self.alive = True
         cold = self.cold_since >= 0
@@ -72,8 +74,8 @@
         )
         self.listening = await self.loop.create_server(lambda: Connection(self), sock=self.sock)
 
-    def shut(self) -> None:
-        """Closes the port, but no connection."""
+    def close_port(self) -> None:
+        """Closes the port; connections stay open."""
         if self.listening is not None:
             self.listening.close()
             self.listening = None
@@ -82,11 +84,11 @@
         self.fillers.clear()
 
     def die(self) -> None:
-        """The process ends: every connection is reset."""
+        """Simulates a crash: every connection is reset."""
         if not self.alive:
             return
         self.alive = False
-        self.shut()
+        self.close_port()
         self.note(Down(now(), self.plan.id))
         for connection in list(self.connections):
             for attempt in list(connection.open):
@@ -95,32 +97,32 @@
         self.waiting.clear()
 
     async def retire(self) -> None:
-        """Ends as a server that has drained: what it holds is finished first."""
+        """Stops after a drain; requests in progress are finished first."""
         self.alive = False
-        self.shut()
+        self.close_port()
         self.note(Down(now(), self.plan.id))
-        until = self.loop.time() + FINISH
+        until = self.loop.time() + DRAIN_TIMEOUT
         while any(c.open for c in self.connections) and self.loop.time() < until:
             await asyncio.sleep(0.01)
         for connection in list(self.connections):
             connection.transport.close()
 
     def fault(self, *kinds: str) -> Step | None:
-        """The fault of these kinds that is on at this server now."""
+        """The active fault of one of these kinds at this server, if any."""
         time = self.context.host.time()
         for step in self.context.steps.get(self.plan.id, ()):
             if step.kind in kinds and step.at <= time < step.end:
                 return step
         return None
 
-    def touched(self, step: Step, name: str) -> bool:
-        """Whether a fault that touches a share of the answers touches this one."""
+    def affects(self, step: Step, name: str) -> bool:
+        """Whether a fault that affects only a share of the answers affects this one."""
         return step.share >= 1 or Random(f"{step.at} {name}").random() < step.share
 
     # ---- requests -------------------------------------------------------------------------------------
 
     def speed(self) -> float:
-        """Of a core now, against the standard one."""
+        """The current speed of a core, relative to the standard core."""
         s = self.context.scenario.servers
         if self.cold_since < 0 or not s.warm_s:
             return self.plan.speed
@@ -128,7 +130,7 @@
         return self.plan.speed * (s.cold_share + (1 - s.cold_share) * max(0.0, warm))
 
     def arrived(self, connection: Connection, first: int, request: Request) -> None:
-        """A request's last byte has come."""
+        """Handles a complete request: rejects, resets or queues it."""
         name = request.id
         work = work_of(self.context.classes[request.klass], name)
         attempt = Attempt(next(self.context.numbers), name, request.ref, connection, work)
@@ -137,49 +139,49 @@
         connection.queued = False
         late = self.fault("reset-late")
         reject = self.fault("reject")
-        if (late is not None and self.touched(late, name)) or not self.alive:
-            self.cut(attempt)
+        if (late is not None and self.affects(late, name)) or not self.alive:
+            self.reset_connection(attempt)
         elif (
-            (reject is not None and self.touched(reject, name))
-            or connection.limited
+            (reject is not None and self.affects(reject, name))
+            or connection.over_limit
             or len(self.waiting) >= self.context.scenario.servers.queue
         ):
             self.reply(attempt, "rejected")
         else:
             self.waiting.append(attempt)
-            self.work()
+            self.start_waiting()
 
-    def work(self) -> None:
-        """Gives waiting requests to free cores."""
+    def start_waiting(self) -> None:
+        """Starts waiting requests on free cores."""
         while self.waiting and self.running < self.plan.cores:
             attempt = self.waiting.popleft()
             if attempt.done:
-                continue  # its node has gone: waiting work is dropped
+                continue  # its connection has ended, so it isn't run
             self.running += 1
             time = attempt.work / self.speed()
-            self.loop.call_later(time / MICRO, self.worked, attempt, time)
+            self.loop.call_later(time / MICRO, self.work_done, attempt, time)
 
-    def worked(self, attempt: Attempt, time: float) -> None:
-        """A core is free."""
+    def work_done(self, attempt: Attempt, time: float) -> None:
+        """Answers a request whose work is done, and gives its core to the next."""
         if not self.alive and not self.connections:
             return
         self.running -= 1
         self.latency += 0.2 * (time / 1000 - self.latency)
         if not attempt.done:
             self.finish(attempt)
-        self.work()
+        self.start_waiting()
 
     def finish(self, attempt: Attempt) -> None:
-        """The answer is ready; it goes out as the faults of the moment let it."""
+        """Sends the answer as the active faults require: held back, cut, slowly, or as an error."""
         if attempt.done:
             return
         time = self.context.host.time()
         for coming in self.context.steps.get(self.plan.id, ()):
-            if coming.kind == "drain-answering" and coming.at - HELD_BEFORE <= time < coming.at:
+            if coming.kind == "drain-answering" and coming.at - HOLD_BEFORE_DRAIN <= time < coming.at:
                 self.context.host.at(coming.at, self.finish, attempt)
                 return
         step = self.fault("stall", "stall-head", "stall-body", "drip", "reset-answer", "error")
-        if step is None or not self.touched(step, attempt.id):
+        if step is None or not self.affects(step, attempt.id):
             self.reply(attempt, "served")
             return
         if step.kind == "error":
@@ -188,46 +190,46 @@
         connection = attempt.connection
         data = connection.codec.answer(attempt.ref, self.plan.id, attempt.id, "served")
         part = "head" if step.kind == "stall-head" else "body"
-        cut = 0 if step.kind in ("stall", "drip") else middle_of(data, part)
-        if connection.partway is not None:
-            cut = 0  # it waits behind another answer, whole
+        cut = 0 if step.kind in ("stall", "drip") else cut_position(data, part)
+        if connection.answering is not None:
+            cut = 0  # another answer is partly written, so this one can only be sent whole
         if cut:
             self.note(Begun(now(), self.plan.id, attempt.number, attempt.id, cut))
             connection.write(attempt, data[:cut], whole=False)
         if step.kind == "reset-answer":
-            self.loop.call_later(CUT, self.cut, attempt)
+            self.loop.call_later(RESET_DELAY, self.reset_connection, attempt)
         elif step.kind == "drip":
             self.drip(attempt, data, step, True)
         else:
-            self.context.host.at(step.end, self.rest, attempt, data[cut:])
+            self.context.host.at(step.end, self.write_rest, attempt, data[cut:])
 
-    def cut(self, attempt: Attempt) -> None:
-        """Resets the connection, and with it all that is open there."""
+    def reset_connection(self, attempt: Attempt) -> None:
+        """Resets the connection, which abandons all requests on it."""
         if not attempt.done:
             for other in list(attempt.connection.open):
                 self.abandoned(other, "server")
             reset(attempt.connection.transport)
 
     def drip(self, attempt: Attempt, data: bytes, step: Step, first: bool) -> None:
-        """A byte now; all that is left when the fault is over."""
+        """Sends one byte and schedules the next; sends all that is left once the fault is over."""
         if attempt.done:
             return
         connection = attempt.connection
-        blocked = connection.partway not in (None, attempt)
+        blocked = connection.answering not in (None, attempt)
         if self.context.host.time() >= step.end or len(data) == 1 or blocked:
-            self.rest(attempt, data)
+            self.write_rest(attempt, data)
         else:
             if first:
                 self.note(Begun(now(), self.plan.id, attempt.number, attempt.id, 1))
             connection.write(attempt, data[:1], whole=False)
-            self.loop.call_later(DRIP, self.drip, attempt, data[1:], step, False)
+            self.loop.call_later(DRIP_INTERVAL, self.drip, attempt, data[1:], step, False)
 
     def reply(self, attempt: Attempt, how: str) -> None:
         data = attempt.connection.codec.answer(attempt.ref, self.plan.id, attempt.id, how)
-        self.rest(attempt, data, how)
+        self.write_rest(attempt, data, how)
 
-    def rest(self, attempt: Attempt, data: bytes, how: str = "served") -> None:
-        """Writes the last part of an answer."""
+    def write_rest(self, attempt: Attempt, data: bytes, how: str = "served") -> None:
+        """Writes the last part of an answer, or all of it."""
         if attempt.done:
             return
         attempt.done = True
@@ -235,22 +237,22 @@
         connection = attempt.connection
         connection.open.remove(attempt)
         connection.idle_since = self.loop.time()
-        # Noted before the write: the node may act on the answer before this process runs again.
+        # Recorded before the write, since the node may act on the answer before this process runs again.
         self.note(Replied(now(), self.plan.id, attempt.number, attempt.id, how))
         connection.write(attempt, data, whole=True)
         shut = self.fault("closed", "backlog", "reset-early") is not None
-        if (not self.alive or connection.limited or shut) and not connection.open:
-            connection.transport.close()  # kept, it would go on serving as if the port were open
+        if (not self.alive or connection.over_limit or shut) and not connection.open:
+            connection.transport.close()  # a kept connection would bypass the closed port
 
     def abandoned(self, attempt: Attempt, by: str) -> None:
-        """The connection has ended before the answer was whole."""
+        """Records the end of a connection before the answer was complete."""
         if not attempt.done:
             attempt.done = True
             attempt.connection.open.remove(attempt)
             self.note(Closed(now(), self.plan.id, attempt.number, attempt.id, by))
 
     def probed(self, connection: Connection, path: str) -> None:
-        """Answers a probe: what it reports is refreshed now and then only."""
+        """Answers a probe; the load report is refreshed only every `report_ms`."""
         moment = self.loop.time()
         if moment >= self.reported_at:
             low, high = self.context.scenario.servers.report_ms
@@ -266,7 +268,7 @@
         connection.idle_since = moment
 
     def sweep(self) -> None:
-        """Closes connections that have stood idle too long."""
+        """Closes connections that were idle too long."""
         limit = self.loop.time() - self.context.scenario.servers.idle_s
         for connection in list(self.connections):
             if not connection.open and not connection.first and connection.idle_since < limit:
@@ -275,8 +277,8 @@
     # ---- faults of the port ---------------------------------------------------------------------------
 
     def block(self) -> None:
-        """Takes no connections: the backlog is filled, and nobody accepts."""
-        self.shut()
+        """Makes new connections hang: fills the backlog and stops accepting."""
+        self.close_port()
         self.drop_idle()
         self.sock = listener(self.context.places[self.plan.place], backlog=0)
         for _ in range(FILLERS):
@@ -286,7 +288,7 @@
             self.fillers.append(filler)
 
     async def unblock(self) -> None:
-        """Accepts again; what waited in the backlog is read late."""
+        """Accepts again; connections that waited in the backlog are marked `queued`."""
         if not self.alive or self.sock is None:
             return
         for filler in self.fillers:
@@ -295,7 +297,7 @@
         self.queued = True
         self.sock.listen(512)
         self.listening = await self.loop.create_server(lambda: Connection(self), sock=self.sock)
-        self.loop.call_later(SETTLE, setattr, self, "queued", False)
+        self.loop.call_later(BACKLOG_SETTLE, setattr, self, "queued", False)
 
     async def reopen(self) -> None:
         if self.alive and self.listening is None:
--- a/brackenladder/rehearsal/timeline.py
+++ b/brackenladder/rehearsal/timeline.py
@@ -1,4 +1,4 @@
-"""One self-contained page of a run: a lane for each server and node, with states, faults, load and breaks."""
+"""A self-contained HTML page of a run: for each server and node its states, faults, load and rule breaks."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from brackenladder.rehearsal.scenario import Scenario
 
 WIDTH, LEFT, LANE, GAP = 1200, 150, 34, 8  # pixels
-BINS = 300  # of the run's length, for the load
+BINS = 300  # intervals of the run for which the load is drawn
 TICKS = 12
 
 STYLE = """
@@ -43,17 +43,17 @@
 
 
 class Lane:
-    """What is drawn beside one name; times in microseconds of the events' clock."""
+    """One row of the timeline; times in microseconds by the clock of the events."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.spans: list[tuple[int, int, str, str]] = []  # from, to, style, words
-        self.load: list[tuple[int, int]] = []  # (time, +1 or -1)
-        self.marks: list[tuple[int, str, str]] = []  # time, style, words
+        self.spans: list[tuple[int, int, str, str]] = []  # (from, to, style, tooltip)
+        self.load: list[tuple[int, int]] = []  # (time, change of requests in flight)
+        self.marks: list[tuple[int, str, str]] = []  # (time, style, tooltip)
 
 
 def lanes_of(scenario: Scenario, result: Result, report: Report) -> list[Lane]:
-    """The lanes: nodes, then servers in the order of their start, then discovery and the relay."""
+    """The lanes: nodes first, then servers, discovery and the relay in order of their first event."""
     lanes: dict[str, Lane] = {}
     last = max((e.t for e in result.events), default=result.begin)
     up_since: dict[str, Up] = {}
@@ -119,7 +119,7 @@
 
 
 def render_page(scenario: Scenario, result: Result, report: Report) -> str:
-    """The page's HTML, with nothing outside it."""
+    """The HTML of the page, which loads no other file."""
     begin = result.begin
     end = max((e.t for e in result.events), default=begin + 1)
     span = max(1, end - begin)
@@ -165,7 +165,7 @@
 
 
 def draw_lane(lane: Lane, y: int, x: Callable[[int], float], begin: int, span: int) -> str:
-    """A lane's SVG."""
+    """The SVG of a lane."""
     out = [f'<text class="name" x="4" y="{y + LANE / 2 + 4:.0f}">{escape(lane.name)}</text>']
     order = {"up": 0, "cold": 0, "drains": 1, "fault": 2}
     for start, end, style, words in sorted(lane.spans, key=lambda s: order[s[2]]):
@@ -193,7 +193,7 @@
 
 
 def peak_loads(changes: Sequence[tuple[int, int]], begin: int, span: int) -> tuple[int, list[int]]:
-    """The most in flight, in all and in each bin."""
+    """The maximum of requests in flight, over the run and in each bin."""
     most: defaultdict[int, int] = defaultdict(int)
     level, bin_ = 0, 0
     for t, change in sorted(changes):
--- a/tests/recovery/test_processes.py
+++ b/tests/recovery/test_processes.py
@@ -60,7 +60,7 @@
     for node in nodes:
         node.signal("kill")
     for node in nodes:
-        assert await node.ended(PATIENCE)
+        assert await node.wait_ended(PATIENCE)
     if again:
         await asyncio.gather(*(node.start() for node in nodes))
 
--- a/tests/rehearsal/cases.py
+++ b/tests/rehearsal/cases.py
@@ -1,4 +1,4 @@
-"""The tests' rehearsals: of each fault one on this build's node, and one for each rogue."""
+"""The cases of the tests: one for each fault with this build's node, and one for each faulty node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 class Case(NamedTuple):
     scenario: Scenario
-    rogue: str | None = None  # the rogue's mode; "" is right, None is this build's node
+    rogue: str | None = None  # mode of `rogue.py`; "": without a defect; None: this build's node
     seed: int = 1
 
 
@@ -23,7 +23,7 @@
 PODS = {"servers": {"pod": 2}}
 MANY = {"clients": {"rate": 120}}
 TWO = {"nodes": 2}
-# Much load for small servers, and a short time in which they fall: an equal share would be too much.
+# High load and a short `fall_s`, so that an equal share of the load overloads a cold server.
 COLD = {
     "length_s": 6.0,
     "clients": {"rate": 250, "budget": [1.0, 1.0]},
@@ -69,7 +69,7 @@
     "leaving": Case(small(clients={"leave": 0.3, "drop": 0.3})),
 }
 
-# The same over MessagePack-RPC, where the protocol makes them something else.
+# The faults that have a different effect over MessagePack-RPC.
 RPC: dict[str, Case] = {
     f"{name}-rpc": case._replace(scenario=msgspec.structs.replace(case.scenario, transport="rpc"))
     for name, case in FAULTS.items()
--- a/tests/rehearsal/conftest.py
+++ b/tests/rehearsal/conftest.py
@@ -1,4 +1,4 @@
-"""The tests' rehearsals: each is played once, in the worker that has its tests."""
+"""Runs each case once, in the pytest worker that has all tests of the case."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 Played = tuple[Result, Report, Path]
 
 
-@pytest.hookimpl(tryfirst=True)  # before the workers' plugin reads the marks
+@pytest.hookimpl(tryfirst=True)  # before pytest-xdist reads the marks
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Keeps the tests of one case together."""
+    """Assigns all tests of a case to one worker."""
     for item in items:
         case = item.callspec.params.get("case") if hasattr(item, "callspec") else None
         if case is not None:
@@ -27,7 +27,7 @@
 
 
 class Runs:
-    """Plays a case when it is first asked for."""
+    """Runs a case when its result is first needed, and keeps the result."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
--- a/tests/rehearsal/histories.py
+++ b/tests/rehearsal/histories.py
@@ -1,4 +1,4 @@
-"""Journals as a right system would write them, to be spoilt by the tests one event at a time."""
+"""Builds journals as a correct system would write them; tests then add single violations."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class History:
-    """Events that are added in any order, and read by time."""
+    """Events that can be added in any order and are read by time."""
 
     def __init__(self, nodes: int = 1) -> None:
         self.events: list[AnyEvent] = [NodeUp(0, f"n{i}") for i in range(nodes)]
@@ -43,7 +43,7 @@
     def server(
         self, name: str, pod: str = "east/0", t: int = 0, cold: bool = False, **changes: object
     ) -> None:
-        """A server that starts: two standard cores, cold ones at 0.12 and warm after 24 s."""
+        """Starts a server with two standard cores; a cold one starts at 0.12 and is warm after 24 s."""
         started = 1 + t // MS if cold else 0
         share, warm = (0.12, 24 * SECOND) if cold else (1.0, 0)
         self.add(Up(t, name, pod, started, 2.0, share, warm))
@@ -73,7 +73,7 @@
         first: int | None = None,
         queued: bool = False,
     ) -> None:
-        """An attempt that arrives at `t`; `how`: served, error, rejected, or who closed it: node, server."""
+        """An attempt that arrives at `t`. `how`: served, error, rejected, or who closed it: node, server."""
         self.attempts += 1
         number = self.attempts
         self.add(Arrived(t, t if first is None else first, server, number, name, work, queued))
@@ -94,7 +94,7 @@
     def served(
         self, t: int, name: str, server: str, klass: int = SAFE, node: str = "n0", work: int = 10 * MS
     ) -> None:
-        """A request that goes right: 1 ms to the server, 10 ms there."""
+        """A request that is served: 1 ms to the server, 10 ms there, 1 ms back."""
         self.sent(t, name, klass, node=node)
         self.attempt(t + MS, name, server, t + 11 * MS, work=work)
         self.answer(t + 12 * MS, name)
@@ -108,7 +108,7 @@
         node: str = "n0",
         source: int = 0,
     ) -> None:
-        """A call to discovery and its answer at once."""
+        """A discovery call that is answered at once."""
         self.calls += 1
         self.add(Asked(t - 1, node, self.calls, version - 1))
         self.add(Told(t, node, self.calls, source, version, full, tuple(servers)))
--- a/tests/rehearsal/playing.py
+++ b/tests/rehearsal/playing.py
@@ -1,8 +1,8 @@
 """Runs short rehearsals for the tests.
 
-Scaled down: a few seconds, four servers that warm within 3 s, requests of some milliseconds. The slack on
-limits of time, and the lag that is borne, are a second instead of 50 ms, since the machines that run tests
-may stop for a while. Verdicts that need the real slack come from whole runs, not from here.
+They are scaled down: a few seconds long, four servers that are warm after 3 s, requests of some milliseconds.
+The slack of time limits and the allowed lag are 1 s instead of 50 ms, since test machines may stall.
+Verdicts that need the real slack come from full-size runs, not from these tests.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def small(*faults: dict[str, Any], **changes: Any) -> Scenario:
-    """The small scenario with faults; tables in `changes` are merged into its own."""
+    """The small scenario with the given faults; tables in `changes` are merged into its tables."""
     table = dict(SMALL)
     for key, value in changes.items():
         table[key] = table.get(key, {}) | value if isinstance(value, dict) else value
@@ -44,6 +44,6 @@
 
 
 def play(scenario: Scenario, folder: Path, command: str = "", seed: int = 1) -> tuple[Result, Report]:
-    """A run and its report."""
+    """Runs a scenario; returns the result and its report."""
     result = asyncio.run(rehearse(scenario, seed, command, folder))
     return result, check(result.events, terms_of(scenario))
--- a/tests/rehearsal/rogue.py
+++ b/tests/rehearsal/rogue.py
@@ -1,8 +1,8 @@
-"""A small node that is right but for one thing: `rogue.py MODE`, started as a node is.
+"""A small node with one deliberate defect, chosen by its mode: `rogue.py MODE`, started like a node.
 
-Right: it follows the list, leaves cold servers alone, makes one attempt at a time, repeats only what was
-turned away unseen, and answers everything in time. Each mode breaks one rule in one way. It opens a
-connection for every attempt and knows nothing of load.
+Apart from the defect it is correct: it follows the server list, does not use cold servers, makes one attempt
+at a time, retries only what was rejected before it ran, and answers everything in time. Each mode breaks one
+rule in one way. It opens a connection for every attempt and does not balance by load.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from itertools import count
 from typing import Any
 
-SPARE = 0.15  # seconds before the client's time is over in which an answer is given
+SPARE = 0.15  # seconds before the client's deadline at which attempts end, to answer in time
 CONNECT_SECONDS = 0.25
-REFUSED = "rejected"  # an attempt that cannot have run
-LATE = 2.6  # seconds past the client's time: beyond the tests' slack of 1 s
-Answer = tuple[str, bytes]  # how an attempt ended, and a served one's body
+REFUSED = "rejected"  # outcome of an attempt that cannot have run
+LATE = 2.6  # used to answer past the client's deadline by more than the tests' slack of 1 s
+Answer = tuple[str, bytes]  # how an attempt ended, and the body if it was served
 
 
 class Request:
@@ -45,7 +45,7 @@
 
 
 async def connect(line: dict[str, Any]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter] | None:
-    """A connection to the server of a line; None if there is none in time."""
+    """Connects to the server of a list line; None on failure or time-out."""
     host, _, port = line["addr"].rpartition(":")
     try:
         return await asyncio.wait_for(asyncio.open_connection(host, int(port)), CONNECT_SECONDS)
@@ -72,7 +72,7 @@
     # ---- the list -------------------------------------------------------------------------------------
 
     async def watch(self) -> None:
-        """Asks for the whole list, then for what is new."""
+        """Fetches the full list, then watches for changes."""
         host, _, port = self.config["discovery"].rpartition(":")
         version = -1
         while True:
@@ -91,12 +91,12 @@
                 self.servers = {}
             for line in table["servers"]:
                 if line["state"] != "ready":
-                    self.tell(line["id"])
+                    self.announce_drain(line["id"])
                 self.servers[line["id"]] = line
             self.listed = True
 
-    def tell(self, name: str) -> None:
-        """Tells the peers that a server drains."""
+    def announce_drain(self, name: str) -> None:
+        """Tells the other nodes that a server drains."""
         if self.datagrams is not None and self.mode == "peer-drains":
             host, _, port = self.config["peers_all"].rpartition(":")
             self.datagrams.sendto(name.encode(), (host, int(port)))
@@ -106,16 +106,16 @@
 
     def usable(self, line: dict[str, Any]) -> bool:
         if self.mode == "peer-drains" and self.settings["self_index"]:
-            return line["id"] not in self.heard_drains  # what discovery says of drains is passed over
+            return line["id"] not in self.heard_drains  # ignores drains that discovery reports
         if self.mode == "drained":
             return True
         warm = time.time() - line["started_ms"] / 1000 > self.cold
         return line["state"] == "ready" and (warm or self.mode == "floods")
 
     def pick(self, tried: list[str], pod: int | None = None) -> dict[str, Any] | None:
-        """The next server in turn; one that was not tried, if there is one."""
+        """The next server in turn; prefers servers that were not tried yet."""
         lines = [s for s in self.servers.values() if self.usable(s)]
-        if self.mode == "floods":  # the newest one gets everything
+        if self.mode == "floods":  # sends everything to servers that started during the run
             lines = [s for s in lines if s["started_ms"]] or lines
         lines = [s for s in lines if pod is None or (s["cell"] == pod) == (self.mode != "outside")]
         lines = [s for s in lines if s["id"] not in tried] or lines
@@ -143,7 +143,7 @@
         return (REFUSED, b"") if "x-rejected" in headers else ("error", b"")
 
     async def answer(self, request: Request) -> tuple[int, bytes]:
-        """The status and body that the client gets."""
+        """Makes the attempts; returns the status and body for the client."""
         effect = self.effects[request.klass]
         tried: list[str] = []
         pod: int | None = None
@@ -184,13 +184,13 @@
                 if request.target == "/ready":
                     self.write(writer, 200 if self.listed else 503, b"")
                     continue
-                await self.one(request, writer)
+                await self.handle(request, writer)
         except (EOFError, OSError):
             pass
         finally:
             writer.close()
 
-    async def one(self, request: Request, writer: asyncio.StreamWriter) -> None:
+    async def handle(self, request: Request, writer: asyncio.StreamWriter) -> None:
         mode, nth = self.mode, next(self.served)
         if mode == "crashes" and nth > 40:
             os._exit(3)
--- a/tests/rehearsal/rogue_members.py
+++ b/tests/rehearsal/rogue_members.py
@@ -1,6 +1,6 @@
-"""Nodes that know one another wrongly: `rogue_members.py MODE run --operator FILE`.
+"""Nodes with a defect in the membership protocol: `rogue_members.py MODE run --operator FILE`.
 
-Each is this build, less a line.
+Each mode is this build with one function or constant replaced.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-sys.path[0] = str(Path(__file__).parents[2])  # this folder has modules of other names
+sys.path[0] = str(Path(__file__).parents[2])  # so that modules of this folder are not imported by accident
 
 from brackenladder import __main__ as program  # noqa: E402
 from brackenladder.cluster import detector, sender, suspicion  # noqa: E402
@@ -17,13 +17,13 @@
 from brackenladder.cluster.wire import Recorded  # noqa: E402
 
 mode = sys.argv.pop(1)
-if mode == "fixed-time":  # a time-out that bears no pause
+if mode == "fixed-time":  # a fixed time-out that is too short for a paused node
     suspicion.MIN_TIMEOUT = suspicion.MAX_TIMEOUT = 300_000
-elif mode == "no-refutation":  # says nothing to what is said of it
+elif mode == "no-refutation":  # does not refute reports about itself
     detector.Detector.apply_own_record = lambda self, record, now, by: None  # type: ignore[method-assign]
-elif mode == "believes-its-deafness":
+elif mode == "believes-its-deafness":  # reports others dead although it receives nothing itself
     Health.may_declare_dead = property(lambda self: True)  # type: ignore[assignment,method-assign]
-elif mode == "takes-anything":  # the last word holds, however old
+elif mode == "takes-anything":  # accepts every record, however old
 
     def merge(self: View, number: int, record: Record, now: int) -> Record | None:
         before = self.records[number]
@@ -31,13 +31,13 @@
         return before if record != before else None
 
     def recorded(self: detector.Detector, numbers: list[int]) -> list[Recorded]:
-        """What it once heard of an older process."""
+        """The records of these nodes with the epoch of an older process."""
         known = [(n, self.view.records[n]) for n in numbers]
         return [Recorded(n, Record(max(0, r.epoch - 1), r.incarnation, r.state)) for n, r in known]
 
     View.merge = merge  # type: ignore[method-assign]
     detector.Detector.recorded = recorded  # type: ignore[method-assign,assignment]
-elif mode == "floods":
+elif mode == "floods":  # sends without a rate limit
     detector.BYTES_PER_SECOND = sender.BYTES_PER_SECOND = sender.BURST = 10**9
     detector.GOSSIP_INTERVAL = 1
     plain = detector.Detector.gossip
--- a/tests/rehearsal/rogue_rpc.py
+++ b/tests/rehearsal/rogue_rpc.py
@@ -1,7 +1,7 @@
-"""The rogues' twins over MessagePack-RPC: `rogue_rpc.py MODE run --operator FILE`, started as a node is.
+"""The faulty node for MessagePack-RPC: `rogue_rpc.py MODE run --operator FILE`, started like a node.
 
-Right but for what the protocol makes possible: answers told apart by msgids alone, many calls on a connection
-whose end says nothing of any one of them, and calls that nobody answers.
+The modes are defects that only this protocol allows: answers with swapped msgids, retries of calls whose
+connection was reset, and notifications, which get no answer.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Call(Request):
-    """A call in the form that the HTTP rogue decides on."""
+    """An RPC call with the attributes of an HTTP request that `Rogue` uses."""
 
     def __init__(self, msgid: int, klass: str, params: list[Any], arrived: float) -> None:
         self.msgid = msgid
@@ -39,16 +39,16 @@
 
     async def attempt(self, request: Request, line: dict[str, Any], patience: float) -> Answer:
         assert isinstance(request, Call)
-        how, body = await self.once(request, line, patience)
+        how, body = await self.call_server(request, line, patience)
         if how == "reset" and self.mode == "half-written" and self.effects[request.klass] == "single_shot":
-            # Takes what was written whole and reset for a call of which the server had one half.
+            # Defect: treats a call that was written whole and then reset as one that the server got partly.
             return REFUSED, b""
         if self.mode == "notifies" and self.effects[request.klass] == "single_shot" and how == "served":
             await self.notify(request)
         return how, body
 
     async def notify(self, request: Call) -> None:
-        """Sends the call once more as a notification, whose second run nobody hears of."""
+        """Defect: runs the call a second time, as a notification, which gets no answer."""
         line = self.pick([])
         assert line is not None
         host, _, port = line["addr"].rpartition(":")
@@ -61,7 +61,7 @@
         await asyncio.sleep(1.0)
         writer.close()
 
-    async def once(self, request: Call, line: dict[str, Any], patience: float) -> Answer:
+    async def call_server(self, request: Call, line: dict[str, Any], patience: float) -> Answer:
         streams = await connect(line)
         if streams is None:
             return REFUSED, b""
@@ -92,10 +92,10 @@
         while data := await reader.read(65536):
             unpacker.feed(data)
             for _, msgid, klass, params in unpacker:
-                self.spawn(self.one_call(Call(msgid, klass, params, loop.time()), writer))
+                self.spawn(self.handle_call(Call(msgid, klass, params, loop.time()), writer))
         writer.close()
 
-    async def one_call(self, request: Call, writer: asyncio.StreamWriter) -> None:
+    async def handle_call(self, request: Call, writer: asyncio.StreamWriter) -> None:
         status, body = await self.answer(request)
         if status != 200:
             word = "refused" if status == 503 else "failed"
@@ -103,7 +103,7 @@
         elif self.mode == "swapped" and self.held is None:
             self.held = (writer, request.msgid, body)
             await asyncio.sleep(SPARE / 2)
-            if self.held is not None:  # no other came to swap with
+            if self.held is not None:  # no other answer came to swap with
                 self.held = None
                 writer.write(msgpack.packb([1, request.msgid, None, body]))
         elif self.mode == "swapped" and self.held is not None:
--- a/tests/rehearsal/test_checker.py
+++ b/tests/rehearsal/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker on journals by hand: what is right passes, each way to break a rule is found by that rule."""
+"""The checker on handwritten journals: correct ones pass, each violation is found by its rule."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     return dict(check(history.sorted(), TERMS).verdicts)
 
 
-def found(history: History) -> Report:
+def report_of(history: History) -> Report:
     return check(history.sorted(), TERMS)
 
 
-def only(history: History, rule: str, what: str) -> None:
-    """The history breaks one rule, once, in one way, and no other rule."""
-    report = found(history)
+def expect_only(history: History, rule: str, what: str) -> None:
+    """Asserts that the history has exactly one break, of this rule and sort."""
+    report = report_of(history)
     assert [(f.rule, f.what) for f in report.breaks] == [(rule, what)], report.breaks
     assert [r for r in RULES if report.verdicts[r] == "broke"] == [rule]
 
 
-def clean(history: History, edges: int = 0) -> None:
-    report = found(history)
+def expect_clean(history: History, edges: int = 0) -> None:
+    report = report_of(history)
     assert report.breaks == ()
     assert sum(r.edges for r in report.rulings.values()) == edges
 
@@ -40,11 +40,11 @@
     return h
 
 
-def test_nothing_is_not_tried() -> None:
+def test_an_empty_journal_is_not_tried() -> None:
     assert verdicts(History()) == dict.fromkeys(RULES, "not tried")
 
 
-def test_a_served_request_is_a_chance_to_lose_one_and_no_other(history: History) -> None:
+def test_a_served_request_exercises_the_rule_lost_only(history: History) -> None:
     history.served(SECOND, "r", "a", UNSAFE)
     assert verdicts(history) == {
         "lost": "held",
@@ -60,86 +60,86 @@
 def test_no_answer_is_lost(history: History) -> None:
     history.sent(SECOND, "r")
     history.gave_up(4 * SECOND, "r")
-    only(history, "lost", "no answer")
+    expect_only(history, "lost", "no answer")
 
 
-def test_a_client_that_left_is_owed_nothing(history: History) -> None:
+def test_a_client_that_left_needs_no_answer(history: History) -> None:
     history.sent(SECOND, "r")
     history.gave_up(SECOND + 5 * MS, "r", early=True)
-    clean(history)
+    expect_clean(history)
     assert verdicts(history)["lost"] == "not tried"
 
 
 def test_a_connection_that_ends_unanswered_is_lost(history: History) -> None:
     history.sent(SECOND, "r")
     history.cut(SECOND + 5 * MS, "r")
-    only(history, "lost", "cut off")
+    expect_only(history, "lost", "cut off")
 
 
-def test_an_answer_cut_short_has_failed_and_is_not_lost(history: History) -> None:
+def test_a_truncated_answer_is_not_lost(history: History) -> None:
     history.sent(SECOND, "r")
     history.attempt(SECOND + MS, "r", "a", SECOND + 9 * MS, "server")
     history.cut(SECOND + 10 * MS, "r", begun=True)
-    clean(history)
+    expect_clean(history)
 
 
-def test_a_request_that_crossed_the_end_of_a_kept_connection_was_not_taken(history: History) -> None:
+def test_a_request_sent_as_a_reused_connection_closes_is_not_lost(history: History) -> None:
     history.sent(SECOND, "r", reused=True)
     history.cut(SECOND + 5 * MS, "r")
-    clean(history)
+    expect_clean(history)
 
 
-def test_a_request_that_was_attempted_did_not_cross(history: History) -> None:
+def test_a_request_that_was_attempted_is_lost_with_its_connection(history: History) -> None:
     history.sent(SECOND, "r", reused=True)
     history.attempt(SECOND + MS, "r", "a", SECOND + 4 * MS, "node")
     history.cut(SECOND + 5 * MS, "r")
-    only(history, "lost", "cut off")
+    expect_only(history, "lost", "cut off")
 
 
-def test_a_kept_connection_that_ends_later_did_not_cross(history: History) -> None:
+def test_a_reused_connection_that_ends_later_loses_its_request(history: History) -> None:
     history.sent(SECOND, "r", reused=True)
     history.cut(SECOND + 60 * MS, "r")
-    only(history, "lost", "cut off")
+    expect_only(history, "lost", "cut off")
 
 
 @pytest.mark.parametrize(("signal", "lost"), [("kill", False), ("term", True)])
-def test_what_a_killed_node_held_is_the_clients(history: History, signal: str, lost: bool) -> None:
+def test_requests_of_a_killed_node_are_not_lost(history: History, signal: str, lost: bool) -> None:
     history.sent(SECOND, "r")
     history.add(NodeSignal(SECOND + 3 * MS, "n0", signal), NodeEnded(SECOND + 4 * MS, "n0", 0, True))
     history.cut(SECOND + 5 * MS, "r")
     if lost:
-        only(history, "lost", "cut off")
+        expect_only(history, "lost", "cut off")
     else:
-        clean(history)
+        expect_clean(history)
 
 
-def test_what_a_crashed_node_held_is_the_clients_too(history: History) -> None:
+def test_requests_of_a_crashed_node_are_not_lost(history: History) -> None:
     history.sent(SECOND, "r")
     history.cut(SECOND + 5 * MS, "r")
     history.add(NodeEnded(SECOND + 6 * MS, "n0", 3, False))
-    clean(history)
+    expect_clean(history)
 
 
-def test_the_slack_of_an_answer_is_an_edge_and_then_late(history: History) -> None:
+def test_an_answer_within_the_slack_is_an_edge_case_and_later_is_late(history: History) -> None:
     limit = SECOND + SECOND + TERMS.answer
     history.sent(SECOND, "r")
     history.answer(limit + TERMS.slack, "r", 504)
-    clean(history, edges=1)
+    expect_clean(history, edges=1)
     history.sent(SECOND, "s")
     history.answer(limit + TERMS.slack + 1, "s", 504)
-    only(history, "lost", "late")
+    expect_only(history, "lost", "late")
 
 
 def test_a_second_answer(history: History) -> None:
     history.served(SECOND, "r", "a")
     history.add(Again(SECOND + 14 * MS, "r"))
-    only(history, "lost", "answered twice")
+    expect_only(history, "lost", "answered twice")
 
 
 def test_an_answer_that_no_server_made(history: History) -> None:
     history.sent(SECOND, "r")
     history.answer(SECOND + 4 * MS, "r", own=False)
-    only(history, "lost", "made up")
+    expect_only(history, "lost", "made up")
 
 
 @pytest.mark.parametrize("how", ["answered", "left"])
@@ -150,9 +150,9 @@
     else:
         history.gave_up(SECOND + 10 * MS, "r", early=True)
     history.attempt(SECOND + 60 * MS, "r", "a", SECOND + 61 * MS)
-    clean(history, edges=1)
+    expect_clean(history, edges=1)
     history.attempt(SECOND + 61 * MS, "r", "b", SECOND + 62 * MS)
-    only(history, "lost", "sent after")
+    expect_only(history, "lost", "sent after")
 
 
 # ---- effect -------------------------------------------------------------------------------------------
@@ -164,15 +164,15 @@
     history.attempt(SECOND + MS, "r", "a", SECOND + 5 * MS, how)
     history.attempt(SECOND + 6 * MS, "r", "b", SECOND + 9 * MS)
     history.answer(SECOND + 10 * MS, "r")
-    only(history, "effect", "repeat")
+    expect_only(history, "effect", "repeat")
 
 
-def test_an_unsafe_request_that_was_turned_away_may_go_on(history: History) -> None:
+def test_an_unsafe_request_that_was_rejected_may_be_retried(history: History) -> None:
     history.sent(SECOND, "r", UNSAFE)
     history.attempt(SECOND + MS, "r", "a", SECOND + 2 * MS, "rejected")
     history.attempt(SECOND + 6 * MS, "r", "b", SECOND + 9 * MS)
     history.answer(SECOND + 10 * MS, "r")
-    clean(history)
+    expect_clean(history)
 
 
 def test_a_safe_request_may_be_repeated_anywhere(history: History) -> None:
@@ -180,7 +180,7 @@
     history.attempt(SECOND + MS, "r", "a", SECOND + 2 * MS, "error")
     history.attempt(SECOND + 6 * MS, "r", "c", SECOND + 9 * MS, "error")
     history.answer(SECOND + 10 * MS, "r", 503)
-    clean(history)
+    expect_clean(history)
 
 
 @pytest.mark.parametrize(("server", "breaks"), [("b", False), ("c", True)])
@@ -190,9 +190,9 @@
     history.attempt(SECOND + 6 * MS, "r", server, SECOND + 9 * MS)
     history.answer(SECOND + 10 * MS, "r")
     if breaks:
-        only(history, "effect", "outside")
+        expect_only(history, "effect", "outside")
     else:
-        clean(history)
+        expect_clean(history)
 
 
 def test_a_keyed_request_is_repeated_within_its_window(history: History) -> None:
@@ -202,8 +202,8 @@
         again = SECOND + MS + 10 * SECOND + after
         history.attempt(again, name, "b", again + MS)
         history.answer(again + 2 * MS, name)
-    only(history, "effect", "window")
-    assert found(history).rulings["effect"].edges == 1
+    expect_only(history, "effect", "window")
+    assert report_of(history).rulings["effect"].edges == 1
 
 
 @pytest.mark.parametrize("klass", [UNSAFE, KEYED])
@@ -212,14 +212,14 @@
     history.sent(SECOND, "r", klass)
     history.attempt(SECOND + MS, "r", "a", SECOND + 2 * MS, "error")
     history.answer(SECOND + 10 * MS, "r", status)
-    only(history, "effect", "refused")
+    expect_only(history, "effect", "refused")
 
 
 def test_what_may_have_run_may_fail(history: History) -> None:
     history.sent(SECOND, "r", UNSAFE)
     history.attempt(SECOND + MS, "r", "a", SECOND + 2 * MS, "server")
     history.answer(SECOND + 10 * MS, "r", 502)
-    clean(history)
+    expect_clean(history)
     assert verdicts(history)["effect"] == "held"
 
 
@@ -227,7 +227,7 @@
     history.sent(SECOND, "r", UNSAFE)
     history.attempt(SECOND + MS, "r", "a", SECOND + 800 * MS, "node")
     history.answer(SECOND + 801 * MS, "r", 503)
-    only(history, "effect", "refused")
+    expect_only(history, "effect", "refused")
 
 
 def test_two_attempts_at_once(history: History) -> None:
@@ -235,12 +235,12 @@
     history.attempt(SECOND + MS, "r", "a", SECOND + 52 * MS)
     history.attempt(SECOND + 2 * MS, "r", "b", SECOND + 60 * MS)
     history.answer(SECOND + 61 * MS, "r")
-    clean(history, edges=1)
+    expect_clean(history, edges=1)
     history.sent(SECOND, "s")
     history.attempt(SECOND + MS, "s", "a", SECOND + 53 * MS)
     history.attempt(SECOND + 2 * MS, "s", "b", SECOND + 60 * MS)
     history.answer(SECOND + 61 * MS, "s")
-    only(history, "effect", "overlap")
+    expect_only(history, "effect", "overlap")
 
 
 def test_more_attempts_than_allowed(history: History) -> None:
@@ -248,21 +248,21 @@
     for i in range(4):
         history.attempt(SECOND + (1 + 2 * i) * MS, "r", "a", SECOND + (2 + 2 * i) * MS, "rejected")
     history.answer(SECOND + 10 * MS, "r", 503)
-    only(history, "effect", "too many")
+    expect_only(history, "effect", "too many")
 
 
-def test_what_waited_in_a_backlog_has_run_but_when_it_was_sent_is_unknown(history: History) -> None:
+def test_a_request_that_waited_in_a_backlog_has_an_unknown_send_time(history: History) -> None:
     history.sent(SECOND, "r", UNSAFE)
     history.answer(SECOND + 900 * MS, "r", 502)
     history.attempt(2 * SECOND, "r", "a", 2 * SECOND + MS, queued=True)
-    clean(history)
+    expect_clean(history)
 
 
 # ---- drain --------------------------------------------------------------------------------------------
 
 
 def drained(history: History, t: int) -> None:
-    """`a` is used, and n0 is told at `t` that it drains; work goes on."""
+    """Adds traffic in which `a` is used until n0 is told at `t` that it drains; `b` is used after that."""
     history.served(t - 500 * MS, "before", "a")
     history.changed(t, 2, "a", "draining")
     history.told(t, 2, ("a", "draining", 0))
@@ -270,9 +270,9 @@
         history.served(t + 100 * i * MS, f"after{i}", "b")
 
 
-def test_a_drain_that_is_kept(history: History) -> None:
+def test_a_drain_that_is_respected(history: History) -> None:
     drained(history, 2 * SECOND)
-    clean(history)
+    expect_clean(history)
     assert verdicts(history)["drain"] == "held"
 
 
@@ -294,11 +294,11 @@
     history.sent(2 * SECOND, "r")
     history.attempt(2 * SECOND + 300 * MS, "r", "a", 2 * SECOND + 302 * MS)
     history.answer(2 * SECOND + 303 * MS, "r")
-    clean(history, edges=1)
+    expect_clean(history, edges=1)
     history.sent(2 * SECOND, "s")
     history.attempt(2 * SECOND + 301 * MS, "s", "a", 2 * SECOND + 302 * MS)
     history.answer(2 * SECOND + 303 * MS, "s")
-    only(history, "drain", "sent")
+    expect_only(history, "drain", "sent")
 
 
 def test_a_send_counts_from_its_first_byte(history: History) -> None:
@@ -306,62 +306,62 @@
     history.sent(2 * SECOND, "r")
     history.attempt(2 * SECOND + 400 * MS, "r", "a", 2 * SECOND + 402 * MS, first=2 * SECOND + 240 * MS)
     history.answer(2 * SECOND + 403 * MS, "r")
-    clean(history)
+    expect_clean(history)
 
 
 def test_a_server_that_a_whole_list_leaves_out_is_gone(history: History) -> None:
     history.served(SECOND, "before", "a")
     history.told(2 * SECOND, 2, ("b", "ready", 0), ("c", "ready", 0), full=True)
     history.served(3 * SECOND, "r", "a")
-    only(history, "drain", "sent")
+    expect_only(history, "drain", "sent")
 
 
 def test_an_old_list_does_not_bring_a_server_back(history: History) -> None:
     drained(history, 2 * SECOND)
     history.told(3 * SECOND, 1, ("a", "ready", 0), ("b", "ready", 0), full=True)
     history.served(4 * SECOND, "r", "a")
-    only(history, "drain", "sent")
+    expect_only(history, "drain", "sent")
 
 
 def test_a_new_start_brings_a_server_back(history: History) -> None:
     drained(history, 2 * SECOND)
     history.told(3 * SECOND, 3, ("a", "ready", 3000))
     history.served(4 * SECOND, "r", "a")
-    clean(history)
+    expect_clean(history)
 
 
-def test_another_discovery_begins_anew(history: History) -> None:
+def test_versions_of_another_discovery_source_are_not_compared(history: History) -> None:
     drained(history, 2 * SECOND)
     history.told(3 * SECOND, 1, ("a", "ready", 0), ("b", "ready", 0), full=True, source=1)
     history.served(4 * SECOND, "r", "a")
-    clean(history)
+    expect_clean(history)
 
 
-def test_a_node_that_never_asks_counts_as_told(history: History) -> None:
+def test_a_node_that_makes_no_discovery_call_counts_as_told(history: History) -> None:
     history.changed(2 * SECOND, 2, "a", "draining")
     history.served(11 * SECOND, "r", "a")
-    clean(history)
+    expect_clean(history)
     history.served(13 * SECOND, "s", "a")
-    only(history, "drain", "sent")
+    expect_only(history, "drain", "sent")
 
 
-def test_what_one_node_was_told_another_does_not_know() -> None:
+def test_the_knowledge_of_one_node_does_not_count_for_another() -> None:
     h = History(nodes=2)
     h.server("a")
     h.told(MS, 1, ("a", "ready", 0), full=True)
     h.told(MS, 1, ("a", "ready", 0), full=True, node="n1")
     h.told(SECOND, 2, ("a", "draining", 0))
     h.served(2 * SECOND, "r", "a", node="n1")
-    clean(h)
+    expect_clean(h)
     h.served(2 * SECOND, "s", "a", node="n0")
-    only(h, "drain", "sent")
+    expect_only(h, "drain", "sent")
 
 
 # ---- cold ---------------------------------------------------------------------------------------------
 
 
 def warming(nodes: int = 1, told: bool = True) -> History:
-    """`a` starts cold at 1 s; two cores at 0.12 do 1.05 core-seconds in their first 3 s."""
+    """`a` starts cold at 1 s: its two cores, at 0.12, can do 1.05 core-seconds in the first 3 s."""
     h = History(nodes)
     h.server("a", t=SECOND, cold=True)
     h.server("b")
@@ -374,62 +374,62 @@
     return h
 
 
-def push(h: History, server: str, core_seconds: float, node: str = "n0", prefix: str = "r") -> None:
-    """Evenly over the 2 s after 1.1 s."""
+def add_work(h: History, server: str, core_seconds: float, node: str = "n0", prefix: str = "r") -> None:
+    """Adds this much work, spread evenly over the 2 s after 1.1 s."""
     count = round(core_seconds * 100)
     for i in range(count):
         h.served(1_100 * MS + 2 * SECOND * i // count, f"{prefix}{server}{i}", server, node=node)
 
 
-def test_a_cold_server_that_is_pushed_over() -> None:
+def test_a_cold_server_that_is_overloaded() -> None:
     h = warming()
-    push(h, "a", 2.7)
-    only(h, "cold", "pushed")
+    add_work(h, "a", 2.7)
+    expect_only(h, "cold", "pushed")
 
 
-def test_a_cold_server_that_gets_what_it_can_bear() -> None:
+def test_a_cold_server_within_its_capacity() -> None:
     h = warming()
-    push(h, "a", 2.6)
-    clean(h)
+    add_work(h, "a", 2.6)
+    expect_clean(h)
 
 
 def test_the_sum_of_all_nodes_counts() -> None:
     h = warming(nodes=2)
-    push(h, "a", 1.35)
-    clean(h)
-    push(h, "a", 1.35, node="n1", prefix="s")
-    only(h, "cold", "pushed")
+    add_work(h, "a", 1.35)
+    expect_clean(h)
+    add_work(h, "a", 1.35, node="n1", prefix="s")
+    expect_only(h, "cold", "pushed")
 
 
-def test_a_push_by_nodes_that_did_not_know_of_the_start() -> None:
+def test_an_overload_by_nodes_that_did_not_know_of_the_start() -> None:
     h = warming(nodes=2, told=False)
-    push(h, "a", 2.9, node="n1")
-    clean(h)
+    add_work(h, "a", 2.9, node="n1")
+    expect_clean(h)
 
 
-def test_what_a_cold_server_turns_away_counts() -> None:
+def test_what_a_cold_server_rejects_counts() -> None:
     h = warming()
     for i in range(270):
         t = 1_100 * MS + 2 * SECOND * i // 270
         h.sent(t, f"r{i}")
         h.attempt(t + MS, f"r{i}", "a", t + 2 * MS, "rejected")
         h.answer(t + 3 * MS, f"r{i}", 503)
-    only(h, "cold", "pushed")
+    expect_only(h, "cold", "pushed")
 
 
 def test_a_warm_server_can_be_sent_anything() -> None:
     h = warming()
-    push(h, "b", 9.0)
-    clean(h)
+    add_work(h, "b", 9.0)
+    expect_clean(h)
 
 
-def test_too_little_work_is_no_chance_to_push_a_cold_server_over() -> None:
+def test_too_little_work_does_not_exercise_the_rule_cold() -> None:
     h = warming()
-    push(h, "b", 2.0)
+    add_work(h, "b", 2.0)
     h.served(8 * SECOND, "last", "b")
     assert verdicts(h)["cold"] == "not tried"
     h = warming()
-    push(h, "b", 6.0)
+    add_work(h, "b", 6.0)
     h.served(8 * SECOND, "last", "b")
     assert verdicts(h)["cold"] == "held"
 
@@ -444,7 +444,7 @@
     history.add(Lag(3 * SECOND, "servers-0", TERMS.lag + 1))
     got = verdicts(history)
     assert (got["lost"], got["drain"], got["cold"]) == ("not valid", "not valid", "not tried")
-    assert (found(history).late, found(history).lag) == ("servers-0", TERMS.lag + 1)
+    assert (report_of(history).late, report_of(history).lag) == ("servers-0", TERMS.lag + 1)
 
 
 def test_late_stand_ins_make_a_break_by_time_not_valid_and_leave_the_others(history: History) -> None:
--- a/tests/rehearsal/test_checker_properties.py
+++ b/tests/rehearsal/test_checker_properties.py
@@ -1,4 +1,4 @@
-"""The checker on generated journals: what keeps the rules passes, one fault put in is found by its rule."""
+"""The checker on generated journals: correct ones pass, a single violation is found by its rule alone."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @st.composite
 def requests(draw: st.DrawFn) -> dict[str, Any]:
-    """A request as a right node handles it: attempts one after another, repeats as the class allows."""
+    """A request as a correct node handles it: sequential attempts, retries as the class allows."""
     klass = draw(st.sampled_from((SAFE, UNSAFE, KEYED)))
     attempts: list[tuple[str, str, int]] = []  # server, how it ended, how long it took
     ran: str | None = None
@@ -47,12 +47,12 @@
 
 
 def journal(wanted: list[dict[str, Any]]) -> tuple[History, dict[str, int]]:
-    """A history of these requests, and when each was over."""
+    """A history of these requests, and the time at which each was over."""
     h = History(nodes=len(NODES))
     for name, pod in SERVERS.items():
         h.server(name, pod)
     for node in NODES:
-        for second in range(0, 60, 5):  # they go on asking
+        for second in range(0, 60, 5):  # regular discovery calls
             h.told(second * SECOND + 5 * MS, 1, *((n, "ready", 0) for n in SERVERS), full=True, node=node)
     over: dict[str, int] = {}
     for i, r in enumerate(wanted):
@@ -72,7 +72,7 @@
 
 @given(st.lists(requests(), max_size=30))
 @settings(max_examples=150, deadline=None)
-def test_a_right_history_breaks_nothing(wanted: list[dict[str, Any]]) -> None:
+def test_a_correct_history_breaks_nothing(wanted: list[dict[str, Any]]) -> None:
     report = check(journal(wanted)[0].sorted(), TERMS)
     assert report.breaks == ()
     assert report.rulings["lost"].chances == sum(not r["leaves"] for r in wanted)
@@ -80,9 +80,7 @@
 
 @given(st.lists(requests(), min_size=1, max_size=20), st.data())
 @settings(max_examples=200, deadline=None)
-def test_one_fault_put_in_is_found_by_its_rule_alone(
-    wanted: list[dict[str, Any]], data: st.DataObject
-) -> None:
+def test_a_violation_is_found_by_its_rule_alone(wanted: list[dict[str, Any]], data: st.DataObject) -> None:
     h, over = journal(wanted)
     name = data.draw(st.sampled_from(sorted(over)))
     request = wanted[int(name[1:])]
@@ -98,7 +96,7 @@
     fault = data.draw(st.sampled_from(faults))
     rule = "lost" if fault in ("after", "again", "silent") else "drain" if fault == "drained" else "effect"
     if fault == "after":
-        # A safe copy: it breaks nothing but that the request was over.
+        # A separate safe request, so that the only violation is that it was over.
         h.sent(over[name] + 5 * MS, "x", SAFE)
         h.answer(over[name] + 6 * MS, "x", 502)
         h.attempt(over[name] + 6 * MS + TERMS.slack + 1, "x", "a", over[name] + 7 * MS + TERMS.slack)
@@ -119,7 +117,7 @@
     elif fault == "overlap":
         first = request["attempts"][0]
         start = request["at"] + MS
-        if first[2] <= TERMS.slack + 2 * MS:  # too short to be seen beyond the slack: a longer one beside it
+        if first[2] <= TERMS.slack + 2 * MS:  # an overlap would be within the slack: adds a longer request
             h.sent(20 * SECOND, "y", SAFE)
             h.attempt(20 * SECOND + MS, "y", "a", 20 * SECOND + 90 * MS)
             h.attempt(20 * SECOND + 2 * MS, "y", "b", 20 * SECOND + 80 * MS)
@@ -142,7 +140,7 @@
 @given(st.lists(requests(), max_size=15), st.integers(0, 10_000))
 @settings(max_examples=60, deadline=None)
 def test_a_journal_that_is_cut_off_anywhere_can_be_checked(wanted: list[dict[str, Any]], cut: int) -> None:
-    """Nothing raises, and no request that was still open counts as lost."""
+    """The checker does not fail, and requests that are still open do not count as lost."""
     events = journal(wanted)[0].sorted()
     kept = events[: len(events) * cut // 10_000]
     report = check(kept, TERMS)
@@ -151,7 +149,7 @@
 
 @given(st.lists(requests(), max_size=15))
 @settings(max_examples=40, deadline=None)
-def test_the_order_of_events_of_one_moment_does_not_matter(wanted: list[dict[str, Any]]) -> None:
+def test_the_order_of_simultaneous_events_does_not_matter(wanted: list[dict[str, Any]]) -> None:
     h, _ = journal(wanted)
     forwards = check(sorted(h.events, key=lambda e: e.t), TERMS)
     h.events.reverse()
--- a/tests/rehearsal/test_command.py
+++ b/tests/rehearsal/test_command.py
@@ -1,4 +1,4 @@
-"""The command: exit codes, one line for what cannot be used, and what the reports hold."""
+"""The command `rehearse`: exit codes, one-line errors, and the contents of the reports."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def toml(folder: Path, **changes: object) -> str:
-    """The small scenario as a file."""
+    """Writes the small scenario to a file."""
     path = folder / "small.toml"
     table = json.loads(json.dumps(SMALL | {"length_s": 1.5} | changes))
     lines: list[str] = []
@@ -65,7 +65,7 @@
     }
 
 
-def test_a_broken_rule_is_exit_code_1_and_stands_in_every_report(tmp_path: Path) -> None:
+def test_a_broken_rule_is_exit_code_1_and_is_in_every_report(tmp_path: Path) -> None:
     files = [str(tmp_path / name) for name in ("r.json", "r.xml", "r.html")]
     done = command(
         *("rehearse", toml(tmp_path), "--node", f"{sys.executable} {ROGUES['']} loses"),
@@ -81,7 +81,7 @@
     assert suite.get("failures") == "1" and suite.get("skipped") == "3"
     html = Path(files[2]).read_text()
     assert 'class="break"' in html and evidence["request"] in html
-    assert "http://" not in html and "src=" not in html  # nothing outside it
+    assert "http://" not in html and "src=" not in html  # the page loads nothing else
     assert {"clients.jsonl", "network.jsonl", "servers-0.jsonl", "runner.jsonl", "n0.log"} <= {
         p.name for p in (tmp_path / "kept").iterdir()
     }
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "told"),
+    ("arguments", "message"),
     [
         ((), "rehearse: name a scenario, or --list"),
         (("no-such",), "no-such: no scenario of this name; --list names them"),
@@ -100,19 +100,19 @@
         (("refuse", "--frob"), "No such option '--frob'"),
     ],
 )
-def test_what_cannot_be_used_is_one_line_and_exit_code_2(arguments: tuple[str, ...], told: str) -> None:
+def test_an_invalid_argument_is_one_line_and_exit_code_2(arguments: tuple[str, ...], message: str) -> None:
     done = command("rehearse", *arguments)
     assert done.returncode == 2 and done.stdout == ""
-    assert done.stderr.count("\n") == 1 and told in done.stderr
+    assert done.stderr.count("\n") == 1 and message in done.stderr
 
 
 def test_a_scenario_with_too_many_targets_names_file_and_key(tmp_path: Path) -> None:
     done = command("rehearse", toml(tmp_path, faults=[{"kind": "drain", "at_s": 0.2, "pick": 9}]))
     assert done.returncode == 2
-    assert "small.toml: faults[0].pick: 9 wanted, 4 left" in done.stderr and done.stderr.count("\n") == 1
+    assert "small.toml: faults[0].pick: 9 wanted, 4 available" in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_the_list_and_the_words() -> None:
+def test_list_and_explain() -> None:
     done = command("rehearse", "--list")
     assert done.returncode == 0
     assert [line.split()[0] for line in done.stdout.splitlines()] == shipped()
@@ -125,8 +125,11 @@
     assert done.returncode == 2 and done.stderr == "brackenladder: No such command 'frobnicate'.\n"
 
 
-def test_a_node_carries_nothing_of_the_tools() -> None:
-    """The platform installs requirements.txt alone, and a node may have 32 MB: nor of what is off."""
+def test_a_node_imports_no_tools() -> None:
+    """Deployed nodes have only requirements.txt installed, and may have only 32 MB of memory.
+
+    So a node must not import the tools' packages, nor the parts of the node that are not configured.
+    """
     script = (
         "import sys; import brackenladder.__main__;"
         "print([m for m in sys.modules if m.startswith(('click', 'rich', 'msgspec', 'msgpack',"
--- a/tests/rehearsal/test_follow.py
+++ b/tests/rehearsal/test_follow.py
@@ -1,4 +1,4 @@
-"""One request's way, on a run of the model in two tiers."""
+"""Tracing single requests, in a run of the simulation model with two tiers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return play(small(FAULT, tiers=2, clients={"rate": 60}), 1).events
 
 
-def test_every_step_of_a_request_is_told_in_both_tiers(events):
+def test_every_event_of_a_request_is_described_in_both_tiers(events):
     (name,) = select_requests(events, select_requests(events, "served")[0])
     lines = describe_request(events, name)
     mine = [e for e in events if getattr(e, "id", "").split(".")[-1] == name]
@@ -28,7 +28,7 @@
     assert {line.split("tier ")[1][0] for line in lines} == {"1", "2"}
 
 
-def test_some_of_an_outcome_are_named_and_nobody_is_told_plainly(events):
+def test_requests_are_selected_by_outcome_and_no_match_is_an_error(events):
     ends = outcomes(events)
     assert len(ends) == sum(isinstance(e, Sent) and "." not in e.id for e in events)
     for name in select_requests(events, "failed"):
--- a/tests/rehearsal/test_members.py
+++ b/tests/rehearsal/test_members.py
@@ -1,6 +1,6 @@
-"""Several processes that know one another, and faults between them: verdicts.
+"""Membership verdicts on runs with several nodes and faults between them.
 
-And the rogue that each convicts.
+This build's node must break none; each faulty node must break the one that is listed for it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,9 @@
 PAUSED = [fault("node-pause", at=6.0, length=2.0)]
 KILLED = [fault("node-kill", at=6.0, length=60.0)]
 DEAF = [fault("deaf", at=6.0, length=5.0)]
-LONG = [fault("node-pause", at=5.5, length=4.0)]  # it wakes and finds itself dead
+LONG = [
+    fault("node-pause", at=5.5, length=4.0)
+]  # long enough that the others report it dead before it resumes
 SWAPPED = [
     fault("datagrams-swapped", at=5.0, length=9.0, share=0.5),
     fault("datagrams-twice", at=5.0, length=9.0, share=0.5),
@@ -30,7 +32,7 @@
 ]
 
 CASES: dict[str, tuple[str, list[dict[str, Any]], float, str]] = {
-    # rogue, faults, length, the verdict that it breaks; of the right ones, what is tried for sure
+    # mode, faults, length, the verdict that the mode breaks (for "right": one that must be exercised)
     "right-paused": ("right", PAUSED, 12.0, "accurate"),
     "right-killed": ("right", KILLED, 17.5, "complete"),
     "right-deaf": ("right", DEAF, 12.0, "accurate"),
@@ -50,7 +52,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(CASES))
-def test_a_right_node_holds_and_each_rogue_breaks_its_verdict(name: str, tmp_path: Path) -> None:
+def test_a_correct_node_breaks_nothing_and_a_faulty_one_its_verdict(name: str, tmp_path: Path) -> None:
     mode, faults, length, verdict = CASES[name]
     scenario = scenario_of(faults, length)
     result, report = play(scenario, tmp_path, f"{sys.executable} {ROGUE} {mode}")
@@ -63,8 +65,8 @@
     assert not result.crashed and not report.breaks
     done = [e.kind for e in result.events if isinstance(e, Fault)]
     assert sorted(done) == sorted(f["kind"] for f in faults)
-    assert told(result.events, Said) and told(result.events, Datagram)
+    assert count_of(result.events, Said) and count_of(result.events, Datagram)
 
 
-def told(events: list[AnyEvent], kind: type) -> int:
+def count_of(events: list[AnyEvent], kind: type) -> int:
     return sum(isinstance(event, kind) for event in events)
--- a/tests/rehearsal/test_plan.py
+++ b/tests/rehearsal/test_plan.py
@@ -1,4 +1,4 @@
-"""The schedule: the same for the same seed, and within what the scenario says."""
+"""The plan of a run: the same for the same seed, and as the scenario specifies."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 @given(NAMES, SEEDS)
 @settings(max_examples=60, deadline=None)
-def test_faults_of_one_kind_do_not_cross_at_one_server(name: str, seed: int) -> None:
-    """Failure prevented: the end of one undoes the other, as a port that opens before its time."""
+def test_faults_of_one_kind_do_not_overlap_at_one_server(name: str, seed: int) -> None:
+    """If they overlapped, the end of one would undo the other, e.g. open a port too early."""
     plan = plan_of(load(name), seed)
     servers = {s.id for s in plan.servers}
     steps = [s for s in plan.steps if s.target in servers]
@@ -54,10 +54,10 @@
     most = round(DEPLOY_AT_ONCE * scenario.servers.count)
     for step in drains:
         assert sum(d.at <= step.at < d.end for d in drains) <= most
-        heir, old = servers[step.successor], servers[step.target]
-        assert heir.born > step.end
-        assert (heir.zone, heir.cell) == (old.zone, old.cell)
-        assert heir.place not in {s.place for s in plan.servers if s is not heir}
+        successor, old = servers[step.successor], servers[step.target]
+        assert successor.born > step.end
+        assert (successor.zone, successor.cell) == (old.zone, old.cell)
+        assert successor.place not in {s.place for s in plan.servers if s is not successor}
 
 
 def test_a_replaced_server_has_its_successor_at_its_address() -> None:
@@ -81,8 +81,8 @@
         assert all(0.79 * deadline <= b <= deadline for b in r.budgets)
 
 
-def test_it_is_explained_in_words() -> None:
+def test_a_plan_is_described_in_words() -> None:
     scenario = load("rolling-deploy")
     text = describe_plan(scenario, plan_of(scenario, 1))
     assert "2 nodes, 12 servers in east and west" in text[0]
-    assert sum("drains, then ends" in line and "starts cold at" in line for line in text) == 11
+    assert sum("drains, then stops" in line and "starts cold at" in line for line in text) == 11
--- a/tests/rehearsal/test_rehearse.py
+++ b/tests/rehearsal/test_rehearse.py
@@ -1,6 +1,6 @@
-"""Whole rehearsals: each fault on this build's node raises no false alarm, each rogue breaks its one rule.
+"""Whole rehearsals: no fault makes this build's node break a rule; each faulty node breaks one.
 
-The verdicts are the same every time: a case counts only the rules that its schedule surely puts to the test.
+A case asserts verdicts only for rules that its schedule exercises in every run, so that the result is stable.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 DRAIN = ("lost", "drain")
 COLD = ("lost", "cold")
 
-# The rules that are tried, and so held, besides 'lost'.
+# The rules that a case exercises in every run; 'lost' only, if a case isn't listed.
 HELD = {
     "stall": DOUBT,
     "stall-head": DOUBT,
     "stall-body": DOUBT,
     "drip": DOUBT,
-    # Servers do not see that a call among others is given up, so effects are in doubt by luck alone.
+    # With RPC, servers don't see that the node gave up a call, so the rule `effect` is rarely exercised.
     "stall-rpc": ("lost",),
     "stall-head-rpc": ("lost",),
     "stall-body-rpc": ("lost",),
@@ -46,9 +46,9 @@
     "right-peers": DRAIN,
 }
 
-QUIET = {"calm", "leaving", "calm-rpc", "leaving-rpc"}  # without a fault
+QUIET = {"calm", "leaving", "calm-rpc", "leaving-rpc"}  # cases without a fault
 
-# Of each rogue the rule that it breaks, and how.
+# For each faulty node the rule that it breaks, and how.
 BROKEN = {
     "twice": ("effect", "repeat"),
     "overlap": ("effect", "overlap"),
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("case", sorted(FAULTS | RIGHT | RPC))
-def test_no_false_alarm(case: str, runs: Runs) -> None:
+def test_a_correct_node_breaks_no_rule(case: str, runs: Runs) -> None:
     result, report, _ = runs[case]
     assert report.breaks == ()
     assert not result.crashed
@@ -87,11 +87,11 @@
     assert sorted((e.kind, e.target) for e in happened) == planned
     for fault in happened:
         step = next(s for s in result.plan.steps if (s.kind, s.target) == (fault.kind, fault.target))
-        assert fault.t >= result.begin + step.at  # never before its time
+        assert fault.t >= result.begin + step.at  # never early
 
 
 @pytest.mark.parametrize("case", sorted(BROKEN))
-def test_a_rogue_breaks_its_rule_and_no_other(case: str, runs: Runs) -> None:
+def test_a_faulty_node_breaks_its_rule_and_no_other(case: str, runs: Runs) -> None:
     _, report, _ = runs[case]
     rule, what = BROKEN[case]
     assert [r for r in RULES if report.verdicts[r] == "broke"] == [rule]
@@ -99,7 +99,7 @@
     assert {f.rule for f in report.breaks} == {rule}
 
 
-def test_every_rogue_is_expected_to_break_something() -> None:
+def test_every_faulty_node_is_expected_to_break_something() -> None:
     assert set(BROKEN) | {"crashes"} == set(ROGUES | RPC_ROGUES)
 
 
@@ -107,12 +107,12 @@
 def test_a_node_that_ends_by_itself_has_crashed(case: str, runs: Runs) -> None:
     result, report, _ = runs[case]
     assert result.crashed == {"n0": [3]}
-    assert "broke" not in report.verdicts.values()  # what it held is the client's to retry
+    assert "broke" not in report.verdicts.values()  # clients retry what a crashed node held
 
 
 @pytest.mark.parametrize("case", ["stall-head", "stall-body", "drip", "reset-answer"])
 def test_answers_that_break_off_had_begun(case: str, runs: Runs) -> None:
-    """Each on an attempt that had come whole, and before its end."""
+    """The first part is recorded after the request had come whole, and before the end of the attempt."""
     result, _, _ = runs[case]
     arrived = {e.attempt: e.t for e in result.events if isinstance(e, Arrived)}
     ends = {e.attempt: e.t for e in result.events if isinstance(e, Replied | Closed)}
@@ -127,12 +127,12 @@
         assert all(whole < e.bytes < whole + 512 for e in begun)
 
 
-# ---- the faults do to the node what their names say ---------------------------------------------------
+# ---- effects of single faults -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("case", ["stall-body"])
 def test_an_unsafe_request_whose_answer_stalls_partway_has_failed(case: str, runs: Runs) -> None:
-    """Neither refused nor sent again: it may have run."""
+    """It may have run, so it is neither refused nor sent again."""
     result, _, _ = runs[case]
     scenario = FAULTS[case].scenario
     sent = {e.id: e for e in result.events if type(e).__name__ == "Sent"}
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("case", ["reject", "error"])
-def test_servers_turn_away_or_fail(case: str, runs: Runs) -> None:
+def test_servers_reject_or_fail(case: str, runs: Runs) -> None:
     result, _, _ = runs[case]
     how = {"reject": "rejected", "error": "error"}[case]
     assert any(isinstance(e, Replied) and e.how == how for e in result.events)
@@ -167,19 +167,19 @@
     up = [e for e in result.events if isinstance(e, Up) and e.server == name][-1]
     assert up.warm and up.started
     listed = {s for e in result.events if isinstance(e, Told) for s in e.servers}
-    assert (name, "ready", up.started) in listed  # the list gives the start that the server had
+    assert (name, "ready", up.started) in listed  # the list has the start time of this process
     assert any(isinstance(e, Arrived) and e.server == name and e.t > up.t for e in result.events)
 
 
 @pytest.mark.parametrize("case", ["drain-answering"])
-def test_answers_and_the_drain_fall_into_one_moment(case: str, runs: Runs) -> None:
+def test_answers_are_written_at_the_moment_of_the_drain(case: str, runs: Runs) -> None:
     result, _, _ = runs[case]
     step = result.plan.steps[0]
     moment = result.begin + step.at
     told = [e for e in result.events if isinstance(e, Told)]
     drains = [e.t for e in told if any(s[:2] == (step.target, "draining") for s in e.servers)]
     assert drains and min(drains) >= moment
-    # Answers that were ready before wait for it.
+    # Answers that were ready earlier are held back until the drain.
     speed = next(s.speed for s in result.plan.servers if s.id == step.target)
     arrived = {e.attempt: e.t + e.work / speed for e in result.events if isinstance(e, Arrived)}
     replied = [e for e in result.events if isinstance(e, Replied) and e.server == step.target]
@@ -204,16 +204,19 @@
 
 
 @pytest.mark.parametrize("case", ["datagrams-lost"])
-def test_a_node_that_sends_no_datagrams_has_nothing_to_lose(case: str, runs: Runs) -> None:
+def test_the_notes_say_that_a_node_sent_no_datagrams(case: str, runs: Runs) -> None:
     result, _, _ = runs[case]
-    assert any(line.startswith("nothing to lose") for line in notes(FAULTS[case].scenario, result))
+    assert any(
+        line.startswith("the nodes sent one another no datagrams")
+        for line in notes(FAULTS[case].scenario, result)
+    )
 
 
 @pytest.mark.parametrize("case", ["peer-drains"])
 def test_datagrams_that_are_sent_are_lost(case: str, runs: Runs) -> None:
     result, _, _ = runs[case]
     assert {e.fate for e in result.events if isinstance(e, Datagram)} >= {"lost"}
-    assert any("datagrams between nodes were touched" in x for x in notes(ROGUES[case].scenario, result))
+    assert any("datagrams between nodes were affected" in x for x in notes(ROGUES[case].scenario, result))
 
 
 @pytest.mark.parametrize("case", ["right-peers"])
--- a/tests/rehearsal/test_runner.py
+++ b/tests/rehearsal/test_runner.py
@@ -1,4 +1,4 @@
-"""The runner and the stand-ins' processes: lateness, ends and failures never pass for a held rule."""
+"""The runner and the stand-ins: lag, early ends and failures never lead to a valid verdict; journals."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 async def disturbed(scenario: Scenario, folder: Path, name: str, *signals: tuple[float, int]) -> Result:
-    """A run in which a stand-in gets signals, each so many seconds after the one before."""
+    """A run in which a stand-in gets signals, each given seconds after the one before."""
     run = Run(scenario, 1, "", folder, None)
-    task = asyncio.create_task(run.go())
+    task = asyncio.create_task(run.execute())
     async with asyncio.timeout(PATIENCE):
         while not run.begin or now() < run.begin:
             await asyncio.sleep(0.01)
@@ -60,11 +60,11 @@
 
 
 def test_stand_ins_and_nodes_end_with_a_runner_that_is_stopped(tmp_path: Path) -> None:
-    """Failure prevented: Ctrl-C leaves processes behind that hold ports and cores."""
+    """Guards against Ctrl-C leaving processes behind that hold ports and use CPU time."""
 
     async def scene() -> list[Any]:
         run = Run(small(), 1, "", tmp_path, None)
-        task = asyncio.create_task(run.go())
+        task = asyncio.create_task(run.execute())
         while not run.begin:
             await asyncio.sleep(0.01)
         processes = [s.process for s in run.standins] + [n.process for n in run.nodes]
@@ -77,8 +77,8 @@
     assert all(p.returncode is not None for p in processes)
 
 
-def test_a_stand_in_ends_with_its_orders() -> None:
-    """Failure prevented: a runner that is killed outright leaves its stand-ins behind."""
+def test_a_stand_in_ends_at_the_end_of_its_input() -> None:
+    """Guards against a runner killed with SIGKILL leaving its stand-ins behind."""
     command = [sys.executable, "-m", "brackenladder.rehearsal.standins", "network"]
     with subprocess.Popen(
         command, stdin=subprocess.PIPE, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL
@@ -89,7 +89,7 @@
 
 
 def test_nodes_end_with_a_runner_that_is_killed_outright(tmp_path: Path) -> None:
-    """Failure prevented: they go on serving on their ports, and whoever starts next finds them."""
+    """Otherwise they would go on serving on ports that later processes may use."""
     script = (
         "import asyncio, sys; from pathlib import Path; sys.path.insert(0, 'tests');"
         "from brackenladder.rehearsal.runner import serve_without_clients as serve;"
@@ -112,19 +112,19 @@
 
 
 @pytest.mark.parametrize(
-    ("command", "told"),
+    ("command", "message"),
     [
         ("/no/such/node", "/no/such/node: No such file or directory"),
         (f"{sys.executable} -c 'raise SystemExit(7)'", "n0 ended with status 7 before it was ready"),
     ],
 )
-def test_a_node_that_does_not_come_up(command: str, told: str, tmp_path: Path) -> None:
-    with pytest.raises(NodeError, match=told):
+def test_a_node_that_does_not_start(command: str, message: str, tmp_path: Path) -> None:
+    with pytest.raises(NodeError, match=message):
         asyncio.run(rehearse(small(), 1, command, tmp_path))
 
 
 class StartingNode:
-    """Stands in for a node's process that takes as long to start as the test wants."""
+    """A fake node process whose start lasts until the test ends it."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -135,7 +135,7 @@
     def signal(self, name: str) -> None:
         self.seen.append(name)
 
-    async def ended(self, _time: float) -> bool:
+    async def wait_ended(self, _time: float) -> bool:
         return True
 
     async def start(self) -> None:
@@ -145,30 +145,30 @@
         self.seen.append("up")
 
 
-class Told:
-    """Stands in for a stand-in's process."""
+class FakeStandIn:
+    """A fake stand-in process."""
 
-    def tell(self, order: dict[str, Any]) -> None:
-        """Takes any order."""
+    def send(self, order: dict[str, Any]) -> None:
+        """Ignores the order."""
 
-    async def hear(self) -> dict[str, Any]:
+    async def receive(self) -> dict[str, Any]:
         return {"version": -1}
 
 
-def test_a_node_that_is_starting_again_meets_its_next_end_when_it_is_up(tmp_path: Path) -> None:
-    """Failure prevented: the planned end of a slow start is taken for a node that doesn't come up."""
+def test_a_node_is_not_killed_again_before_its_restart_is_complete(tmp_path: Path) -> None:
+    """Otherwise a kill during a slow start would be reported as a node that doesn't start."""
 
     async def scene() -> None:
         run = Run(small(clients={"notice_s": 0}), 1, "", tmp_path, None)
         run.begin = now()
         node: Any = StartingNode(run.nodes[0].name)
         run.nodes = [node]
-        told: Any = Told()
+        standin: Any = FakeStandIn()
         steps = [Step(at=at, length=0, kind="node-kill", target=node.name) for at in (0, 1)]
-        tasks = [asyncio.create_task(run.do(step, told, told)) for step in steps]
+        tasks = [asyncio.create_task(run.apply_fault(step, standin, standin)) for step in steps]
         async with asyncio.timeout(PATIENCE):
             await node.starting.wait()
-            for _ in range(100):  # the second end's time has come
+            for _ in range(100):  # lets the second fault become due
                 await asyncio.sleep(0)
             assert node.seen == ["kill", "start"]
             node.up.set()
@@ -178,12 +178,12 @@
     asyncio.run(scene())
 
 
-def test_the_nodes_are_told_what_the_deployment_page_says(tmp_path: Path) -> None:
-    """A node of any build finds the keys that are published; what it gets is kept in the run's folder."""
+def test_nodes_get_the_documented_configuration(tmp_path: Path) -> None:
+    """The environment and the configuration file have all documented keys."""
     seen = tmp_path / "seen"
     script = (
         "import os, json; config = json.load(open(os.environ['LB_CONFIG']));"
-        # Each node its own file, in place in one step: several run at a time.
+        # Each node writes its own file and renames it, since several run at a time.
         " path = {!r} + os.environ['LB_NAME']; file = open(path + '.new', 'w');"
         " file.write(json.dumps([dict(os.environ), config])); file.close(); os.rename(path + '.new', path)"
     )
@@ -206,7 +206,7 @@
 # ---- journals -----------------------------------------------------------------------------------------
 
 
-def test_half_a_line_at_the_end_is_passed_over(tmp_path: Path) -> None:
+def test_an_incomplete_last_line_is_skipped(tmp_path: Path) -> None:
     path = tmp_path / "a.jsonl"
     journal = Journal(path)
     for t in range(3):
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize(
     "line", [b"nonsense", b'["quake",1]', b'["lag",1,"x"]', b'["lag","1","x",2]', b"\xff\xfe"]
 )
-def test_a_line_that_is_no_event_is_named(line: bytes, tmp_path: Path) -> None:
+def test_a_line_that_is_not_an_event_is_named(line: bytes, tmp_path: Path) -> None:
     path = tmp_path / "a.jsonl"
     path.write_bytes(b'["lag",1,"x",2]\n' + line + b"\n")
     with pytest.raises(JournalError, match="a.jsonl: line 2"):
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is read, and one line for each thing that cannot be used."""
+"""Scenario files: what is accepted, and a one-line error for each invalid key or file."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         assert plan.requests and plan.steps
 
 
-def test_the_scenarios_that_operators_are_promised() -> None:
+def test_the_documented_scenarios_exist() -> None:
     promised = (
         "rolling-deploy stall-mid-answer cold-restart refuse late-list peer-lost-at-drain node-killed"
         " node-restart discovery-silent silent-clients layered members"
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("", "f.toml: title: missing"),
         ("title = 1", "f.toml: title: Expected `str`, got `int`"),
@@ -69,8 +69,8 @@
         (GOOD + '[[faults]]\nkind = "stall"\nat_s = nan', "f.toml: faults[0].at_s"),
     ],
 )
-def test_what_cannot_be_used_is_named(text: str, told: str) -> None:
-    assert wrong(text).startswith(told), wrong(text)
+def test_an_invalid_key_is_named(text: str, message: str) -> None:
+    assert wrong(text).startswith(message), wrong(text)
 
 
 def test_a_file_that_is_not_text_or_too_large(tmp_path: Path) -> None:
@@ -89,7 +89,7 @@
     return str(e.value)
 
 
-def test_more_targets_than_there_are() -> None:
+def test_a_fault_that_needs_more_targets_than_there_are() -> None:
     text = GOOD + '[[faults]]\nkind = "drain"\nat_s = 1\npick = 3\n' * 2
-    with pytest.raises(ScenarioError, match=r"faults\[1\]\.pick: 3 wanted, 1 left"):
+    with pytest.raises(ScenarioError, match=r"faults\[1\]\.pick: 3 wanted, 1 available"):
         plan_of(parse(text.encode(), "f.toml"), 1)
