--- a/brackenladder/cli/rehearse.py
+++ b/brackenladder/cli/rehearse.py
@@ -154,9 +154,9 @@
 
 def ignored_in_model(scenario: Scenario) -> list[str]:
     """Returns the parts of a scenario that the model ignores."""
-    from brackenladder.fleet.model import passed_over
+    from brackenladder.fleet.model import unsupported
 
-    return passed_over(scenario)
+    return unsupported(scenario)
 
 
 def play_in_model(scenario: Scenario, seed: int, command: str, keep: str | None) -> Result:
--- a/brackenladder/fleet/page.py
+++ b/brackenladder/fleet/page.py
@@ -1,4 +1,4 @@
-"""An experiment's page: one self-contained file, its plots as SVG. No I/O."""
+"""Renders an experiment as one self-contained HTML page with SVG plots. No I/O."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from brackenladder.fleet.experiment import Cell, Experiment, Value, name_of
 from brackenladder.fleet.figures import FIGURES
 
-MOST_LINES = 8  # cells in one plot
+MOST_LINES = 8  # most cells in one plot
 BAND = (10, 90)  # percentiles over the seeds
-SIZE = (9.0, 2.6)  # inches of a plot
-SWEPT = ("goodput", "refused", "attempts", "p99_ms", "cold")  # figures that a sweep shows
-COURSES: Mapping[str, tuple[str, ...]] = {  # plots by second: title and their series
+SIZE = (9.0, 2.6)  # of a plot, in inches
+SWEEP_FIGURES = ("goodput", "refused", "attempts", "p99_ms", "cold")  # figures plotted against a varied key
+SERIES_PLOTS: Mapping[str, tuple[str, ...]] = {  # plots over time: title and series (median, low, high)
     "Goodput: share of first tries answered in time": ("goodput",),
     "Worth earned, of what was offered": ("worth",),
     "Attempts at servers for each first try": ("attempts",),
@@ -34,35 +34,35 @@
 }
 
 Row = tuple[Cell, int, dict[str, float], dict[str, str]]
-Course = tuple[Cell, dict[str, list[float]]]
+RunSeries = tuple[Cell, dict[str, list[float]]]
 
 
-def page(asked: Experiment, rows: Sequence[Row], courses: Iterable[Course]) -> str:
-    """The page: figures by cell, verdicts, courses by second, sweeps over numbers."""
+def page(experiment: Experiment, rows: Sequence[Row], run_series: Iterable[RunSeries]) -> str:
+    """Renders the page: figures and verdicts by cell, plots over time, plots over numeric grid keys."""
     environment = jinja2.Environment(autoescape=True, trim_blocks=True, lstrip_blocks=True)
     text = (files("brackenladder.fleet") / "page.html.j2").read_text()
-    cells = [cell for cell in asked.cells() if any(row[0] == cell for row in rows)]
-    with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": asked.title, "font.size": 8}):
+    cells = [cell for cell in experiment.cells() if any(row[0] == cell for row in rows)]
+    with matplotlib.rc_context({"svg.fonttype": "none", "svg.hashsalt": experiment.title, "font.size": 8}):
         return environment.from_string(text).render(
-            title=asked.title,
-            scenario=asked.scenario,
+            title=experiment.title,
+            scenario=experiment.scenario,
             figures={name: what for name, (what, _) in FIGURES.items()},
             cells=[(name_of(cell), table(rows, cell), verdicts(rows, cell)) for cell in cells],
-            plots=list(by_second(cells, list(courses))),
-            sweeps=list(sweeps(asked, rows)),
+            plots=list(by_second(cells, list(run_series))),
+            sweeps=list(sweeps(experiment, rows)),
             most=MOST_LINES,
             left_out=max(0, len(cells) - MOST_LINES),
         )
 
 
 def table(rows: Sequence[Row], cell: Cell) -> dict[str, tuple[float, float]]:
-    """Each figure's mean and standard deviation over the seeds."""
+    """Mean and standard deviation of each figure over the seeds."""
     mine = [figures for found, _, figures, _ in rows if found == cell]
     return {name: (float(np.mean(v)), float(np.std(v))) for name in FIGURES if (v := [f[name] for f in mine])}
 
 
 def verdicts(rows: Sequence[Row], cell: Cell) -> dict[str, dict[str, int]]:
-    """For each rule how many runs came to which verdict."""
+    """For each rule the number of runs by verdict."""
     out: dict[str, dict[str, int]] = {}
     for found, _, _, told in rows:
         if found == cell:
@@ -72,21 +72,21 @@
     return out
 
 
-def drawn(figure: Figure) -> str:
-    """A figure as an SVG element, the same for the same data."""
+def svg_of(figure: Figure) -> str:
+    """Renders a figure as an SVG element; deterministic for the same data."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None, "Creator": None}, bbox_inches="tight")
     return out.getvalue()[out.getvalue().index("<svg") :]
 
 
-def by_second(cells: Sequence[Cell], courses: Sequence[Course]) -> Iterable[tuple[str, str]]:
-    """Plots over the run: the mean over seeds; where one line is left, or for nodes, a band."""
-    for title, (name, *band) in COURSES.items():
+def by_second(cells: Sequence[Cell], run_series: Sequence[RunSeries]) -> Iterable[tuple[str, str]]:
+    """Yields a plot over time for each entry of SERIES_PLOTS: mean over seeds, and a percentile band."""
+    for title, (name, *band) in SERIES_PLOTS.items():
         figure = Figure(figsize=SIZE)
         axes = figure.add_subplot()
         shown = 0
         for cell in cells[:MOST_LINES]:
-            mine = [found for at, found in courses if at == cell and found.get(name)]
+            mine = [found for at, found in run_series if at == cell and found.get(name)]
             if not mine:
                 continue
             shown += 1
@@ -104,23 +104,23 @@
         axes.set_ylim(bottom=0)
         axes.grid(alpha=0.3)
         axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
-        yield title, drawn(figure)
+        yield title, svg_of(figure)
 
 
-def stacked(courses: Sequence[Mapping[str, Sequence[float]]], name: str) -> np.ndarray:
-    """Seeds by seconds, cut to the shortest."""
-    length = min(len(course[name]) for course in courses)
-    return np.array([course[name][:length] for course in courses], dtype=float)
+def stacked(run_series: Sequence[Mapping[str, Sequence[float]]], name: str) -> np.ndarray:
+    """Array of one series by seed and second, cut to the shortest run."""
+    length = min(len(course[name]) for course in run_series)
+    return np.array([course[name][:length] for course in run_series], dtype=float)
 
 
-def sweeps(asked: Experiment, rows: Sequence[Row]) -> Iterable[tuple[str, str]]:
-    """For each key with several numbers a plot of figures against it, a line for each rest of the grid."""
-    for key, values in asked.grid.items():
+def sweeps(experiment: Experiment, rows: Sequence[Row]) -> Iterable[tuple[str, str]]:
+    """Yields a plot for each numeric grid key with several values, one line per combination of the rest."""
+    for key, values in experiment.grid.items():
         if len(values) < 2 or not all(isinstance(v, int | float) and not isinstance(v, bool) for v in values):
             continue
-        figure = Figure(figsize=(SIZE[0], 2.2 * len(SWEPT)))
-        for place, name in enumerate(SWEPT):
-            axes = figure.add_subplot(len(SWEPT), 1, place + 1)
+        figure = Figure(figsize=(SIZE[0], 2.2 * len(SWEEP_FIGURES)))
+        for place, name in enumerate(SWEEP_FIGURES):
+            axes = figure.add_subplot(len(SWEEP_FIGURES), 1, place + 1)
             lines: dict[Cell, dict[Value, list[float]]] = {}
             for cell, _, figures, _ in rows:
                 rest = tuple(pair for pair in cell if pair[0] != key)
@@ -141,4 +141,4 @@
             if not place:
                 axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5))
         axes.set_xlabel(key)
-        yield key, drawn(figure)
+        yield key, svg_of(figure)
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -1,4 +1,4 @@
-"""What every rival does alike: the list, the calls, the bounds on attempts, and what may be repeated."""
+"""Common part of all baseline policies: server list, calls, attempt limits and rules for repeats."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 )
 
 
-class Sight(Protocol):
-    """The true state of the servers, for the rivals that are shown it. Times in microseconds."""
+class TrueStateView(Protocol):
+    """The true state of the servers, for the policies that may see it. Times in microseconds."""
 
     def wait(self, server: int) -> int:
-        """Until a core is free for a request that comes now."""
+        """Time until a core is free for a request that arrives now."""
 
     def work(self, request: int, server: int) -> int:
-        """How long a core of this server would work on this node's request."""
+        """Time that a core of this server would need for this node's request."""
 
     def room(self, server: int, share: float) -> bool:
-        """Whether it holds less than this share of what turns it slow."""
+        """Whether it holds fewer requests than this share of its overload threshold."""
 
 
-class Member:
-    """A server as a rival knows it."""
+class KnownServer:
+    """A server as a policy knows it."""
 
-    __slots__ = ("entry", "in_flight", "seen_at", "fails_in_row", "ejected_until", "ejections")
+    __slots__ = ("entry", "in_flight", "known_since", "consecutive_failures", "ejected_until", "ejections")
 
     def __init__(self, entry: ServerEntry, now: int) -> None:
         self.entry = entry
         self.in_flight = 0
-        self.seen_at = now
-        self.fails_in_row = 0
+        self.known_since = now
+        self.consecutive_failures = 0
         self.ejected_until = 0
         self.ejections = 0
 
 
-class Open:
+class OpenRequest:
     """An open request."""
 
     __slots__ = ("id", "klass", "effect", "until", "attempts", "out", "ran_on", "ran_at", "sent_at")
@@ -57,43 +57,47 @@
         self.effect = effect
         self.until = until
         self.attempts = 0
-        self.out: Member | None = None
-        self.ran_on: Member | None = None
+        self.out: KnownServer | None = None
+        self.ran_on: KnownServer | None = None
         self.ran_at = 0
         self.sent_at = 0
 
 
-class Rival:
-    """Sends each request to whom `pick` names, as often as the settings and its effect allow.
+class BaselinePolicy:
+    """Sends each request to the server that `pick` returns, as often as settings and effect allow.
 
-    `sight` is for the oracle and the one that sees late; all others are given none.
+    `true_state` is set for the oracles only.
     """
 
-    def __init__(self, settings: Settings, seed: int, actions: Actions, sight: Sight | None = None) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, actions: Actions, true_state: TrueStateView | None = None
+    ) -> None:
         self.settings = settings
         self.actions = actions
         self.rng = Random(seed)
-        self.sight = sight
-        self.members: dict[int, Member] = {}  # those that are listed as ready
-        self.all: dict[int, Member] = {}  # and those that still have calls
-        self.requests: dict[int, Open] = {}
+        self.true_state = true_state
+        self.members: dict[int, KnownServer] = {}  # servers listed as ready
+        self.all: dict[int, KnownServer] = {}  # also those that only have open calls
+        self.requests: dict[int, OpenRequest] = {}
 
-    # ---- what a rival decides -------------------------------------------------------------------------
+    # ---- decisions of a policy ------------------------------------------------------------------------
 
-    def admits(self, now: int, r: Open) -> bool:
-        """Whether a first attempt is made at all."""
+    def admits(self, now: int, r: OpenRequest) -> bool:
+        """Whether to make a first attempt or to refuse the request."""
         return True
 
-    def may_retry(self, now: int, r: Open) -> bool:
-        """Whether a further attempt is made, where it is allowed."""
+    def may_retry(self, now: int, r: OpenRequest) -> bool:
+        """Whether to make a further attempt where the rules allow one."""
         return True
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
-        """One of the members, in the order of their numbers; None to refuse."""
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
+        """Returns one of the servers in `among` (sorted by number), or None to refuse."""
         raise NotImplementedError
 
-    def ended(self, now: int, r: Open | None, member: Member, outcome: Outcome, latency: int) -> None:
-        """An attempt ended."""
+    def ended(
+        self, now: int, r: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
+    ) -> None:
+        """Called when an attempt has ended."""
 
     # ---- events ---------------------------------------------------------------------------------------
 
@@ -112,14 +116,14 @@
             if entry.state == State.READY:
                 known = self.all.get(entry.server)
                 if known is None or known.entry.ready_at != entry.ready_at:
-                    known = Member(entry, now)
+                    known = KnownServer(entry, now)
                 self.members[entry.server] = self.all[entry.server] = known
         for number in [n for n, m in self.all.items() if n not in self.members and not m.in_flight]:
             del self.all[number]
         self.members = dict(sorted(self.members.items()))
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        r = Open(request, klass, self.settings.classes[klass].effect, now + time_left)
+        r = OpenRequest(request, klass, self.settings.classes[klass].effect, now + time_left)
         self.requests[request] = r
         if self.admits(now, r):
             self.attempt(now, r)
@@ -159,7 +163,7 @@
             self.finish(r, refuse=not ran or r.effect == Effect.SAFE)
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """No streams in the model."""
+        """Unused: the model has no streams."""
 
     def client_left(self, now: int, request: int) -> None:
         r = self.requests.pop(request, None)
@@ -167,18 +171,18 @@
             self.actions.cancel(request, r.attempts - 1)
 
     def probed(self, now: int, server: int, ok: bool, latency: int, report: Sequence[float]) -> None:
-        """No rival probes."""
+        """Unused: baseline policies do not probe."""
 
     def timer(self, now: int, token: int) -> None:
         self.actions.watch(True)
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """No rival speaks to its peers."""
+        """Unused: baseline policies send no peer messages."""
 
-    # ---- a request's life -----------------------------------------------------------------------------
+    # ---- requests -------------------------------------------------------------------------------------
 
-    def among(self, r: Open) -> list[Member]:
-        """The members that this request may go to."""
+    def among(self, r: OpenRequest) -> list[KnownServer]:
+        """Servers that this request may be sent to."""
         first = r.ran_on
         if first is None or r.effect != Effect.KEYED:
             return list(self.members.values())
@@ -194,7 +198,7 @@
             )
         ]
 
-    def attempt(self, now: int, r: Open) -> None:
+    def attempt(self, now: int, r: OpenRequest) -> None:
         among = self.among(r)
         member = self.pick(now, r, among) if among else None
         if member is None:
@@ -206,7 +210,7 @@
         r.attempts += 1
         self.actions.send(r.id, member.entry.server, r.until - now)
 
-    def finish(self, r: Open, refuse: bool) -> None:
+    def finish(self, r: OpenRequest, refuse: bool) -> None:
         del self.requests[r.id]
         if refuse:
             wait = self.settings.classes[r.klass].aim // 8 if self.settings.retry_after else 0
--- a/brackenladder/fleet/rivals/cluster.py
+++ b/brackenladder/fleet/rivals/envoy_like.py
@@ -1,19 +1,19 @@
-"""In the manner of Envoy with its usual means on: least request, slow start, outlier ejection, a retry budget
-and adaptive concurrency for the cluster as a whole. Figures are its defaults, where it has any."""
+"""Policy modelled on Envoy: least request, slow start, outlier ejection, a retry budget and adaptive
+concurrency for the cluster as a whole. Values are Envoy's defaults where it has any."""
 
 from __future__ import annotations
 
 from math import ceil, sqrt
 
-from brackenladder.fleet.rivals.base import Member, Open, Rival
+from brackenladder.fleet.rivals.base import BaselinePolicy, KnownServer, OpenRequest
 from brackenladder.interface import Outcome
 
 EJECT_AFTER = 5  # failures in a row
 EJECT_TIME = 30_000_000
-EJECT_SHARE = 0.1  # of the members at most, and one at least
-RETRY_BUDGET = 0.2  # of the calls that are open...
-RETRY_LEAST = 3  # ...and so many always
-SLOW_START_LEAST = 0.1  # of a member's weight
+EJECT_SHARE = 0.1  # largest share of ejected servers, but at least one
+RETRY_BUDGET = 0.2  # retries as a share of the open calls...
+RETRY_LEAST = 3  # ...or this many, if that is more
+SLOW_START_LEAST = 0.1  # least share of a server's weight
 WINDOW = 100_000
 PERCENTILE = 0.9
 BUFFER = 0.25
@@ -24,8 +24,8 @@
 GRADIENT = (0.5, 2.0)
 
 
-class Cluster(Rival):
-    """The source of this project's design, as it is meant: one node, alone before a cluster."""
+class EnvoyLike(BaselinePolicy):
+    """Envoy-like policy as designed for a single node in front of a cluster."""
 
     limit = float(MIN_RTT_LIMIT)
     min_rtt = 0
@@ -41,24 +41,24 @@
         self.retrying: set[int] = set()
         self.window_at = self.measured_at = now
 
-    def admits(self, now: int, r: Open) -> bool:
+    def admits(self, now: int, r: OpenRequest) -> bool:
         return self.open < (MIN_RTT_LIMIT if self.measuring else int(self.limit))
 
-    def may_retry(self, now: int, r: Open) -> bool:
+    def may_retry(self, now: int, r: OpenRequest) -> bool:
         if len(self.retrying) >= max(RETRY_LEAST, RETRY_BUDGET * len(self.requests)):
             return False
         self.retrying.add(r.id)
         return True
 
-    def weight(self, now: int, member: Member) -> float:
-        """Slow start over the time in which a server gets warm."""
+    def weight(self, now: int, member: KnownServer) -> float:
+        """Slow start: the weight grows while a server warms up."""
         window = self.settings.cold_time
         age = now - member.entry.ready_at
         if not member.entry.ready_at or not window or age >= window:
             return 1.0
         return max(SLOW_START_LEAST, age / window)
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         able = [m for m in among if m.ejected_until <= now] or among
         first, second = (able[int(self.rng.random() * len(able))] for _ in range(2))
         a = (first.in_flight + 1) / self.weight(now, first)
@@ -66,24 +66,30 @@
         self.open += 1
         return first if a <= b else second
 
-    def ended(self, now: int, r: Open | None, member: Member, outcome: Outcome, latency: int) -> None:
+    def ended(
+        self, now: int, r: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
+    ) -> None:
         self.open -= 1
         if r is not None and (outcome == Outcome.OK or r.attempts > 1):
             self.retrying.discard(r.id)
         if outcome in (Outcome.OK, Outcome.REJECTED):
-            member.fails_in_row = 0
+            member.consecutive_failures = 0
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            member.fails_in_row += 1
+            member.consecutive_failures += 1
             out = sum(m.ejected_until > now for m in self.members.values())
-            if member.fails_in_row >= EJECT_AFTER and out < max(1, EJECT_SHARE * len(self.members)):
+            if member.consecutive_failures >= EJECT_AFTER and out < max(1, EJECT_SHARE * len(self.members)):
                 member.ejections += 1
                 member.ejected_until = now + EJECT_TIME * member.ejections
-                member.fails_in_row = 0
+                member.consecutive_failures = 0
         if outcome == Outcome.OK:
             self.sample(now, latency)
 
     def sample(self, now: int, latency: int) -> None:
-        """A served call's latency: a window's percentile moves the limit, a pass's is the new minimum."""
+        """Adds a latency sample.
+
+        While measuring, the percentile of the samples becomes the new minimum round-trip time; otherwise that
+        of each window adjusts the limit.
+        """
         self.samples.append(latency)
         if self.measuring:
             if len(self.samples) >= MIN_RTT_CALLS:
--- a/brackenladder/fleet/rivals/simple.py
+++ b/brackenladder/fleet/rivals/simple.py
@@ -1,32 +1,32 @@
-"""The textbook's ways: at random, in turn, the less busy of two."""
+"""Textbook policies: random, round robin, and the less loaded of two random choices."""
 
 from __future__ import annotations
 
-from brackenladder.fleet.rivals.base import Member, Open, Rival
+from brackenladder.fleet.rivals.base import BaselinePolicy, KnownServer, OpenRequest
 
 
-class RandomChoice(Rival):
-    """Any member, all alike."""
+class RandomChoice(BaselinePolicy):
+    """Picks uniformly at random."""
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         return among[int(self.rng.random() * len(among))]
 
 
-class RoundRobin(Rival):
-    """One after another, from a drawn place on."""
+class RoundRobin(BaselinePolicy):
+    """Picks servers in turn, from a random start."""
 
     turn = -1
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         if self.turn < 0:
             self.turn = int(self.rng.random() * len(among))
         self.turn += 1
         return among[self.turn % len(among)]
 
 
-class LeastOfTwo(Rival):
-    """Of two drawn members the one with fewer of this node's calls (Mitzenmacher, 2001)."""
+class LeastOfTwo(BaselinePolicy):
+    """Picks the one of two random servers with fewer calls of this node (Mitzenmacher, 2001)."""
 
-    def pick(self, now: int, r: Open, among: list[Member]) -> Member | None:
+    def pick(self, now: int, r: OpenRequest, among: list[KnownServer]) -> KnownServer | None:
         first, second = (among[int(self.rng.random() * len(among))] for _ in range(2))
         return first if first.in_flight <= second.in_flight else second
