--- a/brackenladder/rehearsal/checker/knowledge.py
+++ b/brackenladder/rehearsal/checker/knowledge.py
@@ -7,10 +7,10 @@
 from brackenladder.rehearsal.checker.history import NEVER, History
 from brackenladder.rehearsal.events import Asked, Changed, Told, Untold
 
-ASK_WITHIN = 10_000_000  # microseconds without a discovery call, after which changes count as told...
-FAILED_CALL_FACTOR = 4  # ...multiplied by this after a call that failed
-SILENCE_LIMIT = 6_000_000  # microseconds after which changes that a silenced call missed count as told...
-WAIT_MARGIN = 2_000_000  # ...or so long after the end of the wait that the call asked for, if that is later
+ASK_WITHIN = 10_000_000  # microseconds without a discovery call, after which changes count as told
+FAILED_CALL_FACTOR = 4  # factor for ASK_WITHIN after a call that failed
+SILENCE_LIMIT = 6_000_000  # microseconds after which changes that a silenced call missed count as told
+WAIT_MARGIN = 2_000_000  # or so long after the end of the wait that the call asked for, if that is later
 
 
 class Knowledge:
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -40,12 +40,8 @@
 )
 DISCOVERY_FAULTS = ("half-list", "old-list", "silence")
 DATAGRAM_FAULTS = ("datagrams-late", "datagrams-twice", "datagrams-swapped", "datagrams-lost")
-LINK_FAULTS = (
-    "deaf",
-    "mute",
-    "cut-oneway",
-    "cut-group",
-)  # on the datagrams between nodes, applied by the relay
+# Faults of the datagrams between nodes, applied by the relay.
+LINK_FAULTS = ("deaf", "mute", "cut-oneway", "cut-group")
 NODE_FAULTS = (
     "node-kill",
     "node-term",
@@ -136,8 +132,8 @@
     report_ms: Span = (330.0, 1500.0)  # interval at which load reports are refreshed
     processes: Annotated[int, Meta(ge=1, le=16)] = 1  # stand-in processes that host the servers
     falls: bool = False  # a cold server that is overloaded beyond `rules` crashes and starts again
-    slow_queue: Annotated[int, Meta(ge=0)] = 0  # number waiting from which a server works slower; 0: never
-    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # ...at this share of its speed, until none waits
+    slow_queue: Annotated[int, Meta(ge=0)] = 0  # waiting requests that make a server slow; 0: none do
+    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # share of its speed until none waits
     slots: Annotated[int, Meta(ge=0)] = (
         0  # requests in work, which release their core while calling the next tier; 0: they hold it
     )
@@ -242,8 +238,8 @@
     jitter_s: AtLeastZero = 0.0  # the seed delays the fault by up to so much
     share: Share = 1.0  # of the answers, lines or datagrams that the fault affects
     count: Annotated[int, Meta(ge=1, le=2000)] = 200  # connections that silent clients open
-    waves: Annotated[int, Meta(ge=1, le=1000)] = 1  # its targets are hit in so many groups...
-    spread_s: AtLeastZero = 0.0  # ...spread over this time
+    waves: Annotated[int, Meta(ge=1, le=1000)] = 1  # groups that are hit one after another
+    spread_s: AtLeastZero = 0.0  # time over which the waves are spread
     drain_s: Positive = 2.0  # in a deploy, how long a server drains before it stops
 
 
@@ -253,19 +249,13 @@
     title: str
     about: str = ""
     length_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
-    transport: Transport = (
-        "http"  # between clients, nodes and servers; with rpc the nodes' HTTP side is unused
-    )
+    transport: Transport = "http"  # with rpc, the nodes' HTTP side is unused
     nodes: Annotated[int, Meta(ge=1, le=2_000)] = 2
     members: bool = False  # the nodes run the membership protocol ([members] in their operator files)
-    recovery: Literal["", "peers", "store"] = (
-        ""  # how nodes recover state at a start: from peers, or also from disk ("store")
-    )
+    recovery: Literal["", "peers", "store"] = ""  # how nodes recover state at a start; store: also from disk
     zones: Annotated[tuple[Name, ...], Meta(min_length=1, max_length=8)] = ("east", "west")
     tenants: Annotated[tuple[Name, ...], Meta(min_length=1)] = ("acme", "brook")
-    tiers: Annotated[int, Meta(ge=1, le=4)] = (
-        1  # of servers; a server holds its core while it calls the next tier
-    )
+    tiers: Annotated[int, Meta(ge=1, le=4)] = 1  # a server holds its core while it calls the next tier
     network: Network = Network()
     servers: Servers = Servers()
     discovery: Discovery = Discovery()
