--- a/benchmarks/gate_rogues.py
+++ b/benchmarks/gate_rogues.py
@@ -18,9 +18,9 @@
 from fleet import test_rogues as rogues  # noqa: E402
 
 from brackenladder.fleet import discovery  # noqa: E402
+from brackenladder.fleet.days import day_scenario  # noqa: E402
 from brackenladder.fleet.links import Links  # noqa: E402
 from brackenladder.fleet.model import play  # noqa: E402
-from brackenladder.fleet.standing import day  # noqa: E402
 from brackenladder.policy.balancer import Balancer  # noqa: E402
 from brackenladder.rehearsal.checker import check  # noqa: E402
 from brackenladder.rehearsal.report import terms_of  # noqa: E402
@@ -38,7 +38,7 @@
     ("waits-on", "join", "drain"),
 ]
 MODULES = {
-    "right": rogues.Right,
+    "right": rogues.Correct,
     "floods": rogues.Floods,
     "drained": rogues.Drained,
     "retries": rogues.Retries,
@@ -51,7 +51,7 @@
 
 def played(name: str, kind: str, nodes: int) -> dict[str, int]:
     """How often each rule broke."""
-    scenario = day(kind, 1, nodes)
+    scenario = day_scenario(kind, 1, nodes)
     with pytest.MonkeyPatch.context() as patch:
         if name == "drained":  # the upstream sends nothing to who is not listed, whatever a module says
             patch.setattr(Links, "retire", lambda self, number: None)
@@ -60,7 +60,7 @@
             patch.setattr(discovery.WatchRetry, "failed", lambda self, silent, chance: None)
         if name in HOSTS:
             HOSTS[name](patch)
-        result = play(scenario, 1, MODULES.get(name, rogues.Right))
+        result = play(scenario, 1, MODULES.get(name, rogues.Correct))
     rulings = check(result.events, terms_of(scenario)).rulings
     return {str(rule): ruling.broken for rule, ruling in rulings.items() if ruling.broken} | (
         {"fault": len(result.crashed)} if result.crashed else {}
--- a/brackenladder/fleet/hunt.py
+++ b/brackenladder/fleet/schedules.py
@@ -1,6 +1,6 @@
-"""Schedules of faults and load, drawn, changed and shrunk: pure, with the random numbers as an argument.
+"""Generates, mutates and shrinks schedules of faults and load. Pure: the random generator is an argument.
 
-A schedule is a scenario's table. What may be drawn is a grammar with bounds, not a list of known cases.
+A schedule is a scenario's table. Values are drawn from ranges, not from a list of known cases.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from brackenladder.rehearsal.scenario import NODE_FAULTS, Scenario, impossible
+from brackenladder.rehearsal.scenario import NODE_FAULTS, Scenario, find_contradiction
 
 Schedule = dict[str, Any]
 
 NODES = (1, 16)
 SERVERS = (2, 16)
 LENGTH_S = (6.0, 20.0)
-LOAD = (0.3, 1.6)  # of what the servers can do, by the mean work of the classes
-MEAN_WORK_S = 0.13  # of a request on a standard core
+LOAD = (0.3, 1.6)  # share of the servers' capacity, by the classes' mean work
+MEAN_WORK_S = 0.13  # per request, on a core of speed 1
 FAULTS = (1, 6)
-# Of each kind: how long it lasts, and the share of what it touches.
+# By fault kind: ranges of its duration in seconds and of the share of requests or nodes it affects.
 KINDS: dict[str, tuple[tuple[float, float], tuple[float, float]]] = {
     "restart": ((0.2, 3.0), (1.0, 1.0)),
     "replace": ((0.2, 3.0), (1.0, 1.0)),
@@ -49,12 +49,12 @@
     "node-kill": ((0.2, 3.0), (1.0, 1.0)),
     "node-term": ((0.2, 3.0), (1.0, 1.0)),
 }
-MOST_SHRINKS = 300  # schedules tried to make one smaller
-SMALL = 0.05  # a shorter time than this, in seconds, is not worth a try
+MAX_SHRINKS = 300  # schedules tried while shrinking one
+SMALL = 0.05  # seconds; smaller reductions of a length are not tried
 
 
-def drawn(rng: Random) -> Schedule:
-    """A new schedule."""
+def random_schedule(rng: Random) -> Schedule:
+    """Generates a schedule."""
     servers, cores, nodes = rng.randint(*SERVERS), rng.choice((1, 2, 4)), rng.randint(*NODES)
     length = round(rng.uniform(*LENGTH_S), 1)
     rate = servers * cores / MEAN_WORK_S * rng.uniform(*LOAD)
@@ -83,23 +83,24 @@
             "leave": rng.choice((0.0, 0.0, 0.05, 0.3)),
             "drop": rng.choice((0.0, 0.1)),
             "hot": rng.choice((0.0, 0.0, 0.3)),
-            "surges": surges(rng, length),
+            "surges": random_surges(rng, length),
         },
         "faults": sorted(
-            (fault(rng, length, servers, nodes) for _ in range(rng.randint(*FAULTS))), key=lambda f: f["at_s"]
+            (random_fault(rng, length, servers, nodes) for _ in range(rng.randint(*FAULTS))),
+            key=lambda f: f["at_s"],
         ),
     }
 
 
-def surges(rng: Random, length: float) -> list[Schedule]:
-    """None, or one."""
+def random_surges(rng: Random, length: float) -> list[Schedule]:
+    """No surge (in 70% of the cases) or one."""
     if rng.random() < 0.7:
         return []
     at, lasts, times = rng.uniform(0, 0.8 * length), rng.uniform(0.5, 5.0), rng.uniform(1.2, 4.0)
     return [{"at_s": round(at, 2), "for_s": round(lasts, 2), "times": round(times, 2)}]
 
 
-def fault(rng: Random, length: float, servers: int, nodes: int) -> Schedule:
+def random_fault(rng: Random, length: float, servers: int, nodes: int) -> Schedule:
     kind = rng.choice(sorted(KINDS))
     lasts, share = KINDS[kind]
     return {
@@ -111,15 +112,15 @@
     }
 
 
-def mutated(schedule: Schedule, rng: Random) -> Schedule:
-    """One to three changes: a fault more, less or other, or another figure from a fresh draw."""
+def mutate(schedule: Schedule, rng: Random) -> Schedule:
+    """A copy with one to three changes: a fault added, removed or moved, or a value replaced."""
     new = deepcopy(schedule)
-    fresh = drawn(rng)
+    fresh = random_schedule(rng)
     for _ in range(rng.randint(1, 3)):
         what = rng.choice(("add", "remove", "move", "figure", "figure", "load"))
         faults = new["faults"]
         if what == "add" and len(faults) < 2 * FAULTS[1]:
-            faults.append(fault(rng, new["length_s"], new["servers"]["count"], new["nodes"]))
+            faults.append(random_fault(rng, new["length_s"], new["servers"]["count"], new["nodes"]))
         elif what == "remove" and len(faults) > 1:
             faults.pop(rng.randrange(len(faults)))
         elif what == "move":
@@ -138,17 +139,17 @@
     return new
 
 
-def readable(schedule: Schedule) -> Scenario | None:
-    """The scenario, unless its parts do not go together."""
+def to_scenario(schedule: Schedule) -> Scenario | None:
+    """The scenario, or None if the schedule is invalid."""
     try:
         scenario = msgspec.convert(schedule, Scenario)
     except msgspec.ValidationError:
         return None
-    return None if impossible(scenario) else scenario
+    return None if find_contradiction(scenario) else scenario
 
 
-def smaller(schedule: Schedule) -> Iterator[Schedule]:
-    """Schedules with less in them, the greatest steps first."""
+def reductions(schedule: Schedule) -> Iterator[Schedule]:
+    """Yields simpler variants of a schedule, largest reductions first."""
 
     def but(change: Callable[[Schedule], None]) -> Schedule:
         new = deepcopy(schedule)
@@ -198,17 +199,17 @@
             yield but(lambda s, i=i: s["faults"][i].__setitem__("share", 1.0))  # type: ignore[misc]
 
 
-def shrunk(
+def shrink(
     schedule: Schedule, shows: Callable[[Schedule], bool], may_go_on: Callable[[], bool] = lambda: True
 ) -> tuple[Schedule, int]:
-    """The smallest schedule on the way that still shows it, and how many were tried."""
+    """Greedily shrinks a schedule while `shows` holds; returns it and the number of schedules tried."""
     tried = 0
     while True:
-        for less in smaller(schedule):
-            if tried >= MOST_SHRINKS or not may_go_on():
+        for less in reductions(schedule):
+            if tried >= MAX_SHRINKS or not may_go_on():
                 return schedule, tried
             tried += 1
-            if readable(less) is not None and shows(less):
+            if to_scenario(less) is not None and shows(less):
                 schedule = less
                 break
         else:
@@ -216,5 +217,5 @@
 
 
 def digest(schedule: Schedule) -> str:
-    """A schedule's short name."""
+    """Short hash that names a schedule."""
     return hashlib.sha256(msgspec.json.encode(schedule, order="deterministic")).hexdigest()[:10]
--- a/brackenladder/node/control_socket.py
+++ b/brackenladder/node/control_socket.py
@@ -85,7 +85,7 @@
         user = struct.unpack("3i", peer)[1]
         if user not in self.users:
             self.log(f"control: user {user} refused")
-            return refusal(f"user {user} may not")
+            return refusal(f"user {user} is not allowed to use this socket")
         if self.open > MAX_CLIENTS:
             return refusal("too many connections")
         try:
@@ -113,8 +113,9 @@
                 return refusal("[members] is not in this node's operator file")
             return msgspec.json.encode({"ok": True, **self.members()})
         live = self.pools.live()
-        answer = {"ok": True, **(summary(live) if request.do == "show" else {"live": live})}
-        return msgspec.json.encode(answer)
+        return msgspec.json.encode(
+            {"ok": True, **(summary(live) if request.do == "show" else {"live": live})}
+        )
 
     def apply(self, text: str, user: int) -> bytes:
         seal = "-"
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -13,7 +13,7 @@
 from brackenladder.node.log import Log
 from brackenladder.node.operator import RpcTable
 from brackenladder.node.pool import NoMessenger, OnListing, Pool, Source
-from brackenladder.rpc.codec import Bounds
+from brackenladder.rpc.codec import MessageLimits
 from brackenladder.rpc.front import FrontLimits, RpcFront
 from brackenladder.rpc.methods import MethodError, Methods, compile_method
 from brackenladder.rpc.upstream import RpcUpstream, UpstreamLimits
@@ -22,8 +22,8 @@
 MIN_HTTP_CONNECTIONS = 8  # descriptors that must be left for HTTP
 
 
-def message_limits(table: RpcTable) -> Bounds:
-    return Bounds(message=table.message_kb << 10, nesting=table.nesting)
+def message_limits(table: RpcTable) -> MessageLimits:
+    return MessageLimits(message=table.message_kb << 10, nesting=table.nesting)
 
 
 def rpc_pool(
@@ -47,8 +47,9 @@
 
     def source(on_listing: OnListing) -> Source:
         if table.discovery is None:
-            lines = [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers]
-            return FixedList(lines, on_listing)
+            return FixedList(
+                [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], on_listing
+            )
         address = parse_address(table.discovery, "rpc.discovery")
         return PolledDiscovery(loop, address, None, settings.instances, on_listing, stray_log.line)
 
@@ -92,7 +93,7 @@
     for i, server in enumerate(table.servers):
         fixed_line(server.id, server.addr, server.zone, server.kind, server.cell)
         if server.id in {s.id for s in table.servers[:i]}:
-            raise ConfigError(f"operator file: rpc.servers: {server.id}: stands twice")
+            raise ConfigError(f"operator file: rpc.servers: {server.id}: listed twice")
     compile_methods(table, config)
     without_rpc_sockets(config, table)
 
--- a/brackenladder/simulation/exchange/clients.py
+++ b/brackenladder/simulation/exchange/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: they send requests in portions, on kept and new connections, and some give up."""
+"""Simulated clients. They send requests in portions, reuse connections, pipeline and sometimes give up."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from brackenladder.simulation.exchange.answer_reader import AnswerReader, NoAnswer
 from brackenladder.simulation.exchange.gateways import GatewayMachine
-from brackenladder.simulation.exchange.history import Ending, History, Request
+from brackenladder.simulation.exchange.history import History, Request, RequestOutcome
 from brackenladder.simulation.exchange.site import FRONT_PORT, HOST, ROUTES, SECOND
 from brackenladder.simulation.streams import StreamEnd, StreamHost, StreamNetwork
 
 CONNECT_SECONDS = 1.0
-GIVE_UP_SHARE = 0.08  # of the requests, that their clients end before they are answered
-HALF_SHARE = 0.03  # of the requests, that are never sent whole
-KEPT_SHARE = 0.8  # of the answered requests, whose connections are kept
-PIPELINED_SHARE = 0.1  # of the requests on kept connections, behind which another is sent at once
-PATIENCE_SECONDS = 2.0  # past its deadline, after which a client takes a request for unanswered
-MOST_IDLE_SECONDS = 3.0  # of a kept connection that is still used
+GIVE_UP_SHARE = 0.08  # fraction of the requests that their clients give up early
+INCOMPLETE_SHARE = 0.03  # fraction of the requests that are never sent completely
+KEPT_SHARE = 0.8  # fraction of the answered requests after which the connection is kept
+PIPELINED_SHARE = 0.1  # fraction of the requests that are followed by a pipelined one
+PATIENCE_SECONDS = 2.0  # time past the limits of a request after which it counts as unanswered
+MOST_IDLE_SECONDS = 3.0  # maximum idle time of a connection that is reused
 DEADLINES_MS = (300, 800, 2_000, 4_000)
 BODY_BYTES = (0, 5, 400, 20_000)
 LONGEST_BODY_PAUSE = 40_000  # microseconds between two portions of a request
@@ -37,7 +37,7 @@
         random: Random,
         fail: Fail,
     ) -> None:
-        """`fail` takes a rule and what was seen against it."""
+        """`fail` takes the name of a broken rule and a description."""
         self.streams = streams
         self.gateways = gateways
         self.history = history
@@ -46,18 +46,18 @@
         self.host: StreamHost = streams.add_host("10.9.0.1", "clients")
         self.idle: list[ClientConnection] = []
         self.active = True
-        self.open = 0  # requests under way
+        self.open = 0  # requests and connection attempts in progress
         self._number = 0
 
-    async def work(self, pause: float) -> None:
-        """Sends requests, one about every `pause` seconds, until `active` is taken away."""
+    async def run(self, pause: float) -> None:
+        """Sends a request about every `pause` seconds until `active` is cleared."""
         while self.active:
             self.send()
             await asyncio.sleep(pause * self.random.uniform(0.2, 1.8))
 
     def send(self) -> Request:
-        """Sends one request, on a kept connection or a new one."""
-        kept = self._kept()
+        """Sends one request on an idle connection or a new one."""
+        kept = self._take_idle()
         if kept is not None:
             request = self._request(kept.gateway)
             kept.begin(request)
@@ -68,13 +68,13 @@
         asyncio.get_running_loop().create_task(self._connect(request, gateway))
         return request
 
-    def follow(self, gateway: GatewayMachine) -> Request:
-        """The request that is sent right behind another one."""
+    def next_pipelined(self, gateway: GatewayMachine) -> Request:
+        """Creates a request to be pipelined after another one."""
         return self._request(gateway)
 
-    def _kept(self) -> ClientConnection | None:
+    def _take_idle(self) -> ClientConnection | None:
         now = self.streams.loop.time()
-        usable = [one for one in self.idle if now - one.idle_since < MOST_IDLE_SECONDS]
+        usable = [connection for connection in self.idle if now - connection.idle_since < MOST_IDLE_SECONDS]
         self.idle = usable
         if not usable or self.random.random() < 0.3:
             return None
@@ -94,8 +94,8 @@
             body=(f"{self._number};".encode() * size)[:size],
             gateway=gateway.number,
             deadline_ms=random.choice(DEADLINES_MS),
-            pieces=random.randint(1, 12) if route.streaming else 0,
-            begun_at=self.streams.loop.microseconds,
+            event_count=random.randint(1, 12) if route.streaming else 0,
+            started_at=self.streams.loop.microseconds,
         )
         self.history.requests[request.id] = request
         return request
@@ -106,7 +106,7 @@
             async with asyncio.timeout(CONNECT_SECONDS):
                 end = await self.streams.connect(self.host, gateway.ip, FRONT_PORT)
         except OSError:
-            request.ending = Ending.REFUSED
+            request.outcome = RequestOutcome.REFUSED
             request.ended_at = self.streams.loop.microseconds
             self.open -= 1
             return
@@ -117,7 +117,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection to a gateway: one request at a time, or two of which the second waits."""
+    """A client's connection to a gateway, with one request at a time or two pipelined ones."""
 
     def __init__(self, clients: Clients, gateway: GatewayMachine) -> None:
         self.clients = clients
@@ -126,25 +126,25 @@
         self.end: StreamEnd
         self._start = gateway.starts
         self._reader = AnswerReader()
-        self._requests: list[Request] = []  # that wait for their answers
+        self._requests: list[Request] = []  # sent and not yet answered
         self._loop = clients.streams.loop
         self._random = clients.random
         self._left = False
 
     def begin(self, request: Request) -> None:
-        """Sends a request; on a kept connection perhaps another one right behind it."""
+        """Sends a request completely or in part, sometimes followed by a pipelined one."""
         self._add(request)
-        whole = _bytes_of(request)
-        if self._random.random() < HALF_SHARE:
-            self._write_parts(request, whole[: self._random.randrange(1, len(whole))], to_its_end=False)
+        data = _encode(request)
+        if self._random.random() < INCOMPLETE_SHARE:
+            self._write_parts(request, data[: self._random.randrange(1, len(data))], complete=False)
         elif self._random.random() < PIPELINED_SHARE:
-            second = self.clients.follow(self.gateway)
-            second.behind = request
+            second = self.clients.next_pipelined(self.gateway)
+            second.queued_behind = request
             self._add(second)
-            self.end.write(whole + _bytes_of(second))
-            request.whole_at = second.whole_at = self._loop.microseconds
+            self.end.write(data + _encode(second))
+            request.sent_at = second.sent_at = self._loop.microseconds
         else:
-            self._write_parts(request, whole, to_its_end=True)
+            self._write_parts(request, data, complete=True)
 
     def _add(self, request: Request) -> None:
         self.clients.open += 1
@@ -156,17 +156,17 @@
             after = self._random.uniform(0.0, 0.3)
             self._loop.call_later(after, self._give_up, request)
 
-    def _write_parts(self, request: Request, data: bytes, to_its_end: bool) -> None:
-        """Writes on in portions; without its end the request is left as it is."""
-        if request.ending is not Ending.OPEN or self.end.is_closing():
+    def _write_parts(self, request: Request, data: bytes, complete: bool) -> None:
+        """Writes data in portions. With `complete`, the request has been sent when all of it is written."""
+        if request.outcome is not RequestOutcome.OPEN or self.end.is_closing():
             return
         size = len(data) if self._random.random() < 0.7 else self._random.randint(1, len(data))
         self.end.write(data[:size])
         if size < len(data):
             pause = self._random.randrange(LONGEST_BODY_PAUSE) / SECOND
-            self._loop.call_later(pause, self._write_parts, request, data[size:], to_its_end)
-        elif to_its_end:
-            request.whole_at = self._loop.microseconds
+            self._loop.call_later(pause, self._write_parts, request, data[size:], complete)
+        elif complete:
+            request.sent_at = self._loop.microseconds
 
     # ---- asyncio.Protocol -----------------------------------------------------------------------------
 
@@ -184,13 +184,13 @@
                 self.clients.fail("mixed", f"bytes without a request: {data[:60]!r}")
             return
         request = self._requests[0]
-        request.answer_at = request.answer_at or self._loop.microseconds
+        request.first_byte_at = request.first_byte_at or self._loop.microseconds
         try:
             self._reader.feed(data)
         except NoAnswer as error:
             self.clients.fail("mixed", f"{request.id} gets no answer in the protocol: {error}")
             return
-        while self._reader.whole and self._requests:
+        while self._reader.complete and self._requests:
             self._answered()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -201,65 +201,67 @@
             self._answered()
         for request in self._requests:
             first = request is self._requests[0]
-            self._end(request, Ending.BROKEN if first and self._reader.begun else Ending.CLOSED)
+            self._end(
+                request, RequestOutcome.BROKEN if first and self._reader.started else RequestOutcome.CLOSED
+            )
         self._requests.clear()
 
-    # ---- ends -----------------------------------------------------------------------------------------
+    # ---- ends of requests -----------------------------------------------------------------------------
 
     def _answered(self) -> None:
         reader = self._reader
         request = self._requests.pop(0)
         request.status = reader.status
-        request.stamp = reader.headers.get("x-brackenladder-response-signature", "")
+        request.signature = reader.headers.get("x-brackenladder-response-signature", "")
         request.answer = reader.body
-        told = reader.headers.get("x-brackenladder-request-id")
-        if told is not None and told != request.id:
-            self.clients.fail("mixed", f"{request.id} gets the answer of {told}")
+        received_id = reader.headers.get("x-brackenladder-request-id")
+        if received_id is not None and received_id != request.id:
+            self.clients.fail("mixed", f"{request.id} gets the answer of {received_id}")
         closes = reader.headers.get("connection", "").lower() == "close"
         reader.next()
-        self._end(request, Ending.ANSWERED)
+        self._end(request, RequestOutcome.ANSWERED)
         if self._requests:
             reader.feed(b"")
-        elif closes or not request.whole_at or self._random.random() >= KEPT_SHARE:
+        elif closes or not request.sent_at or self._random.random() >= KEPT_SHARE:
             self.end.close()
         elif not self.end.is_closing():
             self.idle_since = self._loop.time()
             self.clients.idle.append(self)
 
     def _give_up(self, request: Request) -> None:
-        if request.ending is Ending.OPEN and request in self._requests:
-            self._end(request, Ending.GIVEN_UP)
+        if request.outcome is RequestOutcome.OPEN and request in self._requests:
+            self._end(request, RequestOutcome.GIVEN_UP)
             self._requests.remove(request)
             self._leave()
 
     def _unanswered(self, request: Request) -> None:
-        if request.ending is Ending.OPEN and request in self._requests:
-            self._end(request, Ending.UNANSWERED)
+        if request.outcome is RequestOutcome.OPEN and request in self._requests:
+            self._end(request, RequestOutcome.UNANSWERED)
             self._requests.remove(request)
             self._leave()
 
     def _leave(self) -> None:
         self._left = True
         for other in self._requests:
-            other.disturbed = True
+            other.excused = True
         if self._random.random() < 0.3:
             self.end.reset_by_network()
         else:
             self.end.abort()
 
-    def _end(self, request: Request, ending: Ending) -> None:
-        request.ending = ending
+    def _end(self, request: Request, outcome: RequestOutcome) -> None:
+        request.outcome = outcome
         request.ended_at = self._loop.microseconds
         self.clients.open -= 1
 
 
-def _bytes_of(request: Request) -> bytes:
+def _encode(request: Request) -> bytes:
     lines = [
         f"{request.method} {request.target} HTTP/1.1",
         f"Host: {HOST}",
         f"X-Brackenladder-Request-Id: {request.id}",
         f"X-Brackenladder-Request-Deadline-Ms: {request.deadline_ms}",
-        f"X-Pieces: {request.pieces}",
+        f"X-Pieces: {request.event_count}",
     ]
     if request.body or request.method == "POST":
         lines.append(f"Content-Length: {len(request.body)}")
--- a/brackenladder/simulation/exchange/world.py
+++ b/brackenladder/simulation/exchange/world.py
@@ -1,4 +1,4 @@
-"""One simulated exchange: gateways, servers, clients, what the gateways are told, and the faults."""
+"""One simulated exchange: gateways, servers, clients and the control side."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brackenladder.simulation.exchange.clients import Clients
 from brackenladder.simulation.exchange.control import ControlSide
 from brackenladder.simulation.exchange.gateways import GatewayMachine
-from brackenladder.simulation.exchange.history import Ending, History, Request
+from brackenladder.simulation.exchange.history import History, Request, RequestOutcome
 from brackenladder.simulation.exchange.servers import Server
 from brackenladder.simulation.exchange.site import Configuration, latency
 from brackenladder.simulation.network import SimulatedNetwork
@@ -28,11 +28,11 @@
     ("north-1", "other"),
     ("south-1", "other"),
 )
-LOOK_SECONDS = 0.02
+POLL_SECONDS = 0.02
 
 
 class World:
-    """Everything of one run; made in its event loop."""
+    """All parts of one run. Has to be created within its event loop."""
 
     def __init__(
         self, loop: StreamEventLoop, seed: int, gateway_type: type[GatewayMachine] = GatewayMachine
@@ -52,7 +52,7 @@
             Server(number, zone, service, loop.streams, self.control, self.history)
             for number, (zone, service) in enumerate(SERVERS)
         ]
-        self.checks = LiveChecks(self.history, lambda: loop.microseconds, self.calm)
+        self.checks = LiveChecks(self.history, lambda: loop.microseconds, self.undisturbed)
         self.clients = Clients(
             loop.streams,
             self.gateways,
@@ -60,46 +60,49 @@
             Random(self.random.getrandbits(64)),
             self.checks.fail,
         )
-        self._watched: set[str] = set()  # requests whose clients have left
+        self._requests_checked: set[str] = set()  # requests whose clients have left
 
     @property
     def now(self) -> int:
-        """Microseconds of the run."""
+        """Microseconds since the start of the run."""
         return self.loop.microseconds
 
     async def boot(self) -> None:
-        """Starts all for the first time."""
+        """Starts all processes for the first time."""
         await self.control.listen()
         self.control.configure(Configuration(1))
         for server in self.servers:
             server.start()
         for gateway in self.gateways:
             gateway.boot()
-        self.loop.create_task(self._watch())
+        self.loop.create_task(self._run_checks())
 
-    def calm(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
+    def undisturbed(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
         """See `checks.Calm`."""
         machines: list[GatewayMachine | Server] = [self.gateways[gateway]]
         if server:
             machines.append(self.servers[int(server.partition(".")[0].removeprefix("s"))])
-        return not any(one.disturbances.between(begin, end) for one in machines)
+        return not any(machine.disturbances.between(begin, end) for machine in machines)
 
-    def disturbed(self, kind: str) -> None:
-        """A fault has struck, begun or ended."""
+    def count_fault(self, kind: str) -> None:
+        """Counts a fault by its kind."""
         self.coverage.faults[kind] += 1
 
     def raise_failure(self) -> None:
-        """Raises what a check has found so far."""
+        """Raises the first violation that a check has found so far."""
         if self.checks.failure is not None:
             raise self.checks.failure
 
-    async def _watch(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
-            self.checks.look()
+            await asyncio.sleep(POLL_SECONDS)
+            self.checks.check()
             for request in self.history.requests.values():
-                if request.ending in (Ending.GIVEN_UP, Ending.UNANSWERED) and request.id not in self._watched:
-                    self._watched.add(request.id)
+                if (
+                    request.outcome in (RequestOutcome.GIVEN_UP, RequestOutcome.UNANSWERED)
+                    and request.id not in self._requests_checked
+                ):
+                    self._requests_checked.add(request.id)
                     self._look_later(request)
 
     def _look_later(self, request: Request) -> None:
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -1,4 +1,4 @@
-"""Operators who change the configuration, evacuate zones and read back, whatever becomes of their calls."""
+"""Operators that change the configuration, evacuate zones and read back, and retry when calls fail."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 from brackenladder.simulation.network import SimulatedNetwork
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 
-PATIENCE_SECONDS = 1.0  # for an answer, beside the time that a large body takes
-FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; grows
+ANSWER_TIMEOUT_SECONDS = 1.0  # timeout for an answer, in addition to the transfer time of a large body
+FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; doubles each time
 LONGEST_PAUSE_SECONDS = 1.0
-EVACUATION_SECONDS = 5.0  # longest repetition of an order that is no configuration
+EVACUATION_SECONDS = 5.0  # for how long an evacuation order is retried
 ORDER_BYTES = 300
 BITS_PER_BYTE = 8
 
@@ -41,33 +41,33 @@
 
 
 @frozen
-class Habits:
-    """What operators do. Shares are of all their actions."""
+class OperatorSettings:
+    """What operators do. Shares are fractions of their actions unless noted otherwise."""
 
     pause: float = 0.5  # mean seconds between two actions
-    in_flight: int = 2  # actions of one operator at a time
-    updates: float = 0.3  # of the configurations
-    invalid: float = 0.1  # of the configurations
+    in_flight: int = 2  # concurrent actions of one operator
+    updates: float = 0.3  # fraction of the configurations sent as an update
+    invalid: float = 0.1  # fraction of the configurations that are invalid
     evacuations: float = 0.15
     reads: float = 0.15
-    repeats: float = 0.1  # an acknowledged order arrives again
+    repeats: float = 0.1  # an order that has been answered is sent again
     answers_lost: float = 0.1
-    largest: int = 2_000  # bytes of a configuration
-    patience: float = 12.0  # seconds for which a configuration without a clear answer is repeated
+    max_configuration_bytes: int = 2_000  # maximum size of a configuration
+    retry_seconds: float = 12.0  # for how long a configuration without a definite answer is retried
 
 
 class OrderObserver(Protocol):
-    """Is told what operators see at once."""
+    """Is notified of what operators observe."""
 
     def order_decided(self) -> None:
-        """A node has acknowledged an order; its answer is about to leave."""
+        """A node has acknowledged an order and is about to send the reply."""
 
     def fail(self, rule: str, detail: str) -> None:
-        """Something against a rule was seen."""
+        """Reports a broken rule."""
 
 
 class Operator:
-    """One operator with a connection to every control node."""
+    """An operator that can call every control node."""
 
     def __init__(
         self,
@@ -75,12 +75,12 @@
         network: SimulatedNetwork,
         machines: list[ControlMachine],
         history: History,
-        habits: Habits,
+        operator_settings: OperatorSettings,
         random: Random,
         observer: OrderObserver,
     ) -> None:
         self.name = name
-        self.habits = habits
+        self.operator_settings = operator_settings
         self.active = True
         self._network = network
         self._machines = machines
@@ -89,23 +89,23 @@
         self._observer = observer
         self._known_version = 0
         self._zone_locks = {zone: asyncio.Lock() for zone in ZONES}
-        network.add_place(name, "north", 1000.0).process = Process(name)
+        network.add_endpoint(name, "north", 1000.0).process = Process(name)
 
-    async def work(self) -> None:
-        """Acts until `active` is taken away; then ends what is under way."""
+    async def run(self) -> None:
+        """Acts until `active` is cleared, then waits for the actions in progress."""
         under_way: set[asyncio.Task[None]] = set()
         while self.active:
-            if len(under_way) < self.habits.in_flight:
+            if len(under_way) < self.operator_settings.in_flight:
                 under_way.add(asyncio.get_running_loop().create_task(self._act()))
-            await asyncio.sleep(self.habits.pause * self._random.uniform(0.3, 1.7))
+            await asyncio.sleep(self.operator_settings.pause * self._random.uniform(0.3, 1.7))
             under_way = {task for task in under_way if not task.done()}
         await asyncio.gather(*under_way)
 
     async def read(self) -> ReadRecord | None:
         """Reads the configuration back from one node."""
         invoked_at = self._now()
-        call = self._call(self._choose(), _fetch)
-        document = await make_call(call, ORDER_BYTES, PATIENCE_SECONDS)
+        call = self._call(self._choose_machine(), _fetch)
+        document = await make_call(call, ORDER_BYTES, ANSWER_TIMEOUT_SECONDS)
         if document is None:
             return None
         version, order = read_back(document)
@@ -117,35 +117,35 @@
         return record
 
     async def configure(self, size: int = 0) -> OrderRecord:
-        """Sends one configuration on top of the newest version that this operator knows."""
+        """Sends one configuration based on the newest version that this operator knows."""
         record = self._configuration(size)
-        await self._insist(record, self.habits.patience)
+        await self._submit_until_answered(record, self.operator_settings.retry_seconds)
         return record
 
     async def _act(self) -> None:
-        habits = self.habits
+        operator_settings = self.operator_settings
         draw = self._random.random()
-        if draw < habits.reads:
+        if draw < operator_settings.reads:
             await self.read()
-        elif draw < habits.reads + habits.evacuations:
+        elif draw < operator_settings.reads + operator_settings.evacuations:
             await self._evacuate()
-        elif draw < habits.reads + habits.evacuations + habits.repeats:
+        elif draw < operator_settings.reads + operator_settings.evacuations + operator_settings.repeats:
             await self._repeat()
         else:
-            await self.configure(self._random.randint(0, habits.largest))
+            await self.configure(self._random.randint(0, operator_settings.max_configuration_bytes))
 
     # -- orders
 
     def _configuration(self, size: int) -> OrderRecord:
-        random, habits = self._random, self.habits
+        random, operator_settings = self._random, self.operator_settings
         base = self._known_version
         version = base + random.randint(1, 3)
         number = len(self._history.orders) + 1
-        valid = random.random() >= habits.invalid
+        valid = random.random() >= operator_settings.invalid
         order: Order
         if not valid:
             order = ReplaceConfiguration(base, invalid(number, version))
-        elif base and random.random() < habits.updates:
+        elif base and random.random() < operator_settings.updates:
             order = UpdateConfiguration(base, update(number, version))
         else:
             order = ReplaceConfiguration(base, replacement(number, version, size))
@@ -155,7 +155,7 @@
         zone = self._random.choice(tuple(ZONES))
         async with self._zone_locks[zone]:
             order: Order = BeginEvacuation(zone) if self._random.random() < 0.5 else FinishEvacuation(zone)
-            await self._insist(self._record(order, 0, True), EVACUATION_SECONDS)
+            await self._submit_until_answered(self._record(order, 0, True), EVACUATION_SECONDS)
 
     def _record(self, order: Order, version: int, valid: bool) -> OrderRecord:
         number = len(self._history.orders) + 1
@@ -163,9 +163,9 @@
         self._history.orders.append(record)
         return record
 
-    async def _insist(self, record: OrderRecord, patience: float) -> None:
-        """Sends an order, to one node after the other, until there is a clear answer."""
-        until = self._now() + int(patience * MICROSECONDS)
+    async def _submit_until_answered(self, record: OrderRecord, retry_seconds: float) -> None:
+        """Sends an order to one node after the other until there is a definite answer."""
+        until = self._now() + int(retry_seconds * MICROSECONDS)
         pause = FIRST_PAUSE_SECONDS
         while record.ended_at is None and self._now() < until:
             await self._send(record)
@@ -175,14 +175,14 @@
 
     async def _send(self, record: OrderRecord) -> None:
         record.calls += 1
-        machine = self._choose()
+        machine = self._choose_machine()
         reply, call = await self._submit(machine, record.order)
         outcome = OUTCOMES.get(reply.outcome) if reply is not None else None
         if reply is None or outcome is None:
             return
         record.outcome = outcome
         record.ended_at = self._now()
-        record.told_version = reply.version
+        record.reply_version = reply.version
         record.answered_by = machine.name
         record.answered_at = call.answered_at
         if outcome is not Outcome.INVALID:
@@ -193,19 +193,19 @@
     ) -> tuple[OrderReply | None, Call[OrderReply]]:
         size = ORDER_BYTES + len(encode_order(order))
         call = self._call(machine, lambda node: self._decide(node, order))
-        call.answer_lost = self._random.random() < self.habits.answers_lost
-        transfer = size * BITS_PER_BYTE / (machine.place.megabits * MICROSECONDS)
-        return await make_call(call, size, PATIENCE_SECONDS + 4 * transfer), call
+        call.answer_lost = self._random.random() < self.operator_settings.answers_lost
+        transfer = size * BITS_PER_BYTE / (machine.endpoint.megabits * MICROSECONDS)
+        return await make_call(call, size, ANSWER_TIMEOUT_SECONDS + 4 * transfer), call
 
     async def _decide(self, node: ControlNode, order: Order) -> OrderReply:
-        """Runs at the node."""
+        """Runs on the node."""
         reply = await _submit(node, order)
         if reply.outcome is OrderOutcome.ACCEPTED:
             self._observer.order_decided()
         return reply
 
     async def _repeat(self) -> None:
-        """Sends an order of one's own that was acknowledged, or refused for good, once more."""
+        """Sends one of its own orders again that was acknowledged or refused. The answer must be the same."""
         own = [
             record
             for record in self._history.orders
@@ -214,7 +214,7 @@
         if not own:
             return
         record = self._random.choice(own[-3:] if self._random.random() < 0.5 else own)
-        reply, _ = await self._submit(self._choose(), record.order)
+        reply, _ = await self._submit(self._choose_machine(), record.order)
         if reply is None or reply.outcome is OrderOutcome.UNAVAILABLE:
             return
         accepted = reply.outcome is OrderOutcome.ACCEPTED
@@ -227,7 +227,7 @@
         answer: asyncio.Future[object] = asyncio.get_running_loop().create_future()
         return Call(self._network, self.name, machine, work, answer)  # type: ignore[arg-type]
 
-    def _choose(self) -> ControlMachine:
+    def _choose_machine(self) -> ControlMachine:
         return self._random.choice(self._machines)
 
     def _now(self) -> int:
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -1,6 +1,6 @@
-"""An event loop whose clock jumps to the next timer, and processes of which each can stand still or end.
+"""An event loop whose clock jumps to the next timer, and processes that can be frozen and ended.
 
-Nothing here waits, opens a socket or starts a thread: a run is decided by what it is started with.
+Nothing here blocks, opens a socket or starts a thread: the initial state alone determines a run.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from brackenladder.simulation.turn_order import ReadyCallback, TurnOrder
 
 MICROSECONDS = 1_000_000
-CLOCK_RESOLUTION = 1e-7  # seconds; timers due within it run in one turn
+CLOCK_RESOLUTION = 1e-7  # seconds; timers due within it run in the same turn
 
 T = TypeVar("T")
 Arguments = TypeVarTuple("Arguments")
 
 
 class ProcessState(Enum):
-    """Whether a process gets the processor."""
+    """Whether a process is running, frozen or ended."""
 
     RUNNING = auto()
     FROZEN = auto()
@@ -33,47 +33,47 @@
 
 
 class Process:
-    """What runs on behalf of one start of one program.
+    """A simulated process: everything that runs on behalf of one start of a program.
 
-    Callbacks, timers and tasks that come from `enter` belong to the process. While it is frozen they wait;
+    Callbacks, timers and tasks created within `run` belong to the process. While it is frozen they wait;
     once it has ended they never run.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.state = ProcessState.RUNNING
-        self.freezes = 0  # how often the processor was taken away
-        self._held: list[Callable[[], None]] = []
+        self.freezes = 0  # how often it was frozen
+        self._deferred: list[Callable[[], None]] = []
         self._context = copy_context()
         self._context.run(_current.set, self)
 
     @property
-    def runs(self) -> bool:
-        """Whether it gets the processor now."""
+    def running(self) -> bool:
+        """Whether it is neither frozen nor ended."""
         return self.state is ProcessState.RUNNING
 
-    def enter(self, call: Callable[..., T], *arguments: Any) -> T:
-        """Calls something as this process."""
+    def run(self, call: Callable[..., T], *arguments: Any) -> T:
+        """Calls a function in the context of this process."""
         return self._context.copy().run(call, *arguments)
 
     def when_running(self, call: Callable[[], None]) -> None:
-        """Calls now, once the process is thawed, or never if it ends before."""
+        """Calls at once if running, after the thaw if frozen, and never if the process has ended."""
         if self.state is ProcessState.RUNNING:
             call()
         elif self.state is ProcessState.FROZEN:
-            self._held.append(call)
+            self._deferred.append(call)
 
     def freeze(self) -> None:
-        """Takes the processor away."""
+        """Suspends the process."""
         if self.state is ProcessState.RUNNING:
             self.state = ProcessState.FROZEN
             self.freezes += 1
 
     def thaw(self) -> None:
-        """Gives the processor back in the loop's next turn; what has waited runs first, in its order.
+        """Resumes the process in the loop's next turn. Deferred calls run first, in their order.
 
-        Failure prevented: the caller's own task is being run, no other task can be entered from there, and
-        all that has waited is lost.
+        They must not run at once: the caller's own task is being run, no other task can be entered from
+        there, and all deferred calls would be lost.
         """
         if self.state is ProcessState.FROZEN:
             loop = asyncio.get_running_loop()
@@ -83,45 +83,45 @@
         if self.state is not ProcessState.FROZEN or self.freezes != freeze:
             return
         self.state = ProcessState.RUNNING
-        held, self._held = self._held, []
-        for call in held:
+        deferred, self._deferred = self._deferred, []
+        for call in deferred:
             self.when_running(call)
 
     def end(self) -> None:
-        """Nothing of it runs any more."""
+        """Ends the process; none of its callbacks runs any more."""
         self.state = ProcessState.ENDED
-        self._held.clear()
+        self._deferred.clear()
 
 
 _current: ContextVar[Process | None] = ContextVar("process", default=None)
 
 
 def current_process() -> Process | None:
-    """The process on whose behalf the caller runs."""
+    """Returns the process in whose context the caller runs."""
     return _current.get()
 
 
 class VirtualEventLoop(asyncio.BaseEventLoop):
-    """An event loop without input and output; waiting for a timer takes no time."""
+    """An event loop without I/O in which waiting for a timer takes no real time."""
 
-    _ready: deque[Handle]  # these three are the base class's
+    _ready: deque[Handle]  # these three are attributes of the base class
     _scheduled: list[TimerHandle]
     _timer_cancelled_count: int
 
     def __init__(self, turn_order: TurnOrder | None = None) -> None:
-        """`turn_order`: turns begin late and run what is ready in a drawn order; None: they do not."""
+        """With a `turn_order`, turns begin late and run ready callbacks in a drawn order."""
         super().__init__()
-        self.microseconds = 0  # the time
+        self.microseconds = 0  # the virtual time
         self.turn_order = turn_order
-        self.faults: list[BaseException] = []  # that nobody has caught
-        self.turns = 0  # passes over what is ready
+        self.unhandled_exceptions: list[BaseException] = []  # exceptions that no code has caught
+        self.turns = 0  # number of loop iterations
         self._clock_resolution = CLOCK_RESOLUTION
         self._selector = _VirtualSelector(self)
-        self._outside = copy_context()
-        self.set_exception_handler(self._note_fault)
+        self._external_context = copy_context()
+        self.set_exception_handler(self._record_exception)
 
     def time(self) -> float:
-        """The virtual time in seconds."""
+        """Returns the virtual time in seconds."""
         return self.microseconds / MICROSECONDS
 
     def call_soon(
@@ -130,16 +130,16 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> Handle:
-        """See `asyncio.AbstractEventLoop`; as the process in whose context the callback runs."""
+        """See `asyncio.AbstractEventLoop`; the callback belongs to the process of its context."""
         if self.is_closed():
-            return Handle(callback, args, self, context)  # tasks that are thrown away end in silence
+            return Handle(callback, args, self, context)  # the run is over: discard the call
         process = _current.get() if context is None else context.get(_current)
         if process is None:
             return super().call_soon(callback, *args, context=context)
         context = context or copy_context()
-        gate = _Gate(process, callback, args, context)
-        gate.handle = super().call_soon(gate.pass_through, context=context)
-        return gate.handle
+        wrapper = _ProcessCallback(process, callback, args, context)
+        wrapper.handle = super().call_soon(wrapper.invoke, context=context)
+        return wrapper.handle
 
     def call_at(
         self,
@@ -148,40 +148,41 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> TimerHandle:
-        """See `asyncio.AbstractEventLoop`; as the process in whose context the callback runs."""
+        """See `asyncio.AbstractEventLoop`; the callback belongs to the process of its context."""
         if self.is_closed():
             return TimerHandle(when, callback, args, self, context)
         process = _current.get() if context is None else context.get(_current)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
         context = context or copy_context()
-        gate = _Gate(process, callback, args, context)
-        handle = super().call_at(when, gate.pass_through, context=context)
-        gate.handle = handle
+        wrapper = _ProcessCallback(process, callback, args, context)
+        handle = super().call_at(when, wrapper.invoke, context=context)
+        wrapper.handle = handle
         return handle
 
-    def call_outside(
+    def call_external(
         self, when: int, callback: Callable[[Unpack[Arguments]], object], *args: *Arguments
     ) -> None:
-        """Calls at a time, in microseconds, on behalf of no process: networks and disks go on without one."""
-        self.call_at(when / MICROSECONDS, callback, *args, context=self._outside)
+        """Schedules a call outside any process, as networks and disks need it. `when` is in microseconds."""
+        self.call_at(when / MICROSECONDS, callback, *args, context=self._external_context)
 
     def run_for(self, duration: int) -> None:
-        """Lets `duration` microseconds pass."""
+        """Runs the loop for `duration` microseconds."""
         self.call_later(duration / MICROSECONDS, self.stop)
         self.run_forever()
 
-    def _note_fault(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Tasks of ended processes are dropped while they wait; any other fault is to fail the run.
+    def _record_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Records an unhandled exception, which is to fail the run.
 
-        Failure prevented: raised from here, a fault would be printed by asyncio, and go unseen.
+        Tasks of ended processes are discarded while they wait, which is no error. An exception raised from
+        here would only be printed by asyncio and not fail the run.
         """
         error = context.get("exception")
         if error is not None:
-            self.faults.append(error)
+            self.unhandled_exceptions.append(error)
 
     def begin_turn(self, timeout: float) -> None:
-        """Passes the time until the next turn, and arranges what is ready in it."""
+        """Advances the clock to the next turn and orders its callbacks."""
         order = self.turn_order
         if timeout > 0:
             self.microseconds += max(1, round(timeout * MICROSECONDS))
@@ -189,30 +190,32 @@
             return
         self.microseconds += order.delay()
         self._take_due_timers()
-        arranged = order.arrange([_ready_callback(one) for one in self._ready if not one.cancelled()])
+        arranged = order.arrange(
+            [_ready_callback(handle) for handle in self._ready if not handle.cancelled()]
+        )
         self._ready.clear()
         self._ready.extend(arranged)
 
     def _take_due_timers(self) -> None:
-        """As `BaseEventLoop` does after the wait: timers that are due are ready."""
+        """Moves due timers to the ready queue, as `BaseEventLoop` does after its select call."""
         end = self.time() + self._clock_resolution
         while self._scheduled and (self._scheduled[0].cancelled() or self._scheduled[0].when() < end):
             handle = heappop(self._scheduled)
-            handle._scheduled = False  # type: ignore[attr-defined]  # what the base class keeps
+            handle._scheduled = False  # type: ignore[attr-defined]  # state of the base class
             if handle.cancelled():
                 self._timer_cancelled_count -= 1
             else:
                 self._ready.append(handle)
 
     def _process_events(self, event_list: object) -> None:
-        """There are none."""
+        """Does nothing: there are no I/O events."""
 
     def _write_to_self(self) -> None:
-        """Nobody waits in another thread."""
+        """Does nothing: no other thread wakes the loop."""
 
 
-class _Gate:
-    """Runs a callback when its process has the processor, unless it was cancelled."""
+class _ProcessCallback:
+    """Runs a callback unless it was cancelled, and defers it while its process is frozen."""
 
     __slots__ = ("process", "callback", "arguments", "context", "handle")
 
@@ -225,19 +228,19 @@
         self.context = context
         self.handle: Handle | None = None
 
-    def pass_through(self) -> None:
+    def invoke(self) -> None:
         if self.process.state is ProcessState.RUNNING:
             self.callback(*self.arguments)
         else:
-            self.process.when_running(self._late)
+            self.process.when_running(self._invoke_late)
 
-    def _late(self) -> None:
+    def _invoke_late(self) -> None:
         if self.handle is None or not self.handle.cancelled():
             self.context.run(self.callback, *self.arguments)
 
 
 class _VirtualSelector:
-    """Lets the clock jump in place of a wait."""
+    """Advances the clock in place of waiting."""
 
     def __init__(self, loop: VirtualEventLoop) -> None:
         self._loop = loop
@@ -250,14 +253,14 @@
         return []
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing."""
 
 
 def _ready_callback(handle: Handle) -> ReadyCallback:
-    callback = handle._callback  # type: ignore[attr-defined]  # asyncio shows it to nobody
+    callback = handle._callback  # type: ignore[attr-defined]  # not in the stubs
     arguments = tuple(handle._args)
     is_timer = isinstance(handle, TimerHandle)
-    gate = getattr(callback, "__self__", None)
-    if isinstance(gate, _Gate):
-        return ReadyCallback(handle, gate.process, gate.callback, gate.arguments, is_timer)
+    wrapper = getattr(callback, "__self__", None)
+    if isinstance(wrapper, _ProcessCallback):
+        return ReadyCallback(handle, wrapper.process, wrapper.callback, wrapper.arguments, is_timer)
     return ReadyCallback(handle, None, callback, arguments, is_timer)
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -1,4 +1,4 @@
-"""One simulated system: its machines, its actors and when it was disturbed."""
+"""One simulated system: its machines and actors, and when faults were active."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from brackenladder.simulation.servers import Server
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 
-MOST_SEEDS = 3
-WATCH_SECONDS = 0.25  # between two looks at copies and views
+MAX_SEEDS = 3
+WATCH_SECONDS = 0.25  # between two checks of nodes and gateways
 
 log = logbook.Logger("faults")
 
 
 class World:
-    """Everything of one run; made in its event loop."""
+    """All parts of one run. Has to be created within its event loop."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         self.network = SimulatedNetwork(loop, control_codec())
         self.history = History()
         self.coverage = Coverage()
-        self.disturbed_at = 0  # when the last fault began, struck or ended
-        self.disturbances = 0  # faults under way
+        self.last_fault_event_at = 0  # when a fault last began, occurred or ended
+        self.active_faults = 0  # number of faults that have not ended
         site = scenario.site
-        self.seeds = seeds = min(MOST_SEEDS, site.control_nodes)
+        self.seeds = seeds = min(MAX_SEEDS, site.control_nodes)
         self._machine_type = machine_type
         self._machine_number = 0
         self.machines: list[ControlMachine] = []
@@ -61,13 +61,18 @@
             self.machines,
             self.gateways,
             self.isolation,
-            self.calm_since,
+            self.undisturbed_since,
             int(scenario.catch_up * SECOND),
         )
-        self.network.call_held = lambda detail: self.fail("call-held", detail)
+        self.network.report_held_call = lambda detail: self.fail("call-held", detail)
         self.gateways += [
             gateway_type(
-                self.network, self._branch(), number, addresses, site.megabits, self._checks.view_changed
+                self.network,
+                self._derive_random(),
+                number,
+                addresses,
+                site.megabits,
+                self._checks.view_changed,
             )
             for number in range(site.gateways)
         ]
@@ -77,8 +82,8 @@
                 self.network,
                 self.machines,
                 self.history,
-                scenario.habits,
-                self._branch(),
+                scenario.operator_settings,
+                self._derive_random(),
                 self,
             )
             for n in range(scenario.operators)
@@ -90,48 +95,48 @@
                 self.network,
                 self.machines,
                 self.history,
-                scenario.lives,
-                self._branch(),
+                scenario.server_lifetimes,
+                self._derive_random(),
                 self._checks.server_acknowledged,
             )
             for n in range(scenario.servers)
         ]
         self._tasks: list[asyncio.Task[None]] = []
-        self._decisions: list[asyncio.Future[None]] = []  # who waits for the next one
+        self._decision_waiters: list[asyncio.Future[None]] = []  # waiters for the next acknowledged order
 
     @property
     def now(self) -> int:
-        """Microseconds of the run."""
+        """Microseconds since the start of the run."""
         return self.loop.microseconds
 
-    def _branch(self) -> Random:
+    def _derive_random(self) -> Random:
         return Random(self.random.getrandbits(64))
 
     def add_machine(self) -> ControlMachine:
-        """One more control machine, which does not run yet."""
+        """Adds a control machine, which is not started yet."""
         site = self.scenario.site
         machine = self._machine_type(
             self.network,
-            self._branch(),
+            self._derive_random(),
             self._machine_number,
             self._seed_addresses,
             (site.control_nodes - 1) // 2,
             site,
         )
         if machine.number >= self.seeds:
-            machine.lose_disk()  # no seed: its first disk is no founder's
+            machine.lose_disk()  # only seed machines start with a founding replica on their disk
         self._machine_number += 1
         self.machines.append(machine)
         return machine
 
     def _seed_addresses(self) -> tuple[str, ...]:
-        """What the settings of a process that starts now name."""
-        return tuple(machine.control_address for machine in self.machines[:MOST_SEEDS])
+        """Returns the seed addresses in the settings of a process that starts now."""
+        return tuple(machine.control_address for machine in self.machines[:MAX_SEEDS])
 
-    # -- life of the system
+    # -- lifecycle
 
     def boot(self) -> None:
-        """Starts every machine for the very first time."""
+        """Starts every machine for the first time."""
         voters = tuple(
             Member(genesis_replica_id(machine.inner_address), machine.inner_address)
             for machine in self.machines[: self.seeds]
@@ -141,16 +146,16 @@
         for gateway in self.gateways:
             gateway.boot()
 
-    def begin(self) -> None:
-        """Lets operators, servers and checks begin."""
+    def start_actors(self) -> None:
+        """Starts operators, servers and checks."""
         self.isolation.update(self.now)
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
-            self._tasks.append(self.loop.create_task(actor.work()))
-        self._tasks.append(self.loop.create_task(self._watch()))
+            self._tasks.append(self.loop.create_task(actor.run()))
+        self._tasks.append(self.loop.create_task(self._run_checks()))
 
-    async def end_actors(self) -> None:
-        """Operators and servers end what they are at."""
+    async def stop_actors(self) -> None:
+        """Lets operators and servers finish and waits for them."""
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
             actor.active = False
@@ -160,11 +165,11 @@
             task.result()
 
     def fail(self, rule: str, detail: str) -> None:
-        """An actor has found something."""
+        """Records a violation found by an actor."""
         self._checks.fail(rule, detail)
 
     def raise_failure(self) -> None:
-        """Raises what a check or an actor has found so far."""
+        """Raises the first error that a check or an actor has found so far."""
         if self._checks.failure is not None:
             raise self._checks.failure
         for task in self._tasks:
@@ -175,46 +180,46 @@
 
     # -- faults
 
-    def disturbed(self, kind: str, machine: ControlMachine | None = None) -> None:
-        """A fault has struck, begun or ended."""
+    def record_fault_event(self, kind: str, machine: ControlMachine | None = None) -> None:
+        """Records that a fault has occurred, begun or ended."""
         log.info("{} {}", kind, "" if machine is None else machine.name)
-        self.disturbed_at = self.now
+        self.last_fault_event_at = self.now
         self.isolation.update(self.now)
         self.coverage.faults[kind] += 1
         if machine is not None:
             role = machine.node.host.replica.role.value if machine.node is not None else "down"
-            self.coverage.meetings[f"{kind} of a {role}"] += 1
+            self.coverage.faults_by_role[f"{kind} of a {role}"] += 1
 
-    def calm_since(self, moment: int) -> bool:
-        """Whether no fault was under way from `CONTACT_TIME` before a moment until now."""
-        return self.disturbances == 0 and self.disturbed_at <= moment - CONTACT_TIME
+    def undisturbed_since(self, moment: int) -> bool:
+        """Whether no fault has been active since `CONTACT_TIME` before a moment."""
+        return self.active_faults == 0 and self.last_fault_event_at <= moment - CONTACT_TIME
 
     def leader(self) -> ControlMachine | None:
-        """The running machine that leads in the highest term, if any takes itself for the leader."""
+        """Returns the running machine that leads in the highest term, or None."""
         return leading_machine(self.machines)
 
-    # -- what is seen while it runs
+    # -- observation
 
     def order_decided(self) -> None:
-        """A node has acknowledged an order; its answer is about to leave."""
-        waiting, self._decisions = self._decisions, []
+        """A node has acknowledged an order and is about to send the reply."""
+        waiting, self._decision_waiters = self._decision_waiters, []
         for decision in waiting:
             if not decision.done():
                 decision.set_result(None)
 
     async def next_decision(self) -> None:
-        """Returns at the moment at which a node acknowledges an order."""
+        """Returns when a node next acknowledges an order."""
         decision: asyncio.Future[None] = self.loop.create_future()
-        self._decisions.append(decision)
+        self._decision_waiters.append(decision)
         await decision
 
-    async def _watch(self) -> None:
-        """Gateways in touch follow what was acknowledged."""
+    async def _run_checks(self) -> None:
+        """Updates the isolation and runs the live checks periodically."""
         while True:
             await asyncio.sleep(WATCH_SECONDS)
             self._note_terms()
             self.isolation.update(self.now)
-            self._checks.look()
+            self._checks.check()
 
     def _note_terms(self) -> None:
         leader = self.leader()
