--- a/brackenladder/node/__init__.py
+++ b/brackenladder/node/__init__.py
@@ -1,1 +1,1 @@
-"""Puts one node together from its configuration and the operator file."""
+"""The processes: a load balancer node, and the gateway and control roles of the whole system."""
--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Config:
-    """One node's configuration."""
+    """A node's configuration."""
 
     name: str
     listen: Address
--- a/brackenladder/node/control_role.py
+++ b/brackenladder/node/control_role.py
@@ -22,7 +22,7 @@
 
 
 class ControlRole:
-    """A `RoleProcess`."""
+    """The `RoleProcess` of a control node."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -49,7 +49,7 @@
 
 
 class GatewayRole:
-    """A `RoleProcess`."""
+    """The `RoleProcess` of a gateway."""
 
     def __init__(
         self,
--- a/brackenladder/node/operator.py
+++ b/brackenladder/node/operator.py
@@ -90,7 +90,7 @@
 
 
 class Operator(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The whole file."""
+    """The contents of the operator file."""
 
     rpc: RpcTable | None = None
     control: ControlTable | None = None
--- a/brackenladder/rpc/__init__.py
+++ b/brackenladder/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""MessagePack-RPC: the codec, and what comes on it."""
+"""MessagePack-RPC: the codec, the front for clients, and the upstream to servers."""
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -107,7 +107,7 @@
 
 
 class Methods:
-    """All methods of the operator file."""
+    """The methods configured in the operator file."""
 
     def __init__(
         self,
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -334,7 +334,7 @@
         self.loop = loop
         self.limits = limits
         self.log = log
-        self.now = now  # the core's clock
+        self.now = now  # the clock of the pool's host
         self.endpoints: dict[int, Endpoint] = {}
         self.open = 0
         self.tasks: set[asyncio.Task[None]] = set()
--- a/brackenladder/transport/memory.py
+++ b/brackenladder/transport/memory.py
@@ -151,7 +151,7 @@
         return address
 
     def unbind(self, address: Address) -> None:
-        """Frees an address."""
+        """Releases an address."""
         self._listeners.pop(str(address), None)
 
     def add_dialer(self, dialer: MemoryDialer) -> None:
--- a/brackenladder/transport/tcp_link.py
+++ b/brackenladder/transport/tcp_link.py
@@ -105,7 +105,7 @@
             self._transport.write(PING)
 
     def on_silence_timeout(self) -> None:
-        """See `WatchedLink.silent`."""
+        """See `WatchedLink.on_silence_timeout`."""
         self.abort(LinkClosed.SILENT)
 
     def abort(self, reason: LinkClosed) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -39,7 +39,7 @@
 
 
 class ListedTwice(KnownRedError):
-    """Two lines for one test."""
+    """The list has two lines for one test."""
 
     def __init__(self, test: str) -> None:
         super().__init__(f"{FILE_NAME} lists {test} twice")
--- a/tests/node/test_node_attempts.py
+++ b/tests/node/test_node_attempts.py
@@ -93,7 +93,7 @@
     """A request that the server didn't receive completely can't have run and must not fail as if it had."""
     original = Connection.connection_made
 
-    def small(self, transport):  # so that the kernel does not take the whole request at once
+    def small(self, transport):  # so that the kernel doesn't take the whole request at once
         with socket.socket(fileno=os.dup(transport.get_extra_info("socket").fileno())) as s:
             s.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         original(self, transport)
--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -100,7 +100,9 @@
 
     async def scene():
         release = asyncio.Event()
-        monkeypatch.setattr("brackenladder.http.client_connections.TAKING", 600.0)  # until the test says so
+        monkeypatch.setattr(
+            "brackenladder.http.client_connections.TAKING", 600.0
+        )  # until the test changes it
         monkeypatch.setattr("brackenladder.sockets.listener.TAKING", 600.0)
         bench = await Bench(server := Server(held_until(release))).start()
         client_connections = bench.node.front.clients
@@ -141,7 +143,7 @@
     async def scene():
         bench = await Bench(server := Server()).start()
         client_connections = bench.node.front.clients
-        client_connections.handover = 600.0  # until the test says so
+        client_connections.handover = 600.0  # until the test changes it
         client, idle = await bench.client(), await bench.client()
         assert (await idle.ask(call()))[0] == 200
         drain = asyncio.create_task(bench.node.drain())
--- a/tests/node/test_node_reload.py
+++ b/tests/node/test_node_reload.py
@@ -174,7 +174,7 @@
         outside.say(99, True)  # the node no longer reads from it
         await until(lambda: len(third.requests) == 2 and outside.closed == 1)
         assert not first.requests
-        assert (await client.ask(call("invite")))[0] == 200  # on the connection from before
+        assert (await client.ask(call("invite")))[0] == 200  # on the connection opened before the reloads
         process.terminate()
         assert await asyncio.wait_for(process.wait(), 20) == 0
 
