--- a/brackenladder/rehearsal/checker/history.py
+++ b/brackenladder/rehearsal/checker/history.py
@@ -84,13 +84,11 @@
         self.told: defaultdict[str, list[Told]] = defaultdict(list)
         self.calls: defaultdict[str, list[Asked | Told | Untold]] = defaultdict(list)
         self.pauses: defaultdict[str, list[tuple[int, int]]] = defaultdict(list)
-        self.hushed: defaultdict[str, dict[int, int]] = defaultdict(
-            dict
-        )  # by node and call: when a fault silenced it
+        # When a fault silenced each call, by node and call number.
+        self.hushed: defaultdict[str, dict[int, int]] = defaultdict(dict)
         self.changed: list[Changed] = []
-        self.ends: defaultdict[str, list[tuple[int, str]]] = defaultdict(
-            list
-        )  # by node: (time, signal or "ended")
+        # By node: (time, signal or "ended").
+        self.ends: defaultdict[str, list[tuple[int, str]]] = defaultdict(list)
         self.began: defaultdict[str, list[int]] = defaultdict(list)
         self.worst = Lag(0, "", 0)
         self.last = 0
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -203,18 +203,15 @@
         self.peers: list[str] = []
         self.known: dict[str, Any] = {}  # the initial server list in its configuration
         self.source = 0
-        self.on_process_change: Callable[[int, bool], None] = lambda pid, runs: (
-            None
-        )  # called with each pid at its start and end
+        # Called with each pid at the start and at the end of its process.
+        self.on_process_change: Callable[[int, bool], None] = lambda pid, runs: None
         self.process: asyncio.subprocess.Process | None = None
         self.signalled = ""
         self.crashed: list[int] = []  # exit codes of ends that the runner did not cause
         self.starts = 0
         # The run's folder may have a longer path than a Unix socket allows.
         self.control = str(Path(tempfile.gettempdir()) / f"lb-{os.getpid()}-{rng.getrandbits(32):08x}")
-        self.last_transition = (
-            -1
-        )  # time of the newest transition recorded, by the clock of the current process
+        self.last_transition = -1  # time of the newest one recorded, by the clock of the current process
 
     def write(self) -> Path:
         """Writes the configuration file, and the operator file if the node needs one; returns the first."""
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -280,9 +280,9 @@
 def too_large(s: Scenario) -> str:
     """Why a scenario can only run in the model, as `key: reason`; empty if it can run on sockets."""
     if s.nodes > MOST_NODES:
-        return f"nodes: {s.nodes}, and sockets take {MOST_NODES}: play it with --in model"
+        return f"nodes: {s.nodes}, but sockets allow {MOST_NODES}: run it with --in model"
     if s.servers.count > MOST_SERVERS:
-        return f"servers.count: {s.servers.count}, and sockets take {MOST_SERVERS}: play it with --in model"
+        return f"servers.count: {s.servers.count}, but sockets allow {MOST_SERVERS}: run it with --in model"
     return ""
 
 
@@ -395,7 +395,7 @@
         ("tenants", list(s.tenants)),
     ):
         if len(set(names)) < len(names):
-            return f"{key}: a name stands twice"
+            return f"{key}: duplicate name"
     for i, fault in enumerate(s.faults):
         if s.transport == "rpc" and fault.kind in DATAGRAM_FAULTS:
             return f"faults[{i}].kind: there are no datagrams between nodes over rpc"
--- a/brackenladder/rehearsal/standins/clients.py
+++ b/brackenladder/rehearsal/standins/clients.py
@@ -10,9 +10,7 @@
 from brackenladder.rehearsal.standins.codecs import RPC, Answer, MalformedStream, Outgoing, client_codec
 from brackenladder.rehearsal.standins.process import Host, report, reset
 
-LATE_ANSWER_GRACE = (
-    1_000_000  # microseconds that a client waits past the limit, to tell a late answer from none
-)
+LATE_ANSWER_GRACE = 1_000_000  # microseconds waited past the limit, to tell a late answer from none
 LOOKAHEAD = 50_000  # microseconds of the schedule for which timers are set at a time
 CONNECT_TIME = 2.0
 COUNTS = 0.5  # seconds between two reports of the request counts
--- a/brackenladder/rehearsal/standins/network.py
+++ b/brackenladder/rehearsal/standins/network.py
@@ -98,9 +98,8 @@
         self.lines: dict[str, dict[str, Any]] = {}
         self.changed: dict[str, int] = {}  # the version in which each server's line last changed
         self.history: list[tuple[int, str, dict[str, Any]]] = []
-        self.old_list: tuple[int, list[dict[str, Any]]] | None = (
-            None  # fault `old-list`: the version and lines to return
-        )
+        # Fault `old-list`: the version and lines to return.
+        self.old_list: tuple[int, list[dict[str, Any]]] | None = None
         self.left_out: set[str] | None = None  # fault `half-list`: ids that full lists omit
         self.waiting: set[Call] = set()
         self.snapshots: list[tuple[int, list[dict[str, Any]]]] = []
--- a/brackenladder/rehearsal/standins/simulated_server.py
+++ b/brackenladder/rehearsal/standins/simulated_server.py
@@ -20,9 +20,7 @@
 RESET_DELAY = 0.005  # seconds for the first part of an answer to be sent before the reset
 FILLERS = 8  # connections that fill the backlog
 BACKLOG_SETTLE = 0.1  # seconds after the fault `backlog` in which new connections may have waited in it
-HOLD_BEFORE_DRAIN = (
-    300_000  # microseconds before `drain-answering` from which on answers are held back until it
-)
+HOLD_BEFORE_DRAIN = 300_000  # microseconds before the fault `drain-answering` in which answers are held
 
 
 class SimulatedServer:
--- a/tests/fleet/test_model.py
+++ b/tests/fleet/test_model.py
@@ -125,8 +125,8 @@
 def test_what_is_too_large_is_told_before_it_starts(tmp_path, capsys):
     file = tmp_path / "large.toml"
     for where, size, wrong in (
-        ("sockets", "nodes = 41", "nodes: 41, and sockets take 40: play it with --in model"),
-        ("sockets", "[servers]\ncount = 201", "servers.count: 201, and sockets take 200"),
+        ("sockets", "nodes = 41", "nodes: 41, but sockets allow 40: run it with --in model"),
+        ("sockets", "[servers]\ncount = 201", "servers.count: 201, but sockets allow 200"),
         ("model", "nodes = 2000\n[servers]\ncount = 10000", "servers they would take 17 GB"),
         ("model", "length_s = 3000\n[clients]\nrate = 600", "clients.rate: one run would take 10 GB"),
     ):
--- a/tests/rehearsal/test_scenario.py
+++ b/tests/rehearsal/test_scenario.py
@@ -50,7 +50,7 @@
         (GOOD + "[clients]\nbudget = [0.5, 1.5]", "f.toml: clients.budget: a part of the deadline"),
         (GOOD + "[clients]\nrate = 1e9", "f.toml: clients.rate: over 2000000 requests in the run"),
         (GOOD + "[clients]\nrate = inf", "f.toml: clients.rate: over 2000000 requests in the run"),
-        (GOOD + 'zones = ["a", "a"]', "f.toml: zones: a name stands twice"),
+        (GOOD + 'zones = ["a", "a"]', "f.toml: zones: duplicate name"),
         (GOOD + 'zones = ["../x"]', "f.toml: zones[0]: Expected `str` matching regex"),
         (GOOD + 'tries = ["luck"]', "f.toml: tries[0]: Invalid enum value 'luck'"),
         (GOOD + '[[classes]]\nname = "ready"\neffect = "safe"', "f.toml: classes: 'ready' is the path"),
