--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -1,4 +1,4 @@
-"""The interfaces between a frontend, which takes calls, the core, and an upstream, which sends them."""
+"""The core's interfaces to frontends, which accept calls, and to upstreams, which send them to servers."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from brackenladder.interface import Outcome
 
-FRESH = 1_000  # microseconds after its acceptance in which a call is not checked for a disconnected client
+FRESH = 1_000  # microseconds: for this long after accepting a call, its client is assumed to be connected
 NEVER = 1 << 62
 
 
 class Failure(Enum):
     """Why a call was not served; it may have had effects."""
 
-    GIVEN_UP = 0  # the balancer failed it
-    EXPIRED = 1  # its deadline passed, and the balancer had not concluded it
+    GIVEN_UP = 0  # the balancer gave it up, for example after its last retry
+    EXPIRED = 1  # the balancer had not concluded it by its deadline
     FAULT = 2  # an internal error of this node
 
 
 class Call:
     """A call accepted by a frontend, with its class and tenant; `left`: microseconds that its client waits.
 
-    A frontend derives its own class with the payload and the handling of the conclusion. Exactly one of
+    A frontend derives its own class, which adds the payload and the sending of the answer. Exactly one of
     `served`, `refused` and `failed` is called, once, unless the client disconnects before.
     """
 
@@ -56,7 +56,7 @@
         self.in_doubt = False  # an attempt may have run
         self.single_attempt = False  # no answer is expected: the call ends with its only attempt
         self.accepted_at = 0  # time by the clock of the core
-        self.write_by = NEVER  # a retry written later may run a second time
+        self.write_by = NEVER  # a retry written later might not be discarded as a repeat, and run again
 
     def may_be_written(self, now: int) -> bool:
         """Whether its first byte may be sent to a server at `now`, by the clock of the core.
@@ -69,21 +69,21 @@
         return now - self.accepted_at < FRESH or not self.gone()
 
     def gone(self) -> bool:
-        """Checks whether the client has disconnected, which may be unread in its socket.
+        """Whether the client has disconnected; also looks for an end of stream that is unread in its socket.
 
         If so, the call is ended before this returns.
         """
         return False
 
     def released(self) -> None:
-        """Called when the call ends: before the conclusion, or alone if the client has disconnected."""
+        """Called when the call ends, before `served`, `refused` or `failed`, or alone if the client has left."""
 
     def served(self, answer: object) -> None:
         """Concludes the call with the answer that the upstream passed with its outcome."""
         raise NotImplementedError
 
     def refused(self, retry_after: int) -> None:
-        """Concludes the call: a retry is harmless, after `retry_after` microseconds if that is above 0.
+        """Concludes the call; a retry is safe. If `retry_after` is above 0, it should wait for as many microseconds.
 
         Whether the call may have run is told by `in_doubt`.
         """
--- a/brackenladder/core/ending.py
+++ b/brackenladder/core/ending.py
@@ -7,9 +7,9 @@
 from brackenladder.interface import ClassSettings
 
 TAKING = 0.5  # seconds after SIGTERM in which new connections are still accepted
-HANDOVER = 2.0  # most seconds after SIGTERM in which open connections still accept calls
-LONGEST = 3_000_000  # microseconds: a shutdown waits for the longest deadline of a class, but no longer
-KILL_AFTER = 700_000  # microseconds that a shutdown may take besides the longest deadline
+HANDOVER = 2.0  # upper bound of the seconds after SIGTERM in which open connections still accept calls
+LONGEST = 3_000_000  # microseconds: a shutdown waits for the longest deadline of a class, at most this long
+KILL_AFTER = 700_000  # microseconds that a shutdown may take in addition to the longest deadline
 KILL_MARGIN = 300_000  # microseconds before SIGKILL by which all calls must be concluded
 
 
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -22,15 +22,15 @@
 )
 from brackenladder.policy.balancer import Balancer
 
-OK = Outcome.OK  # a module constant, since enum members are slow to look up and this is needed per attempt
-EXPIRY_DELAY = 10_000  # microseconds after its deadline at which a call that the balancer left open is failed
-EXPIRY_STEP = 5_000  # microseconds by which failing such a call may be delayed, so that calls share timers
+OK = Outcome.OK  # enum members are slow to look up, and this one is needed for every attempt
+EXPIRY_DELAY = 10_000  # microseconds after its deadline when the host fails a call left open by the balancer
+EXPIRY_STEP = 5_000  # microseconds: expiry times are rounded up to multiples, so that calls share timers
 
 
 class Host:
     """Implements `Actions` for the Balancer of one pool, and passes all events to it.
 
-    `module`: creates the balancer; only experiments use another one than Balancer.
+    `module`: creates the balancer; a subclass or, in experiments, another implementation of `Events`.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.post_at(0, event, args)
 
     def post_at(self, now: int, event: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """Like `post`, with the present time if the caller has just read the clock (0: it has not)."""
+        """Like `post`. `now`: the time of the event; 0 if it still has to be read from the clock."""
         if self.busy:
             self.events.append((event, args))
             return
@@ -92,11 +92,11 @@
             self.busy = False
 
     def start(self) -> None:
-        """Starts the balancer."""
+        """Posts the `start` event, on which the balancer requests the server list if it has to."""
         self.post(self.balancer.start)
 
     def server_list(self, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Passes on a server list or its changes, which the upstream already has."""
+        """Passes on a server list or its changes, to the balancer; the upstream already has them."""
         self.post(self.balancer.server_list, kind, entries)
 
     def set_instances(self, number: int) -> None:
@@ -111,11 +111,11 @@
             self.balancer.update_members(now)
 
     def peer_message(self, peer: int, data: bytes) -> None:
-        """Passes on the message of a peer."""
+        """Passes a message from another node to the balancer."""
         self.post(self.balancer.peer_message, peer, data)
 
     def full(self) -> bool:
-        """Whether the maximum number of calls is open."""
+        """Whether no further call can be accepted, because `max_open` calls are open."""
         return len(self.calls) >= self.max_open
 
     def take(self, call: Call) -> None:
@@ -135,7 +135,7 @@
     def schedule_expiry(self, call: Call, now: int) -> None:
         """Makes sure that the call is concluded shortly after its deadline, whatever the balancer does.
 
-        Calls with nearly the same deadline share a timer, since almost all are concluded long before it.
+        Calls with nearly the same deadline share a timer, since few calls are still open at their deadline.
         """
         step = (call.deadline + EXPIRY_DELAY) // EXPIRY_STEP + 1
         if step in self.expiring:
@@ -145,7 +145,7 @@
             self.loop.call_later((step * EXPIRY_STEP - now) / 1e6, self.expire_step, step)
 
     def expire_step(self, step: int) -> None:
-        """Fails those calls of a time step that are still open."""
+        """Fails the calls whose deadline lies in this time step and that are still open."""
         for number in self.expiring.pop(step):
             call = self.calls.get(number)
             if call is not None and call.open:
@@ -165,7 +165,7 @@
         self.post(self.balancer.client_left, call.id)
 
     def release(self, number: int) -> Call | None:
-        """Marks a call as ended; returns it if it was open."""
+        """Marks a call as ended, so that it is concluded only once; returns it if it was still open."""
         call = self.calls.get(number)
         if call is None or not call.open:
             return None
@@ -178,7 +178,10 @@
     # ---- Actions --------------------------------------------------------------------------------------
 
     def send(self, request: int, server: int, timeout: int) -> None:
-        """Starts the next attempt of a call. If it may not be sent, it ends as NOT_SENT after this event."""
+        """Starts the next attempt of a call.
+
+        If the attempt may not be sent, the balancer gets the outcome NOT_SENT as the next event.
+        """
         call = self.calls.get(request)
         number = 0
         attempt = None
@@ -231,7 +234,9 @@
         self.post_at(now, self.balancer.outcome, event_args)
 
     def limit_retries(self, call: Call, began: int) -> None:
-        """Limits the retries of a keyed call, which may have run, to the window of its class after `began`.
+        """Sets the time until which a retry of a keyed call that may have run can be written to a server.
+
+        It is the end of the window of its class, in which servers discard repeats of the first attempt.
 
         Failure prevented: a retry is started within the window, waits for a connection, and is written after
         the servers have forgotten the first attempt.
@@ -242,7 +247,7 @@
                 call.write_by = began + settings.window
 
     def cancel(self, request: int, attempt: int) -> None:
-        """Aborts an attempt; its outcome follows after this event."""
+        """Aborts an attempt; the balancer gets its outcome as a later event."""
         call = self.calls.get(request)
         if call is not None and call.current_attempt is not None and attempt == call.attempts - 1:
             call.current_attempt.stop(Outcome.CANCELLED)
@@ -270,7 +275,7 @@
         self.upstream.probe(server, done)
 
     def set_timer(self, delay: int, token: int) -> None:
-        """Passes `token` back to the balancer after `delay`."""
+        """Sends a `timer` event with `token` to the balancer after `delay` microseconds."""
         self.loop.call_later(max(0, delay) / 1e6, self.post, self.balancer.timer, token)
 
     def tell(self, peer: int, data: bytes) -> None:
@@ -290,5 +295,5 @@
         self.upstream.close_idle(server)
 
     def log(self, text: str) -> None:
-        """Writes a line to the log."""
+        """Writes a line to the log of the node."""
         self.log_line(text)
--- a/brackenladder/core/roster.py
+++ b/brackenladder/core/roster.py
@@ -10,7 +10,7 @@
 from brackenladder.interface import ListKind, ServerEntry
 from brackenladder.membership.listing import Line, Listing
 
-MAX_NAMES = 256  # zones, and kinds of machine, with numbers of their own
+MAX_NAMES = 256  # most zones, and most kinds of machine, that get a number of their own
 
 
 def numbered(names: dict[str, int], name: str) -> int:
@@ -25,7 +25,7 @@
     """An upstream that receives the server list of its pool."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
-        """Applies a list or its changes, with each server once."""
+        """Applies a full list or a list of changes: the latest line of each server, by server number."""
 
 
 class Roster:
@@ -49,8 +49,8 @@
         self.host.server_list(listing.kind, entries)
 
     def read(self, listing: Listing) -> tuple[Mapping[int, Line], Sequence[ServerEntry]]:
-        """The lines of a list by server number, and the entries for the balancer."""
-        latest = {number_of(line.id): line for line in listing.lines}  # the last line of a server counts
+        """Returns the lines of a list by server number, and the entries made of them for the balancer."""
+        latest = {number_of(line.id): line for line in listing.lines}  # the last line if there are several
         return latest, [self.entry(number, line) for number, line in latest.items()]
 
     def entry(self, number: int, line: Line) -> ServerEntry:
@@ -66,5 +66,8 @@
 
 
 def number_of(name: str) -> int:
-    """A server's number, the same on every node: a hash of its name."""
+    """A server's number: a hash of its name, the same on every node.
+
+    All nodes have to shuffle the servers in the same order, and the order is computed from these numbers.
+    """
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big")
--- a/brackenladder/placement/classes.py
+++ b/brackenladder/placement/classes.py
@@ -1,7 +1,8 @@
 """The request classes of a service, which change with its routes at run time.
 
-A Balancer gets its classes when it is created. As routes are added later, a class is added to the Balancer
-with the first request of a new shape.
+The policy's Balancer keeps limits and latencies per class and gets its classes when it is created. Here a
+class is a combination of idempotence, latency target, timeout and priority: a CallShape. Since routes may be
+added later, a class is added to the Balancer with the first request that has a new combination.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 from brackenladder.policy.limit import AIM_SHARE
 from brackenladder.policy.server import PRIOR, SMOOTH_ALL, Average
 
-MAX_CLASSES = 64  # further shapes use the most similar class
-LATE_WORTH = 0.3  # part of the worth of a late answer; above 0, so that no request is cancelled at its aim
+MAX_CLASSES = 64  # beyond this many classes, a request with a new shape uses the most similar class
+LATE_WORTH = 0.3  # part of its worth that a late answer keeps; at 0, requests would be cancelled at their aim
 US_PER_MS = 1000
 
 
@@ -26,22 +27,22 @@
     """The properties that distinguish classes of requests."""
 
     idempotent: bool
-    aim: int  # microseconds
+    aim: int  # latency target in microseconds
     timeout: int  # microseconds
     priority: int  # 0 is the most urgent
 
     def settings(self) -> ClassSettings:
-        """The settings of the class: its worth halves with each step of lower urgency."""
+        """The settings of this shape's class; the worth of an answer halves with each step of urgency."""
         effect = Effect.SAFE if self.idempotent else Effect.UNSAFE
         return ClassSettings(effect, self.aim, self.timeout, 0.5**self.priority, LATE_WORTH)
 
     def distance(self, other: CallShape) -> float:
-        """How different the two shapes are in aim and priority."""
+        """How different two shapes are: relative difference of latency targets plus difference of priorities."""
         return abs(self.aim - other.aim) / self.aim + abs(self.priority - other.priority)
 
 
 def shape_of(traits: CallTraits) -> CallShape:
-    """The shape of a call."""
+    """The shape of a call, from the configuration of its route."""
     route = traits.route
     timeout = max(route.timeout_ms, 1) * US_PER_MS
     aim = max(route.target_latency_ms, 1) * US_PER_MS
@@ -49,13 +50,17 @@
 
 
 class ClassTable:
-    """The class numbers by shape. Class 0 exists from the start."""
+    """Maps call shapes to class numbers of a Balancer. Class 0, of shape `first`, exists from the start."""
 
     def __init__(self, first: CallShape) -> None:
         self.numbers: dict[CallShape, int] = {first: 0}
 
     def find(self, shape: CallShape) -> int | None:
-        """The number of the shape, or of the most similar one if there are too many; None if it is new."""
+        """The class number for a shape; None if the shape is new and its class can still be added.
+
+        Once there are MAX_CLASSES classes, a new shape gets the class of the most similar shape with the same
+        idempotence; None if there is no such class.
+        """
         number = self.numbers.get(shape)
         if number is not None or len(self.numbers) < MAX_CLASSES:
             return number
@@ -65,7 +70,7 @@
         return self.numbers[min(similar, key=shape.distance)]
 
     def add(self, shape: CallShape) -> int:
-        """Adds a new shape and returns its number."""
+        """Adds a class for a new shape and returns its number."""
         number = len(self.numbers)
         self.numbers[shape] = number
         return number
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -13,8 +13,8 @@
 from brackenladder.placement.traits import CallTraits
 from brackenladder.policy.server import Server
 
-IN_ZONE, CROSS_ZONE, CROSS_REGION = 400, 2_000, 90_000  # microseconds of a round trip
-HEAD_BYTES = 600  # size of the headers of a request and its answer, as measured with the clients used
+IN_ZONE, CROSS_ZONE, CROSS_REGION = 400, 2_000, 90_000  # assumed network round trips in microseconds
+HEAD_BYTES = 600  # HTTP headers of a request and its answer together
 OUTPUT_TOKEN_BYTES = 16  # bytes of a stream per token: an event of 60 to 90 bytes has 4 or 5 tokens
 
 
@@ -24,9 +24,9 @@
 
     traits: CallTraits
     chain: tuple[ChainLink, ...]
-    key: int | None  # hash key that assigns a server to it
-    shared_tokens: int  # tokens of the parts that other requests have too
-    excluded: set[int] = field(factory=set)  # servers that must not get it
+    key: int | None  # key for rendezvous hashing, which assigns a server to the prompt; None: no server
+    shared_tokens: int  # prompt tokens of the parts that other requests may share
+    excluded: set[int] = field(factory=set)  # numbers of servers that must not get this call
     arrived: int = 0  # attempts that reached a server
     may_have_run: int = 0  # attempts that may have been executed
     unsent: int = 0  # attempts that reached no server
@@ -39,7 +39,7 @@
 
     @property
     def prefix(self) -> int | None:
-        """The key of its longest shared prefix; None if it shares nothing."""
+        """The key of the longest prefix that other requests may share; None if there is none."""
         return self.chain[-2].key if len(self.chain) > 1 else None
 
     @property
@@ -49,13 +49,13 @@
 
 
 def new_job(traits: CallTraits, excluded: set[int]) -> Job:
-    """The job of a new call."""
+    """Creates the job of a new call, with the cache keys of its prompt. `excluded`: numbers of servers."""
     chain = chain_of(traits.model, traits.parts)
     return Job(traits, chain, affinity_key(traits), shared_tokens_of(traits), excluded)
 
 
 class CostModel:
-    """Costs from this gateway's own calls. The load of other gateways is assumed to be evenly distributed."""
+    """Estimates costs from this gateway's own calls. Other gateways' load is assumed to be evenly distributed."""
 
     def __init__(self, site: ServiceSite) -> None:
         self.site = site
@@ -66,7 +66,7 @@
         self.holders = PrefixHolders()
 
     def round_trip(self, location: ServerLocation) -> int:
-        """Microseconds of a round trip to a server."""
+        """The assumed microseconds of a network round trip to a server, by its zone and region."""
         if location.zone == self.site.zone:
             return IN_ZONE
         return CROSS_ZONE if location.region == self.site.region else CROSS_REGION
@@ -78,7 +78,8 @@
     def uncached_tokens(self, now: int, server: Server, job: Job, assigned: bool) -> float:
         """Prompt tokens that the server is expected not to have cached.
 
-        `assigned`: hashing assigns the prompt to this server, so other gateways send the same parts there.
+        `assigned`: hashing assigns the prompt to this server, so other gateways probably sent
+        its shared parts there too.
         """
         cached: float = self._cached_tokens(server, job)
         if assigned and self.site.gateways > 1 and not self.recent_holders(now, job):
@@ -86,10 +87,13 @@
         return max(0.0, job.traits.prompt_tokens - cached)
 
     def charged_tokens(self, now: int, server: Server, job: Job, assigned: bool) -> float:
-        """Tokens whose prefill counts as cost. At the assigned server, shared parts cached nowhere are free.
+        """Prompt tokens whose prefill counts as cost.
 
-        Failure prevented: a new subject is cached nowhere, so each gateway sends it to some server that has
-        more of the beginning cached, and it ends up in the caches of several servers.
+        At the server that hashing assigns to the prompt, shared parts that no server was recently sent count
+        as cached.
+
+        Failure prevented: a new shared prefix is cached nowhere, so each gateway sends it to another server
+        that has a part of it cached, and several servers prefill and cache the whole.
         """
         cached = self._cached_tokens(server, job)
         if assigned and not self.recent_holders(now, job):
@@ -97,7 +101,7 @@
         return max(0, job.traits.prompt_tokens - cached)
 
     def reread_price(self, now: int, server: Server, job: Job) -> float:
-        """The price, besides the time, of repeating a prefill that other servers have done recently."""
+        """The price, besides its time, of a prefill of shared parts that other servers have done recently."""
         if not self.recent_holders(now, job):
             return 0.0
         return self.parameters.read_again * max(0, job.shared_tokens - self._cached_tokens(server, job))
@@ -107,7 +111,7 @@
         return load.cache.cached_tokens(job.chain) if load is not None else 0
 
     def queue_time(self, now: int, server: Server, job: Job, base_time: float) -> float:
-        """Microseconds until the prefill of the call starts; `base_time`: of a call without queueing."""
+        """Microseconds until the prefill of the call starts; `base_time`: time of a call without queueing."""
         location = self.site.locations[server.id]
         load = self.loads.servers.get(server.id)
         streams = tokens = 0
@@ -130,7 +134,7 @@
         location = self.site.locations[server.id]
         prefill = self.prefill.time(self.charged_tokens(now, server, job, assigned))
         work = base_time + self.queue_time(now, server, job, base_time) + prefill
-        # `work` includes the prefills in progress, so only a longer time without answers counts as slow.
+        # A server without answers counts as slow only after `work`, which includes the prefills in progress.
         slowness = server.slowness(now, work) / server.kind_ratio.value
         load = self.loads.servers.get(server.id)
         streams = load.streams if load is not None else 0
--- a/brackenladder/placement/decision_counters.py
+++ b/brackenladder/placement/decision_counters.py
@@ -13,7 +13,7 @@
 
 from brackenladder.placement.load import PlacedCall
 
-MAX_TARGETS = 32  # latency targets with counters of their own; further ones count with the last
+MAX_TARGETS = 32  # most latency targets that get counters of their own; any further one counts with the last
 
 
 class LateCause(Enum):
@@ -28,7 +28,7 @@
 
 @define
 class DecisionSums:
-    """The counters of one latency target. Times are sums in microseconds."""
+    """Counters of the calls with one latency target. Times are sums over these calls in microseconds."""
 
     calls: int = 0
     reading: float = 0.0
@@ -39,13 +39,13 @@
 
 
 class DecisionCounters:
-    """The counters by latency target, in microseconds."""
+    """The DecisionSums of each latency target in microseconds; those beyond MAX_TARGETS count with the last one."""
 
     def __init__(self) -> None:
         self._by_target: dict[int, DecisionSums] = {}
 
     def answered(self, placed: PlacedCall, latency: int) -> None:
-        """Records a first event after `latency` microseconds."""
+        """Counts a call whose first event came after `latency` microseconds, and the cause if it was late."""
         sums = self._sums(placed.target)
         sums.calls += 1
         sums.reading += placed.reading_time
@@ -62,7 +62,7 @@
         sums.late[LateCause.UNANSWERED] += 1
 
     def items(self) -> Iterator[tuple[int, DecisionSums]]:
-        """The sums, in the order of targets."""
+        """The pairs of latency target and sums, in ascending order of targets."""
         return iter(sorted(self._by_target.items()))
 
     def _sums(self, target: int) -> DecisionSums:
--- a/brackenladder/shares/retry_budget.py
+++ b/brackenladder/shares/retry_budget.py
@@ -12,10 +12,10 @@
 from attrs import define, frozen
 
 US_PER_S = 1_000_000
-RATIO_PART = 0.5  # part of the allowed ratio that is used, since the windows here and of the bound differ
-SLACK_PART = 0.7  # part of the slack used by all gateways together, as some may not know of new gateways
-START_SLACK_PART = 0.15  # SLACK_PART in the first window of a process, as its predecessor may have used some
-SLICES = 50  # time slices of a window for which requests are counted
+RATIO_PART = 0.5  # part of the ratio that is used, as this sliding window and that of the bound differ
+SLACK_PART = 0.7  # part of the slack used by all gateways together, as some may not know of new gateways yet
+START_SLACK_PART = 0.15  # instead of SLACK_PART in a process's first window: its predecessor may have used some
+SLICES = 50  # a window is divided into this many time slices, each with one count of requests
 
 
 @frozen
@@ -23,8 +23,8 @@
     """How many retries all gateways together may send to a service in any window."""
 
     ratio: float  # retries per request in the window
-    slack: float  # retries allowed in addition
-    window: int  # microseconds
+    slack: float  # retries allowed in addition, whatever the number of requests
+    window: int  # length of the window in microseconds
 
 
 @define
@@ -36,7 +36,8 @@
 class RetryBudget:
     """The budget of one gateway at one service, over a sliding window.
 
-    `started_at`: when this process started, if a process before it may have used the same budget.
+    `started_at`: when this process started; for one window from then on, only START_SLACK_PART of the slack
+    is used, as a predecessor may have used some. None: no process before it has used this budget.
     """
 
     def __init__(self, bound: BudgetBound, started_at: int | None = None) -> None:
@@ -47,7 +48,7 @@
         self._retries: deque[int] = deque()
 
     def request(self, now: int) -> None:
-        """Records a request of a client."""
+        """Records a request of a client, which increases the number of retries allowed in the window."""
         self._expire(now)
         if not self._slices or now - self._slices[-1].since >= self.bound.window // SLICES:
             self._slices.append(_Slice(now, 0))
@@ -60,7 +61,7 @@
         return len(self._retries) + 1 <= self._allowed(now, gateways)
 
     def spend(self, now: int, gateways: int) -> bool:
-        """Takes one retry if it is allowed. `gateways`: number of live ones, including this one."""
+        """Takes one retry if it is allowed. `gateways`: number of live gateways, including this one."""
         if not self.spare(now, gateways):
             return False
         self._retries.append(now)
