--- a/brackenladder/adapter.py
+++ b/brackenladder/adapter.py
@@ -64,7 +64,7 @@
 
 
 def read_settings(text: bytes) -> Settings:
-    """Parses the settings of a CREATE event. A missing or invalid value raises a ValueError with its key."""
+    """Parses the settings of a CREATE event. If a value is missing or invalid, raises ValueError with its key."""
     try:
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
@@ -73,7 +73,7 @@
 
 
 class WireActions:
-    """Encodes the actions of one instance into the reply of the process."""
+    """Encodes the actions of one Balancer instance into the reply to the current batch."""
 
     __slots__ = ("out", "node")
 
@@ -121,7 +121,7 @@
 
 
 class Host:
-    """The instances of one process. They share nothing but the numbered server lists of the protocol."""
+    """The Balancer instances of one process. They share only the numbered server lists of the protocol."""
 
     def __init__(self) -> None:
         self.out = bytearray()
@@ -155,7 +155,7 @@
             return
         try:
             getattr(balancer, event)(*args)
-        except Exception as e:  # the protocol requires that every failure is reported
+        except Exception as e:  # the protocol requires that every exception is reported to the simulator
             del self.nodes[node]
             WireActions(self.out, node).fault(f"{event}: {type(e).__name__}: {e}")
 
--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -76,14 +76,14 @@
         return False
 
     def released(self) -> None:
-        """Called when the call ends, before `served`, `refused` or `failed`, or alone if the client has left."""
+        """Called when the call ends, before `served`, `refused` or `failed`, or alone if the client left."""
 
     def served(self, answer: object) -> None:
         """Concludes the call with the answer that the upstream passed with its outcome."""
         raise NotImplementedError
 
     def refused(self, retry_after: int) -> None:
-        """Concludes the call; a retry is safe. If `retry_after` is above 0, it should wait for as many microseconds.
+        """Concludes the call; the client may retry it, after `retry_after` microseconds if that is above 0.
 
         Whether the call may have run is told by `in_doubt`.
         """
--- a/brackenladder/interface.py
+++ b/brackenladder/interface.py
@@ -16,8 +16,8 @@
     """Whether a request may be executed more than once."""
 
     SAFE = 0  # may run any number of times
-    KEYED = 1  # has an idempotency key: a group of servers discards repeats for some time
-    UNSAFE = 2  # must never run twice; also any effect that the host does not know
+    KEYED = 1  # has an idempotency key: the servers of a Group discard repeats for some time
+    UNSAFE = 2  # must never run twice; also used for any effect that the host does not know
 
 
 class Group(IntEnum):
@@ -29,7 +29,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended. The first three values prove that the server did not run it."""
+    """How an attempt ended. With the first three values, the server certainly did not run the request."""
 
     REJECTED = 0  # refused before execution: the queue is full or the server drains
     CONNECT_FAILED = 1
@@ -39,7 +39,7 @@
     TIMEOUT = 5
     RESET = 6
     CANCELLED = 7
-    UNKNOWN = 8  # any outcome that the host does not know: the request may have run
+    UNKNOWN = 8  # any other outcome: the request may have run
 
 
 NEVER_RAN = frozenset((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
@@ -54,7 +54,7 @@
 
 
 class ListKind(IntEnum):
-    """What a server_list event contains."""
+    """What kind of list a `server_list` event contains."""
 
     CHANGES = 0
     FULL = 1
@@ -70,9 +70,9 @@
     aim: int  # an answer within this time earns the full worth
     deadline: int  # how long the client waits in total, including its own retries
     worth: float
-    late_worth: float = 0.0  # part of the worth that an answer after the aim still earns
+    late_worth: float = 0.0  # part of the worth that an answer later than `aim` still earns
     group: Group = Group.ALL
-    window: int = 0  # how long a group remembers a keyed request
+    window: int = 0  # how long the servers of a group discard repeats of a keyed request
     stream: bool = False
 
 
@@ -89,12 +89,12 @@
 
     classes: Sequence[ClassSettings]
     tenants: Sequence[TenantSettings] = ()
-    tier: int = 0  # the tier that this instance sends to; above 0 its callers are servers
+    tier: int = 0  # the tier of servers that this instance sends to; above 0 its callers are servers too
     tiers: int = 1
     zone: int = 0
     instances: int = 1  # number of instances that send to this tier, including this one
     index: int = 0
-    tick: int = 1000  # least time between two batches of events
+    tick: int = 1000  # shortest time between two batches of events
     max_attempts: int = 1
     cancel: bool = False
     probes: bool = False
@@ -103,13 +103,13 @@
     retry_after: bool = False
     max_retry_after: int = 0
     max_open: int = 20000
-    list_on_request: bool = False  # the server list must be requested
+    list_on_request: bool = False  # the Balancer has to request the server list from the host
     list_ask_within: int = 0  # longest time allowed between two requests for the list
-    list_weights: bool = False  # the weights of the entries are comparable
-    cold_time: int = 0  # a server is warm this long after its start, at the latest
-    cold_share: float = 1.0  # part of its capacity that a server has at least when it starts
-    fall_multiple: float = 0.0  # a server fails if it gets more than this multiple of its present capacity
-    fall_time: int = 0  # for how long a server must be overloaded by `fall_multiple` to fail
+    list_weights: bool = False  # the weights in the server list may be compared with each other
+    cold_time: int = 0  # a server is warm at the latest this long after its start
+    cold_share: float = 1.0  # least part of its full capacity that a server has when it starts
+    fall_multiple: float = 0.0  # load, as a multiple of its present capacity, above which a server fails
+    fall_time: int = 0  # a server fails if its load is above `fall_multiple` for this long
     answer_slack: int = 0
     cross_zone_price: float = 0.0
     over_share_worth: float = 1.0
@@ -158,7 +158,7 @@
     weight: float = 1.0
     ready_at: int = 0  # when it last became ready; 0: long ago
     share: float = 1.0  # weight set by an operator; above 0
-    pools: int = 1  # number of this node's pools with this server, which share its slow-start allowance
+    pools: int = 1  # how many of this node's pools have this server; they share its slow-start allowance
 
 
 class Actions(Protocol):
@@ -171,10 +171,10 @@
         """Stop waiting for an attempt; its outcome still follows."""
 
     def refuse(self, request: int, retry_after: int) -> None:
-        """Final answer: not served, and safe to retry."""
+        """Give the final answer: the request was not served and is safe to retry."""
 
     def fail(self, request: int) -> None:
-        """Final answer: not served, and it may have had effects."""
+        """Give the final answer: the request was not served but may have had effects."""
 
     def probe(self, server: int) -> None:
         """Test a server; one `probed` event follows."""
@@ -210,9 +210,9 @@
         """The instance starts. It requests the server list if the settings say that it must."""
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """A list of servers or changes to it, in order of version; no entries if the request failed.
+        """A full server list or changes to it, in order of version; without entries if its request failed.
 
-        From now on nothing new is sent to a server that is not ready or is missing in a full list.
+        From now on no request is sent to a server that is not ready or is missing in a full list.
         """
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
@@ -240,7 +240,7 @@
         """
 
     def response_started(self, now: int, request: int, attempt: int, server: int, latency: int) -> None:
-        """The response has started, so there is no retry; the attempt's outcome still follows."""
+        """The response has started, so the request is not retried; the attempt's outcome still follows."""
 
     def client_left(self, now: int, request: int) -> None:
         """The client no longer waits: no answer is needed. Attempts in flight still get their outcomes."""
@@ -249,7 +249,7 @@
         """The result of a `probe`."""
 
     def timer(self, now: int, token: int) -> None:
-        """A timer is due; `token` is the one given to `set_timer`. Never during the event that set it."""
+        """A timer is due; `token` is the one given to `set_timer`. Not sent during the event that set it."""
 
     def peer_message(self, now: int, peer: int, data: bytes) -> None:
-        """Another instance of this tier has sent this by `tell`."""
+        """Another instance of this tier has sent `data` by `tell`."""
--- a/brackenladder/placement/adoption.py
+++ b/brackenladder/placement/adoption.py
@@ -10,7 +10,10 @@
 
 
 class AdoptedServers:
-    """Servers chosen for their cached prompts, most recently used last. Only members can be ejected."""
+    """Servers chosen for their cached prompts, the most recently used last.
+
+    They become members of the subset, since outlier ejection applies to members only.
+    """
 
     def __init__(self) -> None:
         self._servers: dict[int, Server] = {}
@@ -23,7 +26,7 @@
             del self._servers[next(iter(self._servers))]
 
     def add_to_members(self, members: list[Server], listed: Mapping[int, Server]) -> None:
-        """Appends those that are still listed to the members."""
+        """Appends the adopted servers that are still in the server list to `members`."""
         for server in self._servers.values():
             if server.in_list and not server.member and listed.get(server.id) is server:
                 server.member = True
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -41,18 +41,18 @@
 from brackenladder.shares.cold_share import ColdShare
 from brackenladder.shares.retry_budget import RetryBudget
 
-LEAST_LATENCY = 1_000  # microseconds: the lowest latency that is given to the limit
-MOST_RANK = 3  # headrooms below the limit at which the least urgent calls are refused
-SILENT_LEAST = 1_000_000  # microseconds before a server can count as silent
-TRY_PART = 0.5  # part of the time left that an attempt may take if it can be retried
-MAX_UNSENT = 3  # further attempts of a call after attempts that were never sent
+LEAST_LATENCY = 1_000  # microseconds: the lowest latency sample that is passed to the limit controller
+MOST_RANK = 3  # rank of the least urgent classes, whose calls leave this many headrooms below the limit free
+SILENT_LEAST = 1_000_000  # least microseconds without any outcome after which a server can count as silent
+TRY_PART = 0.5  # part of a call's remaining time that an attempt may take if it can be retried
+MAX_UNSENT = 3  # most additional attempts of a call to replace attempts that were never sent
 
 NEVER_SENT = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # outcomes of attempts that did not reach a server
 TraitsOf = Callable[[int], CallTraits | None]
 
 
 class PromptBalancer(Balancer):
-    """A Balancer for prompts. `traits_of` returns the present traits of an open call by its id."""
+    """A Balancer for LLM prompts. `traits_of` returns the present CallTraits of an open call by its id."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         self.in_flight.forget_lost_streams(now)
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
-        """A new request. With `repeat` or excluded servers it was sent before, and uses the retry budget."""
+        """A new request. If it has `repeat` or excluded servers, it was sent before and counts as a retry."""
         traits = self.traits_of(request)
         if traits is None:
             self.actions.fail(request)
@@ -166,7 +166,7 @@
         return slots / self.site.gateways - len(self.in_flight.streams)
 
     def rank_classes(self, mean_rtt: Sequence[float]) -> None:
-        """Gives more urgent classes a lower rank; classes of higher rank leave room below the limit."""
+        """Ranks the classes, 0 for the most urgent: a call starts only if `rank` headrooms stay unused."""
         worths = sorted({c.worth for c in self.settings.classes}, reverse=True)
         self.rank = [min(MOST_RANK, worths.index(c.worth)) for c in self.settings.classes]
 
@@ -219,7 +219,7 @@
         self.actions.send(req.id, server.id, self.attempt_timeout(now, req, job, choice))
 
     def take_retry(self, now: int) -> bool:
-        """Takes a retry from this gateway's part of the budget, which is 0 until the part is known.
+        """Takes a retry from this gateway's part of the budget, which is 0 until their number is known.
 
         Failure prevented: all processes start at once, each gateway assumes to be the only one, and together
         they spend the whole budget, or a cold server's whole share, once each.
@@ -227,7 +227,7 @@
         return self.site.gateways_known and self.budget.spend(now, self.site.gateways)
 
     def attempt_timeout(self, now: int, req: Request, job: Job, choice: Choice) -> int:
-        """The timeout of an attempt; one that can be retried leaves time for the retry."""
+        """The timeout of an attempt in microseconds; if a retry is possible, it leaves time for it."""
         left = req.useful_until - now
         more = job.may_have_run + 1 < job.traits.route.max_attempts and self.site.size() > 1
         if req.effect == Effect.SAFE and (more or choice.server.excluded):
@@ -240,7 +240,7 @@
         return left
 
     def base_time(self, now: int, req: Request, server: Server) -> float:
-        """Microseconds that a call takes in the server's region without queueing and prefill."""
+        """The expected microseconds of a call in the server's region, without queueing and prefill."""
         region = self.site.locations[server.id].region
         return self.controller.target[req.klass] * self.regions.ratio(now, region)
 
@@ -248,7 +248,8 @@
         """Retries if class, time, servers and budget allow it, else gives the final answer.
 
         A call that may have run is retried only if it may run twice, and at no more servers than its route
-        allows. Rejected attempts allow one more server; attempts that were never sent do not count.
+        allows. Counting rejected attempts, it may be sent to one server more than that; attempts that
+        were never sent do not count.
         """
         req.record_failure(srv, outcome)
         job = self.jobs[req.id]
@@ -266,7 +267,7 @@
         self.finish(req, refuse=req.ran_on is None or req.effect == Effect.SAFE)
 
     def choose(self, now: int, req: Request, job: Job) -> Choice | None:
-        """The server for an attempt: an ejected one whose trial is due, or the one of lowest cost."""
+        """The server for an attempt: an ejected one whose trial is due, one to seed, or the cheapest one."""
         trial = self.due_trial(now, req, job)
         if trial is not None:
             return Choice(trial, 0.0, self.costs.uncached_tokens(now, trial, job, assigned=False))
@@ -306,7 +307,7 @@
         )
 
     def suspected(self, now: int) -> frozenset[int]:
-        """Servers to avoid because calls there were unanswered; none if that is true of too many."""
+        """Servers to avoid because calls there were unanswered; none if more than MAX_SUSPECTED of all."""
         least = self.site.parameters.doubt_weight
         if not least:
             return frozenset()
@@ -317,7 +318,7 @@
         """An ejected server whose trial is due.
 
         Failure prevented: a service has no retryable requests, so an ejected server never gets a trial.
-        Therefore after some time any request may be the trial.
+        Therefore a trial that has been due for EJECT_TIME may use any request.
         """
         if not self.ejected or now < self.next_trial:
             return None
@@ -333,7 +334,7 @@
         return self.start_trial(now, may_try)
 
     def yields_to_urgent(self, now: int, req: Request, choice: Choice) -> bool:
-        """Whether a less urgent call is refused because the best server has just rejected calls."""
+        """Whether to refuse a less urgent call, at random, as the chosen server has just rejected a call."""
         rank = self.rank[req.klass]
         load = self.costs.loads.servers.get(choice.server.id)
         if rank == 0 or load is None:
@@ -343,12 +344,12 @@
     # ---- servers --------------------------------------------------------------------------------------
 
     def is_cold(self, now: int, server: Server) -> bool:
-        """Whether the server is cold, so that it gets its limited share only."""
+        """Whether the server is still warming up, so that this gateway may send it few calls only."""
         location = self.site.locations.get(server.id)
         return location is not None and self.site.cold_until(location.id) > now
 
     def may_take(self, now: int, server: Server) -> bool:
-        """Whether the server is not silent, and is warm or has room in its cold share."""
+        """Whether the server answers, and is warm or may get one more call of this gateway while cold."""
         if self.eject_if_silent(now, server, min(self.mean_rtt)):
             return False
         if not self.is_cold(now, server):
@@ -358,7 +359,7 @@
         return self.cold.allows(now, server.id, self.site.gateways, self.site.gateway_names)
 
     def eject_if_silent(self, now: int, srv: Server, least: float) -> bool:
-        """Like Balancer, but the time of the prefills in progress does not count as silence."""
+        """Like Balancer, but a server may be silent for as long as the prefills in progress take."""
         load = self.costs.loads.servers.get(srv.id)
         prefill_time = self.costs.prefill.time(load.pending_prefill) if load is not None else 0.0
         if srv.in_flight and now - srv.quiet_since < SILENT_LEAST + prefill_time:
@@ -369,14 +370,14 @@
         return super().eject_if_silent(now, srv, least)
 
     def select_members(self) -> None:
-        """Selects this gateway's slice of the servers, and those that have its prompts cached."""
+        """Selects as members this gateway's slice of the servers, and those that have its prompts cached."""
         super().select_members()
         self.adopted.add_to_members(self.members, self.servers)
 
     # ---- outcomes -------------------------------------------------------------------------------------
 
     def record_end(self, now: int, srv: Server, req: Request | None, outcome: Outcome, latency: int) -> None:
-        """Like Balancer, with the latency reduced by the part that does not depend on load."""
+        """Like the method of Balancer, with the latency less the prefill and the round trip of the call."""
         placed = self.in_flight.attempts.get(req.id) if req is not None else None
         if placed is not None and req is not None:
             latency = max(LEAST_LATENCY, latency - int(placed.known_cost))
@@ -386,7 +387,7 @@
         super().record_end(now, srv, req, outcome, latency)
 
     def record_unsent(self, job: Job) -> None:
-        """Returns the budget used by an attempt that did not reach its server."""
+        """Counts an attempt that did not reach its server, and gives back the retry that it took, if any."""
         job.unsent += 1
         if job.arrived:
             self.budget.give_back()
--- a/brackenladder/placement/choice.py
+++ b/brackenladder/placement/choice.py
@@ -12,9 +12,9 @@
 from brackenladder.placement.site import ServiceSite
 from brackenladder.policy.server import Server
 
-RENDEZVOUS_DEPTH = 3  # servers in a prompt's rendezvous order that are considered
+RENDEZVOUS_DEPTH = 3  # number of servers at the head of a prompt's rendezvous order that are considered
 ENDING_MARGIN = 300_000  # microseconds before a server's termination by which a call must have ended
-MAX_REMOTE = 48  # servers of other regions that are compared, besides those with the prompt cached
+MAX_REMOTE = 48  # most servers of other regions that are compared, besides those with the prompt cached
 
 
 @frozen
@@ -24,7 +24,7 @@
     server: Server
     cost: float
     uncached_tokens: float  # prompt tokens that the server has to process
-    adopt: bool = False  # it is not a member of the subset yet and shall become one
+    adopt: bool = False  # the server is not yet a member of this gateway's subset and has to be added
 
 
 Usable = Callable[[Server], bool]
@@ -45,7 +45,7 @@
         self.parameters = site.parameters
 
     def choose(self, now: int, job: Job, base_time: BaseTime, may_send: Usable) -> Choice | None:
-        """The server for the call, None if there is none; of another region only if that is cheaper."""
+        """The server for the call, None if there is none; one of another region only if its cost is lower."""
         choice = self._draw(now, job, self._allowed(job, self.site.local), base_time, may_send)
         if choice is not None and choice.cost <= CROSS_REGION + self.parameters.region_price:
             return choice
@@ -62,7 +62,7 @@
         return allowed and self._ends_before_server(now, server, job) and may_send(server)
 
     def allows(self, job: Job, server: Server) -> bool:
-        """Whether the call may be sent to the server at all, by home regions and earlier attempts."""
+        """Whether the call's home regions and its earlier attempts allow the server."""
         location = self.site.locations.get(server.id)
         if location is None or not job.traits.permits(location.region):
             return False
@@ -107,7 +107,7 @@
         return min(choices, key=_cost_of)
 
     def _random_members(self, candidates: Sequence[Server], preferred: Server | None) -> list[Server]:
-        """One random member other than the preferred server, or two if there is none."""
+        """One random member other than the preferred server, or two if there is no preferred server."""
         first = self._random_member(candidates, preferred)
         second = self._random_member(candidates, first) if preferred is None and first is not None else None
         return [server for server in (first, second) if server is not None]
@@ -115,7 +115,7 @@
     def _preferred_server(
         self, now: int, job: Job, candidates: Sequence[Server], base_time: BaseTime
     ) -> Server:
-        """The server with most of the prompt cached, or the one assigned by hashing if none has more.
+        """The server with most of the prompt cached, or the one assigned by hashing if it has no less.
 
         A server whose queue takes longer than a full prefill elsewhere is skipped.
         """
--- a/brackenladder/placement/classes.py
+++ b/brackenladder/placement/classes.py
@@ -37,7 +37,7 @@
         return ClassSettings(effect, self.aim, self.timeout, 0.5**self.priority, LATE_WORTH)
 
     def distance(self, other: CallShape) -> float:
-        """How different two shapes are: relative difference of latency targets plus difference of priorities."""
+        """How different two shapes are: relative difference of targets plus difference of priorities."""
         return abs(self.aim - other.aim) / self.aim + abs(self.priority - other.priority)
 
 
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -55,7 +55,7 @@
 
 
 class CostModel:
-    """Estimates costs from this gateway's own calls. Other gateways' load is assumed to be evenly distributed."""
+    """Estimates costs from this gateway's own calls; assumes that those of others are evenly distributed."""
 
     def __init__(self, site: ServiceSite) -> None:
         self.site = site
--- a/brackenladder/placement/decision_counters.py
+++ b/brackenladder/placement/decision_counters.py
@@ -39,7 +39,7 @@
 
 
 class DecisionCounters:
-    """The DecisionSums of each latency target in microseconds; those beyond MAX_TARGETS count with the last one."""
+    """The DecisionSums by latency target in microseconds; targets beyond MAX_TARGETS count with the last."""
 
     def __init__(self) -> None:
         self._by_target: dict[int, DecisionSums] = {}
--- a/brackenladder/placement/estimate.py
+++ b/brackenladder/placement/estimate.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-PREFILL_GUESS = 0.040  # prompt tokens per microsecond, until measured
+PREFILL_GUESS = 0.040  # prompt tokens per microsecond: the estimate before the first calls
 PREFILL_LEAST, PREFILL_MOST = 0.008, 0.4  # an estimate outside of these bounds is noise
-PREFILL_PRIOR = 20.0  # number of calls that the guess counts for
+PREFILL_PRIOR = 20.0  # weight of PREFILL_GUESS in the estimate, in calls
 PREFILL_FADE = 0.98  # factor on the weight of earlier calls at each new call
-PREFILL_SPREAD = 4000.0  # difference in tokens between prompts that is enough to estimate the rate
-OUTPUT_GUESS = 12_000.0  # microseconds per output token, until measured
+PREFILL_SPREAD = 4000.0  # tokens: spread of prompt lengths needed for an estimate
+OUTPUT_GUESS = 12_000.0  # microseconds per output token: the estimate before the first streams
 OUTPUT_LEAST, OUTPUT_MOST = 200.0, 200_000.0
 OUTPUT_SMOOTH = 0.05
 
@@ -15,8 +15,8 @@
 class PrefillRate:
     """Prompt tokens that a server processes per microsecond.
 
-    It is the inverse slope of a linear regression of the time until the first event over the tokens, in which
-    earlier calls lose weight, and which starts with the guess.
+    It is the inverse slope of a linear regression of the time until the first event over the uncached
+    tokens. Earlier calls lose weight, and PREFILL_GUESS counts like PREFILL_PRIOR calls at the start.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
 
 
 class OutputTime:
-    """Microseconds that a stream takes per token of its maximum length."""
+    """Mean microseconds that a stream takes per token of its maximum length, which is known in advance."""
 
     def __init__(self) -> None:
         self.per_token = OUTPUT_GUESS
--- a/brackenladder/placement/holders.py
+++ b/brackenladder/placement/holders.py
@@ -5,11 +5,11 @@
 from collections import OrderedDict
 
 MAX_KEYS = 4_096  # prefixes remembered for a service; the least recently used are dropped
-MAX_SERVERS = 8  # servers remembered for a prefix
+MAX_SERVERS = 8  # most servers remembered for one prefix
 
 
 class PrefixHolders:
-    """Servers by prefix, with the time of the last use of each."""
+    """For each shared prefix, the servers that were sent it, with the time of the last use of each."""
 
     def __init__(self) -> None:
         self._by_key: OrderedDict[int, dict[int, int]] = OrderedDict()
--- a/brackenladder/placement/in_flight.py
+++ b/brackenladder/placement/in_flight.py
@@ -1,4 +1,4 @@
-"""The calls that this gateway has at servers, from sending them to the end of their streams."""
+"""The calls of this gateway that are in progress, from sending them to the end of their streams."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 MICROSECONDS_PER_MILLISECOND = 1_000
 MAX_STREAM_TIME = 600_000_000  # microseconds after which a stream without a reported end is dropped
 
-UNINFORMATIVE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMEOUT)  # without any sign of the server
+UNINFORMATIVE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMEOUT)  # no sign that the server is up
 
 
 class InFlight:
@@ -71,13 +71,13 @@
         self._announce(now, job, placed)
 
     def report_unanswered_calls(self, now: int) -> None:
-        """Reports the servers with unanswered calls to other gateways."""
+        """Tells other gateways which servers have left calls of this gateway unanswered."""
         for placed in self.attempts.values():
             if 0 < placed.unanswered_at <= now:
                 self._report(now, placed, UNANSWERED_WEIGHT)
 
     def _report(self, now: int, placed: PlacedCall, weight: int) -> None:
-        """Reports a late or unanswered call, once."""
+        """Reports a late or unanswered call, only once per call, here and to other gateways."""
         if placed.reported:
             return
         placed.reported = True
@@ -130,7 +130,7 @@
         loads.remove(placed)
 
     def apply_notices(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """Takes in notices of other gateways about servers of this service."""
+        """Applies notices of other gateways about servers of this service to loads, caches and suspicions."""
         for notice in notices:
             sent_at = now - notice.age
             if notice.unanswered_weight:
@@ -144,7 +144,7 @@
                 self._costs.holders.record_use(sent_at, notice.keys[-1], notice.server)
 
     def forget_lost_streams(self, now: int) -> None:
-        """Drops streams whose end was never reported."""
+        """Drops streams older than MAX_STREAM_TIME, whose end was probably lost."""
         for request, placed in list(self.streams.items()):
             if now - placed.begun_at > MAX_STREAM_TIME:
                 del self.streams[request]
--- a/brackenladder/placement/intake.py
+++ b/brackenladder/placement/intake.py
@@ -1,9 +1,10 @@
-"""Seeds the prefix cache of a server that has just joined with popular prefixes, by one chosen request each.
+"""Seeds the prefix cache of a server that has just joined: one chosen request for each popular prefix.
 
-Only requests of clients may run, so a prefix is seeded by one of them: a prompt that begins with the prefix
-and whose last shared part is cached nowhere, so that it needs a prefill at any server. Until such a request
-has been sent, other prompts with the prefix go to servers that have it cached. Gateways coordinate without
-extra messages: each has its own delay for a server and prefix, and the first one's notice tells the others.
+Only requests of clients may run, so a prefix is seeded by one of them that is sent to the new server: a
+prompt that begins with the prefix and whose last shared part is cached nowhere, so that it needs a prefill
+at any server. Until such a request has been sent, other prompts with the prefix go to servers that have it
+cached. Gateways coordinate without extra messages: each waits for its own delay per server and prefix, and
+the notice that the first one sends tells the others that the prefix is seeded.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from brackenladder.policy.server import Server
 from brackenladder.policy.subset import mix
 
-FRESH_TIME = 20_000_000  # microseconds after joining in which a server is seeded
+FRESH_TIME = 20_000_000  # microseconds after a server joined in which its cache is seeded
 SPREAD_TIME = 1_000_000  # microseconds over which the gateways' delays are distributed
 HASH_RANGE = 2.0**64
-AWAIT_TIME = 3_000_000  # microseconds after joining in which other prompts avoid an unseeded server
-LEAST_TOKENS = 500  # least length of a prefix that is worth seeding
+AWAIT_TIME = 3_000_000  # microseconds after joining in which prompts avoid a server that lacks their prefix
+LEAST_TOKENS = 500  # shortest prefix, in tokens, that is worth seeding
 US_PER_MS = 1_000
 AIM_PART = 0.6  # part of its latency target that a seeding request may be expected to take
 
@@ -42,7 +43,7 @@
         self._joined: dict[int, int] = {}  # time of joining by server
 
     def set_servers(self, now: int, servers: Iterable[int]) -> None:
-        """Sets the usable servers. Those of a gateway's first list do not count as having just joined."""
+        """Sets the usable servers. The servers of the first list do not count as having just joined."""
         current = frozenset(servers)
         if self._listed:
             self._joined.update(dict.fromkeys(current - self._listed, now))
@@ -52,15 +53,15 @@
         self._listed = current
 
     def record_request(self, now: int, job: Job) -> None:
-        """Records a request, whichever server it will be sent to."""
+        """Counts the use of the request's shared prefixes, whichever server it will be sent to."""
         self._uses.add(now, job.chain[:-1])
 
     def server_to_seed(
         self, now: int, job: Job, servers: Sequence[Server], usable: Usable, base_time: BaseTime
     ) -> Server | None:
-        """The server that this request should seed with a prefix; None if it should not.
+        """The server whose cache this request should seed with a prefix; None if there is none.
 
-        `servers`: of this region; `base_time`: microseconds that a call takes without queueing and prefill.
+        `servers`: those of this region; `base_time`: microseconds of a call without queueing and prefill.
         """
         if not self._joined or len(job.chain) < 2 or self._costs.recent_holders(now, job):
             return None
@@ -95,7 +96,7 @@
         return now - joined_at >= delay
 
     def _missing_prefix(self, now: int, server: Server, job: Job) -> ChainLink | None:
-        """The first shared part that the server has not cached, if it is popular and cached elsewhere."""
+        """The first shared part that the server has not cached; None if unpopular or cached nowhere else."""
         loads = self._costs.loads.servers
         load = loads.get(server.id)
         for link in job.chain[:-1]:
--- a/brackenladder/placement/limit.py
+++ b/brackenladder/placement/limit.py
@@ -20,5 +20,5 @@
     free_slots: float = float(MIN_LIMIT)
 
     def effective_limit(self) -> float:
-        """The limit in force."""
+        """The limit in force: that of the gradient controller, or the floor if that is higher."""
         return max(GradientController.effective_limit(self), self.free_slots, float(MIN_LIMIT))
--- a/brackenladder/placement/load.py
+++ b/brackenladder/placement/load.py
@@ -11,9 +11,9 @@
 
 @define(eq=False)
 class ServerLoad:
-    """One server: this gateway's own calls there, and the prompts that it has cached."""
+    """The load of a server: this gateway's calls, prefills of other gateways, and the cached prompts."""
 
-    streams: int = 0  # calls that are waiting or streaming
+    streams: int = 0  # calls of this gateway that are queued, in prefill or streaming
     tokens: int = 0  # tokens of the prompts and answers of these calls
     pending_prefill: float = 0.0  # uncached tokens of calls without a first event
     remote_prefill_until: int = 0  # end of the prefills that other gateways reported
@@ -49,16 +49,16 @@
     reading_time: float  # microseconds of the prefill of the uncached tokens
     round_trip: int  # microseconds of a network round trip
     target: int  # microseconds within which its first event is due
-    expected_queue: float  # microseconds that it was expected to be queued
-    overdue_at: int = 0  # from when on its first event is late; 0: unknown
-    unanswered_at: int = 0  # from when on it counts as unanswered
+    expected_queue: float  # microseconds that the call was expected to be queued
+    overdue_at: int = 0  # time from which the first event is late; 0: unknown
+    unanswered_at: int = 0  # time from which the call counts as unanswered; 0: unknown
     reported: bool = False  # other gateways were told that it is late or unanswered
     begun_at: int = 0  # time of the first event
     stream_over: bool = False
 
     @property
     def known_cost(self) -> float:
-        """Microseconds until the first event that do not depend on load: prefill and round trip."""
+        """The part of the time until the first event that does not depend on load: prefill and round trip."""
         return self.reading_time + self.round_trip
 
 
@@ -71,14 +71,14 @@
         self.tokens = 0
 
     def of(self, server: int) -> ServerLoad:
-        """The load of one server."""
+        """The load of one server, created if there is none yet."""
         load = self.servers.get(server)
         if load is None:
             load = self.servers[server] = ServerLoad()
         return load
 
     def add(self, placed: PlacedCall) -> None:
-        """Records a call that is sent."""
+        """Adds a call that is being sent to the load of its server."""
         load = self.of(placed.server)
         load.streams += 1
         load.tokens += placed.tokens
@@ -87,14 +87,14 @@
         self.tokens += placed.tokens
 
     def first_event(self, placed: PlacedCall, now: int, capacity: int) -> None:
-        """Records that its prompt has been processed; `capacity`: tokens that fit in the server's cache."""
+        """Records a first event: the prompt has been processed. `capacity`: tokens in the KV cache."""
         self._finish_prefill(placed)
         placed.begun_at = now
         load = self.of(placed.server)
         load.cache.add(placed.chain, capacity - load.tokens)
 
     def remove(self, placed: PlacedCall) -> None:
-        """Records that the call has ended."""
+        """Removes a call that has ended from the load of its server."""
         self._finish_prefill(placed)
         load = self.of(placed.server)
         load.streams -= 1
--- a/brackenladder/placement/parameters.py
+++ b/brackenladder/placement/parameters.py
@@ -1,4 +1,4 @@
-"""The tunable parameters of placement, with validation; docs/decisions.md gives their sources."""
+"""The tunable parameters of placement, with validation; docs/decisions.md explains their values."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
     pressed_cost: float = field(default=300_000.0, validator=_COST)
     # Cost of a server whose KV cache has no room for the call: its prefill would be repeated.
     memory_cost: float = field(default=1_000_000.0, validator=_COST)
-    # Part of the shared tokens that is probably cached at the server that hashing assigns to the prompt.
+    # Part of the shared tokens assumed to be cached at the server that hashing assigns to the prompt.
     shared_read: float = field(default=0.5, validator=_COST)
-    # Prompts with at least this many tokens are compared at all servers of the region; 0: none are.
+    # For prompts of at least this many tokens, the costs at all servers of the region are compared; 0: never.
     scanned_tokens: int = field(default=4_000, validator=validators.ge(0))
-    # Weight of late and unanswered calls from which a server is suspected; 0: none is.
+    # Total weight of late and unanswered calls at which a server is suspected; 0: none ever is.
     doubt_weight: int = field(default=3, validator=validators.ge(0))
     # An attempt that can be retried times out when its first event is overdue, not after half the time left.
     quick_retry: bool = True
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -1,4 +1,4 @@
-"""One service of one gateway: hosts its balancer and keeps it up to date with the system's view."""
+"""One service of one gateway: hosts its balancer and applies changes of the gateway's SystemView to it."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 US_PER_S = 1_000_000
 US_PER_MS = 1_000
-# A Balancer is created with a class. No route has this one's priority, so it ranks below all others.
+# A Balancer needs a class when it is created. No route has the priority of this one, which ranks lowest.
 FIRST_SHAPE = CallShape(idempotent=False, aim=US_PER_S, timeout=10 * US_PER_S, priority=100)
 MAX_ATTEMPTS = 8  # attempts of a call, including those that were never sent
 MAX_RETRY_AFTER = US_PER_S
-ZONE_PRICE = 0.01  # as high as the policy needs to select members in each zone
+ZONE_PRICE = 0.01  # the lowest cross-zone price at which the policy selects members in each zone
 INDEXES = 1 << 16  # a gateway's index is a hash of its name, modulo this
-BEATS_AFTER_RETURN = 2.5  # heartbeats after an evacuation's end until servers have reported being cold
+BEATS_AFTER_RETURN = 2.5  # heartbeats after an evacuation until servers have reported whether they are cold
 
 
 class PoolCall(Call):
@@ -48,7 +48,7 @@
     def __init__(self, traits: CallTraits, left: int, repeat: bool = False) -> None:
         super().__init__(klass=0, tenant=0, left=left, repeat=repeat)
         self.traits = traits
-        self.number_of_server = 0  # the server of the latest attempt
+        self.number_of_server = 0  # number of the server of the latest attempt
 
     def current_traits(self) -> CallTraits:
         """The traits under the latest configuration; called before each attempt."""
@@ -74,7 +74,7 @@
 
 
 class ServicePool:
-    """The servers of one service, and the calls to them. The times in the view are those of `clock`."""
+    """The servers of one service, and the calls to them. The view has to take its times from `clock`."""
 
     def __init__(
         self,
@@ -100,10 +100,10 @@
         self.records: dict[int, ServerRecord] = {}
         self.zones = {name: number for number, name in enumerate(sorted(platform.zones))}
         self.region_numbers: dict[str, int] = {}
-        self.listed: dict[int, ServerEntry] = {}  # the list that the balancer has
-        self.read_version = -1  # version of the view's servers that was read last
+        self.listed: dict[int, ServerEntry] = {}  # the entries that the balancer has, by server number
+        self.read_version = -1  # version of the service's servers in the view that was applied last
         self.evacuated = view.evacuated
-        self.returned: dict[str, int] = {}  # end of possible coldness, by zone no longer evacuated
+        self.returned: dict[str, int] = {}  # until when servers may be cold, by zone evacuated before
         self.closed = False
         settings = _settings(platform, self.zones, self.region_numbers)
         seed = random.getrandbits(32)
@@ -154,7 +154,7 @@
             self.balancer.receive_prefix_notices(now, own)
 
     def refresh(self) -> None:
-        """Applies changes of the view."""
+        """Applies changes of the view: configuration, servers, evacuations and number of gateways."""
         if self.closed:
             return
         evacuation_changed = self.evacuated != self.view.evacuated
@@ -169,7 +169,7 @@
         self._share()
 
     def cold_until(self, server_id: str) -> int:
-        """When a server will be warm. After an evacuation of its zone it may be cold without a report yet."""
+        """When a server will be warm. Just after an evacuation of its zone, it is assumed to be cold."""
         until = self.view.cold_until(server_id)
         if self.returned:
             record = self.view.servers.get(server_id)
@@ -192,7 +192,7 @@
             self.host.server_list(ListKind.FULL, tuple(entries.values()))
 
     def _read_changes(self, server_ids: Iterable[str]) -> None:
-        """Applies changes of some servers; its cost does not depend on the number of all servers."""
+        """Applies changes of some servers; its running time does not depend on the number of all servers."""
         known = self.view.by_service.of(self.service)
         changes = [self._read_one(number_of(server_id), known.get(server_id)) for server_id in server_ids]
         entries = tuple([entry for entry in changes if entry is not None])
@@ -262,12 +262,12 @@
         self.evacuated = self.view.evacuated
 
     def _read_service(self) -> None:
-        """Applies the configuration of the service; a removed service keeps its last one."""
+        """Applies the configuration of the service; a removed service keeps its last configuration."""
         service = self._configured()
         if service is None:
             return
         again = int(self.platform.bounds.again_s * US_PER_S)
-        self.site.reread_window = again or None  # 0: no limit, every repeated prefill has a price
+        self.site.reread_window = again or None  # 0 means no time limit: every repeated prefill has a price
         self.site.kv_tokens = service.engine.kv_tokens if service.engine is not None else 0
         bounds = self.platform.bounds
         bound = None
--- a/brackenladder/placement/prefix_uses.py
+++ b/brackenladder/placement/prefix_uses.py
@@ -9,10 +9,10 @@
 
 from brackenladder.placement.prefixes import ChainLink
 
-MAX_PREFIXES = 512  # prefixes that are counted; the least recently used are dropped
+MAX_PREFIXES = 512  # most prefixes that are counted; the least recently used are dropped
 HALF_LIFE = 15_000_000  # microseconds after which a use counts for half
-LEAST_USES = 2.0  # decayed uses of a popular prefix
-LEAST_PART = 0.05  # part of all requested tokens of shared parts that a popular prefix has at least
+LEAST_USES = 2.0  # least decayed count of uses of a popular prefix
+LEAST_PART = 0.05  # least part of all requested shared tokens that belongs to a popular prefix
 
 
 @define
@@ -23,7 +23,7 @@
 
 
 class PrefixUses:
-    """Counts how often each link of the shared parts of prompts is requested.
+    """Counts how often each link (a shared part with all parts before it) is requested.
 
     A link that was never dropped has its exact decayed count. A dropped one starts again at 0, so a count may
     be too low but never too high. The total is exact except for the decay between two uses of a dropped link.
@@ -47,7 +47,7 @@
             self._links.popitem(last=False)
 
     def is_popular(self, now: int, key: int) -> bool:
-        """Whether a considerable part of the traffic uses the prefix."""
+        """Whether the prefix has at least LEAST_USES and LEAST_PART of the requested shared tokens."""
         known = self._links.get(key)
         if known is None:
             return False
--- a/brackenladder/placement/prefixes.py
+++ b/brackenladder/placement/prefixes.py
@@ -10,7 +10,7 @@
 
 from brackenladder.placement.traits import CallTraits, PromptPart
 
-MAX_PARTS = 512  # remembered for one server, to bound this gateway's memory
+MAX_PARTS = 512  # most parts remembered for one server, to bound this gateway's memory
 KEY_BYTES = 8  # size of the key of a link
 
 
@@ -18,12 +18,12 @@
 class ChainLink:
     """A part of a prompt and all parts before it, since a part can be cached only after those."""
 
-    key: int  # the same at every gateway
+    key: int  # hash of model and parts; the same at every gateway
     tokens: int
 
 
 def chain_of(model: str, parts: Sequence[PromptPart]) -> tuple[ChainLink, ...]:
-    """The links of a prompt, which are specific to the model."""
+    """The links of a prompt, one for each part; their keys also depend on the model."""
     links = []
     key = _digest(b"", model)
     for part in parts:
@@ -58,7 +58,7 @@
         return tokens
 
     def add(self, chain: Sequence[ChainLink], capacity: int) -> None:
-        """Records a prompt that the server has read; `capacity`: tokens it can cache besides its calls."""
+        """Records a prompt that the server has read; `capacity`: tokens of its cache not used by calls."""
         for link in reversed(chain):  # so that the first links of a chain are evicted last
             self.tokens += link.tokens - self.links.pop(link.key, 0)
             self.links[link.key] = link.tokens
--- a/brackenladder/placement/regions.py
+++ b/brackenladder/placement/regions.py
@@ -5,9 +5,9 @@
 from attrs import define
 
 SMOOTH = 0.1  # weight of the newest sample in the mean
-BEST_DECAY = 1.002  # each sample raises the remembered best ratio by this factor
-FADE = 5_000_000  # microseconds without a sample after which a region is assumed to be at its best
-INITIAL_RATIO = 0.1  # latency / target until anything better is measured
+BEST_DECAY = 1.002  # factor on the remembered best ratio at each sample, so that it is forgotten in time
+FADE = 5_000_000  # microseconds without a sample after which a region is assumed to have its best ratio
+INITIAL_RATIO = 0.1  # best ratio of latency to target assumed until a lower one is measured
 MAX_RATIO = 8.0  # upper bound of a sample of latency / target
 
 
@@ -21,7 +21,8 @@
     """Mean latency of calls by region, relative to the target of their class.
 
     Failure prevented: all servers of a small region are overloaded alike, none is slow compared with the
-    others, and calls stay there. A region without calls is assumed to be as fast as the best one ever was.
+    others, and calls stay there. A region without calls is assumed to be as fast as the fastest region was at
+    its best.
     """
 
     def __init__(self) -> None:
--- a/brackenladder/placement/silent_zones.py
+++ b/brackenladder/placement/silent_zones.py
@@ -4,8 +4,8 @@
 
 from attrs import define, field
 
-MIN_SERVERS = 2  # unanswering servers, at least one of them to a connect, that make a zone silent
-SILENCE_TIME = 2_500_000  # microseconds for which an unanswered call counts
+MIN_SERVERS = 2  # servers that do not answer, one of them not even a connect, for a zone to count as silent
+SILENCE_TIME = 2_500_000  # microseconds for which an unanswered call is remembered
 UNANSWERED_CONNECT = 400_000  # microseconds: a connect that fails sooner was refused by a running host
 
 
@@ -17,7 +17,7 @@
 
 @define(eq=False)
 class SilentZones:
-    """Servers that have not answered since any server of their zone last did.
+    """For each zone, the servers that left calls unanswered since any server of the zone last answered.
 
     Failure prevented: a zone loses power, and until the server list is updated each call finds out again, at
     another server, that nothing answers there. With many gateways each has few calls, and no server fails
@@ -34,7 +34,7 @@
             self.answered(zone)
 
     def unanswered(self, now: int, zone: str, server: int) -> None:
-        """Records that a call has waited for too long."""
+        """Records that a call at the server has waited for too long."""
         known = self._zones.setdefault(zone, {}).setdefault(server, _Silence(now, connect=False))
         known.at = now
 
@@ -43,7 +43,7 @@
         self._zones.pop(zone, None)
 
     def silent(self, now: int, zone: str) -> bool:
-        """Whether calls should avoid the zone."""
+        """Whether calls should avoid the zone, since MIN_SERVERS of it do not answer."""
         known = self._zones.get(zone)
         if known is None:
             return False
--- a/brackenladder/placement/site.py
+++ b/brackenladder/placement/site.py
@@ -18,7 +18,7 @@
     zone: str
     region: str
     slots: int
-    ends_at: int = 0  # when the server will be terminated, in this host's microseconds; 0: unknown
+    ends_at: int = 0  # when the server will be terminated, in microseconds of this host's clock; 0: unknown
 
 
 def never_cold(server_id: str) -> int:
@@ -28,7 +28,7 @@
 
 @define(eq=False)
 class ServiceSite:
-    """One service from the view of this gateway. The pool keeps it up to date."""
+    """What this gateway knows of one service: its servers and the other gateways. ServicePool updates it."""
 
     zone: str
     region: str
@@ -37,7 +37,7 @@
     reread_window: int | None = 10_000_000
     parameters: PlacementParameters = DEFAULT_PARAMETERS
     gateways: int = 1  # number of live gateways, including this one
-    gateways_known: bool = False  # if not, this gateway's part of a bound for all is unknown
+    gateways_known: bool = False  # if False, this gateway's part of a bound for all gateways is unknown
     gateway_names: tuple[str, ...] = ()  # names of the live gateways, if known
     cold_until: Callable[[str], int] = never_cold
     locations: dict[int, ServerLocation] = field(factory=dict)  # by server number
--- a/brackenladder/placement/traits.py
+++ b/brackenladder/placement/traits.py
@@ -25,12 +25,12 @@
     output_tokens: int = 0  # upper bound of the length of the answer
     request_bytes: int = 0  # size of the request body
     model: str = ""
-    idempotent: bool = False  # may be executed repeatedly: a safe or resumable route
-    exclude: frozenset[str] = frozenset()  # ids of servers that must not get it, e.g. after a broken stream
-    newest: Route | None = None  # the route as configured now, if it has changed: both apply
+    idempotent: bool = False  # may be executed more than once, because its route is safe or resumable
+    exclude: frozenset[str] = frozenset()  # ids of servers that must not get the call, e.g. after a failure
+    newest: Route | None = None  # the route as configured now if it has changed: both must permit a server
 
     def permits(self, region: str) -> bool:
-        """Whether servers of a region may get it; an unknown region is none of the home regions."""
+        """Whether servers of a region may get the call; an unknown region never counts as a home region."""
         return may_serve(self.route, region) and (self.newest is None or may_serve(self.newest, region))
 
 
--- a/brackenladder/placement/unresponsive.py
+++ b/brackenladder/placement/unresponsive.py
@@ -12,11 +12,11 @@
 DEVIATION_GAIN = 1 / 4  # RFC 6298, section 2: beta
 DEVIATIONS = 4  # RFC 6298, section 2: K
 LEAST_SAMPLES = 8  # answers needed before the estimate is used
-UNANSWERED_FACTOR = 2  # a call is unanswered after this multiple of the time that a first event may take
-LATE_WEIGHT = 1  # weight of an attempt that timed out as its first event was late; busy servers have some
+UNANSWERED_FACTOR = 2  # a call counts as unanswered after this multiple of the longest expected wait
+LATE_WEIGHT = 1  # weight of an attempt that timed out; low, since busy servers have some of these too
 UNANSWERED_WEIGHT = 2  # weight of an unanswered call
 SUSPICION_TIME = 4_000_000  # microseconds for which a late or unanswered call counts
-MAX_SUSPECTED = 0.5  # share of the servers; if more are suspected, all are used
+MAX_SUSPECTED = 0.5  # largest share of servers that is avoided; if more are suspected, all are used
 
 
 class FirstEventTime:
@@ -29,12 +29,12 @@
 
     @property
     def known(self) -> bool:
-        """Whether there are enough samples."""
+        """Whether there are enough samples for an estimate."""
         return self._samples >= LEAST_SAMPLES
 
     @property
     def longest(self) -> float:
-        """A bound that is rarely exceeded."""
+        """The estimate: an upper bound that is rarely exceeded, in microseconds beyond the known cost."""
         return self._mean + DEVIATIONS * self._deviation
 
     def add(self, excess: float) -> None:
--- a/brackenladder/placement/urgency.py
+++ b/brackenladder/placement/urgency.py
@@ -1,4 +1,4 @@
-"""The priority of a request among the others at its server."""
+"""The priority that a gateway assigns to a request, by which its server orders its queue."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
     Failure prevented: a prompt with a prefill of a second is admitted first, and short ones, of some 10 ms
     each, miss their latency target behind it. A resumed stream, whose client waits in the middle of an
-    answer, comes before all. The steps by length are few, so that long prompts do not starve.
+    answer, comes before all others. Length changes the priority by a few steps only, so that long prompts do
+    not starve.
     """
     if resumed:
         return MOST_URGENT
--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -35,19 +35,19 @@
 # Module constants, because enum members are slow to look up and these are needed for every request.
 OK, RESET = Outcome.OK, Outcome.RESET
 KEYED, UNSAFE = Effect.KEYED, Effect.UNSAFE
-OUTLIER = 2.0  # latencies of a member this many times slower than its kind are not used for the limit
-OVERLOAD_LOSS = 0.15  # when the whole subset fails a larger share of calls, failures count as overload
-SILENT_FACTOR = 4  # a member is silent after this many mean round trips without any outcome
-PICK_TRIES = 10  # most members that one draw rejects for being slow
+OUTLIER = 2.0  # the limit ignores latencies of members this many times slower than their kind of machine
+OVERLOAD_LOSS = 0.15  # if the subset fails a larger share of calls, failures count as overload
+SILENT_FACTOR = 4  # a member with calls in flight is silent after this many mean round trips with no outcome
+PICK_TRIES = 10  # a random draw rejects at most this many members for being slow
 
-TIMER_LIST, TIMER_QUEUED = 1, 2  # kind of timer, in the top byte of its token
+TIMER_LIST, TIMER_QUEUED = 1, 2  # kinds of timers, stored in the top byte of the token
 TOKEN_BITS = 56
 
 
 class Balancer(LatencyEstimates, Subset, Ejection, SlowStart, LoadShedding, Retries):
     """The decisions of one node, from its own traffic only.
 
-    Each base class makes one kind of decision, from its own state and the arguments that it is given here.
+    Each base class makes one kind of decision, from its own state and the arguments of its methods.
     """
 
     def __init__(self, settings: Settings, seed: int, actions: Actions) -> None:
@@ -68,7 +68,7 @@
         self.waiting: deque[Request] = deque()
         self.window_at = 0
         self.list_failures = 0
-        self.blocked = 0  # refused requests (statistic rq_blocked)
+        self.blocked = 0  # requests refused by this node (statistic rq_blocked)
         self.rank_classes(self.mean_rtt)
 
     def start(self, now: int) -> None:
@@ -81,7 +81,7 @@
 
     def server_list(self, now: int, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
         if kind == ListKind.FAILED:
-            # Only a requested list can fail. The retry is jittered and well within the longest delay allowed.
+            # Only a requested list can fail. The next request is jittered and well within `list_ask_within`.
             self.list_failures += 1
             base = max(self.settings.tick, self.settings.list_ask_within // 20)
             delay = min(base << min(self.list_failures - 1, 3), max(base, self.settings.list_ask_within // 4))
@@ -89,7 +89,7 @@
             return
         if kind != ListKind.CACHED:
             self.list_failures = 0
-        latest = {e.server: e for e in entries}  # the last entry of a server counts
+        latest = {e.server: e for e in entries}  # the last entry if there are several
         if kind != ListKind.CHANGES:
             for server in self.servers.values():
                 if server.in_list and server.id not in latest:
@@ -119,13 +119,13 @@
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
         s = self.settings
-        # Failure prevented: a request of an unknown class is retried as some other class may be.
+        # Failure prevented: a request of an unknown class is retried by the rules of another class.
         known = klass < len(s.classes)
         klass = min(klass, len(s.classes) - 1)
         c = s.classes[klass]
         useful = time_left
         if c.late_worth <= 0 and c.aim - 2 * s.tick < useful:
-            # An answer after the aim would be worth nothing, so no attempt may run longer than that.
+            # An answer after its latency target (`aim`) has no worth here, so no attempt may run longer.
             useful = max(s.tick, c.aim - 2 * s.tick)
         req = Request(request, klass, c.effect if known else Effect.UNSAFE, now + useful)
         self.requests[request] = req
@@ -134,7 +134,7 @@
         if self.resize_needed(ctl.in_flight):
             self.update_members(now)
         if s.tier == 0:
-            # Trunk reservation: classes of low worth leave one headroom, sqrt(limit), free for the others;
+            # Trunk reservation: classes of low worth leave one headroom (sqrt(limit)) free for the others;
             # tenants over quota leave two.
             over, clear = self.over_share(now, tenant)
             spare = self.rank[klass] + 2 * over
@@ -201,7 +201,7 @@
         """Not used: a node decides from its own traffic only."""
 
     def stats(self) -> dict[str, float]:
-        """Statistics, under the filter's names where it has them."""
+        """Statistics, by the names that the published filter (docs/design.md) uses, as far as it has them."""
         c = self.controller
         return {
             "concurrency_limit": c.effective_limit(),
@@ -227,7 +227,7 @@
             return
         timeout = req.useful_until - now
         if srv.excluded and req.effect != UNSAFE:
-            # The trial of an ejected server must leave time for another attempt.
+            # The trial of an ejected server must leave time for an attempt at another server.
             timeout = min(timeout, max(self.settings.tick, int(SILENT_FACTOR * self.mean_rtt[req.klass])))
         if srv.in_flight == 0:
             srv.quiet_since = now
@@ -266,7 +266,7 @@
             self.actions.fail(req.id)
 
     def enqueue(self, now: int, req: Request) -> None:
-        """Queues the call until a slot is free, for up to half of its time left, as many calls as the limit.
+        """Queues a call until the limit admits it, for up to half of its time left; up to `limit` calls wait.
 
         Below the first tier a refusal would waste the work that the tiers above have already done.
         """
@@ -295,7 +295,7 @@
         srv.quiet_since = now
         if srv.cold_until <= now and (outcome in NEVER_RAN or outcome == RESET):
             # Only calls that the server accepted count. Failure prevented: a server that rejects or resets
-            # most calls restarts, and its slow-start share, taken from all calls sent, overloads it.
+            # most calls restarts, and its slow-start share, derived from all calls sent, overloads it.
             self.warm_sent -= 1
         if outcome in UNINFORMATIVE:
             # Failure prevented: a client disconnects during a trial, and no other trial ever starts.
@@ -334,7 +334,7 @@
         srv.trial_in_flight = False
 
     def end_window(self, now: int) -> None:
-        """Updates the warm rate, class ranks and spill between zones, at most once per window."""
+        """Updates the rate of warm members, class ranks and the share of calls that leave the zone."""
         span = now - self.window_at
         self.window_at = now
         self.update_warm_rate(now, span, self.members, late=self.controller.sample_rtt > 1)
@@ -362,7 +362,7 @@
                 del self.servers[srv.id]
 
     def update_members(self, now: int) -> None:
-        """Selects the members again and adapts ejections and the limit to them."""
+        """Selects the members again; ends ejections that are no longer allowed and adapts the limit."""
         self.select_members()
         for srv in [e for e in self.ejected if not e.member]:
             self.readmit(srv)
@@ -376,7 +376,7 @@
         self.update_eligible()
 
     def update_capacity(self, now: int) -> None:
-        """Estimates the capacity of all listed servers from that of the members, for the controller."""
+        """Sets the controller's capacity: that of all listed servers, extrapolated from the members."""
         if self.members:
             warmth = sum([self.warmth(now, m) for m in self.members if not m.unreachable])
             self.controller.set_capacity(self.listed * warmth / len(self.members))
@@ -386,7 +386,7 @@
         self.controller.in_flight += self.update_eligible_members()
 
     def eject(self, now: int, srv: Server, silent: bool, unreachable: bool = False) -> None:
-        # Failure prevented: a drained server's last calls fail, it is ejected and later gets a trial call.
+        # Failure prevented: a draining server's last calls fail, it is ejected and later gets a trial call.
         if not srv.member or not srv.ejected and not self.can_eject(len(self.members), unreachable):
             return
         if not srv.ejected:
@@ -405,9 +405,9 @@
         self.update_eligible()
 
     def eject_if_silent(self, now: int, srv: Server, least: float) -> bool:
-        """Ejects a member with calls in flight and no outcome for several mean round trips; if it is ejected.
+        """Ejects a member that has calls but no outcome for several round trips; returns if it is ejected.
 
-        A single call may be a long one and counts after twice that time. `least`: the least mean round trip.
+        A single call may be long, so it has twice that time. `least`: the lowest mean round trip of a class.
         """
         if srv.in_flight and now - srv.quiet_since > SILENT_FACTOR * least:
             longest = SILENT_FACTOR * max(self.mean_rtt) * (2 if srv.in_flight == 1 else 1)
@@ -416,7 +416,7 @@
         return srv.ejected
 
     def draw(self, now: int, req: Request) -> Server | None:
-        """The server for an attempt: one whose trial is due, or the less loaded of two random members."""
+        """The server for an attempt: an ejected one whose trial is due, or the less loaded of two members."""
         effect = req.effect
         if req.ran_on is not None and effect == KEYED:
             return self.draw_in_group(now, req)
@@ -439,7 +439,7 @@
         mean = min(self.mean_rtt)
         for _ in range(3):
             a, slow_a = self.pick(now, pool, mean)
-            # With weights both may be the same one, else servers of low weight get more than their share.
+            # With weights, one server may be drawn twice, else those of low weight get more than their share.
             b, slow_b = self.pick(now, pool, mean, None if self.weighted else a)
             # Compares the expected time for all calls in flight, including this one; calls count more at a
             # server that an operator gave a lower weight.
@@ -458,7 +458,7 @@
     def pick(
         self, now: int, pool: list[Server], mean: float, other: Server | None = None
     ) -> tuple[Server, float]:
-        """A random member other than `other`, and its slowness. A slow one is rejected in proportion.
+        """A random member other than `other`, and its slowness; slower ones are rejected more often.
 
         Failure prevented: among few members, two slow ones are often drawn together and stay overloaded.
         """
--- a/brackenladder/policy/ejection.py
+++ b/brackenladder/policy/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: members that fail more than others, do not answer or refuse connections; and trials."""
+"""Outlier ejection of members that fail, stay silent or refuse connections, and their trials afterwards."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,13 +9,13 @@
 
 # Module constants, because enum members are slow to look up and these are needed for every outcome.
 TIMEOUT, REJECTED, CONNECT_FAILED = Outcome.TIMEOUT, Outcome.REJECTED, Outcome.CONNECT_FAILED
-EJECT_SHARE = 0.34  # largest share of the members that may be ejected, not counting unreachable ones
-DEAD_SHARE = 0.75  # largest share that may be ejected including unreachable members
-UNREACHABLE_DOUBLINGS = 1  # doublings of the ejection time if connects fail, as trials then cost no work
-MAX_DOUBLINGS = 4  # doublings of the ejection time of any other server
-EJECT_FAILS = 3  # consecutive failures, or recent calls, needed for an ejection
-EJECT_RATE = 0.3  # ejected when the failure rate exceeds that of the subset by this much
-EJECT_TIME = 2_000_000  # microseconds of the first ejection
+EJECT_SHARE = 0.34  # largest share of members that may be ejected for other causes than failed connects
+DEAD_SHARE = 0.75  # largest share of members that may be ejected for any cause
+UNREACHABLE_DOUBLINGS = 1  # most doublings of EJECT_TIME if connects fail; trials then cost no work
+MAX_DOUBLINGS = 4  # most doublings of EJECT_TIME for other causes
+EJECT_FAILS = 3  # least failures in a row, or least calls for a failure rate, before an ejection
+EJECT_RATE = 0.3  # a member is ejected if its failure rate exceeds that of the subset by this much
+EJECT_TIME = 2_000_000  # microseconds for which a server is ejected the first time
 EJECT_JITTER = 0.1
 
 
@@ -43,22 +43,22 @@
             return (False, False) if srv.trial_in_flight else None
         if srv.fails_in_row >= EJECT_FAILS and outcome == CONNECT_FAILED:
             # Failure prevented: a zone is lost and most members fail about as often as the mean, so none is
-            # an outlier; calls fail for seconds, until the server list is updated.
+            # an outlier, and calls fail for seconds until the server list is updated.
             return False, True
         in_row = srv.fails_in_row >= EJECT_FAILS and srv.fail_rate > self.fail_rate * 2
         if in_row or srv.calls >= EJECT_FAILS and srv.fail_rate > EJECT_RATE + self.fail_rate:
-            # Failure prevented: a member that fails fast has few calls in flight and so is chosen most often.
+            # Failure prevented: a member that fails fast has few calls in flight, so it is chosen most often.
             return False, False
         return None
 
     def can_eject(self, members: int, unreachable: bool, more: int = 1) -> bool:
-        """Whether `more` of the members may be ejected. The limit for reachable servers is lower."""
+        """Whether `more` members may be ejected in addition; the limit for reachable servers is lower."""
         ejected = len(self.ejected) + more
         failing = ejected - sum([e.unreachable for e in self.ejected]) - (more if unreachable else 0)
         return failing <= EJECT_SHARE * members and ejected <= DEAD_SHARE * members
 
     def mark_ejected(self, now: int, srv: Server, silent: bool, unreachable: bool) -> None:
-        """Ejects the server until its trial. The ejection time doubles with each ejection."""
+        """Ejects the server until its next trial; the time doubles with each ejection up to a bound."""
         if not srv.ejected:
             srv.ejected = True
             srv.unreachable = unreachable
@@ -79,7 +79,7 @@
             self.next_trial = min(e.trial_at for e in self.ejected)
 
     def start_trial(self, now: int, may_send: Callable[[int, Server], bool]) -> Server | None:
-        """Starts the trial of an ejected server whose trial is due; None if there is none."""
+        """Returns an ejected server that is due for a trial, a real call; None if there is none."""
         for srv in self.ejected:
             if srv.trial_at <= now and not srv.trial_in_flight and may_send(now, srv):
                 srv.trial_in_flight = True
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -1,6 +1,6 @@
-"""How many calls this node keeps in flight: a gradient controller.
+"""The limit on the calls in flight of this node, by the gradient algorithm of adaptive concurrency control.
 
-It follows the adaptive concurrency filter that docs/design.md names, with its constants where it has any.
+Each window, limit = limit * (min_rtt + buffer) / sample_rtt + sqrt(limit); docs/design.md names the source.
 """
 
 from collections.abc import Sequence
@@ -8,32 +8,32 @@
 from math import ceil, sqrt
 from random import Random
 
-# Constants of the filter. A pass is a period with a low limit in which the minimum round trip is measured.
-WINDOW = 100_000  # microseconds: least length of a sampling window
-PERCENTILE = 0.9  # the percentile of the samples of a window or pass that is used
-MIN_LIMIT = 3  # calls per member during a pass and, over all nodes, as the floor; least limit of a pass
+# Constants of the published filter. In a pass, the limit is low and the minimum round trip is measured.
+WINDOW = 100_000  # microseconds: shortest sampling window, after which the limit is adapted
+PERCENTILE = 0.9  # percentile of the latencies in a window or pass that is used as its round trip
+MIN_LIMIT = 3  # calls: limit per member in a pass, floor per member over all nodes, least pass limit
 PASS_INTERVAL = 60_000_000
 PASS_JITTER = 0.1
-WINDOWS_AT_MIN = 5  # consecutive windows at the floor that start a pass
-PASS_CALLS = 50  # most calls that a pass needs
-GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # bounds on the change of the limit by one window
-
-# Constants that the filter leaves open.
-WINDOW_SAMPLES = 80  # a window is closed when it has this many samples
-WINDOW_STRETCH = 10  # a window with fewer samples is closed after this multiple of its least length
-FULL_WINDOW = 8  # a window with fewer samples than this changes the limit only in proportion
-LEVEL_TIME = 1_000_000  # longest averaging time of calls in flight where many nodes share the servers
-BUFFER = 0.25  # least buffer_pct
-AIM_SHARE = 0.5  # the buffer extends min_rtt up to this share of a class's aim
-MAX_AIM_SHARE = 0.75  # min_rtt + B is never more than this share of a class's aim
-MAX_LOSS = 0.05  # when the subset fails a larger share of calls, fewer are kept in flight
-USUAL_TIME = 3_000_000  # smoothing time of the usual number of calls in flight
-RAMP_RTTS = 2  # smoothing time of the usual number after a start, in mean round trips
-USUAL_FADE = 12_000_000  # time constant with which the usual number falls while calls fail
-USUAL_MULTIPLE = 2.0  # the limit is at most about this multiple of the usual number of calls in flight
-CAPACITY_POWER = 3  # the limit falls with this power of the decrease of the servers' capacity
-PASS_FLOORS = 2  # a pass's limit and a first limit, in floors: 6 calls a server from all nodes together
-CEILING = 1.5  # the limit may always grow to this multiple of a pass's limit
+WINDOWS_AT_MIN = 5  # a pass starts after this many consecutive windows with the limit at the floor
+PASS_CALLS = 50  # samples after which a pass ends once it has its least length
+GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # bounds on the factor by which one window changes the limit
+
+# Constants for which the filter specifies no value, and those of additions to it.
+WINDOW_SAMPLES = 80  # samples after which a window ends once it has its least length
+WINDOW_STRETCH = 10  # a window ends after this multiple of WINDOW even if it has fewer than WINDOW_SAMPLES
+FULL_WINDOW = 8  # samples; a window with fewer changes the limit only in proportion to their number
+LEVEL_TIME = 1_000_000  # microseconds: calls in flight are averaged over at most this, if nodes share servers
+BUFFER = 0.25  # least allowed increase of latency over min_rtt, relative to min_rtt
+AIM_SHARE = 0.5  # min_rtt plus buffer may always reach this share of a class's latency target (`aim`)
+MAX_AIM_SHARE = 0.75  # min_rtt plus buffer never exceeds this share of a class's latency target
+MAX_LOSS = 0.05  # share of failed calls above which the limit may fall below the usual calls in flight
+USUAL_TIME = 3_000_000  # microseconds: smoothing time of `usual`, the mean calls in flight at good latency
+RAMP_RTTS = 2  # smoothing time of `usual` just after a start, in mean round trips
+USUAL_FADE = 12_000_000  # microseconds: time constant with which `usual` falls while calls fail
+USUAL_MULTIPLE = 2.0  # the limit grows to at most this multiple of `usual` plus MIN_LIMIT, or to CEILING
+CAPACITY_POWER = 3  # a decrease of the servers' capacity by a factor x lowers the limit by x to this power
+PASS_FLOORS = 2  # limit at first and in a pass, in floors: 6 calls per server over all nodes
+CEILING = 1.5  # the limit may always grow to this multiple of the limit in a pass
 
 
 def percentile(samples: list[float], share: float) -> float:
@@ -48,9 +48,9 @@
 
     Each latency is divided by its class's target, min_rtt + B. With one class this gives the filter's
     gradient (min_rtt + B) / sample_rtt; with several, a change of their mix does not look like overload.
-    B = min_rtt x buffer_pct, where buffer_pct is BUFFER, or as much more as lets min_rtt + B reach
-    `allowance`: the part of the class's aim that a round trip may take, since any answer within the aim has
-    full worth.
+    B is BUFFER x min_rtt, or more if min_rtt + B would else be less than `allowance`: the part of the
+    class's latency target that a round trip may take. Any answer within the target has full worth, so a
+    shorter round trip gains nothing.
     """
 
     allowance: Sequence[int]
@@ -60,23 +60,23 @@
     min_rtt: list[float] = field(init=False)  # by class, microseconds; 0 until measured
     target: list[float] = field(init=False)  # by class, microseconds: min_rtt + B as described above
     members: int = 1
-    copies: float = 1.0  # number of nodes that use each member
-    sharing: float = 1.0  # number of nodes that share the headroom with this one
+    copies: float = 1.0  # nodes that send to the same member, on average
+    sharing: float = 1.0  # nodes over which the growth of the limit is divided, including this one
     capacity: float = 0.0  # capacity of the listed servers, in units of a warm server
     floor: float = float(MIN_LIMIT)
     pass_limit: float = float(MIN_LIMIT)
     limit: float = float(MIN_LIMIT)
     in_flight: int = 0
-    level: float = 0.0  # calls in flight, possibly averaged: what is compared with the limit
+    level: float = 0.0  # what is compared with the limit: calls in flight, averaged if nodes share servers
     level_at: int = field(init=False)
     flight_sum: int = 0
     latency_sum: int = 0
-    ramping: bool = True  # after a start, while the limit is reached and latency within target
+    ramping: bool = True  # True after a start, as long as the limit is reached and latency is within target
     lost: float = 0.0  # share of calls that ended without an answer, smoothed
     usual: float = 0.0  # calls in flight while latency was within target, smoothed
     samples: list[float] = field(default_factory=list)
     window_start: int = field(init=False)
-    sample_rtt: float = 0.0  # the last window's percentile, relative to min_rtt + B
+    sample_rtt: float = 0.0  # the last window's latency percentile, relative to min_rtt + B
     gradient: float = 1.0
     at_min: int = 0
     passes: int = 0
@@ -98,13 +98,13 @@
         self.copies = copies
         self.update_sharing()
         # Failure prevented: in a rolling restart each node starts with a higher limit than the others have
-        # adapted to, until the sum of the limits overloads every server.
+        # adapted to, and the sum of the limits overloads every server.
         self.limit = max(self.limit, PASS_FLOORS * self.floor if self.passes == 0 else self.floor)
 
     def set_capacity(self, capacity: float) -> None:
         """Sets the servers' capacity, in units of a warm server, and lowers the limit if it decreased.
 
-        Failure prevented: servers leave, all nodes keep the limits of the whole tier, and the remaining
+        Failure prevented: servers leave, all nodes keep limits that fit the larger number, and the remaining
         servers are overloaded before latency shows it. The limit falls faster than the capacity, since the
         calls in flight at the leaving servers will be sent again to the others.
         """
@@ -117,9 +117,9 @@
     def update_sharing(self) -> None:
         """Updates how many nodes share the headroom, and the floor and pass limit that follow from it.
 
-        A node that carries many calls sees the load that it causes and uses the filter's formulas. Where each
-        carries hardly a call, the headroom is divided by the number of nodes, as the floor always is, and the
-        pass limit by the root of it, with PASS_FLOORS floors at most.
+        A node with many calls in flight sees the load that it causes and uses the filter's formulas. If nodes
+        have less than about one call in flight each, the headroom is divided by their number, as the floor
+        always is, and the pass limit, at most PASS_FLOORS floors, by the square root of their number.
         """
         self.sharing = max(1.0, self.copies / (1 + self.usual))
         self.floor = MIN_LIMIT * self.members / max(1.0, self.copies)
@@ -127,16 +127,16 @@
         self.pass_limit = max(float(MIN_LIMIT), limit)
 
     def headroom(self) -> float:
-        """By how much the limit grows in a window: its square root, for all sharing nodes together."""
+        """The growth of the limit per window; over all sharing nodes it is the root of the sum of limits."""
         return sqrt(self.limit / self.sharing)
 
     def track_in_flight(self, now: int, change: int = 0) -> None:
-        """Updates the level, and adds `change` to the calls in flight.
+        """Updates `level`, which is compared with the limit, and adds `change` to the calls in flight.
 
-        The level is what is compared with the limit. It is the number of calls in flight if this node shares
-        the servers with no other one, and else their mean over a time of up to LEVEL_TIME.
+        It is the number of calls in flight if this node shares the servers with no other node, and otherwise
+        the mean of that number over a time of up to LEVEL_TIME.
         Failure prevented: a node with less than one call in flight on average sometimes has two by chance.
-        That says nothing of the total over all nodes, and refusing the second call relieves no server.
+        Two calls here say nothing about the total of all nodes, and refusing one relieves no server.
         """
         if self.sharing == 1:
             self.in_flight += change
@@ -149,7 +149,7 @@
         self.level_at = now
 
     def admits(self, now: int, spare: float) -> bool:
-        """Whether a call may start with `spare` headrooms left unused below the limit."""
+        """Whether a call may start if `spare` times the headroom must stay unused below the limit."""
         self.track_in_flight(now)
         return self.level + spare * self.headroom() < self.effective_limit()
 
@@ -168,7 +168,7 @@
         for klass, samples in enumerate(self.pass_samples):
             if len(samples) >= MIN_LIMIT:
                 self.min_rtt[klass] = percentile(samples, PERCENTILE)
-                # Failure prevented: with a min_rtt measured under load, queues grow beyond the aim.
+                # Failure prevented: a min_rtt measured under load lets queues grow beyond the latency target.
                 most = MAX_AIM_SHARE / AIM_SHARE * self.allowance[klass]
                 self.target[klass] = min(max(self.min_rtt[klass] * (1 + BUFFER), self.allowance[klass]), most)
         self.in_pass = False
@@ -183,7 +183,7 @@
         if self.in_pass:
             self.pass_samples[klass].append(latency)
             self.pass_count -= 1
-            # Failure prevented: a pass that ends with its last needed answer has seen only the short calls.
+            # Failure prevented: a pass that ends as soon as it has its samples has measured only short calls.
             if now >= self.pass_until + (0 if self.pass_count <= 0 else 2 * WINDOW * WINDOW_STRETCH):
                 self.end_pass(now)
             return
@@ -193,7 +193,7 @@
         self.close_window(now)
 
     def failure(self, now: int, klass: int) -> None:
-        """Records a failed call while the whole subset fails: a sign of overload, no sample of min_rtt."""
+        """Records a failed call while most members fail: a sign of overload, but no sample for min_rtt."""
         if not self.in_pass:
             self.sample(now, klass, int(2 * self.target[klass]))
         elif now >= self.pass_until:
@@ -210,12 +210,12 @@
         self.window_start = now
         self.gradient = min(GRADIENT_HIGH, max(GRADIENT_LOW, 1.0 / max(self.sample_rtt, 1e-9)))
         limit = self.gradient * self.limit + self.headroom()
-        # Failure prevented: with few calls a window's percentile is one random latency, and halves the limit.
+        # Failure prevented: with few calls, one random latency is a window's percentile and halves the limit.
         limit = self.limit + min(1.0, count / FULL_WINDOW) * (limit - self.limit)
         self.update_usual(age, count)
         self.update_sharing()
         self.limit = max(min(limit, self.max_limit(), self.ceiling), self.min_limit(age))
-        # Failure prevented: overload lowers the limit to `usual`; a pass each time would stop a busy node.
+        # Failure prevented: a pass after each overload, which lowers the limit to `usual`, stops a busy node.
         self.at_min = self.at_min + 1 if self.limit <= self.floor else 0
         if self.at_min >= WINDOWS_AT_MIN or now >= self.next_pass:
             self.start_pass(now)
@@ -242,20 +242,20 @@
         """The highest value that the limit may grow to.
 
         Failure prevented: a limit that is never reached grows without bound while traffic is low, and then
-        stops no burst. If each of many nodes had the headroom of a single one, the sum of their limits would
-        overload the servers several times over before latency shows it.
+        admits any burst. If each of many nodes had the headroom of a single one, the sum of their limits
+        would overload the servers several times over before latency shows it.
         """
         return max(CEILING * self.pass_limit, USUAL_MULTIPLE * self.usual + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
         """The lowest value that the limit may fall to: the calls in flight while latency was within target.
 
-        Failure prevented: if all servers are slow for another reason than load, no limit makes them faster,
-        and the gradient would have all nodes refuse nearly everything.
+        Failure prevented: if all servers are slow for another reason than load, the gradient lowers limits
+        until all nodes refuse nearly everything, which makes no server faster.
         """
         kept = (1 - self.lost) ** 2 if self.lost > MAX_LOSS else 1.0
         if self.sample_rtt > 1 and self.lost > MAX_LOSS:
-            # Failure prevented: servers that slow down under load stay overloaded by the calls that they
-            # carried before. If calls also fail, fewer calls in flight let them recover.
+            # Failure prevented: servers that slow down under load stay overloaded by as many calls as
+            # they served before. If calls also fail, fewer calls in flight let them recover.
             self.usual -= min(1.0, age / USUAL_FADE) * self.usual
         return max(self.floor, self.usual * kept)
--- a/brackenladder/policy/load_shedding.py
+++ b/brackenladder/policy/load_shedding.py
@@ -7,13 +7,13 @@
 
 from brackenladder.interface import Settings
 
-TENANT_TIME = 8_000_000  # microseconds over which a tenant's traffic is counted
-EXCESS = 1.25  # a tenant is clearly over quota above this multiple of the count that its quota allows
-EXCESS_NOISE = 1.5  # standard deviations of the count that are added to that threshold
-SHED_AT = 0.6  # more of the clear excess is refused while latency / target is above this
-SHED_GAIN = 0.06  # change of the refused share per answer, at a distance of 1 from SHED_AT
-SHED_HASTE = 3  # additional gain for late answers, growing with the distance above SHED_AT
-SHED_LATE = 3.0  # latency / target counts as at most this
+TENANT_TIME = 8_000_000  # microseconds: time window of the decaying counts of a tenant's traffic
+EXCESS = 1.25  # a tenant is clearly over quota above this multiple of its allowed requests
+EXCESS_NOISE = 1.5  # standard deviations of the allowed requests that are added to the EXCESS threshold
+SHED_AT = 0.6  # latency / target above which more requests of tenants clearly over quota are refused
+SHED_GAIN = 0.06  # change of the refused share per answer and unit of (latency / target - SHED_AT)
+SHED_HASTE = 3  # relative increase of SHED_GAIN per unit of latency / target above SHED_AT
+SHED_LATE = 3.0  # upper bound of latency / target in this calculation
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +25,7 @@
     seen: float = 0.0  # requests of the last TENANT_TIME, decaying
     due: float = 1.0  # requests that the quota allowed in TENANT_TIME, decaying; starts with one
 
-    def decay(self, now: int) -> None:  # also adds the quota for the time since the last call
+    def decay(self, now: int) -> None:  # also adds what the quota allowed since the last call
         span = now - self.at
         keep = 1 - span / TENANT_TIME if span < TENANT_TIME else 0.0
         self.seen *= keep
@@ -34,7 +34,7 @@
 
 
 class LoadShedding:
-    """Tenants' use of their quotas, the ranks of the classes, and the share of excess that is refused."""
+    """Which tenants are over quota, the ranks of the classes, and the share of excess traffic to refuse."""
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         self.settings = settings
@@ -46,8 +46,8 @@
     def over_share(self, now: int, tenant: int) -> tuple[bool, bool]:
         """Whether the request counts as over its tenant's quota, and whether the tenant is clearly over it.
 
-        A tenant's recent traffic is compared with this node's equal part of its quota. On a node with far
-        more than its part of all traffic, the median tenant's excess raises that part for all tenants.
+        A tenant's recent traffic is compared with its quota divided by the number of nodes. On a node with
+        more traffic than others, the median tenant's excess raises the threshold for all tenants.
         """
         if tenant >= len(self.tenants) or self.tenants[tenant].rate <= 0:
             return False, False
@@ -61,13 +61,13 @@
         return over, over and mine.seen > EXCESS * due + EXCESS_NOISE * sqrt(due) + 1
 
     def rank_classes(self, mean_rtt: Sequence[float]) -> None:
-        """Gives rank 1 to classes whose worth per unit of latency is under half of the best class's."""
+        """Gives rank 1, refused first, to classes with under half the worth per latency of the best class."""
         density = [c.worth / max(1.0, mean_rtt[i]) for i, c in enumerate(self.settings.classes)]
         best = max(density)
         self.rank = [int(d < best / 2) for d in density]
 
     def update_shed(self, ratio: float) -> None:
-        """Adapts the refused share of the excess to the latency of an answer, relative to its target.
+        """Adapts the refused share of excess traffic to an answer's latency. `ratio`: latency / target.
 
         Failure prevented: low-value traffic overloads the servers before enough of it is refused.
         """
--- a/brackenladder/policy/retry.py
+++ b/brackenladder/policy/retry.py
@@ -7,8 +7,8 @@
 
 from .server import Server
 
-RETRY_RATIO = 0.1  # retries allowed for each first attempt
-LEAST_TOKENS = 3.0  # retry tokens that may be saved up, or the square root of the limit if that is more
+RETRY_RATIO = 0.1  # retry tokens earned by each first attempt
+LEAST_TOKENS = 3.0  # capacity of the token bucket, or the square root of the concurrency limit if larger
 CONNECT_FAILED = Outcome.CONNECT_FAILED
 
 
@@ -21,8 +21,8 @@
     effect: Effect
     useful_until: int
     attempts: int = 0
-    current_server: Server | None = None  # server of the attempt in flight
-    ran_on: Server | None = None  # the first server that may have run it
+    current_server: Server | None = None  # server of the attempt in flight; None: no attempt
+    ran_on: Server | None = None  # the first server that may have run the request
     ran_at: int = 0
     answering: bool = False  # the answer has started
     queued: bool = False
@@ -49,13 +49,13 @@
 
 
 class Retries:
-    """A token bucket that limits retries to a share of first attempts, since retries multiply over tiers."""
+    """A token bucket that limits retries to a share of first attempts: retries of several tiers multiply."""
 
     def __init__(self) -> None:
         self.retry_tokens = LEAST_TOKENS
 
     def earn(self, limit: float) -> None:
-        """Adds the tokens for a first attempt; `limit`: calls that this node may have in flight."""
+        """Adds the tokens for a first attempt; `limit`: this node's concurrency limit."""
         tokens, most = self.retry_tokens + RETRY_RATIO, sqrt(limit)
         if most < LEAST_TOKENS:
             most = LEAST_TOKENS
@@ -63,7 +63,7 @@
 
     def spend(self, outcome: Outcome) -> bool:
         """Takes a token for a retry after this outcome; False if there is none."""
-        if outcome == CONNECT_FAILED:  # free: it cost no server any work
+        if outcome == CONNECT_FAILED:  # needs no token: the failed attempt cost no server any work
             return True
         if self.retry_tokens < 1:
             return False
--- a/brackenladder/policy/server.py
+++ b/brackenladder/policy/server.py
@@ -5,17 +5,17 @@
 
 from brackenladder.interface import ServerEntry
 
-SMOOTH = 0.1  # weight of the newest sample in a server's averages
+SMOOTH = 0.1  # weight of the newest sample in the averages of one server
 SMOOTH_ALL = 0.02  # weight of the newest sample in averages over the whole subset
 PRIOR = 3.0  # the initial value of an average counts as this many samples
-MAX_RATIO = 8.0  # a round trip counts as at most this multiple of the mean
-FAIL_WEIGHT = 8  # a server that fails all its calls counts as this many times slower
+MAX_RATIO = 8.0  # upper bound of a sample, as a multiple of the mean round trip
+FAIL_WEIGHT = 8  # slowness is multiplied by 1 + this times the failure rate
 FADE = 5_000_000  # microseconds without an outcome after which a server's own measurements no longer count
 
 
 @dataclass(slots=True, eq=False)
 class Average:
-    """A running mean, arithmetic at first, later exponential; it starts as `weight` samples of `value`."""
+    """A running mean, arithmetic at first, later exponential; `value` at first counts as `weight` samples."""
 
     value: float
     weight: float
@@ -42,9 +42,9 @@
     def __init__(self, entry: ServerEntry, kind_ratio: Average) -> None:
         self.id = entry.server
         self.kind_id = entry.kind
-        self.kind_ratio = kind_ratio  # round trips to servers of this kind, relative to the class's mean
+        self.kind_ratio = kind_ratio  # round trips to servers of this kind of machine, relative to the mean
         self.in_list = self.member = self.ejected = self.trial_in_flight = False
-        self.excluded = False  # ejected, and its calls do not count against the concurrency limit
+        self.excluded = False  # its calls do not count against the concurrency limit, since it is ejected
         self.shuffle_key = 0  # sort key in the shuffled order of the servers
         self.share = 1.0  # weight set by an operator
         self.weight_penalty = 1.0  # highest weight of the eligible members, divided by this server's weight
@@ -55,17 +55,17 @@
     def renew(self, entry: ServerEntry) -> None:
         """Discards all measurements, because the server's process has been replaced."""
         self.ready_at = entry.ready_at
-        self.latency_ratio = Average(1.0, PRIOR, SMOOTH)  # this server's round trips, relative to its kind's
+        self.latency_ratio = Average(1.0, PRIOR, SMOOTH)  # round trips, relative to those of its kind
         self.fail_rate = self.tokens = 0.0
         self.fails_in_row = self.calls = self.trial_at = self.ejections = 0
         self.silent = False
-        self.unreachable = False  # ejected because connections to it failed
+        self.unreachable = False  # it is ejected, because connections to it failed
         self.cold_until = self.tokens_at = 0
 
     def slowness(self, now: int, mean_rtt: float) -> float:
-        """The expected round trip relative to the mean, from the server's kind, its own latency and failures.
+        """The expected round trip relative to the mean, by kind of machine, own latency and failures.
 
-        Failure prevented: a member found slow once is never drawn again, so its estimate is never updated.
+        Failure prevented: a member once measured as slow is never drawn again, so this is never corrected.
         Therefore the server's own part of the estimate fades while it has no outcomes.
         """
         quiet = now - self.quiet_since
@@ -74,21 +74,21 @@
             own = self.latency_ratio.value * (1 + FAIL_WEIGHT * self.fail_rate)
             slowness *= 1 + (own - 1) * (1 - quiet / FADE)
         if self.in_flight and quiet > mean_rtt:
-            # Failure prevented: a member that has just become slow looks fast until its calls return.
+            # Failure prevented: a member that has just become slow gets calls until the first ones return.
             slowness *= quiet / mean_rtt
         return slowness
 
 
 class LatencyEstimates:
-    """Mean round trips of each class, and ratios to them for each kind of server and for each server."""
+    """The mean round trip of each class, and the ratio to it of each kind of machine and each server."""
 
     def __init__(self, initial_rtt: Sequence[float]) -> None:
-        self.mean_rtt = list(initial_rtt)  # by class, in microseconds; a guess until measured
+        self.mean_rtt = list(initial_rtt)  # by class, in microseconds; assumed until measured
         self.rtt = [Average(m, PRIOR, SMOOTH_ALL) for m in self.mean_rtt]
         self.kind_ratios: dict[int, Average] = {}
 
     def new_server(self, entry: ServerEntry) -> Server:
-        """A server without measurements of its own: it starts with the estimate for its kind."""
+        """Creates a server, whose latency estimate starts with that of its kind of machine."""
         return Server(entry, self.kind_ratios.setdefault(entry.kind, Average(1.0, PRIOR, SMOOTH_ALL)))
 
     def record_latency(self, srv: Server, klass: int, latency: int) -> None:
--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -1,6 +1,6 @@
 """Slow start: limits what a server is sent while it warms up after a start, and just after.
 
-A server that gets over `fall_multiple` times its present capacity for `fall_time` fails (docs/design.md).
+A server fails if it gets over `fall_multiple` times its present capacity for `fall_time` (docs/design.md).
 """
 
 from collections.abc import Sequence
@@ -10,34 +10,34 @@
 
 from .server import Server
 
-COLD_PART = 0.6  # a cold server gets this part of `fall_multiple` times its least present capacity
-JUST_WARM = 0.5  # a server that has just warmed up may at once get its share of this part of `fall_time`
-GOLDEN = (sqrt(5) - 1) / 2  # the fractional parts of its multiples are evenly distributed
-RATE_TIME = 2_000_000  # microseconds over which the rate of a warm member is smoothed
+COLD_PART = 0.6  # part of the load limit (`fall_multiple` times capacity) that a cold server is sent
+JUST_WARM = 0.5  # initial fill of the bucket of a server that is just warm, as a part of `fall_time`
+GOLDEN = (sqrt(5) - 1) / 2  # multiples modulo 1 are evenly distributed
+RATE_TIME = 2_000_000  # microseconds over which the call rate of warm members is smoothed
 
 
 class SlowStart:
-    """Limits the calls to each cold server by a token bucket."""
+    """Limits the calls of this node to each cold server by a token bucket."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.warm_rate = 0.0  # calls a second that a warm member takes, smoothed
+        self.warm_rate = 0.0  # calls a second that this node sends to a warm member, smoothed
         self.warm_sent = 0  # calls to all warm members in this window
 
     def start_warming(self, now: int, srv: Server, ready_at: int) -> None:
         """Marks the server as cold if it became ready at `ready_at` and cannot be warm yet."""
-        # Failure prevented: the first server that is warm takes what the cold ones may not, and fails. The
-        # load on it is measured over `fall_time`, which may still include its last cold moments.
+        # Failure prevented: the first warm server gets all the calls that cold ones may not take, and fails:
+        # its load is measured over the last `fall_time`, in part of which it was still cold.
         cold_until = ready_at + self.settings.cold_time + self.settings.fall_time
         if ready_at > 0 and now < cold_until:
-            # Failure prevented: a restarted server looks idle, and all nodes together overload it.
+            # Failure prevented: a restarted server has no calls in flight, so all nodes overload it.
             if srv.cold_until == 0:
                 srv.tokens_at = now
                 srv.tokens = self.initial_tokens(srv)
             srv.cold_until = cold_until
 
     def initial_tokens(self, srv: Server) -> float:
-        """This node's first fill of the bucket: evenly distributed over the nodes.
+        """The first fill of this node's bucket for a server; the fills of all nodes are evenly distributed.
 
         Failure prevented: where many nodes send little each, their empty buckets fill up at the same moment:
         the cold server is idle for most of its warm-up, and then all nodes send at once.
@@ -46,20 +46,20 @@
         return position * (1 - 1 / self.settings.instances)
 
     def warmth(self, now: int, srv: Server) -> float:
-        """The part of its full capacity that the server has at least now."""
+        """The least part of its full capacity that the server has at `now`, from 0 to 1."""
         s = self.settings
         left = srv.cold_until - s.fall_time - now
         if left <= 0:
             return 1.0
-        # Failure prevented: a start time in the future, as listed, would give a negative capacity.
+        # Failure prevented: a listed start time in the future gives a negative capacity.
         return 1 - (1 - s.cold_share) * left / s.cold_time if left < s.cold_time else s.cold_share
 
     def may_send(self, now: int, srv: Server) -> bool:
         """Takes a token for a call to the server; False if it is cold and its bucket is empty.
 
-        A cold server gets a warm member's rate times its own present capacity times COLD_PART of the allowed
-        multiple. Most servers can do more than the settings say; one that cannot is slow and drawn less.
-        The bucket holds one call, which bounds this node's part in any window.
+        The bucket of a cold server fills at the rate of a warm member, times the server's present capacity,
+        times COLD_PART of `fall_multiple`. Most servers can take more; one that cannot gets slow and is
+        drawn less. The bucket holds one call, so that this node sends no bursts.
         Failure prevented: all nodes together overload a cold server.
         """
         if srv.cold_until <= now:
@@ -83,7 +83,7 @@
         return True
 
     def update_warm_rate(self, now: int, span: int, members: Sequence[Server], late: bool) -> None:
-        """Measures a warm member's rate at the end of a window. `late`: latency is above target."""
+        """Updates the call rate of a warm member after a window of length `span`. `late`: above target."""
         warm = 0
         for m in members:
             warm += m.cold_until <= now and not m.ejected
@@ -91,7 +91,7 @@
             rate = self.warm_sent * 1e6 / span / warm
             if late:
                 # Failure prevented: the warm members are overloaded, slow down and take fewer calls, which
-                # lowers the share of the cold ones, so that these stay idle while the overload lasts.
+                # lowers the rate allowed to cold ones, so that these stay idle while the overload lasts.
                 rate = max(rate, self.warm_rate)
             self.warm_rate = max(0.0, self.warm_rate + min(1.0, span / RATE_TIME) * (rate - self.warm_rate))
         self.warm_sent = 0
--- a/brackenladder/policy/subset.py
+++ b/brackenladder/policy/subset.py
@@ -1,4 +1,4 @@
-"""Which servers this node sends to: its slice of a shuffled order, and the calls that leave the zone."""
+"""Which servers this node sends to: a slice of all, in a shuffled order; and which calls leave the zone."""
 
 from bisect import bisect_left, insort
 from collections.abc import Iterator
@@ -11,22 +11,22 @@
 
 from .server import SMOOTH, SMOOTH_ALL, Server
 
-SUBSET_LEAST = 4  # members of a node with hardly any calls in flight
-SUBSET_MOST = 24  # most members of any node
-SUBSET_FLIGHT = 2  # members per call in flight, between SUBSET_LEAST and SUBSET_MOST
+SUBSET_LEAST = 4  # size of the subset of a node with hardly any calls in flight
+SUBSET_MOST = 24  # largest size of the subset of any node
+SUBSET_FLIGHT = 2  # size of the subset per call in flight, between SUBSET_LEAST and SUBSET_MOST
 SMOOTH_FLIGHT = 0.05  # weight of the newest sample in the mean number of calls in flight
 ZONE_PRICE = 0.01  # calls stay in their zone only if crossing costs at least this share of a request's worth
-CROSSING = 10  # weight of the crossing cost: twice the latency counts like a cost of a tenth of the worth
+CROSSING = 10  # a crossing cost of a tenth of a request's worth is accepted if crossing halves the latency
 SPILL_GAIN = 0.1  # change per window of the share of calls that may leave the zone, per unit of imbalance
 SPILL_STEP = 0.04  # largest change per window of the share of calls that may leave the zone
-UNVISITED = 0.05  # if a smaller share of calls may leave the zone, the others have too few to be measured
-BEST_DECAY = 1.001  # each window raises the remembered best latency of the zone by this factor
+UNVISITED = 0.05  # if a smaller share of calls may leave the zone, other zones get too few for measurements
+BEST_DECAY = 1.001  # factor on the remembered best latency of the zone in each window, to forget it in time
 
 SHUFFLE_ORDER = attrgetter("shuffle_key", "id")
 
 
 def mix(number: int, seed: int) -> int:
-    """A 64-bit hash of a server's number, the same on every node; each seed gives another order."""
+    """A 64-bit hash of a server's number, the same on every node; each seed sorts servers differently."""
     x = (number + seed * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF
     x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
     x = (x ^ (x >> 27)) * 0x94D049BB133111EB & 0xFFFFFFFFFFFFFFFF
@@ -34,13 +34,13 @@
 
 
 def positions(order: list[Server], shift: float, first: int) -> Iterator[tuple[float, int, Server]]:
-    """The servers of one kind from `first` on, evenly distributed over a circle of length 1."""
+    """The servers of one kind of machine, evenly spaced on a circle of length 1, from index `first` on."""
     for i in range(first, len(order)):
         yield (i + shift) / len(order), order[i].id, order[i]
 
 
 class Subset:
-    """The listed servers in shuffled order, this node's members, and the share of calls leaving the zone."""
+    """The listed servers in shuffled order, the subset of them that this node uses, and the spill."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -52,15 +52,15 @@
         self.best_ratio = 0.0
         self.shuffles: dict[
             int, dict[int, list[Server]]
-        ] = {}  # by zone (0 for all if calls need not stay in theirs) and kind
+        ] = {}  # by zone (0 for all servers if calls need not stay in their zone) and kind of machine
         self.rounds: dict[int, int] = {}  # seed of the shuffle, by zone
         self.members: list[Server] = []
         self.eligible_near: list[Server] = []  # members in this zone that are not ejected
         self.eligible: list[Server] = []  # all members that are not ejected
-        self.weighted = False  # an operator has set a weight
+        self.weighted = False  # an operator has set a weight for some server
         self.listed = 0  # number of ready servers in the list
         self.mean_in_flight = 0.0  # calls in flight, smoothed
-        self.size = SUBSET_LEAST  # wanted size when the members were last selected
+        self.size = SUBSET_LEAST  # size of the subset wanted when it was last selected
 
     def record_zone_ratio(self, zone: int, ratio: float) -> None:
         """Records latency / target of a call to a server of that zone."""
@@ -70,10 +70,10 @@
             self.far_ratio += SMOOTH_ALL * (ratio - self.far_ratio)
 
     def adjust_spill(self) -> None:
-        """Adapts the share of calls that may leave the zone, at the end of a window.
+        """Adapts the spill, the share of calls that may leave the zone, at the end of a window.
 
-        Failure prevented: one zone's servers are overloaded while another's are idle. Without measurements,
-        the other zones are assumed to be as fast as this one was at its best.
+        Failure prevented: one zone's servers are overloaded while another's are idle. Other zones
+        that get too few calls for measurements are assumed to be as fast as this one was at its best.
         """
         if self.near_ratio < self.best_ratio or self.best_ratio == 0:
             self.best_ratio = self.near_ratio
@@ -86,9 +86,9 @@
         self.spill = min(1.0, max(self.spill_least, self.spill))
 
     def resize_needed(self, in_flight: int) -> bool:
-        """Records the calls in flight; whether the subset is much too small or too large for them.
+        """Records the calls in flight; returns whether the subset is much too small or too large for them.
 
-        Failure prevented: a node that suddenly gets a large part of the traffic overloads a few servers.
+        Failure prevented: a node that suddenly gets a large part of the traffic overloads its few members.
         """
         self.mean_in_flight += SMOOTH_FLIGHT * (in_flight - self.mean_in_flight)
         return not self.size / 2 <= self.wanted_size() <= self.size * 1.25
@@ -110,10 +110,10 @@
         del order[bisect_left(order, SHUFFLE_ORDER(srv), key=SHUFFLE_ORDER)]
 
     def shuffle_slice(self, zone: int) -> list[Server]:
-        """This node's slice of a shuffled order in which the servers of each kind are evenly distributed.
+        """This node's slice of the shuffled servers, among which those of each kind are evenly distributed.
 
-        Failure prevented: by chance all few members of a node are of a slow kind and overloaded, while the
-        fast members of other nodes are idle.
+        Failure prevented: by chance, all members of a node are machines of a slow kind and are overloaded,
+        while the fast members of other nodes are idle.
         """
         kinds = self.shuffles.get(zone, {})
         n = sum(map(len, kinds.values()))
@@ -127,16 +127,16 @@
                 order.sort(key=SHUFFLE_ORDER)
         start, end = part * n // parts, (part + 1) * n // parts
         count = min(max(end - start, self.size), n)
-        # From `start` on and around the end; lazily, so that only the servers taken are looked at.
+        # From `start` on, then from the beginning; lazily, so that only the servers taken are processed.
         runs = (self.interleave(kinds, seed, n, first) for first in (start, 0))
         return [srv for _, _, srv in islice(chain.from_iterable(runs), count)]
 
     def interleave(
         self, kinds: dict[int, list[Server]], seed: int, n: int, start: int
     ) -> Iterator[tuple[float, int, Server]]:
-        """All `n` servers in the order of their positions on the circle, without the first `start`.
+        """The servers in the order of their positions on the circle, without the first `start` of all `n`.
 
-        Fewer than x * n + len(kinds) of them lie before a position x; those are skipped without a merge.
+        Fewer than x * n + len(kinds) servers lie before a position x; most of those are skipped unmerged.
         """
         runs, skipped = [], 0
         share = (start - len(kinds) - 1) / n if n else 0.0
@@ -148,10 +148,10 @@
         return islice(merge(*runs, key=itemgetter(0, 1)), start - skipped, None)
 
     def select_members(self) -> None:
-        """Selects this node's slice of an order of the servers that all nodes compute alike.
+        """Selects this node's members: a slice of the servers in an order that all nodes compute alike.
 
-        Nodes with consecutive indexes take consecutive slices; each round uses another shuffle. So a server
-        belongs to equally many nodes without communication, and a change of the list moves few members.
+        Consecutive nodes take consecutive slices, and reshuffle once all are taken. So each server is used by
+        equally many nodes without communication, and a change of the list changes few members.
         """
         self.listed = sum(len(o) for kinds in self.shuffles.values() for o in kinds.values())
         self.size = self.wanted_size()
@@ -165,9 +165,9 @@
             srv.member = True
 
     def update_eligible_members(self) -> int:
-        """Recomputes the eligible members; returns the change of the calls that count against the limit.
+        """Recomputes which members are not ejected; returns the change of calls that count against the limit.
 
-        Failure prevented: calls that hang at a silent member use up the limit for all the others.
+        Failure prevented: calls that hang at an ejected, silent member use up the limit for all others.
         """
         change = 0
         self.eligible = []
@@ -184,8 +184,8 @@
                 m.weight_penalty = most / m.share
         self.eligible_near = [m for m in self.eligible if m.zone == self.settings.zone]
         if self.zoned and self.eligible:
-            # Failure prevented: a zone with few eligible servers takes all calls of the one node in it. What
-            # this node has above its zone's part of all servers, if all nodes send alike, leaves the zone.
+            # Failure prevented: a zone with few eligible servers takes all calls of the one node in it. If
+            # all nodes send alike, what exceeds the zone's part of the eligible servers must leave the zone.
             part = len(self.eligible_near) * self.settings.instances / len(self.eligible)
             self.spill_least = max(0.0, 1 - part)
             self.spill = max(self.spill, self.spill_least)
--- a/brackenladder/prefix_cache/announcer.py
+++ b/brackenladder/prefix_cache/announcer.py
@@ -1,4 +1,4 @@
-"""Decides which of a gateway's own placements are announced to the other gateways."""
+"""Decides which of the prompts that a gateway sends to servers are announced to the other gateways."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 # Least tokens of a prefix that is worth a notice: a repeated prefill of 300 tokens costs 45 ms (see
 # placement/parameters.py), a notice of 45 bytes to some sixty gateways costs 10 ms.
 LEAST_SHARED = 300
-LEAST_UNCACHED = 4_000  # uncached tokens of a prompt that is announced because its prefill delays other calls
+LEAST_UNCACHED = 4_000  # prompts with as many uncached tokens are announced: their prefill delays other calls
 REPEAT_AFTER = 3_000_000  # microseconds after which a prefix that is still used is announced again
 MAX_REMEMBERED = 2_048  # pairs of server and prefix whose last announcement is remembered
-MAX_NOTICES = 32  # most notices of one message
+MAX_NOTICES = 32  # most notices in one message
 
 
 class PrefixAnnouncer:
-    """Collects notices until the host takes them; `on_pending` is called once per message to be taken."""
+    """Collects notices until the host takes them. `on_pending` is called once for each message."""
 
     def __init__(self, on_pending: Callable[[], None]) -> None:
         self._on_pending = on_pending
         self._pending: list[PrefixNotice] = []
-        self._announced_at: OrderedDict[tuple[int, int], int] = OrderedDict()  # by server and longest prefix
+        self._announced_at: OrderedDict[tuple[int, int], int] = OrderedDict()  # by (server, longest prefix)
 
     def record_placement(
         self, now: int, server: int, keys: Sequence[int], tokens: Sequence[int], uncached_tokens: int
     ) -> None:
-        """Records that a prompt is sent to a server. `keys`, `tokens`: of its shared prefixes."""
+        """Records that a prompt is sent to a server. `keys`, `tokens`: as in PrefixNotice."""
         shares = bool(keys) and sum(tokens) >= LEAST_SHARED
         is_new = shares and not self._announced_recently(now, server, keys[-1])
         if not is_new and uncached_tokens < LEAST_UNCACHED:
--- a/brackenladder/prefix_cache/early.py
+++ b/brackenladder/prefix_cache/early.py
@@ -8,7 +8,7 @@
 
 from brackenladder.prefix_cache.messages import PrefixNotice
 
-HOLD_TIME = 3_000_000  # microseconds that a notice waits for its server to become known
+HOLD_TIME = 3_000_000  # microseconds for which a notice is held until its server becomes known
 MAX_HELD = 512
 
 
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -1,13 +1,13 @@
 """Messages between gateways about prompts that were sent to servers and are cached there.
 
-Notices are hints: a lost one costs a repeated prefill, a wrong one a call to a more distant server.
+Notices are hints: a lost notice costs a repeated prefill, a wrong one a call to a more distant server.
 """
 
 from __future__ import annotations
 
 from attrs import frozen
 
-UNANSWERED_PRIORITY = 1_000_000  # weight of notices about unanswered calls, above that of any prefix
+UNANSWERED_PRIORITY = 1_000_000  # weight of notices about unanswered calls, above that of all other notices
 
 
 @frozen
@@ -15,11 +15,11 @@
     """Says that a prompt was sent to a server, which then has the prompt's shared prefixes cached."""
 
     server: int  # the server's number: `core.roster.number_of` of its id
-    keys: tuple[int, ...] = ()  # of the shared prefixes, the shortest first; empty if only load is reported
+    keys: tuple[int, ...] = ()  # of the shared prefixes, shortest first; empty: only load is reported
     tokens: tuple[int, ...] = ()  # tokens that each prefix adds to the one before it
-    uncached_tokens: int = 0  # prompt tokens that the server had to process
-    age: int = 0  # microseconds since the prompt was sent, when the notice is sent
-    unanswered_weight: int = 0  # weight of a late or unanswered call there; 0: none
+    uncached_tokens: int = 0  # prompt tokens that the server had to process, as estimated by the sender
+    age: int = 0  # microseconds from sending the prompt to sending the notice
+    unanswered_weight: int = 0  # weight of a late or unanswered call at the server; 0: there was none
 
     @property
     def shared(self) -> int:
@@ -28,7 +28,7 @@
 
     @property
     def weight(self) -> int:
-        """The value of the notice, in tokens."""
+        """The importance of the notice if not all can be sent: mostly its tokens."""
         return UNANSWERED_PRIORITY if self.unanswered_weight else self.shared + self.uncached_tokens
 
 
--- a/brackenladder/prefix_cache/recent.py
+++ b/brackenladder/prefix_cache/recent.py
@@ -8,7 +8,7 @@
 
 from brackenladder.prefix_cache.messages import PrefixNotice
 
-MAX_PREFIXES = 512  # remembered pairs of server and prefix
+MAX_PREFIXES = 512  # most pairs of server and prefix that are remembered
 HALF_LIFE = 15_000_000  # microseconds after which a use counts for half
 LONGEST_AGE = 60_000_000  # microseconds without a use after which a prefix is dropped
 
@@ -31,8 +31,8 @@
 class RecentPrefixes:
     """Counts uses of (server, prefix) pairs; if there are too many, the least recently used one is dropped.
 
-    A pair that was never dropped has its exact decayed count. A dropped pair starts again at 0, so a count
-    may be too low, but never too high, by at most its count when it was dropped.
+    A pair that was never dropped has its exact decayed count. A dropped pair starts again at 0, so its
+    count may be too low, by at most the count that it had when it was dropped, but never too high.
     """
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         return len(self._entries)
 
     def add(self, now: int, notice: PrefixNotice) -> None:
-        """Records a notice; if it has a prefix, it counts as one use of it."""
+        """Counts a notice as one use of its longest prefix, if it has any."""
         if not notice.keys:
             return
         used_at = now - notice.age
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -2,7 +2,7 @@
 
 Each gateway has one control node as its relay. Notices of a gateway go to the other gateways of the same
 relay and to the other control nodes, which forward them to their gateways, so that every gateway gets each
-notice once. The rate per receiver is limited: of too many notices those of lowest weight are dropped.
+notice once. The rate per receiver is limited: of too many notices, those of lowest weight are dropped.
 """
 
 from __future__ import annotations
@@ -15,26 +15,27 @@
 from brackenladder.prefix_cache.messages import PrefixNotice, PrefixNotices, heaviest
 from brackenladder.prefix_cache.recent import RecentPrefixes
 
-INTERVAL = 50_000  # microseconds between two messages to gateways
-PEER_INTERVAL = 100_000  # microseconds between two messages to control nodes
-MAX_ACCEPTED = 32  # most notices of one message that are processed
-# These allow 160 notices a second to a gateway, which take 7 KB and 0.4% of a core, and 80 to a control node.
+INTERVAL = 50_000  # least microseconds between two messages to gateways
+PEER_INTERVAL = 100_000  # least microseconds between two messages to control nodes
+MAX_ACCEPTED = 32  # most notices of one received message that are processed
+# With these limits a gateway gets up to 160 notices a second, which take 7 KB and 0.4% of a core, and a
+# control node 80.
 MAX_NOTICES = 8  # most notices of one message to a gateway
 MAX_PEER_NOTICES = 8  # most notices of one message to a control node
-MAX_PENDING = 256  # most notices that wait for the next message
+MAX_PENDING = 256  # most notices that wait for the next message; beyond it, the oldest 128 are dropped
 MAX_SNAPSHOT = 256  # most notices for a gateway that has just subscribed
 
 
 class Receiver(Enum):
     """The kind of receiver of a message."""
 
-    GATEWAY = auto()  # one gateway, by its name
+    GATEWAY = auto()  # one gateway, given by its name
     PEERS = auto()  # all connected control nodes
 
 
 @frozen
 class RelayedNotices:
-    """A message for a receiver."""
+    """A message of notices, and to whom it is to be sent."""
 
     receiver: Receiver
     name: str  # name of the gateway; empty for all other control nodes
@@ -71,17 +72,17 @@
 
 
 class PrefixRelay:
-    """Decides which notices are sent to whom. Call `take` after each notice and periodically."""
+    """Decides which notices are sent to whom. The host calls `take` after each notice and periodically."""
 
     def __init__(self, now: int) -> None:
         self._recent = RecentPrefixes()
         self._gateways: set[str] = set()
-        self._awaiting_snapshot: dict[str, None] = {}  # new gateways that have not got a snapshot yet
+        self._awaiting_snapshot: dict[str, None] = {}  # new gateways that still need a snapshot
         self._to_gateways = _Queue(INTERVAL, now - INTERVAL)
         self._to_peers = _Queue(PEER_INTERVAL, now - PEER_INTERVAL)
 
     def restore(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """Restores notices from before a restart of this node; servers still have the prefixes cached."""
+        """Restores notices from before a restart of this node, as servers still have the prefixes cached."""
         for notice in notices:
             self._recent.add(now, notice)
 
@@ -90,7 +91,7 @@
         return self._recent.snapshot(now, MAX_SNAPSHOT)
 
     def set_subscribed(self, subscriber: str, wanted: bool) -> None:
-        """Subscribes or unsubscribes a gateway that says whether this node is its relay."""
+        """Subscribes or unsubscribes a gateway. `wanted`: the gateway has chosen this node as its relay."""
         if not wanted:
             self.unsubscribe(subscriber)
         elif subscriber not in self._gateways:
@@ -129,7 +130,7 @@
         if not self._awaiting_snapshot:
             return
         subscribers, self._awaiting_snapshot = self._awaiting_snapshot, {}
-        notices = self.heaviest(now)  # sent even if empty
+        notices = self.heaviest(now)  # sent even if there are none, so that the gateway gets its snapshot
         for subscriber in subscribers:
             yield RelayedNotices(Receiver.GATEWAY, subscriber, PrefixNotices(notices))
 
--- a/brackenladder/prefix_cache/relay_choice.py
+++ b/brackenladder/prefix_cache/relay_choice.py
@@ -19,7 +19,7 @@
     def nearest(self, linked: Iterable[str], zones: Mapping[str, str]) -> str:
         """The address of the relay among the connected control nodes; empty if there is none.
 
-        Nodes of the own zone are preferred, then those of the own region. Among equally near nodes a hash
+        Nodes in the gateway's zone are preferred, then those in its region. Among equally near nodes a hash
         decides, so that gateways are distributed and the loss of a node moves only its own gateways.
         """
         return max(linked, key=lambda address: self._rank(address, zones.get(address, "")), default="")
--- a/brackenladder/recovery/fetch.py
+++ b/brackenladder/recovery/fetch.py
@@ -13,11 +13,11 @@
 
 from brackenladder.recovery.generation import DIGEST, Generation
 
-PIECE = 160  # bytes of a piece, so that a frame holds one besides its header
+PIECE = 160  # bytes of a piece, which fits in a datagram frame with its header
 MAX_BYTES = 1 << 20  # largest size of a state
 PIECES_A_TICK = 8  # most pieces requested at once
 RETRY_TIME = 400_000  # microseconds after which a missing piece is requested again
-MAX_TRIES = 40  # requests of one piece after which the transfer fails
+MAX_TRIES = 40  # the transfer fails if a piece is still missing after this many requests
 
 
 class PieceRequest(NamedTuple):
@@ -28,7 +28,7 @@
 
 
 class StateFetch:
-    """The transfer of one state. `size` is known after the first piece."""
+    """The transfer of one state. `size`: bytes of the state, -1 until the first piece has arrived."""
 
     def __init__(self, wanted: Generation, rng: Random) -> None:
         self.wanted = wanted
@@ -45,7 +45,7 @@
         return [at for at in range(0, max(self.size, 1), PIECE) if at not in self.pieces]
 
     def due_requests(self, holders: Sequence[int], now: int) -> list[PieceRequest]:
-        """The requests to send now."""
+        """The requests to send now: for pieces never requested, or not received within RETRY_TIME."""
         if not holders or self.failed:
             return []
         due = [at for at in self.missing() if now - self.asked.get(at, -RETRY_TIME) >= RETRY_TIME]
--- a/brackenladder/recovery/generation.py
+++ b/brackenladder/recovery/generation.py
@@ -14,7 +14,7 @@
 
 
 class Generation(NamedTuple):
-    """Identifies a state. `digest`: of its canonical form, in hex. Counter 0: no change was applied."""
+    """Identifies a state. `digest`: hash of its canonical form, in hex. Counter 0: never changed."""
 
     counter: int
     digest: str
@@ -48,16 +48,16 @@
         self.heard.pop(number, None)
 
     def newest(self, mine: Generation) -> Generation:
-        """The generation with the highest counter; in a conflict this node's own one is preferred."""
+        """The generation with the highest counter; in a conflict that of this node is preferred."""
         top = max([mine, *self.heard.values()], key=lambda g: (g.counter, g == mine))
         return top
 
     def holders(self, wanted: Generation) -> list[int]:
-        """The nodes that have the generation."""
+        """The nodes that have exactly the wanted generation, and so can send its state."""
         return [number for number, theirs in self.heard.items() if theirs == wanted]
 
     def conflicts(self, mine: Generation) -> list[int]:
-        """The nodes that have the newest counter with another state; the conflict is only reported."""
+        """The nodes that have the same, highest counter as the newest generation but another state."""
         top = self.newest(mine)
         others = [n for n, theirs in self.heard.items() if compare(top, theirs) == Comparison.CONFLICT]
         return sorted(others)
--- a/brackenladder/recovery/startup.py
+++ b/brackenladder/recovery/startup.py
@@ -3,7 +3,8 @@
 `asking` until another node has answered or ASK_TIMEOUT is over; `fetching` while a newer state is
 transferred; then `current`, `alone` (no node answered, and `alone = "serve"`), `refusing` (no node answered,
 and the node must not serve a state that may be out of date), `behind` (the newest state could not be fetched
-or applied), or `conflict`. SETTLE_TIME after its start a node takes a new state from an operator only.
+or applied), or `conflict`. SETTLE_TIME after its start and later, a node takes a new state only
+from an operator.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 from brackenladder.recovery.generation import Comparison, Generation, KnownGenerations, compare
 
-ASK_TIMEOUT = 2_000_000  # microseconds to wait for an answer of any node
-FETCH_TIMEOUT = 5_000_000  # microseconds to fetch a newer state, after which the node is `behind`
+ASK_TIMEOUT = 2_000_000  # microseconds to wait for the first answer of another node
+FETCH_TIMEOUT = 5_000_000  # microseconds in which a newer state must be fetched; later the node is `behind`
 SETTLE_TIME = 10_000_000  # microseconds after the start in which a newer state is still taken from others
 
 Phase = Literal["asking", "fetching", "current", "alone", "refusing", "behind", "conflict"]
 
 
 class StartupRecovery:
-    """One start of a node. `alone`: whether it serves if no other node answers."""
+    """The phase of a node after its start. `alone`: whether it may serve if no other node answers."""
 
     def __init__(self, now: int, peers: int, alone: bool) -> None:
         self.started_at = now
@@ -28,8 +29,8 @@
         self.alone = alone
         self.first_answer_at = -1
         self.fetch_started_at = -1
-        self.settled = False  # a new state is taken from an operator only
-        self.was_current = False  # has been in phase `current`, and taken requests
+        self.settled = False  # from now on a new state is taken from an operator only
+        self.was_current = False  # has been in phase `current`, so it keeps accepting requests
         self.phase: Phase = "asking" if peers else "current"
 
     def update(
@@ -58,7 +59,7 @@
         elif known.conflicts(mine):
             self.phase, self.fetch_started_at, self.settled = "conflict", -1, True
         elif self.phase == "asking" and unanswered and now - self.started_at < ASK_TIMEOUT:
-            pass  # more answers may come
+            pass  # other nodes may still answer with a newer state
         else:
             self.phase, self.fetch_started_at, self.was_current = "current", -1, True
             self.settled = self.settled or now - self.started_at >= SETTLE_TIME
--- a/brackenladder/routing/pools.py
+++ b/brackenladder/routing/pools.py
@@ -1,4 +1,4 @@
-"""Pools: subsets of the discovered servers by zone, kind, cell, id or a hashed part. Without I/O."""
+"""Pools: subsets of the discovered servers by zone, kind, cell, id or hash of the id. Without I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 DEFAULT = "default"  # the pool of requests that no route matches
 MAX_WEIGHT = 10.0
-MAX_CACHED_POSITIONS = 20_000  # servers whose hash positions are cached
+MAX_CACHED_POSITIONS = 20_000  # most servers whose hash positions are cached
 
 Name = Annotated[str, Meta(min_length=1, max_length=64, pattern=r"^[a-z0-9][a-z0-9_-]*$")]
 Text = Annotated[str, Meta(min_length=1, max_length=256)]
@@ -46,7 +46,7 @@
     return int.from_bytes(blake2b(name.encode(errors="surrogatepass"), digest_size=8).digest(), "big") / 2**64
 
 
-# Cached because it is needed for each pool at each change of the list.
+# Cached because each change of the list needs the positions of its servers for each pool.
 server_position = lru_cache(maxsize=MAX_CACHED_POSITIONS)(hash_position)
 
 
@@ -77,7 +77,7 @@
     lines = []
     for line in listing.lines:
         if not contains(spec, line):
-            if listing.kind == ListKind.CHANGES:  # a full list just omits it
+            if listing.kind == ListKind.CHANGES:  # a full list simply omits the server
                 lines.append(replace(line, state=State.GONE))
         elif line.state == State.READY and weight(spec, line) == 0:
             lines.append(replace(line, state=State.DRAINING))
--- a/brackenladder/routing/routes.py
+++ b/brackenladder/routing/routes.py
@@ -12,14 +12,14 @@
 
 from brackenladder.routing.pools import DEFAULT, Name, Part, Text, hash_position
 
-SUM_SLACK = 1e-6  # most by which the sum of the shares of a route may differ from 1
+SUM_SLACK = 1e-6  # largest allowed difference between 1 and the sum of a route's shares, for rounding
 
 
 class RouteSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """An operator's definition of a route. Empty lists and an empty prefix match everything.
 
     `to`: pools and their shares. `sticky`: requests of one object or tenant go to the same pool as long as
-    the shares are the same; a pool whose share is raised keeps those that it had.
+    the shares are the same; a pool whose share is raised keeps its requests.
     """
 
     classes: tuple[Text, ...] = ()
@@ -35,7 +35,7 @@
 
     prefix: bytes
     pools: tuple[str, ...]
-    ends: tuple[float, ...]  # cumulative shares of the pools
+    ends: tuple[float, ...]  # cumulative shares: pool i gets the numbers from ends[i - 1] up to ends[i]
     sticky: str
 
 
@@ -51,7 +51,7 @@
         ]
 
     def route(self, klass: int, tenant: int, path: bytes, key: str, draw: float) -> str:
-        """The name of a pool. `key`: for a sticky route; `draw`: a random number in [0, 1) for others."""
+        """The name of the pool for a request. `key`: what sticky routes hash; `draw`: random, in [0, 1)."""
         routes_by_tenant = self.table[klass]
         for route in routes_by_tenant[tenant if tenant < len(routes_by_tenant) else -1]:
             if path.startswith(route.prefix):
@@ -65,7 +65,7 @@
         return DEFAULT
 
     def sticky(self, klass: int, tenant: int, path: bytes) -> str:
-        """What the request's route is sticky by; empty if it is not sticky."""
+        """What the request's route is sticky by: `object`, `tenant`, or empty if it is not sticky."""
         routes_by_tenant = self.table[klass]
         for route in routes_by_tenant[tenant if tenant < len(routes_by_tenant) else -1]:
             if path.startswith(route.prefix):
@@ -74,7 +74,7 @@
 
 
 def compile_routes(routes: Sequence[RouteSpec], klass: str, tenant: str) -> list[CompiledRoute]:
-    """The routes that can match requests of a class and tenant, up to the first that always does."""
+    """The routes that can match requests of a class and tenant, up to the first that matches all of them."""
     found: list[CompiledRoute] = []
     for route in routes:
         if (not route.classes or klass in route.classes) and (not route.tenants or tenant in route.tenants):
@@ -89,7 +89,7 @@
 
 
 def used_pools(routes: Sequence[RouteSpec]) -> set[str]:
-    """The pools that get any requests."""
+    """The names of the pools to which some route sends requests, or that unmatched requests go to."""
     return {DEFAULT} | {name for route in routes for name, share in route.to.items() if share > 0}
 
 
--- a/brackenladder/shares/cold_share.py
+++ b/brackenladder/shares/cold_share.py
@@ -1,4 +1,4 @@
-"""A gateway's share of the calls that may be sent to a cold server.
+"""A gateway's share of the calls that may be sent to a cold server, which is still warming up.
 
 The number of calls that all gateways together send to a cold server in any second is bounded. Each gateway
 that sends has a token bucket of one call, refilled at `rate`, so it sends at most 1 + rate calls in any
@@ -19,9 +19,9 @@
 
 US_PER_S = 1_000_000
 SAFE_PART = 0.75  # part of the bound that is used; the rest allows for calls that a slow link delivers late
-LEAST_RATE = 1.0  # calls a second: if each gateway would have less, only some gateways send
-CALLS_EACH = 3.0  # calls of the bound for each gateway, if only some send
-DEVIATIONS = 4.0  # standard deviations added to the expected number of random senders, to stay safe
+LEAST_RATE = 1.0  # calls a second: if equal shares would be smaller, only some gateways send
+CALLS_EACH = 3.0  # calls in any second that each gateway gets if only some send, which sets how many send
+DEVIATIONS = 4.0  # added to the expected number of randomly chosen senders for an upper bound
 HASH_RANGE = 2.0**64
 FORGET_TIME = 30 * US_PER_S  # microseconds after which an unused bucket is dropped; it has long been full
 
@@ -32,7 +32,7 @@
 
     per_s: float  # calls a second that a cold server can take
     overshoot: float  # multiple of `per_s` that is allowed
-    slack: float  # calls allowed in addition
+    slack: float  # calls allowed in addition, in any second
 
     @property
     def calls(self) -> float:
@@ -45,7 +45,7 @@
     """One gateway's share of the calls to a cold server."""
 
     sends: bool
-    rate: float = 0.0  # calls a second, besides a burst of one
+    rate: float = 0.0  # calls a second by which its token bucket of one call is refilled
 
 
 NO_PART = ColdPart(sends=False)
@@ -58,18 +58,18 @@
 
 
 class ColdShare:
-    """The token buckets of one gateway and service. Without a bound everything is allowed."""
+    """One gateway's token buckets for the cold servers of a service. Without a bound any call is allowed."""
 
     def __init__(self, gateway: str, bound: ColdBound | None) -> None:
         self.gateway = gateway
         self.bound = bound
         self._number = number_of(gateway)
         self._buckets: dict[int, _Bucket] = {}
-        self._parts: dict[int, ColdPart] = {}  # valid for one bound, number and list of gateways
+        self._parts: dict[int, ColdPart] = {}  # by server; valid for the bound and gateways in `_parts_for`
         self._parts_for: tuple[ColdBound | None, int, tuple[str, ...]] = (None, 0, ())
 
     def part(self, server: int, gateways: int, names: Sequence[str] = ()) -> ColdPart:
-        """This gateway's share. `gateways`: number of live ones; `names`: their names, if known."""
+        """This gateway's share. `gateways`: number of live gateways; `names`: their names, if known."""
         known_for = (self.bound, gateways, tuple(names))
         if known_for != self._parts_for:
             self._parts.clear()
@@ -94,7 +94,7 @@
         return self._drawn(server, number, senders, calls)
 
     def allows(self, now: int, server: int, gateways: int, names: Sequence[str] = ()) -> bool:
-        """Whether a call may go to a cold server now."""
+        """Whether this gateway may send a call to a cold server now."""
         if self.bound is None:
             return True
         part = self.part(server, gateways, names)
@@ -121,7 +121,11 @@
         return ColdPart(sends=True, rate=calls / senders - 1)
 
     def _drawn(self, server: int, gateways: int, senders: int, calls: float) -> ColdPart:
-        """Decides by this gateway's own hash whether it sends, and divides by a safe number of senders."""
+        """This gateway's share if the names of the others are unknown.
+
+        A hash of its own name decides whether it sends, so the number of senders is random, and the bound is
+        divided by a number of senders that is rarely exceeded.
+        """
         wanted = senders / 2
         most = max(1.0, min(wanted + DEVIATIONS * sqrt(wanted), float(gateways)))
         while calls / most <= 1 and wanted > 1 / 8:
