--- a/brackenladder/adapter.py
+++ b/brackenladder/adapter.py
@@ -64,7 +64,7 @@
 
 
 def read_settings(text: bytes) -> Settings:
-    """Parses the settings of a CREATE event. If a value is missing or invalid, raises ValueError with its key."""
+    """Parses the settings of a CREATE event. Raises a ValueError with the key of a missing or invalid value."""
     try:
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
