--- a/brackenladder/adapter.py
+++ b/brackenladder/adapter.py
@@ -64,7 +64,7 @@
 
 
 def read_settings(text: bytes) -> Settings:
-    """Parses the settings of a CREATE event. Raises a ValueError with the key of a missing or invalid value."""
+    """Parses the settings of a CREATE event. A missing or invalid value raises ValueError with its key."""
     try:
         env = json.loads(text)
     except (ValueError, RecursionError) as e:
--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -53,7 +53,7 @@
         self.open = True  # the client is still waiting
         self.attempts = 0
         self.current_attempt: Attempt | None = None
-        self.in_doubt = False  # an attempt may have run
+        self.in_doubt = False  # a server may have executed one of its attempts
         self.single_attempt = False  # no answer is expected: the call ends with its only attempt
         self.accepted_at = 0  # time by the clock of the core
         self.write_by = NEVER  # a retry written later might not be discarded as a repeat, and run again
@@ -69,7 +69,7 @@
         return now - self.accepted_at < FRESH or not self.gone()
 
     def gone(self) -> bool:
-        """Whether the client has disconnected; also looks for an end of stream that is unread in its socket.
+        """Whether the client has disconnected; also finds an end of stream not yet read from its socket.
 
         If so, the call is ended before this returns.
         """
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -96,7 +96,7 @@
         self.post(self.balancer.start)
 
     def server_list(self, kind: ListKind, entries: Sequence[ServerEntry]) -> None:
-        """Passes on a server list or its changes, to the balancer; the upstream already has them."""
+        """Passes a server list or its changes to the balancer; the upstream already has them."""
         self.post(self.balancer.server_list, kind, entries)
 
     def set_instances(self, number: int) -> None:
@@ -180,7 +180,7 @@
     def send(self, request: int, server: int, timeout: int) -> None:
         """Starts the next attempt of a call.
 
-        If the attempt may not be sent, the balancer gets the outcome NOT_SENT as the next event.
+        If the attempt may not be sent, the balancer gets the outcome NOT_SENT after the present event.
         """
         call = self.calls.get(request)
         number = 0
@@ -253,14 +253,14 @@
             call.current_attempt.stop(Outcome.CANCELLED)
 
     def refuse(self, request: int, retry_after: int) -> None:
-        """Concludes a call as refused: a retry is harmless."""
+        """Concludes a call as refused, which tells the client that a retry is safe."""
         call = self.release(request)
         if call is not None:
             call.in_doubt = call.in_doubt or call.current_attempt is not None
             call.refused(retry_after)
 
     def fail(self, request: int) -> None:
-        """Concludes a call as failed: it may have had effects."""
+        """Concludes a call as failed, which tells the client that it may have had effects."""
         call = self.release(request)
         if call is not None:
             call.failed(Failure.GIVEN_UP)
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer of a gateway's service: extends Balancer by prefix caches, regions, home regions and shares.
+"""The balancer of a gateway's service: Balancer with prefix caches, regions and limits over all gateways.
 
 From Balancer it uses the gradient limit, immediate refusals at the limit with a time to retry after, minRTT
 passes, the small subset and ejection. Its additions are in the other modules of this package. A call counts
@@ -42,7 +42,7 @@
 from brackenladder.shares.retry_budget import RetryBudget
 
 LEAST_LATENCY = 1_000  # microseconds: the lowest latency sample that is passed to the limit controller
-MOST_RANK = 3  # rank of the least urgent classes, whose calls leave this many headrooms below the limit free
+MOST_RANK = 3  # highest rank; classes of rank r leave r times headroom() below the limit unused
 SILENT_LEAST = 1_000_000  # least microseconds without any outcome after which a server can count as silent
 TRY_PART = 0.5  # part of a call's remaining time that an attempt may take if it can be retried
 MAX_UNSENT = 3  # most additional attempts of a call to replace attempts that were never sent
@@ -166,7 +166,7 @@
         return slots / self.site.gateways - len(self.in_flight.streams)
 
     def rank_classes(self, mean_rtt: Sequence[float]) -> None:
-        """Ranks the classes, 0 for the most urgent: a call starts only if `rank` headrooms stay unused."""
+        """Ranks the classes by urgency, 0 the most urgent; higher ranks leave more room below the limit."""
         worths = sorted({c.worth for c in self.settings.classes}, reverse=True)
         self.rank = [min(MOST_RANK, worths.index(c.worth)) for c in self.settings.classes]
 
@@ -219,7 +219,7 @@
         self.actions.send(req.id, server.id, self.attempt_timeout(now, req, job, choice))
 
     def take_retry(self, now: int) -> bool:
-        """Takes a retry from this gateway's part of the budget, which is 0 until their number is known.
+        """Takes a retry from this gateway's part of the budget: none before their number is known.
 
         Failure prevented: all processes start at once, each gateway assumes to be the only one, and together
         they spend the whole budget, or a cold server's whole share, once each.
@@ -377,7 +377,7 @@
     # ---- outcomes -------------------------------------------------------------------------------------
 
     def record_end(self, now: int, srv: Server, req: Request | None, outcome: Outcome, latency: int) -> None:
-        """Like the method of Balancer, with the latency less the prefill and the round trip of the call."""
+        """Like Balancer, but with the latency less the prefill and the round trip of the call."""
         placed = self.in_flight.attempts.get(req.id) if req is not None else None
         if placed is not None and req is not None:
             latency = max(LEAST_LATENCY, latency - int(placed.known_cost))
--- a/brackenladder/placement/choice.py
+++ b/brackenladder/placement/choice.py
@@ -146,9 +146,9 @@
     def _same_zone_server(
         self, job: Job, candidates: Sequence[Server], preferred: Server | None
     ) -> Server | None:
-        """The server of this zone that hashing assigns to the prompt, or a random one without a key.
+        """The server of this zone that hashing assigns to the prompt, or a random one if it has no key.
 
-        None if the preferred server is in this zone, or if all candidates are: then no further one is needed.
+        None if the preferred server or every candidate is in this zone, so that no other one is needed.
         """
         if self.parameters.zone_byte <= 0:
             return None
--- a/brackenladder/placement/estimate.py
+++ b/brackenladder/placement/estimate.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 PREFILL_GUESS = 0.040  # prompt tokens per microsecond: the estimate before the first calls
-PREFILL_LEAST, PREFILL_MOST = 0.008, 0.4  # an estimate outside of these bounds is noise
+PREFILL_LEAST, PREFILL_MOST = 0.008, 0.4  # bounds of the estimate; values outside are noise
 PREFILL_PRIOR = 20.0  # weight of PREFILL_GUESS in the estimate, in calls
 PREFILL_FADE = 0.98  # factor on the weight of earlier calls at each new call
 PREFILL_SPREAD = 4000.0  # tokens: spread of prompt lengths needed for an estimate
--- a/brackenladder/placement/holders.py
+++ b/brackenladder/placement/holders.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 
-MAX_KEYS = 4_096  # prefixes remembered for a service; the least recently used are dropped
+MAX_KEYS = 4_096  # most prefixes remembered for a service; the least recently used are dropped
 MAX_SERVERS = 8  # most servers remembered for one prefix
 
 
--- a/brackenladder/placement/in_flight.py
+++ b/brackenladder/placement/in_flight.py
@@ -25,7 +25,7 @@
 MICROSECONDS_PER_MILLISECOND = 1_000
 MAX_STREAM_TIME = 600_000_000  # microseconds after which a stream without a reported end is dropped
 
-UNINFORMATIVE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMEOUT)  # no sign that the server is up
+UNINFORMATIVE = (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.TIMEOUT)  # server may be down
 
 
 class InFlight:
--- a/brackenladder/placement/load.py
+++ b/brackenladder/placement/load.py
@@ -52,7 +52,7 @@
     expected_queue: float  # microseconds that the call was expected to be queued
     overdue_at: int = 0  # time from which the first event is late; 0: unknown
     unanswered_at: int = 0  # time from which the call counts as unanswered; 0: unknown
-    reported: bool = False  # other gateways were told that it is late or unanswered
+    reported: bool = False  # other gateways were told that the call is late or unanswered
     begun_at: int = 0  # time of the first event
     stream_over: bool = False
 
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -169,7 +169,7 @@
         self._share()
 
     def cold_until(self, server_id: str) -> int:
-        """When a server will be warm. Just after an evacuation of its zone, it is assumed to be cold."""
+        """When a server will be warm. After an evacuation of its zone it may be cold before it says so."""
         until = self.view.cold_until(server_id)
         if self.returned:
             record = self.view.servers.get(server_id)
--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -4,8 +4,8 @@
 if the caller is itself a server. Then two members of this node's small subset are drawn at random, slow ones
 less often, and the one with less of this node's work in flight, in expected time, takes the call. A call is
 refused at the limit, over its tenant's quota while latency is high, or if no server can take it. It is
-retried only if its class, group, time and retry budget allow it. docs/design.md says what was taken over from
-the published filter, what was changed and why. Times are integer microseconds.
+retried only if its class, the time left, the retry budget and, if keyed, its Group allow it. docs/design.md
+says what was taken over from the published filter, what was changed and why. Times are microseconds.
 """
 
 from collections import deque
--- a/brackenladder/policy/retry.py
+++ b/brackenladder/policy/retry.py
@@ -8,7 +8,7 @@
 from .server import Server
 
 RETRY_RATIO = 0.1  # retry tokens earned by each first attempt
-LEAST_TOKENS = 3.0  # capacity of the token bucket, or the square root of the concurrency limit if larger
+LEAST_TOKENS = 3.0  # bucket capacity, or the square root of the concurrency limit if that is more
 CONNECT_FAILED = Outcome.CONNECT_FAILED
 
 
--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -12,7 +12,7 @@
 
 COLD_PART = 0.6  # part of the load limit (`fall_multiple` times capacity) that a cold server is sent
 JUST_WARM = 0.5  # initial fill of the bucket of a server that is just warm, as a part of `fall_time`
-GOLDEN = (sqrt(5) - 1) / 2  # multiples modulo 1 are evenly distributed
+GOLDEN = (sqrt(5) - 1) / 2  # the fractional parts of multiples of this are evenly distributed
 RATE_TIME = 2_000_000  # microseconds over which the call rate of warm members is smoothed
 
 
@@ -46,7 +46,7 @@
         return position * (1 - 1 / self.settings.instances)
 
     def warmth(self, now: int, srv: Server) -> float:
-        """The least part of its full capacity that the server has at `now`, from 0 to 1."""
+        """A lower bound of the server's present capacity, as a part of its full capacity."""
         s = self.settings
         left = srv.cold_until - s.fall_time - now
         if left <= 0:
--- a/brackenladder/policy/subset.py
+++ b/brackenladder/policy/subset.py
@@ -13,12 +13,12 @@
 
 SUBSET_LEAST = 4  # size of the subset of a node with hardly any calls in flight
 SUBSET_MOST = 24  # largest size of the subset of any node
-SUBSET_FLIGHT = 2  # size of the subset per call in flight, between SUBSET_LEAST and SUBSET_MOST
+SUBSET_FLIGHT = 2  # members per call in flight, between SUBSET_LEAST and SUBSET_MOST
 SMOOTH_FLIGHT = 0.05  # weight of the newest sample in the mean number of calls in flight
 ZONE_PRICE = 0.01  # calls stay in their zone only if crossing costs at least this share of a request's worth
 CROSSING = 10  # a crossing cost of a tenth of a request's worth is accepted if crossing halves the latency
-SPILL_GAIN = 0.1  # change per window of the share of calls that may leave the zone, per unit of imbalance
-SPILL_STEP = 0.04  # largest change per window of the share of calls that may leave the zone
+SPILL_GAIN = 0.1  # change of `spill` per window and unit of excess of near / far latency over that tolerated
+SPILL_STEP = 0.04  # largest change of `spill`, the share of calls that may leave the zone, per window
 UNVISITED = 0.05  # if a smaller share of calls may leave the zone, other zones get too few for measurements
 BEST_DECAY = 1.001  # factor on the remembered best latency of the zone in each window, to forget it in time
 
--- a/brackenladder/prefix_cache/early.py
+++ b/brackenladder/prefix_cache/early.py
@@ -28,7 +28,7 @@
         return bool(self._held)
 
     def add(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """Adds notices; if there are too many, the oldest are dropped."""
+        """Adds notices; the oldest are dropped if there are more than MAX_HELD."""
         self._held.extend(_Early(notice, now) for notice in notices)
         del self._held[:-MAX_HELD]
 
--- a/brackenladder/prefix_cache/recent.py
+++ b/brackenladder/prefix_cache/recent.py
@@ -29,7 +29,7 @@
 
 
 class RecentPrefixes:
-    """Counts uses of (server, prefix) pairs; if there are too many, the least recently used one is dropped.
+    """Counts uses of (server, prefix) pairs; beyond MAX_PREFIXES, the least recently used one is dropped.
 
     A pair that was never dropped has its exact decayed count. A dropped pair starts again at 0, so its
     count may be too low, by at most the count that it had when it was dropped, but never too high.
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -38,7 +38,7 @@
     """A message of notices, and to whom it is to be sent."""
 
     receiver: Receiver
-    name: str  # name of the gateway; empty for all other control nodes
+    name: str  # name of the gateway; empty if the receiver is PEERS
     message: PrefixNotices
 
 
@@ -51,7 +51,7 @@
 
 @define(eq=False)
 class _Queue:
-    """Notices that wait for the end of the interval."""
+    """Notices that wait until `interval` microseconds after the last message."""
 
     interval: int
     sent_at: int
--- a/brackenladder/recovery/fetch.py
+++ b/brackenladder/recovery/fetch.py
@@ -1,7 +1,7 @@
 """Transfer of a state from other nodes in pieces of datagram size: which pieces to request, when, from whom.
 
-At most PIECES_A_TICK are requested at a time, from random holders, so that a fleet that restarts together
-does not overload any node. The state is used only if its digest is the expected one.
+At most PIECES_A_TICK pieces are requested at a time, from random holders, so that a fleet that restarts
+together does not overload any node. The state is used only if its digest is the expected one.
 """
 
 from __future__ import annotations
--- a/brackenladder/recovery/generation.py
+++ b/brackenladder/recovery/generation.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-DIGEST = 12  # length of a state's digest in bytes
+DIGEST = 12  # bytes of the digest of a state
 
 
 class Generation(NamedTuple):
--- a/brackenladder/recovery/startup.py
+++ b/brackenladder/recovery/startup.py
@@ -1,7 +1,7 @@
 """The phases between a node's start and its first request, in which it gets the newest state from others.
 
 `asking` until another node has answered or ASK_TIMEOUT is over; `fetching` while a newer state is
-transferred; then `current`, `alone` (no node answered, and `alone = "serve"`), `refusing` (no node answered,
+transferred; then `current`, `alone` (no node answered, but `alone` is "serve"), `refusing` (no node answered,
 and the node must not serve a state that may be out of date), `behind` (the newest state could not be fetched
 or applied), or `conflict`. SETTLE_TIME after its start and later, a node takes a new state only
 from an operator.
--- a/brackenladder/shares/cold_share.py
+++ b/brackenladder/shares/cold_share.py
@@ -21,7 +21,7 @@
 SAFE_PART = 0.75  # part of the bound that is used; the rest allows for calls that a slow link delivers late
 LEAST_RATE = 1.0  # calls a second: if equal shares would be smaller, only some gateways send
 CALLS_EACH = 3.0  # calls in any second that each gateway gets if only some send, which sets how many send
-DEVIATIONS = 4.0  # added to the expected number of randomly chosen senders for an upper bound
+DEVIATIONS = 4.0  # standard deviations above the mean number of random senders, as a safe upper bound
 HASH_RANGE = 2.0**64
 FORGET_TIME = 30 * US_PER_S  # microseconds after which an unused bucket is dropped; it has long been full
 
