--- a/tests/node/test_node_process.py
+++ b/tests/node/test_node_process.py
@@ -100,9 +100,7 @@
 
     async def scene():
         release = asyncio.Event()
-        monkeypatch.setattr(
-            "brackenladder.http.client_connections.TAKING", 600.0
-        )  # until the test changes it
+        monkeypatch.setattr("brackenladder.http.client_connections.TAKING", 600.0)  # until `stop` is called
         monkeypatch.setattr("brackenladder.sockets.listener.TAKING", 600.0)
         bench = await Bench(server := Server(held_until(release))).start()
         client_connections = bench.node.front.clients
