--- a/brackenladder/rehearsal/checker/cold.py
+++ b/brackenladder/rehearsal/checker/cold.py
@@ -18,7 +18,7 @@
     """Compares the work sent to servers that are warming up with their capacity."""
 
     def check(self, knowledge: Knowledge) -> None:
-        """Checks each cold start, over every window as long as an overload takes to crash a server."""
+        """Checks each cold start over every window of `terms.fall`, an overload that crashes a server."""
         arrivals: defaultdict[str, list[tuple[int, int, str, str]]] = defaultdict(list)
         for request in self.history.requests.values():
             node = request.sent.node if request.sent is not None else ""
@@ -67,13 +67,13 @@
                 first += 1
             if start >= warm_at:
                 break
-            # One request more is allowed, since nodes cannot send a part of one.
+            # The latest request's work is allowed on top, since nodes cannot send a part of a request.
             room = self.terms.multiple * capacity_between(up, start, start + fall) + work
             if total <= min(1.0, self.evidence.nearest) * room:
                 continue
             window = sent[first : i + 1]
             aware = sum(w for at, w, node, _ in window if told_at.get(node, NEVER) <= at)
-            if aware * 3 < 2 * total:  # over a third came from nodes that did not know of the cold start
+            if aware * 3 < 2 * total:  # over a third came from nodes not yet told that it is ready
                 continue
             self.evidence.nearest = max(self.evidence.nearest, total / room)
             if total > room:
@@ -93,7 +93,7 @@
         all_times: Sequence[int],
         all_work: Sequence[int],
     ) -> int:
-        """1 if an equal share of all work would have overloaded the server at some time, else 0."""
+        """1 if the rule could be broken: an equal share of the work would overload the server; else 0."""
         up, fall = process.up, self.terms.fall
         start = max(up.t, min(told_at.values(), default=NEVER))
         while start + fall <= min(warm_at + fall, process.down, self.history.last) and start < warm_at:
--- a/brackenladder/rehearsal/checker/drain.py
+++ b/brackenladder/rehearsal/checker/drain.py
@@ -1,4 +1,4 @@
-"""The rule `drain`: a grace period after a node learns that a server is not ready, it sends it nothing."""
+"""The rule `drain`: no new requests to a server that a node has known as not ready for a grace period."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """Compares when attempts were sent with what their node knew then."""
 
     def check(self, knowledge: Knowledge) -> None:
-        """Checks the intervals in which a node knew a server as not ready; first bytes count."""
+        """Checks each interval in which a node knew that a server is not ready; first bytes decide."""
         by_pair: defaultdict[tuple[str, str], list[tuple[Attempt, Request]]] = defaultdict(list)
         taken: defaultdict[str, list[int]] = defaultdict(list)
         for request in self.history.requests.values():
@@ -46,7 +46,8 @@
         """Checks one interval, from `told` to `until`, in which the node knew that a server is not ready."""
         limit = told + self.terms.drain
         sure = limit + self.terms.slack
-        # The rule could be broken if the node had used the server, could reach it and got more requests.
+        # The rule could be broken if the node had used the server, and got more requests while the server
+        # was known as not ready and still ran.
         reachable = min(
             until, next((x.down for x in self.history.processes[server] if x.up.t <= told < x.down), told)
         )
--- a/brackenladder/rehearsal/checker/effect.py
+++ b/brackenladder/rehearsal/checker/effect.py
@@ -90,7 +90,7 @@
 
 
 def end_text(attempt: Attempt) -> str:
-    """A description of how an attempt ended."""
+    """Describes in words how an attempt ended."""
     words = {
         "served": "it was served",
         "error": "it answered 500",
--- a/brackenladder/rehearsal/checker/history.py
+++ b/brackenladder/rehearsal/checker/history.py
@@ -28,7 +28,7 @@
     Up,
 )
 
-NEVER = 1 << 62  # stands for a time after the end of every run
+NEVER = 1 << 62  # a time later than any in a run
 
 
 class Attempt:
@@ -76,7 +76,7 @@
 
 
 class History:
-    """The indexed events. `worst`: the largest lag that a stand-in reported."""
+    """The events of a run, indexed. `worst`: the largest lag that a stand-in reported, in microseconds."""
 
     def __init__(self, events: Iterable[AnyEvent]) -> None:
         self.requests: defaultdict[str, Request] = defaultdict(Request)
@@ -152,7 +152,7 @@
         return any(kind == "kill" and start <= t <= end for t, kind in self.ends[node])
 
     def paused(self, node: str, start: int, end: int) -> bool:
-        """Whether the node's process was paused, so could not answer, at some time in this interval."""
+        """Whether the node's process was paused, and so unable to answer, at some time in this interval."""
         return any(begin <= end and start <= over for begin, over in self.pauses[node])
 
     def ending(self, request: Request) -> int:
--- a/brackenladder/rehearsal/checker/knowledge.py
+++ b/brackenladder/rehearsal/checker/knowledge.py
@@ -10,7 +10,7 @@
 ASK_WITHIN = 10_000_000  # microseconds without a discovery call, after which changes count as told
 FAILED_CALL_FACTOR = 4  # factor for ASK_WITHIN after a call that failed
 SILENCE_LIMIT = 6_000_000  # microseconds after which changes that a silenced call missed count as told
-WAIT_MARGIN = 2_000_000  # or so long after the end of the wait that the call asked for, if that is later
+WAIT_MARGIN = 2_000_000  # microseconds; not before this time after a silenced call's wait has ended
 
 
 class Knowledge:
@@ -57,10 +57,10 @@
         return out
 
     def treated_as_told(self, node: str) -> list[tuple[int, Told | Changed]]:
-        """Changes that count as told since the node made no call for too long, or its call was silenced."""
+        """Changes that count as told without an answer: the node made no call in time, or was silenced."""
         spans: list[
             tuple[int, int, int]
-        ] = []  # without an open call: (from, to, wait until changes count as told)
+        ] = []  # periods without an open call: (from, to, wait until changes count as told)
         calls = self.history.calls[node]
         out_since: set[int] = set()
         free_since, wait = 0, ASK_WITHIN
--- a/brackenladder/rehearsal/checker/verdicts.py
+++ b/brackenladder/rehearsal/checker/verdicts.py
@@ -33,7 +33,7 @@
     answer: int = 20_000
     slack: int = 50_000
     lag: int = 50_000
-    tries: tuple[Rule, ...] = RULES  # others are 'not tried' unless broken, since only chance exercises them
+    tries: tuple[Rule, ...] = RULES  # a rule not listed is 'not tried' unless it is broken
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -62,7 +62,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """The results for all rules. `lag`: the largest of a stand-in, in microseconds; `late`: which one."""
+    """The results for all rules. `lag`: the largest lag of a stand-in, in microseconds; `late`: its name."""
 
     rulings: dict[Rule, Ruling]
     lag: int
--- a/brackenladder/rehearsal/events.py
+++ b/brackenladder/rehearsal/events.py
@@ -40,7 +40,7 @@
 
 
 class Answered(Event, frozen=True, tag="answered", gc=False):
-    """A complete answer arrived. `own`: its body is the one that a server made for this request."""
+    """A complete answer arrived. `own`: false if its status is 200 but its body doesn't name this request."""
 
     id: str
     status: int
@@ -56,20 +56,20 @@
 
 
 class GaveUp(Event, frozen=True, tag="gave-up", gc=False):
-    """The client closed the connection, after its time and a margin or, if `early`, before."""
+    """The client closed the connection: after its timeout and a margin, or before that if `early`."""
 
     id: str
     early: bool
 
 
 class Again(Event, frozen=True, tag="again", gc=False):
-    """Bytes arrived on a connection whose request was already answered."""
+    """Bytes arrived for a request that was already answered, such as a second answer."""
 
     id: str
 
 
 class Unreached(Event, frozen=True, tag="unreached", gc=False):
-    """The client could not connect to the node, which therefore has not accepted the request."""
+    """The client did not connect, or did not send the whole request, so the node has not accepted it."""
 
     id: str
     node: str
@@ -174,7 +174,7 @@
 
 
 class Untold(Event, frozen=True, tag="untold", gc=False):
-    """A discovery call ended without an answer."""
+    """A node's discovery call ended without an answer."""
 
     node: str
     call: int
@@ -231,7 +231,7 @@
 
 
 class Said(Event, frozen=True, tag="said", gc=False):
-    """A node changed its view of a member, or of itself, at the time `at`."""
+    """A node reported that at the time `at` it changed its view of a member, or of itself."""
 
     at: int
     node: str
@@ -244,7 +244,7 @@
 
 
 class Viewed(Event, frozen=True, tag="viewed", gc=False):
-    """A node's view of all members, in the order of their numbers; `own`: of itself."""
+    """A node's view of all members, in the order of their numbers; `own`: its view of itself."""
 
     node: str
     own: str
--- a/brackenladder/rehearsal/follow.py
+++ b/brackenladder/rehearsal/follow.py
@@ -24,10 +24,10 @@
     Up,
 )
 
-SHOWN = 3  # requests that are traced if an outcome is given
+SHOWN = 3  # number of requests that are traced if an outcome is given instead of an id
 OUTCOMES = ("served", "refused", "failed", "broken", "given-up", "lost")
 REFUSED = (429, 503)
-MIN_ID_PREFIX = 4  # characters of an id's prefix, at the least
+MIN_ID_PREFIX = 4  # shortest prefix, in characters, by which a request id can be given
 
 
 class FollowError(Exception):
--- a/brackenladder/rehearsal/members.py
+++ b/brackenladder/rehearsal/members.py
@@ -42,14 +42,14 @@
 MEMBER_RULES: tuple[MemberRule, ...] = ("complete", "accurate", "agreed", "no-return", "bounded")
 MICRO = 1_000_000
 DETECTION_BOUND = 5 * MICRO  # microseconds within which all nodes must detect a death
-DETECTION_BOUND_LOSSY = 8 * MICRO  # the same while a fault affects datagrams
-REACHABLE_FOR = MICRO // 2  # a node that was reachable for so long before a report counts as running
+DETECTION_BOUND_LOSSY = 8 * MICRO  # the detection bound while a fault affects datagrams
+REACHABLE_FOR = MICRO // 2  # a node reachable for this long before it is reported dead counts as running
 TOLERATED_PAUSE = 2_100_000  # microseconds; to report a node dead for a shorter pause is an error
 SLACK_FACTOR = 5  # multiples of the scenario's slack that are added to each time bound
 AGREEMENT_BOUND = 10 * MICRO  # microseconds from the last fault until all views must be equal
 STARTUP = 5 * MICRO  # microseconds at the start of a run, in which deaths are not judged
 WINDOW = 10 * MICRO  # microseconds over which sent bytes are summed
-MAX_BYTES = 3_000 * 10 + 12_000  # in one window: the rate limit times 10 s, plus the burst
+MAX_BYTES = 3_000 * 10 + 12_000  # bytes a node may send in WINDOW: a rate for 10 s, plus a burst
 MAX_EVIDENCE = 20  # breaks of one rule that are reported in words
 
 
@@ -60,7 +60,7 @@
     chances: int
     broken: int
     evidence: tuple[str, ...]
-    worst_ms: int = 0  # of `complete`: the slowest detection that was within the bound
+    worst_ms: int = 0  # rule `complete`: the slowest detection within the bound
 
 
 class Intervals:
@@ -85,7 +85,7 @@
         self.begin = begin
         self.slack = SLACK_FACTOR * slack
         self.steps = [s for s in steps if s.kind in (*LINK_FAULTS, *DATAGRAM_FAULTS)]
-        # `down`: the process does not run or is paused. `absent`: the same without tolerated pauses.
+        # `down`: the process does not run or is paused. `absent`: likewise, but only long pauses.
         self.down: defaultdict[str, Intervals] = defaultdict(Intervals)
         self.absent: defaultdict[str, Intervals] = defaultdict(Intervals)
         self.deaths: list[tuple[int, int, str]] = []  # (ended at, ready again at, node)
@@ -197,7 +197,7 @@
             DETECTION_BOUND_LOSSY if run.lossy(at - MICRO, at + DETECTION_BOUND) else DETECTION_BOUND
         ) + run.slack
         if at < run.begin + STARTUP or min(back, run.over) < at + bound:
-            continue  # the node was back, or the run over, before the bound
+            continue  # the node was back, or the run had ended, before the detection bound
         for other in run.nodes:
             could_detect = not (
                 other == node
@@ -277,7 +277,8 @@
     highest: dict[tuple[str, str], int] = {}
     begun = sorted((at, node) for at, _, node in run.deaths)
     for s in sorted(run.transitions, key=lambda transition: transition.at):
-        while begun and begun[0][0] <= s.at:  # a new process has no state
+        # The epochs of a new process are not compared with its predecessor's, since it begins without state.
+        while begun and begun[0][0] <= s.at:
             _, node = begun.pop(0)
             highest = {pair: epoch for pair, epoch in highest.items() if pair[0] != node}
         before = highest.get((s.node, s.about), 0)
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -161,7 +161,7 @@
             try:
                 sock.bind((host, 0))
             except OSError:
-                break  # the system has only 127.0.0.1
+                break  # the system has no loopback address other than 127.0.0.1
             return host
     return "127.0.0.1"
 
@@ -201,17 +201,17 @@
         self.unused_address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         self.discovery: list[str] = []
         self.peers: list[str] = []
-        self.known: dict[str, Any] = {}  # the initial server list in its configuration
+        self.known: dict[str, Any] = {}  # the server list in the configuration with which the process starts
         self.source = 0
         # Called with each pid at the start and at the end of its process.
         self.on_process_change: Callable[[int, bool], None] = lambda pid, runs: None
         self.process: asyncio.subprocess.Process | None = None
         self.signalled = ""
-        self.crashed: list[int] = []  # exit codes of ends that the runner did not cause
+        self.crashed: list[int] = []  # exit codes of processes that the runner did not end
         self.starts = 0
         # The run's folder may have a longer path than a Unix socket allows.
         self.control = str(Path(tempfile.gettempdir()) / f"lb-{os.getpid()}-{rng.getrandbits(32):08x}")
-        self.last_transition = -1  # time of the newest one recorded, by the clock of the current process
+        self.last_transition = -1  # time of the newest recorded view change, by the process's clock
 
     def write(self) -> Path:
         """Writes the configuration file, and the operator file if the node needs one; returns the first."""
--- a/brackenladder/rehearsal/plan.py
+++ b/brackenladder/rehearsal/plan.py
@@ -122,7 +122,7 @@
 def initial_servers(scenario: Scenario, rng: Random) -> list[ServerPlan]:
     """The servers that run at the start."""
     s, zones = scenario.servers, scenario.zones
-    pods = -(-s.count // len(zones)) // s.pod + 1  # in a zone, at most
+    pods = -(-s.count // len(zones)) // s.pod + 1  # upper bound of the pods in a zone
     return [
         ServerPlan(
             id=f"{f't{tier}' * (tier > 0)}s{i}-{rng.getrandbits(24):06x}",
@@ -151,7 +151,7 @@
     for i, fault in sorted(enumerate(scenario.faults), key=lambda pair: pair[1].at_s):
         at = micro(fault.at_s) + round(rng.random() * micro(fault.jitter_s))
         length = micro(fault.for_s)
-        # Faults of answers, and likewise faults of port or process, must not overlap at one server.
+        # At one server, faults of answers must not overlap each other, nor may faults of its port or process.
         taken = {
             s.target
             for s in steps
@@ -173,7 +173,7 @@
                     new = msgspec.structs.replace(new, place=old.place, born=step.end)
                     step = msgspec.structs.replace(step, successor=new.id)
                 elif fault.kind == "deploy":
-                    # In batches over the fault's length; a successor starts once the old server has ended.
+                    # Replaces servers in batches; a successor starts once the old server has ended.
                     drains = round(fault.drain_s * MICRO)
                     start = step.at + k // batch * length // waves + round(rng.random() * MICRO / 4)
                     new = msgspec.structs.replace(
@@ -262,7 +262,7 @@
 
 
 def next_arrival(clients: Clients, time: float, gap: float) -> float:
-    """The next arrival time if `gap` is the time to it at the base rate; surges shorten or stretch it."""
+    """The time of the next arrival. `gap`: the time until it at the base rate; surges change that."""
     if not clients.surges:
         return time + gap
     edges = sorted(edge for s in clients.surges for edge in (s.at_s, s.at_s + s.for_s))
@@ -319,7 +319,7 @@
 
 
 def describe_plan(scenario: Scenario, plan: Plan) -> list[str]:
-    """A description of the run, one line for each step."""
+    """Describes the plan in words, one line for each step."""
     zones = {s.id: s.zone for s in plan.servers}
     lines = [
         f"{scenario.title}: {scenario.nodes} nodes{' over rpc' * (scenario.transport == 'rpc')},"
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -34,7 +34,7 @@
 class Result(msgspec.Struct, frozen=True):
     """The result of a run.
 
-    `begin`: its start by the clock of the events; `memory_kb`: of the largest process.
+    `begin`: its start on the events' clock; `memory_kb`: of the largest process.
     """
 
     plan: Plan
@@ -44,7 +44,7 @@
     memory_kb: int
     crashed: dict[str, list[int]]
     counts: dict[str, int]
-    samples: dict[str, list[float]] = {}  # one a second from the nodes; only with the simulation model
+    samples: dict[str, list[float]] = {}  # the nodes' figures, one a second; simulation model only
 
 
 class StandIn:
@@ -119,7 +119,7 @@
         ]
         self.standins: list[StandIn] = []
         self.begin = 0
-        self.query_lock = asyncio.Lock()  # one query to the network stand-in at a time
+        self.query_lock = asyncio.Lock()  # held during a query to the network stand-in, until its answer
         self.restart_locks = {node.name: asyncio.Lock() for node in self.nodes}
 
     async def end(self) -> None:
@@ -296,11 +296,11 @@
         clients.send({"node": node.name, "state": "up"})
 
     def postponed(self, step: Step) -> Step:
-        """The same fault, beginning now if its time has passed."""
+        """The same step, moved to now if its planned time has passed."""
         return msgspec.structs.replace(step, at=max(step.at, now() - self.begin))
 
     def note(self, step: Step) -> None:
-        """Records that a fault begins."""
+        """Records the begin of a fault in the runner's journal."""
         self.journal.add(Fault(now(), self.begin + step.end, step.kind, step.target))
 
     async def update_known_servers(self, node: NodeProcess, network: StandIn) -> None:
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -14,9 +14,9 @@
 import msgspec
 from msgspec import Meta
 
-LARGEST_FILE = 1 << 20  # bytes of a scenario file
-MOST_REQUESTS = 2_000_000  # in one run: rate times length
-MOST_NODES, MOST_SERVERS = 40, 200  # in a run with processes on one machine
+LARGEST_FILE = 1 << 20  # size limit of a scenario file, in bytes
+MOST_REQUESTS = 2_000_000  # limit of the requests in one run, computed as rate times length
+MOST_NODES, MOST_SERVERS = 40, 200  # limits of a run with real processes on one machine
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Group = Literal["all", "zone", "pod"]
@@ -132,8 +132,8 @@
     report_ms: Span = (330.0, 1500.0)  # interval at which load reports are refreshed
     processes: Annotated[int, Meta(ge=1, le=16)] = 1  # stand-in processes that host the servers
     falls: bool = False  # a cold server that is overloaded beyond `rules` crashes and starts again
-    slow_queue: Annotated[int, Meta(ge=0)] = 0  # waiting requests that make a server slow; 0: none do
-    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # share of its speed until none waits
+    slow_queue: Annotated[int, Meta(ge=0)] = 0  # number of waiting requests that slows a server; 0: none
+    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # factor on the speed, until no request waits
     slots: Annotated[int, Meta(ge=0)] = (
         0  # requests in work, which release their core while calling the next tier; 0: they hold it
     )
@@ -145,7 +145,7 @@
     """Service discovery: `ask` (nodes fetch and watch the list) or `push` (an agent that answers at once)."""
 
     how: Literal["ask", "push"] = "ask"
-    late_ms: Span = (500.0, 1500.0)  # from a change until discovery knows of it
+    late_ms: Span = (500.0, 1500.0)  # time from a change of a server until discovery knows of it
     lines_per_s: AtLeastZero = 0.0  # server lines that it can send to all nodes together; 0: unlimited
 
 
@@ -169,12 +169,12 @@
 
     rate: Positive = 60.0  # first tries a second, over all nodes
     retries: Annotated[int, Meta(ge=0, le=5)] = 2
-    wait_ms: Span = (0.0, 200.0)  # before a retry, if the answer has no Retry-After
+    wait_ms: Span = (0.0, 200.0)  # pause before a retry, if the answer has no Retry-After
     budget: Span = (0.42, 1.0)  # time for a try, as a share of the class's deadline
     leave: Share = 0.0  # share of clients that disconnect before their time is over
     drop: Share = 0.02  # share of answers after which the client closes the connection
     body_bytes: Annotated[int, Meta(ge=0, le=65536)] = 200
-    notice_s: AtLeastZero = 1.0  # until clients stop using a dead node
+    notice_s: AtLeastZero = 1.0  # time from a node's end until clients stop using it
     hot: Share = 0.0  # share of requests that all go to the first node; the rest is spread evenly
     tenants: tuple[Positive, ...] = ()  # weight of each tenant's requests; empty: equal
     quotas: tuple[
@@ -212,8 +212,8 @@
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=16)] = 128
     connect_ms: Positive = 250.0
-    event_us: AtLeastZero = 0.0  # core time of a node for each event; in the model only
-    line_us: AtLeastZero = 0.0  # and for each known server at each change of the list
+    event_us: AtLeastZero = 0.0  # core time of a node for each event; simulation model only
+    line_us: AtLeastZero = 0.0  # additional core time for each known server at each change of the list
 
 
 class Rules(Table, frozen=True):
@@ -222,7 +222,7 @@
     drain_ms: Positive = 250.0
     fall_multiple: Positive = 2.5
     fall_s: Positive = 3.0
-    answer_ms: AtLeastZero = 20.0  # after the client's deadline, within which an answer counts as in time
+    answer_ms: AtLeastZero = 20.0  # an answer this long after the client's deadline counts as in time
     slack_ms: Positive = 50.0  # added to each time limit, for delays on sockets
     lag_ms: Positive = 50.0  # a stand-in that runs later than this makes the run not valid
 
@@ -235,8 +235,8 @@
     for_s: AtLeastZero = 1.0
     pick: Annotated[float, Meta(gt=0)] | Literal["all"] = 1
     zone: str = ""  # only targets of this zone
-    jitter_s: AtLeastZero = 0.0  # the seed delays the fault by up to so much
-    share: Share = 1.0  # of the answers, lines or datagrams that the fault affects
+    jitter_s: AtLeastZero = 0.0  # largest random delay of the fault
+    share: Share = 1.0  # share of the answers, lines or datagrams that the fault affects
     count: Annotated[int, Meta(ge=1, le=2000)] = 200  # connections that silent clients open
     waves: Annotated[int, Meta(ge=1, le=1000)] = 1  # groups that are hit one after another
     spread_s: AtLeastZero = 0.0  # time over which the waves are spread
@@ -249,7 +249,7 @@
     title: str
     about: str = ""
     length_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
-    transport: Transport = "http"  # with rpc, the nodes' HTTP side is unused
+    transport: Transport = "http"  # rpc: MessagePack-RPC; the nodes' HTTP port is then unused
     nodes: Annotated[int, Meta(ge=1, le=2_000)] = 2
     members: bool = False  # the nodes run the membership protocol ([members] in their operator files)
     recovery: Literal["", "peers", "store"] = ""  # how nodes recover state at a start; store: also from disk
@@ -263,7 +263,7 @@
     classes: Annotated[tuple[Class, ...], Meta(min_length=1)] = CLASSES
     limits: Limits = Limits()
     rules: Rules = Rules()
-    tries: tuple[Rule, ...] = ("lost", "effect", "drain", "cold")  # the rules that every run of it exercises
+    tries: tuple[Rule, ...] = ("lost", "effect", "drain", "cold")  # the rules that every run exercises
     faults: tuple[FaultTable, ...] = ()
 
 
@@ -278,7 +278,7 @@
 
 
 def too_large(s: Scenario) -> str:
-    """Why a scenario can only run in the model, as `key: reason`; empty if it can run on sockets."""
+    """Why a scenario can only run in the simulation model, as `key: reason`; empty if sockets can run it."""
     if s.nodes > MOST_NODES:
         return f"nodes: {s.nodes}, but sockets allow {MOST_NODES}: run it with --in model"
     if s.servers.count > MOST_SERVERS:
--- a/brackenladder/rehearsal/standins/clients.py
+++ b/brackenladder/rehearsal/standins/clients.py
@@ -10,7 +10,7 @@
 from brackenladder.rehearsal.standins.codecs import RPC, Answer, MalformedStream, Outgoing, client_codec
 from brackenladder.rehearsal.standins.process import Host, report, reset
 
-LATE_ANSWER_GRACE = 1_000_000  # microseconds waited past the limit, to tell a late answer from none
+LATE_ANSWER_GRACE = 1_000_000  # microseconds a client waits past the limit, so that a late answer is seen
 LOOKAHEAD = 50_000  # microseconds of the schedule for which timers are set at a time
 CONNECT_TIME = 2.0
 COUNTS = 0.5  # seconds between two reports of the request counts
@@ -45,10 +45,10 @@
         self.node = node
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.codec = client_codec(clients.host.scenario)
-        self.open: dict[str, Try] = {}  # by id, the oldest first
-        self.last = ""  # the id of the latest request
+        self.open: dict[str, Try] = {}  # tries without an answer, by id, the oldest first
+        self.last = ""  # the id of the latest try
         self.used = 0
-        self.unwritten: list[Try] = []  # whose last byte the kernel has not accepted yet
+        self.unwritten: list[Try] = []  # tries whose last byte the kernel has not accepted yet
         self.writing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -77,7 +77,7 @@
             self.written()
 
     def written(self) -> None:
-        """The kernel has accepted all bytes: the tries count as sent from now on."""
+        """Called once the kernel has accepted all written bytes; records the connection's tries as sent."""
         unwritten, self.unwritten = self.unwritten, []
         for attempt in unwritten:
             if self.open.get(attempt.id) is attempt:
@@ -208,9 +208,9 @@
         self.margin = round((s.rules.answer_ms + s.rules.slack_ms) * 1000) + LATE_ANSWER_GRACE
         self.free: dict[
             str, list[Connection]
-        ] = {}  # idle or shared connections with room, by node; the last used one last
+        ] = {}  # by node: connections that can take another request, the most recently used last
         self.address: dict[str, tuple[str, int]] = {}
-        self.accepting: dict[str, bool] = {}  # whether a node gets new connections
+        self.accepting: dict[str, bool] = {}  # by node: whether clients may open connections to it
         self.unfinished = 0  # requests in progress
         self.counts = {"sent": 0, "served": 0, "refused": 0, "failed": 0, "unreached": 0}
         self.next = 0
@@ -223,7 +223,7 @@
         return {}
 
     def order(self, order: dict[str, Any]) -> None:
-        """Sets a node to `up`, with an address, or to `closed` for new connections."""
+        """Handles a change of a node: `up` at an address, or `closed` for new connections."""
         name = order["node"]
         if "address" in order:
             host, _, port = order["address"].rpartition(":")
@@ -242,7 +242,7 @@
         self.report_counts()
 
     def feed(self) -> None:
-        """Sets timers for the next part of the schedule; reports the end after the last request."""
+        """Sets timers for the next part of the schedule; tells the runner when the last request has ended."""
         plans = self.host.plan.requests
         until = self.host.time() + 2 * LOOKAHEAD
         while self.next < len(plans) and plans[self.next].at < until:
@@ -271,7 +271,7 @@
         attempt.due = due
         node = self.choose_node(attempt)
         free = self.free.get(node, [])
-        # A client that will disconnect early gets its own connection where several share one.
+        # A client that will disconnect early gets its own connection: disconnecting ends all tries on it.
         alone = attempt.resent or (
             attempt.plan.leave and not attempt.number and self.host.scenario.transport == RPC
         )
--- a/brackenladder/rehearsal/standins/codecs.py
+++ b/brackenladder/rehearsal/standins/codecs.py
@@ -13,10 +13,10 @@
 
 from brackenladder.rehearsal.scenario import Scenario
 
-PADDING = 512  # bytes of an answer's body, so that it can be cut in the middle
+PADDING = 512  # filler bytes in an answer's body, so that a fault can cut it in the middle
 LARGEST_REQUEST = 256 << 10  # bytes of a request, including its head
 LARGEST_ANSWER = 1 << 20
-MAX_RETRY_AFTER = 5.0  # seconds; a client caps longer values
+MAX_RETRY_AFTER = 5.0  # seconds; a client waits no longer, whatever Retry-After says
 PIPELINE = 32  # RPC calls that a client opens on one connection at once
 FAILED = "lost"  # the error that a failing server returns; the nodes' operator file lists it
 PROBES = ("/health", "/status/load")
@@ -44,8 +44,8 @@
 class Answer(msgspec.Struct, frozen=True):
     """A complete answer.
 
-    `id`: of its request, if the transport tells it; `status`: the HTTP status, or the one that matches an RPC
-    result; `keep`: the connection stays open.
+    `id`: the id of its request, if the transport carries it; `status`: the HTTP status, or the one that
+    matches an RPC result; `keep`: the connection stays open.
     """
 
     id: str
@@ -248,8 +248,8 @@
 
     def __init__(self, largest: int) -> None:
         self.unpacker = msgpack.Unpacker(strict_map_key=False, max_buffer_size=largest)
-        self.given = 0  # bytes fed
-        self.read = 0  # bytes of complete messages
+        self.given = 0  # total bytes received
+        self.read = 0  # total bytes that complete messages took
 
     def feed(self, data: bytes) -> list[list[Any]]:
         messages: list[list[Any]] = []
--- a/brackenladder/rehearsal/standins/heartbeats.py
+++ b/brackenladder/rehearsal/standins/heartbeats.py
@@ -12,8 +12,8 @@
 from brackenladder.rehearsal.standins.model_server import ModelServer
 
 CALL_SECONDS = 1.0
-RETRY_SECONDS = 0.05  # between two calls for a heartbeat that is not acknowledged
-FAREWELL_SECONDS = 5.0  # to get a drain or a deregistration acknowledged
+RETRY_SECONDS = 0.05  # pause between two tries of a heartbeat that is not acknowledged
+FAREWELL_SECONDS = 5.0  # time limit for getting a drain or a deregistration acknowledged
 
 
 class Heartbeats:
--- a/brackenladder/rehearsal/standins/model_engine.py
+++ b/brackenladder/rehearsal/standins/model_engine.py
@@ -17,7 +17,7 @@
     queue: int = 8  # requests that can wait for a slot; more are refused
     kv_tokens: int = 60_000
     prefill_tokens_a_second: float = 40_000.0
-    event_seconds: float = 0.02  # between two events of a stream, with nothing else running
+    event_seconds: float = 0.02  # from one event of a stream to the next if no other request runs
     tokens_an_event: int = 4
 
 
@@ -58,7 +58,7 @@
         self.kept_tokens = 0
 
     def unread(self, prompt: Prompt) -> int:
-        """The number of the prompt's tokens that are not cached; marks cached parts as used."""
+        """The number of the prompt's tokens that are not cached; marks its cached parts as recently used."""
         known = 0
         for chain, part in _chains(prompt):
             if chain not in self._kept:
--- a/brackenladder/rehearsal/standins/model_server.py
+++ b/brackenladder/rehearsal/standins/model_server.py
@@ -35,7 +35,7 @@
 class ServerSettings:
     """A server's identity and capacity."""
 
-    id: str  # of this process; a restart gets a new one
+    id: str  # unique to this process: a restarted server gets a new id
     service: str
     address: str  # "ip:port"
     zone: str
--- a/brackenladder/rehearsal/standins/network.py
+++ b/brackenladder/rehearsal/standins/network.py
@@ -19,10 +19,10 @@
 LONGEST_WAIT = 60.0  # seconds that a watch may wait
 LARGEST_REQUEST = 16 << 10  # bytes of a call
 LARGEST_DATAGRAM = 256
-FIRST_VERSION = (41, 7001)  # of each source; the two number their versions independently
+FIRST_VERSION = (41, 7001)  # first version of each discovery source; their numbers are independent
 DELAY = (0.001, 0.010)  # seconds that a datagram takes, drawn from this range
-LATE_DELAY = 0.5  # seconds for a late one
-SWAPPED_DELAY = 0.05  # seconds for one that others overtake
+LATE_DELAY = 0.5  # seconds that a late datagram takes
+SWAPPED_DELAY = 0.05  # seconds that a datagram takes so that later ones overtake it
 
 
 class Call(asyncio.Protocol):
@@ -134,7 +134,7 @@
             self.answer(call, False)
 
     def answer(self, call: Call, must_answer: bool) -> None:
-        """Answers a call if there are changes for it, or if `must_answer` (its wait is over)."""
+        """Answers a call if the list is newer than the caller's, or if the wait is over (`must_answer`)."""
         if not call.open or call not in self.waiting:
             return
         if self.old_list is not None:
@@ -186,7 +186,7 @@
 
     def end(self, step: Step) -> None:
         if step.kind == "half-list" and self.left_out is not None:
-            # The omitted lines count as changed, so that nodes with the half list get them.
+            # Marks the omitted lines as changed, so that nodes that got the list without them receive them.
             self.version += 1
             for name in self.left_out:
                 self.changed[name] = self.version
@@ -236,7 +236,7 @@
         self.plans = {s.id: s for s in host.plan.servers}
         self.servers: list[asyncio.Server] = []
         self.last: dict[str, int] = {}
-        self.known_lists: dict[str, KnownList] = {}  # by node
+        self.known_lists: dict[str, KnownList] = {}  # the list that each node last received, by node
 
     async def open(self) -> dict[str, Any]:
         self.prepare()
@@ -258,7 +258,7 @@
         return found
 
     def order(self, order: dict[str, Any]) -> None:
-        """`moved`: a node now uses the second source. `handed`: asks for a node's last list."""
+        """Handles `moved` (a node now uses the second source) and `handed` (reports a node's last list)."""
         if "handed" in order:
             name = order["handed"]
             had = self.known_lists.get(name)
--- a/brackenladder/rehearsal/standins/process.py
+++ b/brackenladder/rehearsal/standins/process.py
@@ -27,7 +27,7 @@
 
 LAG_INTERVAL = 0.01  # seconds between two measurements of the process's lag
 MIN_REPORTED_LAG = 5_000  # microseconds; smaller lags are not recorded
-LARGEST_ORDER = 64 << 20  # bytes of one line
+LARGEST_ORDER = 64 << 20  # largest size in bytes of one order (a JSON line)
 TIMER_STEP = 1_000  # microseconds by which the event loop's timers may fire early
 FLUSH = 0.25  # seconds between two flushes of the journal
 FAILED = 3  # exit code after an unexpected exception
@@ -42,7 +42,7 @@
     journal: str
     scenario: Scenario
     seed: int
-    number: int = 0  # of this process within its role
+    number: int = 0  # index of this process among those of its role
     address: dict[str, str] = {}
 
 
@@ -56,7 +56,7 @@
         """Called when the start of the run is known (`Host.begin`)."""
 
     def order(self, order: dict[str, Any]) -> None:
-        """Handles an order that came after the Brief."""
+        """Handles an order that follows the first one, the Brief."""
 
     async def finish(self) -> None:
         """Called at the end of the run."""
@@ -72,7 +72,7 @@
         self.plan: Plan = plan_of(brief.scenario, brief.seed)
         self.journal = Journal(Path(brief.journal))
         self.begin = 0  # start of the run, by the clock of the events
-        self.wall = 0  # the same in milliseconds of Unix time
+        self.wall = 0  # start of the run, in milliseconds of Unix time
         self.worst = 0
         self.child_pids: set[int] = set()  # node processes, killed if the runner ends without them
 
@@ -98,7 +98,7 @@
         return now() - self.begin
 
     def started_ms(self, born: int) -> int:
-        """A server's start as in the server list; 0 if it was before the run."""
+        """The start time as the server list has it, in Unix milliseconds; 0 if `born` is before the run."""
         return 0 if born < 0 else self.wall + born // 1000
 
     def note_fault(self, step: Step) -> None:
--- a/brackenladder/rehearsal/standins/server_connection.py
+++ b/brackenladder/rehearsal/standins/server_connection.py
@@ -47,7 +47,7 @@
         self.ref = ref
         self.connection = connection
         self.work = work
-        self.done = False  # its answer is written, or its connection has ended
+        self.done = False  # true once its answer is written or its connection has ended
 
 
 class Connection(asyncio.Protocol):
@@ -57,16 +57,16 @@
         self.server = server
         self.transport: asyncio.Transport = cast(asyncio.Transport, None)
         self.codec = server_codec(server.context.scenario)
-        self.first = 0  # when the first byte of an incomplete request came; 0: there is none
+        self.first = 0  # when the first byte of the incomplete request arrived; 0: there is no such request
         self.asked = False
         self.open: list[Attempt] = []
-        self.answering: Attempt | None = None  # whose answer is partly written; other answers must wait
+        self.answering: Attempt | None = None  # attempt whose answer is partly written; others must wait
         self.queued_answers: list[tuple[Attempt, bytes]] = []
         self.idle_since = 0.0
         self.ignoring = False
         self.queued = server.queued
         self.over_limit = False
-        self.reset_early = False  # to be reset after the first read, which the small buffer keeps short
+        self.reset_early = False  # reset after the first read; a small receive buffer keeps it short
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -90,12 +90,12 @@
         for request in requests:
             if not self.transport.is_closing():
                 self.request_received(request)
-            self.first = moment  # for the next request, if a part of it has come
+            self.first = moment  # this data may also hold the first bytes of the next request
         if self.codec.partial() is None:
             self.first = 0
         if self.reset_early:
             self.ignoring = True
-            for attempt in list(self.open):  # came complete in the first read, so it may have run
+            for attempt in list(self.open):  # this request was complete in the first read, so it may have run
                 self.server.abandoned(attempt, "server")
             reset(self.transport)
 
--- a/brackenladder/rehearsal/standins/server_context.py
+++ b/brackenladder/rehearsal/standins/server_context.py
@@ -10,7 +10,7 @@
 
 
 class ServerContext:
-    """`places`: the address of each place; `steps`: the faults of each server; `numbers`: for attempts."""
+    """`places`: each place's address; `steps`: each server's faults; `numbers`: source of attempt numbers."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
--- a/brackenladder/rehearsal/standins/servers.py
+++ b/brackenladder/rehearsal/standins/servers.py
@@ -48,7 +48,7 @@
         task.add_done_callback(self.task_ended)
 
     def task_ended(self, task: asyncio.Task[None]) -> None:
-        """Passes an exception to the loop's handler at once, not when the task is garbage collected."""
+        """Passes a task's exception to the loop's handler at once, not when the task is garbage collected."""
         self.tasks.discard(task)
         if not task.cancelled():
             task.result()
--- a/brackenladder/rehearsal/standins/simulated_server.py
+++ b/brackenladder/rehearsal/standins/simulated_server.py
@@ -17,10 +17,10 @@
 
 DRIP_INTERVAL = 0.02  # seconds between two bytes of the fault `drip`
 DRAIN_TIMEOUT = 3.0  # seconds that a drained server has to finish its requests
-RESET_DELAY = 0.005  # seconds for the first part of an answer to be sent before the reset
+RESET_DELAY = 0.005  # seconds from the first part of an answer to the reset, so that the part is sent
 FILLERS = 8  # connections that fill the backlog
-BACKLOG_SETTLE = 0.1  # seconds after the fault `backlog` in which new connections may have waited in it
-HOLD_BEFORE_DRAIN = 300_000  # microseconds before the fault `drain-answering` in which answers are held
+BACKLOG_SETTLE = 0.1  # seconds after the fault `backlog` in which accepted connections may come from it
+HOLD_BEFORE_DRAIN = 300_000  # microseconds before `drain-answering` begins in which answers are held
 
 
 class SimulatedServer:
@@ -154,7 +154,7 @@
         while self.waiting and self.running < self.plan.cores:
             attempt = self.waiting.popleft()
             if attempt.done:
-                continue  # its connection has ended, so it isn't run
+                continue  # the request's connection has ended, so the request isn't run
             self.running += 1
             time = attempt.work / self.speed()
             self.loop.call_later(time / MICRO, self.work_done, attempt, time)
@@ -240,7 +240,8 @@
         connection.write(attempt, data, whole=True)
         shut = self.fault("closed", "backlog", "reset-early") is not None
         if (not self.alive or connection.over_limit or shut) and not connection.open:
-            connection.transport.close()  # a kept connection would bypass the closed port
+            # Over a kept connection, a node could still reach a server whose port is closed.
+            connection.transport.close()
 
     def abandoned(self, attempt: Attempt, by: str) -> None:
         """Records the end of a connection before the answer was complete."""
--- a/brackenladder/rehearsal/timeline.py
+++ b/brackenladder/rehearsal/timeline.py
@@ -193,7 +193,7 @@
 
 
 def peak_loads(changes: Sequence[tuple[int, int]], begin: int, span: int) -> tuple[int, list[int]]:
-    """The maximum of requests in flight, over the run and in each bin."""
+    """The largest number of requests in flight, over the whole run and in each interval that is drawn."""
     most: defaultdict[int, int] = defaultdict(int)
     level, bin_ = 0, 0
     for t, change in sorted(changes):
