--- a/brackenladder/soak/actors.py
+++ b/brackenladder/soak/actors.py
@@ -88,7 +88,7 @@
 
 
 async def _record_lags(name: str, journal: Journal) -> None:
-    """Records periods in which this process was not scheduled; flushes the journal regularly."""
+    """Records periods in which the kernel did not schedule this process; also flushes the journal."""
     flushed = before = now()
     while True:
         await asyncio.sleep(LAG_CHECK_SECONDS)
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -20,8 +20,8 @@
 DRAIN = round(DEFAULT_BOUNDS.drain_ms * 1000)  # microseconds
 EVACUATE = round(DEFAULT_BOUNDS.evacuate_ms * 1000)
 LOSS_SLACK = round(DEFAULT_BOUNDS.loss_slack_ms * 1000)
-USED_DEADLINE_SHARE = 0.7  # of a deadline; a connection closed after that is not blamed on planned work
-SERVED_WINDOW = 3_000_000  # microseconds after a recovery in which clients must be served
+USED_DEADLINE_SHARE = 0.7  # share of a deadline after which a closed connection does not break LOST
+SERVED_WINDOW = 3_000_000  # microseconds after the recovery in which each region's clients must get answers
 SERVED_SHARE = 0.25
 T = TypeVar("T")
 
@@ -68,7 +68,7 @@
 
     @property
     def held(self) -> bool:
-        """Whether no rule was violated."""
+        """Whether all rules held."""
         return not self.breaches
 
     def add(self, rule: Rule, at: int, detail: str) -> None:
@@ -239,7 +239,8 @@
     def _late(self, rule: Rule, arrival: seen.Arrived, detail: str) -> None:
         """Adds a violation for a late arrival.
 
-        Excused if the gateway was out of contact or the server's actor was delayed.
+        Excused if the gateway was out of contact with the control plane, or if the server's actor may have
+        recorded the arrival too late.
         """
         if self._refusals.get((arrival.request, arrival.server)) == HTTPStatus.MISDIRECTED_REQUEST:
             return
@@ -271,7 +272,7 @@
     # -- planned work
 
     def _check_losses(self) -> None:
-        """LOST: a completely sent request gets a complete answer unless unplanned faults are near."""
+        """LOST: a completely sent request gets a complete answer unless an unplanned fault was active."""
         for tried in self._tries.values():
             if not tried.read:
                 continue
--- a/brackenladder/soak/clients.py
+++ b/brackenladder/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that behave like the platform's: they resolve gateways by the directory and reuse connections."""
+"""Clients that, like the platform's own, resolve gateways through a directory and reuse connections."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 MILLISECONDS = 1000
 CONNECT_SECONDS = 1.0
-MAX_DIRECTORIES = 3  # tried in one look-up
-LONG_CACHE_FACTOR = 3  # multiple of the time to live for which some clients keep an answer
-LONG_CACHE_SHARE = 0.3  # share of clients that keep answers that long
+MAX_DIRECTORIES = 3  # directories tried in one look-up
+LONG_CACHE_FACTOR = 3  # some clients keep a directory answer for this multiple of its time to live
+LONG_CACHE_SHARE = 0.3  # share of clients that keep directory answers that long
 THINK_SECONDS = 0.25  # mean pause between two requests of a client
 RETRY_SECONDS = 0.1
-MAX_PAUSE_SHARE = 1 / 3  # of the deadline; a longer Retry-After is cut to this
-FRESH_SHARE = 0.1  # of requests sent on a new connection although the old one is usable
-TOKENS_OUT = (8, 120)  # in a stream: minimum and maximum
+MAX_PAUSE_SHARE = 1 / 3  # longest pause after Retry-After, as a share of the deadline
+FRESH_SHARE = 0.1  # share of requests sent on a new connection although the old one works
+TOKENS_OUT = (8, 120)  # tokens of a streamed answer: minimum and maximum
 _EVENT_PATTERN = re.compile(rb"id: (\d+)\ndata: piece (\d+) of (\d+)\n\n")
 
 
@@ -46,7 +46,7 @@
 
 
 class DirectoryCache:
-    """Gateway addresses that one client got from a directory for one host."""
+    """The gateway addresses of one host that a client has got from a directory."""
 
     def __init__(self, place: ClientLocation, host: str, cache_factor: int, record: Record) -> None:
         self.addresses: tuple[str, ...] = ()
@@ -77,14 +77,14 @@
 
     def __init__(self, place: ClientLocation, host: str, random: Random, record: Record) -> None:
         cache_factor = LONG_CACHE_FACTOR if random.random() < LONG_CACHE_SHARE else 1
-        self.stopping = False  # set: send no more requests after the current one
+        self.stopping = False  # if true, the client stops after its current request
         self._region = place.region
         self._directory_cache = DirectoryCache(place, host, cache_factor, record)
         self._calls = [one for one in CALLS if one.host == host]
         self._random = random
         self._record = record
         self._connection: Connection | None = None
-        self._failed: set[str] = set()  # addresses that failed since the directory's last new answer
+        self._failed: set[str] = set()  # addresses that failed since a directory last gave a new answer
 
     async def run(self) -> None:
         """Sends requests until `stopping` is set."""
@@ -217,7 +217,7 @@
 
 
 def _signing_server(head: Head, request: str) -> str:
-    """Name of the server that signed the answer; raises MixedAnswer if it answers another request."""
+    """Name of the server that signed an answer; raises MixedAnswer if it signed another request's answer."""
     if head.headers.get(REQUEST_ID.lower()) != request:
         raise MixedAnswer(f"answer to request {head.headers.get(REQUEST_ID.lower())}")
     server, _, signed = head.headers.get(SIGNATURE.lower(), "").rpartition(".")
--- a/brackenladder/soak/configuration.py
+++ b/brackenladder/soak/configuration.py
@@ -48,7 +48,7 @@
 
 
 def initial(number: int, version: int) -> Document:
-    """The first configuration: that of the local site, with the soak's routes and services."""
+    """The first configuration: the local site's, with the soak's routes and services added."""
     document = deepcopy(first_configuration())
     model, plain = document["Services"]
     services = [model, plain, plain | {"Name": FORMS}]
@@ -107,7 +107,7 @@
 
 
 def _change_backend(routes: dict[str, Document], random: Random) -> set[str]:
-    """Sends a route to the other service."""
+    """Changes the service that a route sends requests to."""
     route = routes[f"{PLAIN_HOST}/flip/"]
     route["Backend"] = FORMS if route["Backend"] == CARDS else CARDS
     return {route["Name"]}
--- a/brackenladder/soak/connection.py
+++ b/brackenladder/soak/connection.py
@@ -11,7 +11,7 @@
 from attrs import frozen
 
 CALL_SECONDS = 1.0
-LARGEST_LINE = 64 * 1024  # bytes
+LARGEST_LINE = 64 * 1024  # longest line of an answer's head, in bytes
 
 
 class AnswerError(Exception):
--- a/brackenladder/soak/contact.py
+++ b/brackenladder/soak/contact.py
@@ -1,4 +1,4 @@
-"""Timeline of faults: when a machine was in contact with the control plane, so that time bounds apply."""
+"""Timeline of faults. Time bounds apply only while a machine was in contact with the control plane."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from brackenladder.soak.events import Event, Lagged, Trouble
 
 CONTACT = round(DEFAULT_BOUNDS.contact_ms * 1000)  # bound of ContactMs in microseconds
-LAG_SLACK = 100_000  # microseconds an actor needs after a lag to process its backlog
+LAG_SLACK = 100_000  # microseconds that an actor needs to process its backlog after it was not scheduled
 RELOAD = "reload"
 Span = tuple[int, int]
 
@@ -43,7 +43,7 @@
         )
 
     def delayed(self, actor: str, at: int) -> bool:
-        """Whether an actor may have recorded an event later than it arrived."""
+        """Whether an actor may have recorded an event of this time late."""
         return _overlaps(self._by_target[actor], at - CONTACT, at) or _overlaps(self._lags[actor], at, at)
 
     def leaving(self, server: str, began: int, ended: int) -> bool:
--- a/brackenladder/soak/events.py
+++ b/brackenladder/soak/events.py
@@ -54,11 +54,11 @@
 
     began: int
     request: str
-    region: str  # of the client
+    region: str  # region of the client
     gateway: str  # "ip:port"
     host: str
     path: str
-    kind: str  # of the route
+    kind: str  # kind of the route
     deadline_ms: int
     ended: int = 0
     read: int = 0  # when the last byte of the request was sent; 0: never
@@ -72,11 +72,11 @@
     """How a request of a client ends."""
 
     SERVED = "served"  # complete answer of a server
-    REFUSED = "refused"  # status that promises the request has not run
+    REFUSED = "refused"  # a status that guarantees that the request has not run
     FAILED = "failed"  # any other status
     UNREACHED = "unreached"  # no connection could be made
     CLOSED = "closed"  # connection ended within an answer that is visibly incomplete
-    OVERDUE = "overdue"  # the deadline passed
+    OVERDUE = "overdue"  # the request's deadline passed without a complete answer
     MIXED = "mixed"  # answer of another request, or incomplete but looking complete
 
 
@@ -94,7 +94,7 @@
 
 @frozen
 class Handled(Event):
-    """A server started to run a request, or refused to run it with the status `refusal`."""
+    """A server started to run a request, or refused it with the status `refusal`."""
 
     at: int
     request: str
@@ -145,9 +145,9 @@
     valid: bool
     invoked: int
     ended: int
-    outcome: str  # member name of the simulation's `Outcome`
+    outcome: str  # name of a member of the simulation's enum `Outcome`
     told_version: int
-    repeat_status: int = 0  # status of an acknowledged order that was sent again; 0: not sent again
+    repeat_status: int = 0  # status of the repetition of an acknowledged order; 0: not repeated
 
 
 @frozen
@@ -158,9 +158,9 @@
     invoked: int
     ended: int
     version: int
-    number: int  # of the order that created it
+    number: int  # number of the order that created this configuration
     node: str
-    final: bool = False  # after the last order
+    final: bool = False  # read after the last order
 
 
 @frozen
@@ -193,7 +193,7 @@
 
 @frozen
 class Lagged(Event):
-    """An actor's process was not scheduled for a while, so it recorded events of that time late."""
+    """The kernel did not schedule an actor's process for a while, so it recorded events late."""
 
     began: int
     ended: int
--- a/brackenladder/soak/operators.py
+++ b/brackenladder/soak/operators.py
@@ -20,9 +20,9 @@
 
 CALL_SECONDS = 3.0  # timeout of one call
 PATIENCE_SECONDS = 12.0  # time over which a configuration order without a definite answer is retried
-EVACUATION_SECONDS = 5.0  # AckMs: time over which an evacuation is retried
+EVACUATION_SECONDS = 5.0  # AckMs in seconds: how long an unacknowledged evacuation is retried
 FIRST_PAUSE_SECONDS, LONGEST_PAUSE_SECONDS = 0.1, 1.0
-MEAN_PAUSE_SECONDS = 0.7  # between two actions of one operator
+MEAN_PAUSE_SECONDS = 0.7  # mean pause between two actions of one operator
 LOST_SHARE = 0.15  # share of answers that are dropped
 LOST_AFTER_SECONDS = 0.5  # longest time until the connection of a dropped answer is closed
 READ_SHARE, REPEAT_SHARE, INVALID_SHARE, UPDATE_SHARE = 0.2, 0.25, 0.1, 0.5
@@ -35,12 +35,12 @@
 
 @define
 class OperatorContext:
-    """State that the operators share: control nodes, and the configuration of each order by number."""
+    """State that the operators share: control nodes, and the configuration submitted by each order number."""
 
     nodes: tuple[str, ...]
     random: Random
     record: Record
-    lose_answers: bool = False  # whether a share of answers is dropped
+    lose_answers: bool = False  # whether LOST_SHARE of the answers is dropped
     documents: dict[int, Document] = field(factory=dict)
     numbers: count[int] = field(factory=lambda: count(1))
 
@@ -60,7 +60,7 @@
     async def retry_until_clear(
         self, path: str, clear: Container[int], patience: float, body: bytes = b"", base: int | None = None
     ) -> Reply | None:
-        """Retries an order with growing pauses until a status in `clear` comes or the time is over."""
+        """Retries an order with growing pauses until a status in `clear` arrives, for `patience` seconds."""
         until = now() + patience * MICROSECONDS
         pause = FIRST_PAUSE_SECONDS
         while now() < until:
@@ -72,7 +72,7 @@
         return None
 
     async def evacuate(self, zone: str, begin: bool, patience: float = EVACUATION_SECONDS) -> bool:
-        """Begins or finishes an evacuation; returns whether it was acknowledged."""
+        """Begins or ends the evacuation of a zone; returns whether the control plane acknowledged it."""
         invoked = now()
         path = f"/-/Evacuations.{'Begin' if begin else 'Finish'}/{zone}"
         done = await self.retry_until_clear(path, {HTTPStatus.OK}, patience) is not None
@@ -88,7 +88,7 @@
         self._context = context
         self._random = Random(f"{context.random.random()} {name}")
         self._version = 0
-        self._number = 0  # number of the order that created that version; 0: unknown
+        self._number = 0  # number of the order that created `_version`; 0: unknown
         self._active = True
 
     async def work(self) -> None:
@@ -151,4 +151,4 @@
         order = (base, version, data.decode(), json.dumps(whole), update, valid)
         context.record(Ordered(number, self.name, *order, invoked, ended, outcome.name, told, again))
         self._version, self._number = version, number if outcome is Outcome.ACKNOWLEDGED else 0
-        return bool(self._number)  # if 0, it reads the configuration before its next change
+        return bool(self._number)  # False: the operator must read the configuration before its next change
--- a/brackenladder/soak/processes.py
+++ b/brackenladder/soak/processes.py
@@ -20,10 +20,10 @@
 from brackenladder.soak.relayed_role import PORT_VARIABLE
 from brackenladder.soak.site import SoakLayout
 
-KILL_MARGIN_SECONDS = 2.0  # after the grace period
-ACTOR_SECONDS = 30.0  # for an actor to start or to exit
+KILL_MARGIN_SECONDS = 2.0  # seconds after the grace period until SIGKILL
+ACTOR_SECONDS = 30.0  # time limit for an actor to start or to exit
 POLL_SECONDS = 0.02
-TERMINATING_SIGNALS = frozenset({signal.SIGTERM, signal.SIGHUP})  # end a process that has no handler
+TERMINATING_SIGNALS = frozenset({signal.SIGTERM, signal.SIGHUP})  # they end a process without a handler
 
 
 class ManagedProcess:
@@ -52,7 +52,7 @@
         return self._process
 
     async def pause(self, seconds: float) -> None:
-        """Stops the process by SIGSTOP for so many seconds."""
+        """Pauses the process with SIGSTOP for `seconds`, then resumes it."""
         began = now()
         self._pauses += 1
         self._send(signal.SIGSTOP)
@@ -79,10 +79,10 @@
         self._layout = layout
         self._relayed = relayed
         self._watch: asyncio.Task[None] | None = None
-        self._down_requests = 0  # number of faults that keep it down
+        self._down_requests = 0  # number of current faults that keep the process down
         self._bootstrap = True
         self._starting = asyncio.Lock()
-        self._handler_missing = False  # the program had no handler yet for the last signal
+        self._handler_missing = False  # true if the last signal came before the program had a handler
 
     @property
     def running(self) -> bool:
@@ -90,7 +90,7 @@
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Starts the process unless it runs or a fault keeps it down."""
+        """Starts the process unless it already runs or a fault keeps it down."""
         async with self._starting:
             if self._down_requests or self.running:
                 return
@@ -106,24 +106,24 @@
             self._watch = asyncio.create_task(self._notice_end(process))
 
     def reload(self) -> None:
-        """Rewrites the settings file and sends SIGHUP."""
+        """Rewrites the process's settings file and sends SIGHUP, which makes it reload the file."""
         if self.running:
             self._write_settings()
             self._send(signal.SIGHUP)
             self._record(Trouble(now(), now(), "reload", (self.name,), planned=True))
 
     async def terminate(self) -> None:
-        """Terminates the process for good."""
+        """Terminates the process; it isn't started again."""
         self._down_requests += 1
         async with self._starting:
-            pass  # waits for a start in progress
+            pass  # only waits for a start in progress to finish
         await self._terminate()
 
     async def take_down(self, kind: str, away: float, planned: bool) -> None:
         """Ends the process by SIGTERM if planned, else by SIGKILL, and keeps it down for `away` seconds."""
         began = now()
         self._down_requests += 1
-        async with self._starting:  # waits for a start in progress
+        async with self._starting:  # a start in progress must finish first
             process = self._process
         try:
             if planned:
--- a/brackenladder/soak/relay.py
+++ b/brackenladder/soak/relay.py
@@ -12,7 +12,7 @@
 
 PIECE = 64 * 1024  # bytes read at a time
 CONNECT_SECONDS = 1.0
-POLL_SECONDS = 0.02  # between two checks whether a hold has ended
+POLL_SECONDS = 0.02  # interval of the checks whether traffic is still held
 Direction = tuple[str, str]  # names of the sender and the receiver
 
 
@@ -21,19 +21,19 @@
 
     def __init__(self, layout: SoakLayout, _region: str, _seed: str, _record: Record) -> None:
         self._layout = layout
-        self._holds: Counter[Direction] = Counter()  # number of faults that delay a direction
+        self._holds: Counter[Direction] = Counter()  # number of active faults that delay each direction
         self._servers: list[asyncio.Server] = []
         self._links: dict[asyncio.Task[None], Direction] = {}
 
     async def start(self) -> None:
-        """Opens a listener for each pair of a node and a control node that it may dial."""
+        """Opens a listener for each pair of a node and a control node that the node may dial."""
         for target in self._layout.control:
             for source in self._layout.machines:
                 if source is not target:
                     await self._listen(source, target)
 
     def order(self, order: Order) -> None:
-        """Applies `hold` (delays these directions), `release` or `reset` (closes connections) to pairs."""
+        """Applies `hold` (delays traffic), `release` or `reset` (closes connections) to pairs of machines."""
         for source_name, target_name in order["pairs"]:
             if order["do"] == "reset":
                 self._reset(source_name, target_name)
@@ -76,7 +76,7 @@
     async def _link(
         self, source: Machine, target: Machine, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Relays one connection until a side closes it."""
+        """Relays one connection until either side closes it."""
         forth, back = (source.name, target.name), (target.name, source.name)
         await self._wait_until_released(forth)
         try:
--- a/brackenladder/soak/run.py
+++ b/brackenladder/soak/run.py
@@ -13,8 +13,8 @@
 from brackenladder.soak.site import Size, SoakLayout
 from brackenladder.soak.system import SoakError, SoakSystem
 
-RECOVERY_SECONDS = 20.0  # after all faults ended: RecoveryS, and the start of processes
-STEP_SECONDS = 90.0  # longest time after a phase until its last step has ended
+RECOVERY_SECONDS = 20.0  # limit after the last fault: RecoveryS and the time to start processes
+STEP_SECONDS = 90.0  # limit for the last step to end after its phase
 PLAYER = "player"
 BAD_LINES = ("Traceback", "invariant broken", "fault in a request")
 
--- a/brackenladder/soak/schedule.py
+++ b/brackenladder/soak/schedule.py
@@ -11,12 +11,12 @@
 from brackenladder.soak.servers import Leave
 from brackenladder.soak.site import REGIONS, ZONES, SoakLayout
 
-CONTROL_FAULT_SHARE = 0.5  # of the seeds also disturb control nodes
-RELAY_SHARE = 0.5  # of the seeds link nodes through the relay
-WHOLE_REGION_SHARE = 0.6  # of the removals take down all gateways of a region
-POWER_LOSS_SHARE = 0.1  # of the kills hit all eligible machines, as a power loss does
-PLANNED_SHARE, STORM_SHARE, LATE_SHARE = 0.3, 0.45, 0.25  # of the total time, by phase
-CALM_SECONDS = 4.5  # without faults before planned work; longer than ContactMs
+CONTROL_FAULT_SHARE = 0.5  # share of seeds in which faults also hit control nodes
+RELAY_SHARE = 0.5  # share of seeds in which nodes connect through the relay
+WHOLE_REGION_SHARE = 0.6  # share of removals that take down all gateways of a region
+POWER_LOSS_SHARE = 0.1  # share of kills that hit all eligible machines, like a power loss
+PLANNED_SHARE, STORM_SHARE, LATE_SHARE = 0.3, 0.45, 0.25  # share of the total time that each phase takes
+CALM_SECONDS = 4.5  # fault-free seconds before planned work; longer than ContactMs
 FIRST_SECONDS = 0.5  # from the start of a phase to its first step
 STEP_GAPS = (0.4, 2.0)  # seconds between two steps, shortest and longest
 
@@ -63,13 +63,13 @@
     at: float
     kind: Kind
     targets: tuple[str, ...]
-    seconds: float = 0.0  # how long it lasts, or how long the target stays down
+    seconds: float = 0.0  # duration of the fault or operation, or time that the target stays down
     leave: Leave = Leave.CRASH
 
 
 @frozen
 class Phase:
-    """Steps that start within `seconds`."""
+    """One part of a soak: the steps that start within its `seconds`."""
 
     seconds: float
     steps: tuple[Step, ...]
@@ -79,10 +79,10 @@
 class Schedule:
     """The phases of a soak."""
 
-    relayed: bool  # nodes are linked through the relay
+    relayed: bool  # whether nodes connect to control nodes through the relay
     planned: Phase
     storm: Phase
-    late: Phase  # planned work again, after the recovery
+    late: Phase  # second phase of planned work, after the recovery
 
 
 def make_schedule(seed: int, layout: SoakLayout, seconds: float) -> Schedule:
@@ -107,7 +107,7 @@
         self._gateways = layout.gateways
         self._names = [one.name for one in (layout.machines if with_control else layout.gateways)]
         self._servers = [one.id.partition(".")[0] for one in layout.servers()]
-        self._scale = max(1, len(layout.gateways) // 5)  # larger systems get more targets per step
+        self._scale = max(1, len(layout.gateways) // 5)  # multiplies the targets of a step
 
     def phase(self, seconds: float, kinds: Sequence[Kind], leaves: Sequence[Leave]) -> Phase:
         """Draws the steps of a phase from these kinds."""
--- a/brackenladder/soak/servers.py
+++ b/brackenladder/soak/servers.py
@@ -20,7 +20,7 @@
 
 COLD_SECONDS = 2.0  # warm-up time after a restart
 LONGEST_STAY_SECONDS = 6.0  # longest time that a leaving server stays beyond DrainMs
-FINISH_SECONDS = 10.0  # for running requests to finish when a server stops
+FINISH_SECONDS = 10.0  # time limit for running requests when a server stops
 
 
 class Leave(Enum):
@@ -45,7 +45,7 @@
         self._record(Arrived(now(), request_id, own.id, own.service, own.zone, path))
 
     def begun(self, request_id: str) -> None:
-        """Records that a request runs from now on."""
+        """Records that a request has started to run."""
         super().begun(request_id)
         self._record(Handled(now(), request_id, self.settings.id))
 
@@ -59,7 +59,7 @@
 
 
 class LossyHeartbeats(Heartbeats):
-    """Heartbeats of whose acknowledgements a share can be dropped."""
+    """Heartbeats that can ignore a share of their acknowledgements, as if these were lost."""
 
     lost_share = 0.0
     random = Random(1)
@@ -79,7 +79,7 @@
 
 
 class ServerGroup:
-    """All servers of one region, by place; a replacement server takes its predecessor's place."""
+    """All servers of one region, by place: the fixed slot that a server and its replacements occupy."""
 
     def __init__(self, layout: SoakLayout, region: str, seed: str, record: Record) -> None:
         own = [one for one in layout.servers() if layout.zones[one.zone] == region]
@@ -107,7 +107,7 @@
         return None
 
     async def leave(self, place: str, how: Leave, away: float) -> None:
-        """Stops a server and starts its replacement after `away` seconds; ignored if already leaving."""
+        """Stops a server and starts its replacement after `away` seconds, unless it is already leaving."""
         if place in self._leaving:
             return
         self._leaving.add(place)
@@ -158,7 +158,7 @@
             self._record(LeaveAcknowledged(now(), name))
             acknowledged = True
         except TimeoutError:
-            pass  # it stops even without an acknowledgement
+            pass  # the server stops even if its drain was not acknowledged
         stay = DEFAULT_BOUNDS.drain_ms / 1000 + self._random.uniform(0.2, LONGEST_STAY_SECONDS)
         await asyncio.sleep(stay)
         del self._heartbeats[place], self._servers[place]
--- a/brackenladder/soak/site.py
+++ b/brackenladder/soak/site.py
@@ -20,7 +20,7 @@
 REGIONS = ("north", "south", "east")
 CHAT, CARDS, FORMS = "chat", "cards", "forms"
 FIRST_SERVER = 101  # last octet of the first server's address
-RELAY_PORT = 17_000  # first relay port; a node dials this plus its index among the machines
+RELAY_PORT = 17_000  # first relay port; a node dials this port plus the node's index in `machines`
 ENGINE = EngineSettings()
 
 
@@ -73,7 +73,7 @@
 
     @property
     def machines(self) -> tuple[Machine, ...]:
-        """All machines that run roles; the relay derives ports from the order."""
+        """All machines that run roles; a machine's index in this list determines its relay port."""
         return (*self.control, *self.gateways)
 
     @property
--- a/brackenladder/soak/system.py
+++ b/brackenladder/soak/system.py
@@ -15,9 +15,9 @@
 from brackenladder.soak.schedule import Kind, Step
 from brackenladder.soak.site import REGIONS, SoakLayout
 
-START_SECONDS = 60.0  # for the whole system to become ready
+START_SECONDS = 60.0  # time limit for the whole system to become ready
 POLL_SECONDS = 0.1
-LOST_SHARE = 0.9  # of heartbeat acknowledgements while LOSE_ACKNOWLEDGEMENTS is active
+LOST_SHARE = 0.9  # share of heartbeat acknowledgements dropped during LOSE_ACKNOWLEDGEMENTS
 
 
 class SoakError(Exception):
@@ -56,7 +56,7 @@
         self._working = [asyncio.create_task(operator.work()) for operator in self.operators]
 
     async def stop_operators(self) -> None:
-        """Stops the operators and their loss of answers."""
+        """Stops the operators, and no longer drops their answers."""
         for operator in self.operators:
             operator.stop()
         await asyncio.gather(*self._working)
@@ -117,7 +117,7 @@
         await self.context.evacuate(zone, begin=True)
         await asyncio.sleep(seconds)
         while not await self.context.evacuate(zone, begin=False, patience=START_SECONDS):
-            pass  # each attempt has a timeout, and so has the run
+            pass  # retried until acknowledged; each attempt and the whole run have a time limit
         self._evacuating.discard(zone)
 
     async def _disturb_links(self, step: Step) -> None:
@@ -138,7 +138,7 @@
     # -- recovery
 
     async def missing(self) -> tuple[str, ...]:
-        """What has not recovered: gateways that are not ready, or orders not accepted."""
+        """Names what has not recovered: gateways that are not ready, or orders that are not accepted."""
         gateways = self.layout.gateways
         answers = await asyncio.gather(*(call(one.ready, "GET", "/-/readyz") for one in gateways))
         found = [
--- a/brackenladder/soak/versions.py
+++ b/brackenladder/soak/versions.py
@@ -24,7 +24,7 @@
 
     version: int
     invoked: int
-    superseded: int | None  # when a later version was acknowledged
+    superseded: int | None  # time when a later version was acknowledged
     rules: Rules
 
 
@@ -45,7 +45,7 @@
         ]
 
     def rules(self, route: tuple[str, str], since: int, until: int, in_contact: bool) -> list[RouteRule]:
-        """Rules that may apply to a request sent at `since` and recorded at `until`.
+        """The rules, one for each configuration that may apply to a request between `since` and `until`.
 
         A machine in contact applies a version within ConfigMs of its acknowledgement; one out of contact may
         still use any older version.
@@ -76,7 +76,7 @@
 
 
 def _record(number: int, order: Ordered | None) -> OrderRecord:
-    """Converts an order for the simulation's checks; an order that was never recorded has version 0."""
+    """Converts an order to the type that the simulation's checks take; version 0 if it was never recorded."""
     if order is None:
         return OrderRecord(number, "", ReplaceConfiguration(0, b""), 0, 0)
     kind = UpdateConfiguration if order.update else ReplaceConfiguration
