--- a/brackenladder/fleet/clients.py
+++ b/brackenladder/fleet/clients.py
@@ -1,4 +1,4 @@
-"""Clients in virtual time, and the load balancer in front of the nodes, like the rehearsal's stand-ins."""
+"""Clients, and the load balancer in front of the nodes, in virtual time; they act like the stand-ins."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from brackenladder.rehearsal.plan import RequestPlan, node_name
 from brackenladder.rehearsal.scenario import Scenario
 
-GIVE_UP_MARGIN = 1_000_000  # microseconds a client waits beyond its deadline, as the stand-ins do
+GIVE_UP_MARGIN = 1_000_000  # microseconds that a client waits beyond its deadline, like the stand-in clients
 ID_MASK = 0xFFFFFFFFFFFFFFFF
 
 
@@ -45,18 +45,18 @@
             clients.try_ended(self, status, advice)
 
     def node_ended(self) -> None:
-        """The node was killed, or was down when the request arrived."""
+        """Handles a node that was killed, or that was down when the request arrived."""
         clients = self.clients
         clients.queue.after(clients.delay, self.connection_closed)
 
     def connection_closed(self) -> None:
-        """The client sees that the connection was closed."""
+        """Handles the close of the connection, once the client sees it."""
         if not self.finish():
             return
         clients = self.clients
         clients.record(Broken(clients.queue.now, self.name, False))
         if self.reused and clients.queue.now - self.sent < clients.slack:
-            # The request crossed the close of a reused connection, so it is sent again under a new id.
+            # The node closed the reused connection while the request was on its way: send it again.
             retry = RequestTry(clients, self.plan, self.number)
             retry.name = f"{int(self.name, 16) ^ (1 << 63):016x}"
             clients.dispatch(retry, alone=True)
@@ -78,7 +78,7 @@
         self.finished = True
         if self.timer is not None:
             self.timer.cancel()
-        self.call = None  # breaks the reference cycle
+        self.call = None  # breaks the reference cycle between the try and its call
         return True
 
 
@@ -101,7 +101,7 @@
         self.record = record
         self.delay = delay
         self.names = [node_name(i) for i in range(scenario.nodes)]
-        self.accepting = dict.fromkeys(self.names, True)  # whether a node gets new connections
+        self.accepting = dict.fromkeys(self.names, True)  # by node: whether it gets new connections
         self.idle_connections = dict.fromkeys(self.names, 0)  # idle kept-alive connections by node
         self.slack = round(scenario.rules.slack_ms * 1000)
         self.give_up_margin = (
--- a/brackenladder/fleet/compare.py
+++ b/brackenladder/fleet/compare.py
@@ -44,7 +44,7 @@
 
 
 def remaining_keys(cell: Cell, wanted: Mapping[str, str]) -> tuple[tuple[str, Value], ...] | None:
-    """The other keys of a cell that has the wanted values; None if it does not have them."""
+    """The cell's keys except the wanted ones; None if the cell does not have the wanted values."""
     values = dict(cell)
     if any(key not in values or str(values[key]) != value for key, value in wanted.items()):
         return None
--- a/brackenladder/fleet/days.py
+++ b/brackenladder/fleet/days.py
@@ -17,17 +17,17 @@
 TIERS = 3
 NODES_PER_FRONT = 6  # one in six nodes serves clients; the others run beside servers of tiers 1 and 2
 MIN_NODES = 12
-MEAN_WORK_S = 0.33  # mean work of a request over all tiers, by the classes below
+MEAN_WORK_S = 0.33  # seconds of work of a mean request of CLASSES, summed over all tiers
 TIER_WORK = (0.41, 0.31, 0.28)
 SHARES = (2.8, 0.8, 0.8, 0.8, 0.8)  # load of each tenant relative to its quota
-QUOTA = (0.43, 0.14, 0.14, 0.14, 0.14)  # share of each tenant in all quotas
+QUOTA = (0.43, 0.14, 0.14, 0.14, 0.14)  # each tenant's share of the sum of all quotas
 CLASSES = (
     {"name": "view", "effect": "safe", "work_ms": [120, 420], "aim_ms": 1200, "deadline_ms": 3000},
     {"name": "invite", "effect": "unsafe", "work_ms": [60, 570], "aim_ms": 1500, "deadline_ms": 4000},
     {"name": "offer", "effect": "keyed", "work_ms": [150, 820], "aim_ms": 2500, "deadline_ms": 6000},
 )
 CLASS_SHARES = ((0.37, 0.55), (0.27, 0.41), (0.16, 0.24))
-SILENT_WATCH_SHARE = 0.25  # of the watches fall silent once on the day `join`
+SILENT_WATCH_SHARE = 0.25  # share of the watches that fall silent once on the day `join`
 
 Table = dict[str, Any]
 
@@ -47,12 +47,13 @@
 
 
 def base_table(rng: Random, nodes: int) -> Table:
-    """The part that all days share: tiers, zones, load and limits."""
+    """The part of the scenario that all days share: tiers, zones, load and limits."""
     front = max(2, nodes // NODES_PER_FRONT)
     servers = max(4, (nodes - front) // (TIERS - 1))
     zones = rng.choice((["east"], ["east", "west"]))
     speed = sorted(rng.uniform(0.75, 1.35) for _ in range(2))
-    capacity = servers * 2 * sum(speed) / 2 / (MEAN_WORK_S * max(TIER_WORK))  # first tries a second
+    # First tries a second that the servers can serve.
+    capacity = servers * 2 * sum(speed) / 2 / (MEAN_WORK_S * max(TIER_WORK))
     load = rng.uniform(0.95, 1.2)
     quota = capacity * rng.uniform(0.47, 0.56)
     sent = [s * q for s, q in zip(SHARES, QUOTA, strict=True)]
@@ -128,7 +129,7 @@
 
 
 def roll(rng: Random, table: Table) -> None:
-    """A deploy while all front nodes restart, a tenth at a time; then all switch discovery services."""
+    """A deploy while the front nodes restart, a tenth at a time; then they all switch discovery services."""
     lasts = round(rng.uniform(8, 12), 1)
     at = release(rng, table, 0.5, lasts)
     table["faults"] += [
@@ -202,7 +203,7 @@
         {"kind": "reset-answer", "at_s": at, "for_s": 10.0, "share": 0.05, "pick": max(1, count // 8)},
         {
             "kind": "silent-watch",
-            "at_s": round(at + 0.1, 1),  # before discovery learns the first change
+            "at_s": round(at + 0.1, 1),  # begins before discovery learns of the first replaced server
             "for_s": 0.1,
             "pick": max(1, round(SILENT_WATCH_SHARE * table["nodes"])),
         },
--- a/brackenladder/fleet/detector_network.py
+++ b/brackenladder/fleet/detector_network.py
@@ -32,7 +32,7 @@
 
 
 class ProjectDetector(Detector):
-    """The detector of this project."""
+    """Adapts this project's failure detector to `DetectorMember`."""
 
     def dead(self) -> set[int]:
         return {*self.view.in_state(State.DEAD), *self.view.in_state(State.LEFT)}
@@ -67,7 +67,7 @@
         self.make = make
         self.cut: set[tuple[int, int]] = set()
         self.members: list[DetectorMember | None] = [None] * size
-        self.starts = [0] * size  # processes started by each node so far
+        self.starts = [0] * size  # number of processes that each node has started
         self.paused: dict[int, list[tuple[int, bytes]]] = {}  # datagrams queued for paused members
         self.log: list[tuple[int, Transition]] = []  # transitions, each with the member that reported it
         self.bytes = [0] * size
@@ -147,7 +147,7 @@
         return [n for n, member in enumerate(self.members) if member is not None]
 
     def false_deaths(self, since: int, excluding: Sequence[int] = ()) -> list[tuple[int, Transition]]:
-        """Death reports since `since` about members that were up, except those in `excluding`."""
+        """Death reports at or after `since` about members that were up, except members in `excluding`."""
         down = set(excluding)
         return [
             (who, said)
--- a/brackenladder/fleet/discovery.py
+++ b/brackenladder/fleet/discovery.py
@@ -15,7 +15,7 @@
 from brackenladder.rehearsal.plan import MICRO, Step
 
 FETCH_TIMEOUT = 6.0  # seconds to wait for a full list
-FIRST_VERSION = (41, 7001)  # of the two sources of a tier; their versions are independent
+FIRST_VERSION = (41, 7001)  # first versions of the two sources of a tier, which count independently
 ListedLines = tuple[tuple[str, str, int], ...]
 
 
@@ -65,7 +65,7 @@
         self.waiting: dict[ListCall, None] = {}
         self.answer_cache: dict[
             int, tuple[Listing, ListedLines]
-        ] = {}  # for the current version, by the caller's version
+        ] = {}  # answers with the current version, by the version that the caller has
         self.lines_written = 0
 
     def set_initial_lines(self, lines: list[Line]) -> None:
@@ -76,7 +76,7 @@
 
     def update_line(self, line: Line) -> None:
         """Changes a line, which creates a new version, and answers waiting calls."""
-        if not self.snapshots:  # the old-list fault serves the oldest list only
+        if not self.snapshots:  # only the oldest list is needed, by the old-list fault
             self.snapshots.append((self.version, self.full_list()))
         self.version += 1
         self.lines[line.id] = line
@@ -106,7 +106,7 @@
         self.answer_if_due(call, call.known_version < 0)
 
     def call_cancelled(self, call: ListCall) -> None:
-        """The node cancelled its call."""
+        """Handles the cancellation of a call by its node."""
         self.waiting.pop(call, None)
         if call.timer is not None:
             call.timer.cancel()
@@ -126,7 +126,7 @@
             self.start_answer(call)
 
     def listing(self, known_version: int) -> tuple[Listing, ListedLines]:
-        """The answer to a call with this known version: as a listing, and as recorded in the event log."""
+        """The answer to a caller that has `known_version`: as a listing, and as the event log records it."""
         known = self.answer_cache.get(known_version)
         if known is not None:
             return known
@@ -194,7 +194,7 @@
 
     def end_fault(self, step: Step) -> None:
         if step.kind == "half-list" and self.omitted_ids is not None:
-            # The omitted lines count as changed, so nodes that got the half list learn them again.
+            # Marks the omitted lines as changed, so that nodes that got the list without them receive them.
             self.version += 1
             for name in self.omitted_ids:
                 self.changed_in[name] = self.version
@@ -249,7 +249,7 @@
         self.reopen_timer: Timer | None = None
 
     def watch(self, on: bool) -> None:
-        """Starts or stops the watch; no effect if it is in that state already."""
+        """Starts or stops the watch; does nothing if it is already started or stopped."""
         if self.closed:
             return
         if self.reopen_timer is not None:
@@ -287,7 +287,7 @@
             self.queue.after(self.delay, self.source.call_cancelled, call)
 
     def call_failed(self, call: ListCall) -> None:
-        """A call timed out: cancels it and retries the watch."""
+        """Handles a call that timed out: cancels it and retries the watch."""
         self.cancel_call(call)
         if call is not self.watching:
             self.fetching = None
--- a/brackenladder/fleet/experiment.py
+++ b/brackenladder/fleet/experiment.py
@@ -27,7 +27,7 @@
 
 LARGEST_FILE = 1 << 20  # bytes
 MAX_RUNS = 100_000
-MAX_VALUES = 1000  # values of one grid key
+MAX_VALUES = 1000  # largest number of values of one grid key
 
 Value = str | int | float | bool
 Cell = tuple[tuple[str, Value], ...]  # key and value, in the file's order
--- a/brackenladder/fleet/figures.py
+++ b/brackenladder/fleet/figures.py
@@ -37,18 +37,18 @@
     "edges": ("cases between a rule's limit and its tolerance", False),
     "cold": ("highest load of a cold server relative to its limit", False),
 }
-SERIES = ("offered", "goodput", "worth", "refused", "attempts", "load")  # computed for each second
-LATE_WORTH = 0.2  # of an answer later than its class's aim, as in the published settings
-EXCESS_WORTH = 0.05  # of requests beyond a tenant's quota, as in the published settings
+SERIES = ("offered", "goodput", "worth", "refused", "attempts", "load")  # one value per second of the run
+LATE_WORTH = 0.2  # worth of an answer later than its class's aim, as in the published settings
+EXCESS_WORTH = 0.05  # worth of a request beyond its tenant's quota, as in the published settings
 QUOTA_TIME = 5  # seconds over which a quota is averaged
-WARM_UP = 5  # seconds at the start of a run that the baseline excludes
-RECOVERY_WINDOW = 3  # seconds over which the mean goodput must have recovered...
-RECOVERED_SHARE = 0.95  # ...to this share of the goodput before the faults
-MIN_TRIES = 20  # in a second, for it to count in `worst_second`
+WARM_UP = 5  # seconds at the start of a run left out of the mean before the faults
+RECOVERY_WINDOW = 3  # seconds over which the goodput is averaged to decide whether it has recovered
+RECOVERED_SHARE = 0.95  # recovered goodput, as a share of the mean before the faults
+MIN_TRIES = 20  # seconds with fewer tries do not count in `worst_second`
 
 
 def figures_of(scenario: Scenario, result: Result, report: Report) -> dict[str, float]:
-    """Computes all of `FIGURES`; a share of nothing is 0."""
+    """Computes all of `FIGURES`; a share whose denominator is 0 is 0."""
     sent: set[str] = set()
     answers: dict[str, Answered] = {}
     work: Counter[str] = Counter()
@@ -143,7 +143,7 @@
     """Seconds after the last fault until the mean goodput over RECOVERY_WINDOW is back at RECOVERED_SHARE.
 
     `goodput`: by second; it is compared with the mean before the first fault. Surges count as faults.
-    Returns 0 if there are none.
+    Returns 0 if there are neither faults nor surges.
     """
     spans = [(fault.at_s, fault.at_s + fault.for_s) for fault in scenario.faults]
     spans += [(surge.at_s, surge.at_s + surge.for_s) for surge in scenario.clients.surges]
--- a/brackenladder/fleet/gate.py
+++ b/brackenladder/fleet/gate.py
@@ -14,7 +14,7 @@
 
 LATE_SHARE = 0.5  # minimum share of what the LATE baseline serves
 PLAIN_MARGIN, LATE_MARGIN = 0.05, 0.1
-MIN_CLASS_WEIGHT = 0.05  # of the worth requested; a class with less is not checked by itself
+MIN_CLASS_WEIGHT = 0.05  # a class with a smaller share of the requested worth is not checked by itself
 MIN_CLASS_SERVED = 0.3  # a class of which LATE serves less than this is not checked
 LATE, PLAIN = "late", "least-of-two"  # baseline policies that run beside the module
 
--- a/brackenladder/fleet/jobs.py
+++ b/brackenladder/fleet/jobs.py
@@ -17,7 +17,7 @@
 from brackenladder.rehearsal.checker import check
 from brackenladder.rehearsal.report import terms_of
 
-QUEUED_PER_WORKER = 4  # runs submitted per worker; no more are lost if the experiment is stopped
+QUEUED_PER_WORKER = 4  # runs submitted per worker; a stop loses no more than these
 
 
 class FinishedRun(msgspec.Struct, frozen=True):
--- a/brackenladder/fleet/links.py
+++ b/brackenladder/fleet/links.py
@@ -15,7 +15,7 @@
 from brackenladder.interface import ListKind, Outcome, State
 from brackenladder.membership.listing import Line
 
-IDLE_CLOSE_MARGIN = 300_000  # microseconds that a node closes an idle connection before the server would
+IDLE_CLOSE_MARGIN = 300_000  # a node closes an idle connection this many microseconds before the server would
 SWEEP_INTERVAL = 500_000  # microseconds between two checks of idle connections
 OUTCOMES = {"served": Outcome.OK, "error": Outcome.ERROR, "rejected": Outcome.REJECTED}
 
@@ -29,7 +29,7 @@
         self.server = server
         self.started = started
         self.ready = True
-        self.idle: list[Link] = []  # most recently used last
+        self.idle: list[Link] = []  # idle connections, the most recently used last
         self.delay = delay
 
 
@@ -57,9 +57,9 @@
         self.exchange: Exchange | None = None
         self.closed_at_node = False
         self.closed_at_server = False
-        self.over_limit = False  # beyond the server's connection limit: requests on it are rejected
-        self.reset_on_request = False  # the server resets it on the first request
-        self.attempt_open: object = None  # the server's open attempt on it
+        self.over_limit = False  # opened beyond the server's connection limit, so its requests are rejected
+        self.reset_on_request = False  # whether the server resets the connection on its first request
+        self.attempt_open: object = None  # the attempt that is open on this connection at the server
         self.idle_since = 0
 
     @property
@@ -67,14 +67,14 @@
         return self.links.node
 
     def close(self) -> None:
-        """The node closes it."""
+        """Closes the connection from the node's side."""
         if not self.closed_at_node:
             self.closed_at_node = True
             self.links.open -= 1
             self.links.queue.after(self.endpoint.delay, self.endpoint.server.client_closed, self)
 
     def closed_by_server(self) -> None:
-        """The node sees that the server closed it."""
+        """Handles the server's close, once the node sees it."""
         if self.closed_at_node:
             return
         self.closed_at_node = True
@@ -255,7 +255,7 @@
                 self.endpoints[number] = Endpoint(server, line.started, delay)
 
     def retire(self, number: int) -> None:
-        """Starts no new attempts there; open ones may finish."""
+        """Starts no new attempts at a server; open ones may finish."""
         endpoint = self.endpoints.pop(number, None)
         if endpoint is not None:
             endpoint.ready = False
@@ -288,7 +288,7 @@
             self.queue.after(SWEEP_INTERVAL, self.close_expired)
 
     def close_expired(self) -> None:
-        """Closes connections that have been idle for long, before the server does."""
+        """Closes connections that the server would soon close because they are idle."""
         max_connections = self.queue.now - max(self.idle_time - SWEEP_INTERVAL, self.idle_time // 2)
         self.sweep_scheduled = False
         for endpoint in self.endpoints.values():
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -40,17 +40,17 @@
 from brackenladder.rehearsal.scenario import Clients as ClientsTable
 from brackenladder.settings import parse_settings
 
-BEGIN = 1_000_000_000_000_000  # start of the run: a Unix time, since lists hold start times
+BEGIN = 1_000_000_000_000_000  # start of the run in Unix microseconds, since lists hold start times
 MAX_MEMORY = 4 << 30  # bytes; a run that is estimated to need more is refused
-BYTES_PER_SERVER = 900  # per server at each node, measured
-BYTES_PER_REQUEST = 6_000  # per request of a run, measured
-PERCENTILES = (10, 50, 90)  # sampled over the nodes
+BYTES_PER_SERVER = 900  # estimated memory for each server at each node
+BYTES_PER_REQUEST = 6_000  # estimated memory for each request of a run
+PERCENTILES = (10, 50, 90)  # percentiles of the nodes' values that are sampled
 UNAVAILABLE_WAIT = 1 << 60  # microseconds reported as the wait at a server that is gone
-SETTLE = 10 * MICRO  # after the schedule's end, for open requests to finish
-RESTART_DELAY = 2 * MICRO  # from a server's crash by overload to its restart
+SETTLE = 10 * MICRO  # time after the schedule's end in which open requests may finish
+RESTART_DELAY = 2 * MICRO  # time from a server's crash by overload to its restart
 DATAGRAM_DELAY = (1_000, 10_000)  # microseconds of delay of a datagram
-LATE_DATAGRAM_DELAY = 500_000  # of a late one
-SWAPPED_DATAGRAM_DELAY = 50_000  # of one that others overtake
+LATE_DATAGRAM_DELAY = 500_000  # microseconds of delay of a late datagram
+SWAPPED_DATAGRAM_DELAY = 50_000  # microseconds of delay of a datagram that later ones overtake
 
 DEATH_KNOWN_AFTER = 2_850_000  # microseconds until a death is known: median in `benchmarks/members.py`
 MEMBER_COUNT_INTERVAL = 500_000  # microseconds between two counts of live members
@@ -254,7 +254,7 @@
     # ---- servers --------------------------------------------------------------------------------------
 
     def list_line(self, plan: ServerPlan, state: State, born: int) -> Line:
-        """A list line. `born`: start of the process in the plan's time; -1: before the run."""
+        """A server's line in the list. `born`: start of its process in plan time; -1: before the run."""
         started = 0 if born < 0 else BEGIN + born
         return Line(plan.id, "model", 1, plan.zone, "std", plan.cell, state, 1.0, started // 1000 * 1000)
 
@@ -331,7 +331,7 @@
             server.reset_idle()
 
     def finish_drain(self, plan: ServerPlan) -> None:
-        """Ends a drained server; its node gets no new calls and finishes the open ones."""
+        """Ends a drained server; the node beside it gets no new calls and finishes its open ones."""
         self.servers_by_id[plan.id].stop_accepting()
         self.schedule_listing(plan, State.GONE, plan.born)
 
@@ -361,7 +361,7 @@
             node.terminate(ended)
 
     def stop_new_connections(self, node: str) -> None:
-        """The load balancer in front stops giving a node new connections."""
+        """Makes the load balancer in front of the nodes give a node no new connections."""
         self.clients.accepting[node] = False
 
     def restart_node(self, node: Node) -> None:
@@ -432,7 +432,7 @@
         self.remaining_requests = iter(self.plan.requests)
         self.schedule_next_request()
         collects = gc.isenabled()
-        gc.disable()  # a run keeps its events, and its garbage has no cycles
+        gc.disable()  # useless here: a run keeps all events, and what it frees has no cycles
         try:
             self.queue.run(BEGIN + self.plan.length + SETTLE + EXPIRY_DELAY)
         finally:
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -82,7 +82,7 @@
 
 
 class SharedRoster(Roster):
-    """Parses each list once for all nodes, since all number zones and kinds alike."""
+    """Parses each list once for all nodes, since all nodes number zones and server kinds alike."""
 
     def __init__(
         self, host: Host, upstream: Links, zones: Sequence[str], parsed: dict[int, tuple[Listing, ParsedList]]
@@ -154,7 +154,7 @@
         self.queue = context.queue
         self.sources = sources
         self.source = 0
-        self.known = known  # list a new process starts with: the last one the node had
+        self.known = known  # list with which a new process starts: the last one that the node received
         self.stored_list, self.stored_list_source = LatestList(known), sources[0].number
         self.module = module
         self.max_connections = (sockets - RESERVED_DESCRIPTORS) // 2
@@ -165,8 +165,8 @@
         self.busy_until = 0  # time until which the processor is busy
         self.faults: list[str] = []
         self.up = False
-        self.ended = False  # the last process ended, and no new one was created
-        self.closing = False  # terminating, and connections now close after their answer
+        self.ended = False  # whether the last process has ended and none has been created since
+        self.closing = False  # whether the process terminates, so that connections close after their answer
         self.starts = 0
         self.host: Host
         self.watch: Watch
@@ -190,7 +190,7 @@
             self.idle_time,
             self.schedule_event,
         )
-        loop = cast("asyncio.AbstractEventLoop", self.queue)  # the Host uses only its call_later
+        loop = cast("asyncio.AbstractEventLoop", self.queue)  # the Host calls nothing but call_later
         seed = self.seed_source.getrandbits(64)
         clock = VirtualClock(self.queue)
         self.host = Host(self.settings, seed, loop, self.upstream, self.log, clock, self.module)
@@ -253,7 +253,7 @@
             cast(FleetCall, call).on_broken()
 
     def terminate(self, ended: Callable[[], None]) -> None:
-        """SIGTERM: answers accepted calls, then exits; the process is killed after the grace period."""
+        """Simulates SIGTERM: answers accepted calls, then exits; a process that takes too long is killed."""
         if not self.up:
             ended()
             return
@@ -279,7 +279,7 @@
         look()
 
     def reload_other_source(self) -> None:
-        """SIGHUP with the other discovery service in the configuration."""
+        """Simulates SIGHUP after the configuration was changed to the other discovery service."""
         self.source = (self.source + 1) % len(self.sources)
         if self.up:
             self.signal("hup")
@@ -313,19 +313,19 @@
             self.schedule_event(self.host.client_left, call)
 
     def list_written(self, source: int, listing: Listing) -> None:
-        """A source has written a list to the node; stores the highest version, as the checker assumes."""
+        """Stores a list written to the node if its version is the highest; the checker assumes the same."""
         if source != self.stored_list_source or listing.version >= self.stored_list.version:
             self.stored_list_source = source
             self.stored_list.apply(listing)
 
     def list_received(self, listing: Listing | None) -> None:
-        """Handles a list from discovery, or None for a failed call."""
+        """Handles a list from discovery; None stands for a failed call."""
         if self.up:
             cost = self.line_us * len(self.upstream.endpoints) if listing is not None else 0.0
             self.schedule_event(self.roster.apply_listing, listing, cost=cost)
 
     def tell(self, peer: int, data: bytes) -> None:
-        """Sends the host's message to other nodes."""
+        """Sends a message from the host to one or all other nodes."""
         self.context.send_datagram(self, peer, data)
 
     def log(self, text: str) -> None:
@@ -358,7 +358,7 @@
                 on_result(status == 200)
 
         def on_broken() -> None:
-            """Ignored: the node was killed together with its server."""
+            """Reports nothing, since a server's node is killed only together with the server."""
             nonlocal over
             over = True
 
--- a/brackenladder/fleet/page.py
+++ b/brackenladder/fleet/page.py
@@ -14,9 +14,9 @@
 from brackenladder.fleet.experiment import Cell, Experiment, Value, name_of
 from brackenladder.fleet.figures import FIGURES
 
-MAX_LINES = 8  # most cells in one plot
+MAX_LINES = 8  # largest number of grid cells drawn in one plot
 BAND = (10, 90)  # percentiles over the seeds
-SIZE = (9.0, 2.6)  # of a plot, in inches
+SIZE = (9.0, 2.6)  # width and height of a plot, in inches
 SWEEP_FIGURES = ("goodput", "refused", "attempts", "p99_ms", "cold")  # figures plotted against a varied key
 SERIES_PLOTS: Mapping[str, tuple[str, ...]] = {  # plots over time: title and series (median, low, high)
     "Goodput: share of first tries answered in time": ("goodput",),
--- a/brackenladder/fleet/queue.py
+++ b/brackenladder/fleet/queue.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 MAX_EVENTS_PER_INSTANT = 100_000  # more events at one instant count as an endless loop
-NAMED_EVENTS = 5  # events that the error message names
+NAMED_EVENTS = 5  # largest number of events that the error message names
 
 
 class Standstill(Exception):
--- a/brackenladder/fleet/results.py
+++ b/brackenladder/fleet/results.py
@@ -9,7 +9,7 @@
 from brackenladder.fleet.experiment import Cell
 
 VERSION = 2
-APPLICATION = 0x6272616B  # SQLite's application_id of these files
+APPLICATION = 0x6272616B  # the SQLite application_id that marks results files
 SCHEMA = """
 create table experiment (title text not null, digest text not null);
 create table run (
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -20,7 +20,7 @@
 
 
 class TrueStateView(Protocol):
-    """The true state of the servers, for the policies that may see it. Times in microseconds."""
+    """The true state of the servers, for reference policies that may see it. Times in microseconds."""
 
     def wait(self, server: int) -> int:
         """Time until a core is free for a request that arrives now."""
@@ -29,11 +29,11 @@
         """Time that a core of this server would need for this node's request."""
 
     def room(self, server: int, share: float) -> bool:
-        """Whether it holds fewer requests than this share of its overload threshold."""
+        """Whether the server holds fewer requests than this share of its overload threshold."""
 
 
 class KnownServer:
-    """A server as a policy knows it."""
+    """What a policy knows of a server."""
 
     __slots__ = ("entry", "in_flight", "known_since", "consecutive_failures", "ejected_until", "ejections")
 
@@ -47,7 +47,7 @@
 
 
 class OpenRequest:
-    """An open request as a policy knows it."""
+    """What a policy knows of an open request."""
 
     __slots__ = ("id", "klass", "effect", "until", "attempts", "out", "ran_on", "ran_at", "sent_at")
 
@@ -77,7 +77,7 @@
         self.rng = Random(seed)
         self.true_state = true_state
         self.members: dict[int, KnownServer] = {}  # servers listed as ready
-        self.all: dict[int, KnownServer] = {}  # also those that only have open calls
+        self.all: dict[int, KnownServer] = {}  # listed servers, and others with open calls
         self.requests: dict[int, OpenRequest] = {}
 
     # ---- decisions of a policy ------------------------------------------------------------------------
@@ -87,11 +87,11 @@
         return True
 
     def may_retry(self, now: int, open_request: OpenRequest) -> bool:
-        """Whether to make a further attempt where the rules allow one."""
+        """Whether to make a further attempt; asked only if the rules allow one."""
         return True
 
     def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
-        """Returns one of the servers in `among` (sorted by number), or None to refuse."""
+        """Returns one of the servers in `candidates` (sorted by number), or None to refuse."""
         raise NotImplementedError
 
     def ended(
--- a/brackenladder/fleet/rivals/detectors.py
+++ b/brackenladder/fleet/rivals/detectors.py
@@ -18,10 +18,10 @@
 
 HEARTBEAT_INTERVAL = 1_000_000  # microseconds between two heartbeats
 DEATH_SILENCE = 3_000_000  # microseconds of silence after which a node counts as dead
-HEARTBEAT = bytes(31)  # as long as an empty frame of this project's detector
+HEARTBEAT = bytes(31)  # payload as long as an empty frame of this project's detector
 SAMPLES = 50  # gaps between heartbeats that phi accrual keeps
 PHI = 8.0  # threshold that the authors recommend
-MIN_DEVIATION = 100_000.0  # microseconds
+MIN_DEVIATION = 100_000.0  # microseconds; smaller deviations of the gaps count as this
 SWIM_SUSPICION_TIME = 2_150_000  # microseconds; the shortest suspicion time of this project's detector
 
 
@@ -64,7 +64,7 @@
         self.gone.discard(number)
 
     def leave(self, now: int) -> None:
-        """Leaves without a message."""
+        """Leaves without telling the other members."""
 
     def dead(self) -> set[int]:
         return set(self.gone)
--- a/brackenladder/fleet/rivals/envoy_like.py
+++ b/brackenladder/fleet/rivals/envoy_like.py
@@ -8,12 +8,12 @@
 from brackenladder.fleet.rivals.base import BaselinePolicy, KnownServer, OpenRequest
 from brackenladder.interface import Outcome
 
-EJECT_AFTER = 5  # failures in a row
+EJECT_AFTER = 5  # failures in a row after which a server is ejected
 EJECT_TIME = 30_000_000
-EJECT_SHARE = 0.1  # largest share of ejected servers, but at least one
-RETRY_BUDGET = 0.2  # retries as a share of the open calls...
-MIN_RETRIES = 3  # ...or this many, if that is more
-MIN_SLOW_START_WEIGHT = 0.1  # least share of a server's weight
+EJECT_SHARE = 0.1  # largest share of servers ejected at a time, but at least one server
+RETRY_BUDGET = 0.2  # limit of open retries, as a share of the open calls
+MIN_RETRIES = 3  # number of open retries that is always allowed
+MIN_SLOW_START_WEIGHT = 0.1  # smallest share of its weight that a warming server gets
 WINDOW = 100_000
 PERCENTILE = 0.9
 BUFFER = 0.25
--- a/brackenladder/fleet/rivals/oracle.py
+++ b/brackenladder/fleet/rivals/oracle.py
@@ -8,7 +8,7 @@
 
 
 class Oracle(BaselinePolicy):
-    """Picks the server where the request finishes first; refuses it if that is later than its aim.
+    """Picks the server where the request finishes first; refuses it if it would finish later than its aim.
 
     It knows all queues and each request's work but not future requests, so it is no upper bound: refusing
     costly requests in favour of cheap ones would serve more. It picks only servers on the node's list.
--- a/brackenladder/fleet/rivals/simple.py
+++ b/brackenladder/fleet/rivals/simple.py
@@ -25,7 +25,7 @@
 
 
 class LeastOfTwo(BaselinePolicy):
-    """Picks the one of two random servers with fewer calls of this node (Mitzenmacher, 2001)."""
+    """Picks, of two random servers, the one with fewer open calls of this node (Mitzenmacher, 2001)."""
 
     def pick(self, now: int, open_request: OpenRequest, candidates: list[KnownServer]) -> KnownServer | None:
         first, second = (candidates[int(self.rng.random() * len(candidates))] for _ in range(2))
--- a/brackenladder/fleet/rivals/stale_oracle.py
+++ b/brackenladder/fleet/rivals/stale_oracle.py
@@ -6,7 +6,7 @@
 
 STALENESS = 400_000  # microseconds for which a server's state is cached
 SAMPLED_SERVERS = 6  # servers sampled per request; with all of them every node would pick the same one
-ROOM_SHARE = 0.7  # of a server's overload threshold; no requests are sent beyond it
+ROOM_SHARE = 0.7  # share of its overload threshold up to which a server gets requests
 
 
 class StaleOracle(BaselinePolicy):
@@ -19,7 +19,7 @@
     seen: dict[int, tuple[int, int, bool]]  # by server: time of the look-up, wait, whether it had room
 
     def look(self, now: int, server: int) -> tuple[int, bool]:
-        """Wait at a server and whether it has room, by the cached state plus this node's later requests."""
+        """The wait at a server, and whether it has room: its cached state plus this node's later requests."""
         if not hasattr(self, "seen"):
             self.seen = {}
         at, wait, room = self.seen.get(server, (-STALENESS, 0, True))
--- a/brackenladder/fleet/schedule_search.py
+++ b/brackenladder/fleet/schedule_search.py
@@ -24,15 +24,15 @@
 from brackenladder.rehearsal.report import terms_of
 from brackenladder.rehearsal.scenario import LARGEST_FILE, ScenarioError
 
-SEED = 1  # of every run, so that a schedule's file alone replays it
-MAX_POPULATION = 48  # schedules closest to a break, which are mutated further
+SEED = 1  # seed of every run, so that a schedule's file is enough to replay it
+MAX_POPULATION = 48  # number of schedules kept for further mutation: those closest to a break
 NEW_SHARE = 0.3  # share of schedules that are generated from scratch
 MIN_SHRINK_TIME = 20.0  # seconds to shrink a break that is found just before the search ends
 QUEUED_PER_WORKER = 2  # schedules submitted per worker
 
 
 class PlayedSchedule(msgspec.Struct, frozen=True):
-    """Result of one schedule: the rules that broke (or `fault`), and how near it came to a break."""
+    """Result of one schedule: the rules that broke (or `fault`), and how near the run came to a break."""
 
     schedule: Schedule
     broke: tuple[str, ...]
@@ -41,7 +41,7 @@
 
 
 class MinimalBreak(msgspec.Struct, frozen=True):
-    """A schedule that breaks a rule, shrunk as far as possible, and the one it came from."""
+    """A schedule that breaks a rule, shrunk as far as possible, and the schedule from which it was shrunk."""
 
     rule: str
     schedule: Schedule
--- a/brackenladder/fleet/schedules.py
+++ b/brackenladder/fleet/schedules.py
@@ -20,8 +20,8 @@
 NODES = (1, 16)
 SERVERS = (2, 16)
 LENGTH_S = (6.0, 20.0)
-LOAD = (0.3, 1.6)  # share of the servers' capacity, by the classes' mean work
-MEAN_WORK_S = 0.13  # per request, on a core of speed 1
+LOAD = (0.3, 1.6)  # offered load relative to the servers' capacity, by the mean work of a request
+MEAN_WORK_S = 0.13  # seconds of work per request on a core of speed 1
 FAULTS = (1, 6)
 # By fault kind: ranges of its duration in seconds and of the share of requests or nodes it affects.
 KINDS: dict[str, tuple[tuple[float, float], tuple[float, float]]] = {
@@ -50,7 +50,7 @@
     "node-term": ((0.2, 3.0), (1.0, 1.0)),
 }
 MAX_SHRINKS = 300  # schedules tried while shrinking one
-SMALL = 0.05  # seconds; smaller reductions of a length are not tried
+SMALL = 0.05  # seconds; a shrink does not shorten a length by less
 
 
 def random_schedule(rng: Random) -> Schedule:
--- a/brackenladder/fleet/servers.py
+++ b/brackenladder/fleet/servers.py
@@ -20,7 +20,7 @@
 from brackenladder.rehearsal.scenario import Class, Rules
 from brackenladder.rehearsal.scenario import Servers as ServerSettings
 
-RESET_DELAY = 5_000  # microseconds between the first part of an answer and its reset
+RESET_DELAY = 5_000  # microseconds from the first part of an answer to the reset of its connection
 DRIP_INTERVAL = 20_000  # microseconds between two bytes of a slowly dripping answer
 ANSWER_BYTES = 180  # size of an answer of the stand-ins
 HELD_BEFORE_DRAIN = 300_000  # microseconds; answers due shortly before a drain-answering fault wait for it
@@ -37,7 +37,7 @@
 
     @property
     def node(self) -> str:
-        """Name of the node that opened it."""
+        """Name of the node that opened the connection."""
 
     def closed_by_server(self) -> None:
         """The node sees that the server closed the connection."""
@@ -108,7 +108,7 @@
         self.delay_to = delay_to  # network delay in microseconds to a node, by name
         self.on_overloaded = on_overloaded
         self.next_tier: NextTier | None = None
-        self.alive = False  # accepts connections
+        self.alive = False  # whether the server accepts connections
         self.vanished = False
         self.incarnation = 0
         self.cold_since = -1
@@ -118,7 +118,7 @@
         self.overload: OverloadState | None = None
         self.slots = settings.slots
         self.slots_taken = 0  # number of occupied slots
-        self.slot_queue: deque[Attempt] = deque()  # hold a slot and wait for a core
+        self.slot_queue: deque[Attempt] = deque()  # attempts that hold a slot and wait for a core
         self.busy_until: list[int] = []  # time at which each busy core becomes free
         self.waiting: deque[Attempt] = deque()
         self.open_attempts: set[Attempt] = set()
@@ -162,7 +162,7 @@
             self.reset(link)
 
     def vanish(self) -> None:
-        """The machine disappears: connections are not reset and packets get no reply."""
+        """Simulates a lost machine: connections are not reset and packets get no reply."""
         if self.alive:
             self.end()
             self.vanished = True
@@ -197,7 +197,7 @@
         return None
 
     def fault_hitting(self, *kinds: str, name: str) -> Step | None:
-        """The active fault of these kinds if it affects this request, chosen as in the stand-ins."""
+        """The active fault of these kinds if it affects this request; chosen as in the stand-ins."""
         step = self.active_fault(*kinds)
         if step is not None and (step.share >= 1 or Random(f"{step.at} {name}").random() < step.share):
             return step
@@ -242,11 +242,11 @@
         return free[0]
 
     def room(self, share: float) -> bool:
-        """Whether it holds fewer requests than this share of its overload threshold."""
+        """Whether the server holds fewer requests than this share of its overload threshold."""
         return self.overload is None or len(self.open_attempts) < share * self.overload.threshold
 
     def work_for(self, klass: int, name: str) -> int:
-        """Work of a request in microseconds on a standard core; the stand-ins draw the same."""
+        """Work of a request in microseconds on a standard core, equal to that in the stand-ins."""
         work, parts = work_of(self.classes[klass], name), self.settings.tier_work
         return round(work * parts[self.plan.tier]) if parts else work
 
@@ -267,7 +267,7 @@
         return True
 
     def client_closed(self, link: Connection) -> None:
-        """The node closed a connection; its open attempt is aborted."""
+        """Handles a connection that its node closed: aborts the open attempt on it."""
         if not link.closed_at_server:
             link.closed_at_server = True
             self.links.pop(link, None)
@@ -361,7 +361,7 @@
             self.overload.observe(self.queue.now, len(self.open_attempts), self.busy_cores)
 
     def core_done(self, attempt: Attempt, incarnation: int) -> None:
-        """A core has finished its part of an attempt; ignored if the process has changed."""
+        """Handles a core that finished its part of an attempt; ignored if the process has ended since."""
         if incarnation != self.incarnation:
             return
         if self.next_tier is None or attempt.done or attempt.next_tier_answered:
@@ -389,7 +389,7 @@
                 self.finish(attempt, "served" if served else "error")
             self.dispatch()
 
-        attempt.give_up = lambda: None  # the call may conclude while it is being made
+        attempt.give_up = lambda: None  # a placeholder, since the call may end before it returns
         if self.slots:
             self.release_core()
         give_up = self.next_tier.call(attempt, on_result)
@@ -404,7 +404,7 @@
         self.busy_until.remove(min(self.busy_until))
 
     def finish(self, attempt: Attempt, how: str = "served") -> None:
-        """The answer is ready; sends it subject to the active faults."""
+        """Sends an answer that is ready, as the active faults require."""
         if attempt.done:
             return
         name = attempt.request.id
@@ -441,7 +441,7 @@
         link, node = attempt.link, attempt.link.node
         link.attempt_open = None
         self.record(Replied(self.queue.now, self.plan.id, attempt.number, attempt.request.id, how))
-        # Otherwise a server with a closed port or an ended process would go on serving on this connection.
+        # A kept connection would let a server with a closed port or an ended process go on serving.
         keep = self.alive and not link.over_limit and self.active_fault(*REFUSING_FAULTS) is None
         if not self.unreachable_from(node):
             self.queue.after(self.delay_to(node), attempt.request.answered, how, keep)
@@ -450,7 +450,7 @@
             self.links.pop(link, None)
 
     def abort(self, attempt: Attempt, by: str) -> None:
-        """The connection ended before the answer was complete; the attempt does no more work."""
+        """Ends an attempt whose connection ended before the answer was complete; it does no more work."""
         if attempt.done:
             return
         attempt.done = True
--- a/brackenladder/fleet/variants.py
+++ b/brackenladder/fleet/variants.py
@@ -19,7 +19,7 @@
 
 
 class VariantError(Exception):
-    """There is no such variant; the text is one line."""
+    """The requested policy variant does not exist; the text is one line."""
 
 
 def policies() -> list[str]:
@@ -46,7 +46,7 @@
         old = vars(owners[0])[name] if owners else None
         if not name.isupper() or isinstance(old, bool) or not isinstance(old, int | float):
             raise VariantError(f"module.{name}: the module has no number of that name")
-        for module in owners:  # modules that import the constant have their own copy
+        for module in owners:  # each module that imports the constant holds its own reference to it
             setattr(module, name, int(value) if isinstance(old, int) and value == int(value) else value)
     balancer_class: Module = modules[0].Balancer
     return balancer_class
