--- a/brackenladder/simulation/calls.py
+++ b/brackenladder/simulation/calls.py
@@ -36,7 +36,7 @@
     answer: asyncio.Future[Answer]
     size: int = 0  # bytes of the request
     answer_lost: bool = False
-    answered_at: int = 0  # when the node decided on its answer
+    answered_at: int = 0  # time at which the node decided on its answer
     _task: asyncio.Task[None] | None = field(default=None, init=False)
     _process: Process | None = field(default=None, init=False)  # the process that serves the call
     _caller_gone: bool = field(default=False, init=False)
@@ -60,7 +60,7 @@
     def _check_ended(self, task: asyncio.Task[None], wait: int, since: str) -> None:
         """Reports a call that the node still serves after `wait` microseconds, unless the node was frozen."""
         process = self._process
-        assert process is not None  # set in arrive(), which comes first
+        assert process is not None  # arrive() has set it
         freezes = process.freezes
 
         def check() -> None:
--- a/brackenladder/simulation/campaign.py
+++ b/brackenladder/simulation/campaign.py
@@ -61,7 +61,7 @@
 
     mutant: str
     profile: str
-    schedules: int  # number played, including the one that detected the fault
+    schedules: int  # number of schedules run, including the one that detected the fault
     rule: str
     detail: str
     other_rules: tuple[str, ...]  # rules broken in earlier schedules that are not listed for this fault
@@ -82,7 +82,7 @@
 
 
 def campaign(planned: list[Schedule], jobs: int) -> Iterator[Summary]:
-    """Yields the summary after each run. It is the same object each time."""
+    """Yields the summary after each run; always the same object, updated."""
     summary = Summary()
     began = perf_counter()
     for result in play_all(planned, jobs):
--- a/brackenladder/simulation/checks.py
+++ b/brackenladder/simulation/checks.py
@@ -70,7 +70,9 @@
 
 
 def _check_refusals(orders: list[OrderRecord]) -> None:
-    """A conflict must report a version other than the base and no older than what was acknowledged before."""
+    """A refusal for a conflict must report a version other than the order's base, and none older than an
+    order acknowledged before.
+    """
     settled = sorted(
         (order.ended_at, order.version)
         for order in orders
--- a/brackenladder/simulation/contact_checks.py
+++ b/brackenladder/simulation/contact_checks.py
@@ -12,7 +12,7 @@
 
 # longest time without a majority for which a node still answers orders and reads
 MAX_ISOLATED_ANSWER_TIME = SECOND // 2
-# the same for acknowledgements to servers and first catalogs to gateways
+# longest time without a majority for which a node still acknowledges to servers or sends first catalogs
 MAX_ISOLATED_NOTICE_TIME = 2 * SECOND
 
 
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -30,7 +30,7 @@
         self.sync_time = SYNC_TIME
         self.hangs = False
         self.full = False
-        self.written = 0  # writes that became durable
+        self.written = 0  # number of writes that became durable
         self.created_at = loop.microseconds
 
     @property
--- a/brackenladder/simulation/documents.py
+++ b/brackenladder/simulation/documents.py
@@ -9,7 +9,7 @@
 MARKER = "/order-"
 HOST = "jobs.example"
 SERVICE = "api"
-FILLER_ROUTES = 3  # in addition to the marker route
+FILLER_ROUTES = 3  # number of routes besides the marker route
 
 
 def replacement(order: int, version: int, size: int) -> bytes:
--- a/brackenladder/simulation/exchange/answer_reader.py
+++ b/brackenladder/simulation/exchange/answer_reader.py
@@ -13,7 +13,7 @@
 
     COUNTED = auto()
     CHUNKED = auto()
-    CLOSED = auto()  # by the end of the connection
+    CLOSED = auto()  # the end of the connection ends the body
 
 
 class NoAnswer(Exception):
--- a/brackenladder/simulation/exchange/behaviour.py
+++ b/brackenladder/simulation/exchange/behaviour.py
@@ -1,4 +1,4 @@
-"""Draws how a server answers a request: the bytes, the portions in which it writes them and the end."""
+"""Draws how a server answers: the bytes, the portions in which it writes them, and how the answer ends."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     WHOLE = auto()
     CHUNKED = auto()
     INTERIM = auto()  # preceded by one or two 1xx responses
-    LAST = auto()  # the connection is closed after it
+    LAST = auto()  # the connection is closed after the response
     REJECTED = auto()  # the server states that it has not executed the request
     FAILED = auto()  # status 500
-    PROMISED = auto()  # status 503, without the statement that the request was not executed
-    CUT = auto()  # the connection is closed in the middle of it
-    RESET = auto()  # the connection is reset in the middle of it
+    PROMISED = auto()  # status 503, without the header that says the request was not executed
+    CUT = auto()  # the connection is closed in the middle of the response
+    RESET = auto()  # the connection is reset in the middle of the response
     DROPPED = auto()  # the connection is reset before the first byte
     SILENT = auto()
-    SECOND = auto()  # sent twice
+    SECOND = auto()  # the response is sent twice
     SURPLUS = auto()  # followed by bytes that are no response
     STALE = auto()  # preceded by a response to another request
     NAMELESS = auto()  # without a request id
-    GARBLED = auto()  # not HTTP
+    GARBLED = auto()  # bytes that are not HTTP
     UNFRAMED = auto()  # has no length and ends with the connection
     UNFRAMED_RESET = auto()  # has no length, and the connection is reset
 
--- a/brackenladder/simulation/exchange/checks.py
+++ b/brackenladder/simulation/exchange/checks.py
@@ -13,9 +13,9 @@
 
 NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 SLACK = 500_000  # microseconds past a limit that the deployment's rules allow
-STREAM_SLACK = 800_000  # the same for streams, which end 0.25 s after the client's deadline
+STREAM_SLACK = 800_000  # SLACK for streams, which may go on for 0.25 s after the client's deadline
 DEADLINE_SLACK_MS = 500
-CONFIG_SLACK = 200_000  # microseconds until a connected gateway applies an update
+CONFIG_SLACK = 200_000  # microseconds within which a connected gateway applies an update
 
 
 class Undisturbed(Protocol):
@@ -105,7 +105,7 @@
 
 
 def _check_stream(request: Request, first: Run, runs: list[Run]) -> None:
-    """Each event must come once and in order. Only resumable streams may change to another run."""
+    """Each event must come once and in order. Only a resumable stream may be continued by another run."""
     rest = request.answer
     current = first
     for number in range(1, request.event_count + 1):
@@ -124,13 +124,13 @@
 
 
 def _check_end(request: Request, runs: list[Run], undisturbed: Undisturbed) -> None:
-    """A completely sent request must be answered in time, or there must be a reason why not."""
+    """A completely sent request must be answered in time unless a fault or a limit excuses it."""
     if not request.sent_at or request.excused or request.outcome is RequestOutcome.GIVEN_UP:
         return
     if not undisturbed(request.gateway, request.started_at, request.ended_at):
         return
     if request.queued_behind is not None and not 0 < request.queued_behind.ended_at < request.ended_at:
-        return  # the request before it is still being answered
+        return  # the request before it on its connection is still being answered
     if request.outcome is RequestOutcome.UNANSWERED:
         raise Violation(
             "unanswered", f"{request.id} of {request.route.name}, sent at {request.sent_at / 1e6:.3f} s"
@@ -151,9 +151,9 @@
 
 
 def _may_break(request: Request, runs: list[Run]) -> bool:
-    """Whether a server has broken off its answer, or a time limit has passed."""
+    """Whether an answer may break off: a server has broken it off, or a time limit has passed."""
     at_deadline = request.ended_at >= request.started_at + request.deadline_ms * 1000
-    # shortest time after which a gateway gives up a silent stream
+    # 2 s is the shortest time after which a gateway gives up a silent stream.
     silent = request.ended_at >= request.started_at + 2_000_000
     return (
         at_deadline
@@ -171,25 +171,25 @@
         self._now = now
         self._undisturbed = undisturbed
         self._seen = 0
-        self._closed: dict[str, int] = {}  # servers that must not receive requests any more, and since when
-        self._evacuated: dict[str, int] = {}  # evacuated zones, and since when
+        self._closed: dict[str, int] = {}  # by server: when it had to stop getting requests
+        self._evacuated: dict[str, int] = {}  # by zone: when its evacuation began
 
     def fail(self, rule: str, detail: str) -> None:
-        """Keeps the violation if it is the first one."""
+        """Records a violation unless one was recorded before."""
         if self.failure is None:
             self.failure = Violation(rule, f"at {self._now() / 1e6:.3f} s: {detail}")
 
     def server_closed(self, server: str) -> None:
-        """The gateways are now being told that a server drains or is gone."""
+        """Handles the moment at which gateways are told that a server drains or is gone."""
         self._closed.setdefault(server, self._now())
 
     def zone_evacuated(self, zone: str) -> None:
-        """The gateways are now being told that a zone is evacuated."""
+        """Handles the moment at which gateways are told that a zone is evacuated."""
         assert zone in ZONES
         self._evacuated.setdefault(zone, self._now())
 
     def zone_restored(self, zone: str) -> None:
-        """The evacuation of a zone has ended."""
+        """Handles the end of the evacuation of a zone."""
         self._evacuated.pop(zone, None)
 
     def check(self) -> None:
@@ -207,7 +207,7 @@
             self.fail(rule, f"{run.server} in {run.zone} gets {run.request_id} {late} ms after it was closed")
 
     def client_left(self, request: Request) -> None:
-        """Half a second after a client has left no server may work on its request."""
+        """Checks that no server still works on a request once SLACK has passed since its client left."""
         moment = request.ended_at + SLACK
         for run in self._history.runs_of(request.id):
             works = not run.ended_at or run.arrived_at > moment
--- a/brackenladder/simulation/exchange/clients.py
+++ b/brackenladder/simulation/exchange/clients.py
@@ -17,7 +17,7 @@
 INCOMPLETE_SHARE = 0.03  # fraction of the requests that are never sent completely
 KEPT_SHARE = 0.8  # fraction of the answered requests after which the connection is kept
 PIPELINED_SHARE = 0.1  # fraction of the requests that are followed by a pipelined one
-PATIENCE_SECONDS = 2.0  # time past the limits of a request after which it counts as unanswered
+PATIENCE_SECONDS = 2.0  # seconds past its last time limit after which a request counts as unanswered
 MOST_IDLE_SECONDS = 3.0  # maximum idle time of a connection that is reused
 DEADLINES_MS = (300, 800, 2_000, 4_000)
 BODY_BYTES = (0, 5, 400, 20_000)
@@ -126,7 +126,7 @@
         self.end: StreamEnd
         self._start = gateway.starts
         self._reader = AnswerReader()
-        self._requests: list[Request] = []  # sent and not yet answered
+        self._requests: list[Request] = []  # requests sent and not yet answered
         self._loop = clients.streams.loop
         self._random = clients.random
         self._left = False
--- a/brackenladder/simulation/exchange/control.py
+++ b/brackenladder/simulation/exchange/control.py
@@ -21,7 +21,7 @@
     def __init__(self, network: SimulatedNetwork, history: History) -> None:
         self._network = network
         self._history = history
-        self._links: dict[Link, None] = {}  # in the order in which they were opened
+        self._links: dict[Link, None] = {}  # links to gateways, in the order in which they were opened
         self._records: dict[str, ServerRecord] = {}
         self._revision = 0
         self._document_revision = 0
--- a/brackenladder/simulation/exchange/faults.py
+++ b/brackenladder/simulation/exchange/faults.py
@@ -13,7 +13,7 @@
 
 FaultAction = Callable[[World, Random], Awaitable[None]]
 QUOTA_SECONDS = 0.1  # the period of a processor quota, as cgroups have by default
-REUSE_SECONDS = 0.5  # from the end of a server until its address is reused
+REUSE_SECONDS = 0.5  # seconds from the end of a server until its address is reused
 
 
 def _running(world: World, random: Random) -> Server | None:
@@ -36,7 +36,7 @@
     if random.random() < 0.5:
         server.forget_idle()  # clients of idle connections are not notified
     server.crash()
-    detection_delay = random.choice((0.0, 0.3, 1.5))  # until the control side notices
+    detection_delay = random.choice((0.0, 0.3, 1.5))  # seconds until the control side notices the crash
     downtime = random.choice((0.0, REUSE_SECONDS, 2.0))
     await asyncio.sleep(min(detection_delay, downtime))
     if downtime < detection_delay:
--- a/brackenladder/simulation/exchange/gateways.py
+++ b/brackenladder/simulation/exchange/gateways.py
@@ -21,7 +21,7 @@
 from brackenladder.simulation.virtual_loop import Process
 from brackenladder.transport.link import Transport
 
-GRACE = 8 * SECOND  # from SIGTERM to SIGKILL
+GRACE = 8 * SECOND  # time from SIGTERM to SIGKILL
 LAST_PART = SECOND  # last part of the grace time, in which open requests may be aborted
 
 
@@ -40,7 +40,7 @@
         self.endpoint = links.add_endpoint(self.name, self.region, 1000.0)
         self.process: Process | None = None
         self.starts = 0
-        self.terminating = False  # SIGTERM was sent
+        self.terminating = False  # whether SIGTERM was sent
         self.terminated_at = 0
         self.disturbances = Disturbances()
         self._loop = loop
--- a/brackenladder/simulation/exchange/history.py
+++ b/brackenladder/simulation/exchange/history.py
@@ -19,8 +19,8 @@
     BROKEN = auto()  # connection lost in the middle of the response
     CLOSED = auto()  # connection lost before the first byte of the response
     REFUSED = auto()  # no connection could be opened
-    GIVEN_UP = auto()  # by the client, before any deadline
-    UNANSWERED = auto()  # by the client, long after the deadline
+    GIVEN_UP = auto()  # the client gave up before any deadline
+    UNANSWERED = auto()  # the client gave up long after the deadline
 
 
 @define(eq=False)
@@ -36,15 +36,15 @@
     deadline_ms: int
     event_count: int  # number of events if it is answered by a stream
     started_at: int = 0
-    sent_at: int = 0  # when its last byte was sent
-    first_byte_at: int = 0  # when the first byte of its answer was received
+    sent_at: int = 0  # time at which its last byte was sent
+    first_byte_at: int = 0  # time at which the first byte of its answer was received
     ended_at: int = 0
     outcome: RequestOutcome = RequestOutcome.OPEN
     status: int = 0
     signature: str = ""  # the server's response signature
     answer: bytes = b""
-    gateway_start: int = 0  # counts the starts of the gateway's process
-    # the request before it on its connection, if that was not answered when this one was sent
+    gateway_start: int = 0  # number of the start of the gateway's process
+    # The pipelined request before this one on the connection, if still unanswered when this one was sent.
     queued_behind: Request | None = None
     excused: bool = False  # its connection was disturbed, so that a late answer or none is allowed
 
@@ -65,15 +65,15 @@
     body: bytes
     deadline_ms: int
     gateway: int
-    after_event: int = 0  # last event received before a resumed stream
+    after_event: int = 0  # id of the last event that the client had when the stream was resumed; 0: none
     early: bool = False  # the server began before it had the complete body
     executed: bool = True  # False: the server stated that it did not execute the request
     status: int = 0
     answer: bytes = b""  # the body that the server created
     complete: bool = False  # the server has sent all of the answer
-    cut: bool = False  # the server has broken off the answer
+    cut: bool = False  # the server broke off the answer, or a fault reset its connection
     crashed: bool = False  # the server crashed during the run
-    unframed: bool = False  # the answer has no length
+    unframed: bool = False  # the answer states no length and ends with the connection
     ended_at: int = 0
 
     @property
@@ -84,7 +84,7 @@
 
 @define(eq=False)
 class ConfigurationEvent:
-    """A configuration and the time at which the gateways were told."""
+    """A configuration and the time at which it was sent to the gateways."""
 
     at: int
     configuration: Configuration
--- a/brackenladder/simulation/exchange/run.py
+++ b/brackenladder/simulation/exchange/run.py
@@ -27,12 +27,12 @@
 START_SECONDS = 1.5
 FAULT_SECONDS = 10.0
 QUIET_SECONDS = 2.0  # seconds of traffic after the faults
-DRAIN_SECONDS = 7.0  # wait for the remaining requests to end
+DRAIN_SECONDS = 7.0  # time in which the remaining requests end
 REQUEST_INTERVAL_SECONDS = 0.012  # mean time between two requests
 FAULT_INTERVAL = (0.05, 0.6)  # range of seconds between two faults
 MAX_CONCURRENT_FAULTS = 3
 LATE_TURNS = 0.1  # fraction of event loop turns that begin late
-MIN_SERVED_SHARE = 0.6  # required fraction of the requests late in the quiet time, without those given up
+MIN_SERVED_SHARE = 0.6  # least share of requests served late in the quiet time, without those given up
 
 
 def run_schedule(
--- a/brackenladder/simulation/exchange/servers.py
+++ b/brackenladder/simulation/exchange/servers.py
@@ -46,7 +46,7 @@
         self.host = streams.add_host(self.ip, zone)
         self.process: Process | None = None
         self.incarnation = 0
-        self.misbehaves = False  # it answers in faulty ways
+        self.misbehaves = False  # whether the server answers in faulty ways
         self.draining_since = 0
         self.disturbances = Disturbances()
         self.connections: list[ServerConnection] = []
@@ -107,7 +107,7 @@
         self._control.update_server(record)
 
     def drain(self) -> None:
-        """Reports that it drains, and continues to serve."""
+        """Reports the server as draining; it continues to serve."""
         self.draining_since = self.streams.loop.microseconds
         self._report(ServerState.DRAINING)
 
@@ -117,7 +117,7 @@
             connection.end.drop_silently()
 
     def reset_connections(self) -> None:
-        """Resets one of its connections at random."""
+        """Resets one of the server's connections, drawn at random."""
         if self.connections:
             connection = self.random.choice(self.connections)
             if connection.run is not None:
@@ -144,7 +144,7 @@
         self._read = b""
         self._last_answer = b""
         self._latest_run: Run | None = None  # the run that began last
-        self._missing_body_bytes = 0  # bytes of its body that have not been received
+        self._missing_body_bytes = 0  # bytes of the request's body that have not been received
         self._idle_timer: asyncio.TimerHandle | None = None
         self._loop = server.streams.loop
 
@@ -161,7 +161,7 @@
         self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the run, as most servers do when the caller has gone."""
+        """Ends the current run, since most servers stop work when the caller disconnects."""
         if self in self.server.connections:
             self.server.connections.remove(self)
         if self._idle_timer is not None:
@@ -228,7 +228,7 @@
         )
 
     def _write(self, run: Run, answer: Answer, step: int) -> None:
-        """Writes the remaining steps, each after its pause."""
+        """Writes the steps of the answer from `step` on, each after its pause."""
         if self.run is not run or self.end.is_closing():
             return
         if answer.answer_kind is AnswerKind.SILENT:
--- a/brackenladder/simulation/exchange/site.py
+++ b/brackenladder/simulation/exchange/site.py
@@ -37,17 +37,17 @@
 
     @property
     def prefix(self) -> str:
-        """The path prefix of its requests."""
+        """The path prefix of the route's requests."""
         return f"/{self.name}/"
 
     @property
     def idempotent(self) -> bool:
-        """Whether its requests may run more than once."""
+        """Whether the route's requests may run more than once."""
         return self.kind == "safe" or self.resumable
 
     @property
     def streaming(self) -> bool:
-        """Whether its answers are event streams."""
+        """Whether the route's answers are event streams."""
         return self.kind == "streaming"
 
 
@@ -69,7 +69,7 @@
 
     version: int
     homes: tuple[str, ...] = ()  # home regions of the route `HOMED`
-    most_attempts: int = 2  # of the route "safe"
+    most_attempts: int = 2  # `MaxAttempts` of the route "safe"
 
     def attempts_of(self, route: RouteTemplate) -> int:
         """Returns `MaxAttempts` of a route."""
@@ -110,7 +110,7 @@
 
 
 def latency(origin: str, destination: str) -> int:
-    """Returns the microseconds one way between two zones. `clients` are close to all zones."""
+    """Returns the one-way latency in microseconds between two zones. `clients` are close to all zones."""
     if "clients" in (origin, destination):
         return 1_000
     if origin == destination:
--- a/brackenladder/simulation/exchange/world.py
+++ b/brackenladder/simulation/exchange/world.py
@@ -60,7 +60,7 @@
             Random(self.random.getrandbits(64)),
             self.checks.fail,
         )
-        self._requests_checked: set[str] = set()  # requests whose clients have left
+        self._requests_checked: set[str] = set()  # ids of requests passed to `_look_later`
 
     @property
     def now(self) -> int:
@@ -78,7 +78,7 @@
         self.loop.create_task(self._run_checks())
 
     def undisturbed(self, gateway: int, begin: int, end: int, server: str = "") -> bool:
-        """See `checks.Calm`."""
+        """See `checks.Undisturbed`."""
         machines: list[GatewayMachine | Server] = [self.gateways[gateway]]
         if server:
             machines.append(self.servers[int(server.partition(".")[0].removeprefix("s"))])
--- a/brackenladder/simulation/fault_actions.py
+++ b/brackenladder/simulation/fault_actions.py
@@ -14,7 +14,7 @@
 
 FaultAction = Callable[[Faults, Random, ControlMachine], Awaitable[None]]
 
-POLL_SECONDS = 0.005  # between two checks whether the moment for a fault has come
+POLL_SECONDS = 0.005  # seconds between two checks whether a fault's condition is met
 MAX_POLLS = 2_000
 
 
@@ -54,7 +54,7 @@
 async def lose_power_after_decision(faults: Faults, random: Random, machine: ControlMachine) -> None:
     """Takes power from a majority or all of the machines within 4 ms after an order was acknowledged.
 
-    In half of the cases the disks of all followers are slow meanwhile.
+    In half of the cases the disks of all followers are slow at that time.
     """
     if random.random() < 0.5:
         async with asyncio.TaskGroup() as group:
@@ -151,7 +151,7 @@
 
 
 async def lose_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """Wipes a disk as soon as that is allowed."""
+    """Wipes a machine's disk as soon as enough other machines are healthy."""
     await _wait_until_disk_may_be_lost(faults, machine)
     await faults.lose_disk(machine, random.uniform(0.3, 3.0))
 
@@ -163,7 +163,7 @@
 
 
 async def lose_oldest_disk(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """Wipes the oldest disk as soon as that is allowed."""
+    """Wipes the oldest disk as soon as enough other machines are healthy."""
     oldest = min(faults.world.machines, key=lambda candidate: candidate.disk.created_at)
     await lose_disk(faults, random, oldest)
 
@@ -222,7 +222,7 @@
 
 
 def _has_chunks(machine: ControlMachine) -> bool:
-    """Whether a snapshot has arrived in part."""
+    """Whether a machine has received a part of a snapshot."""
     node = machine.node
     return node is not None and bool(node.host.replica._core.snapshot_receiver._data)
 
@@ -249,7 +249,7 @@
     async with asyncio.TaskGroup() as group:
         for machine in machines:
             group.create_task(faults.lose_disk(machine, random.uniform(0.3, 1.5)))
-        await asyncio.sleep(0)  # first the tasks wipe the disks that may be lost
+        await asyncio.sleep(0)  # lets the tasks wipe the disks that may be lost before power is cut
         group.create_task(faults.kill(machines, True, random.uniform(0.3, 1.5)))
         for gateway in faults.world.gateways:
             faults.restart_gateway(gateway)
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -17,7 +17,7 @@
 
 
 class Faults:
-    """Injects faults into a world. Never wipes more disks at a time than the members can tolerate."""
+    """Injects faults into a world. Never wipes more disks at a time than the cluster tolerates to lose."""
 
     def __init__(self, world: World) -> None:
         self.world = world
--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -33,7 +33,7 @@
     ended_at: int | None = None
     reply_version: int = 0  # the version in the reply
     answered_by: str = ""
-    answered_at: int = 0  # when the node decided on its reply
+    answered_at: int = 0  # time at which the node decided on its reply
     calls: int = 0
 
     @property
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -1,4 +1,4 @@
-"""Computes since when a control machine has been cut off from a majority of the voters by faults."""
+"""Computes for how long faults have cut a control machine off from a majority of the voters."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from brackenladder.simulation.machines import ControlMachine
 from brackenladder.simulation.network import SimulatedNetwork
 
-LONG_AGO = -(1 << 40)  # since when a process is isolated that has reached no majority since its start
+LONG_AGO = -(1 << 40)  # start of isolation if a process has reached no majority yet
 NOT_ENDED = 1 << 62  # end of a span that is still open
 
 
--- a/brackenladder/simulation/live_checks.py
+++ b/brackenladder/simulation/live_checks.py
@@ -1,4 +1,4 @@
-"""Checks made during a run: gateways and nodes have to keep up with what was acknowledged."""
+"""Checks made during a run: gateways and control nodes must apply acknowledged orders in time."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
         self._isolation = isolation
         self._undisturbed_since = undisturbed_since
         self._catch_up = max(CATCH_UP_TIME, catch_up)
-        self._revisions: dict[tuple[int, int], int] = {}  # newest revision by gateway number and start
-        self._committed: deque[tuple[int, int]] = deque()  # time and the leader's commit index at that time
+        self._revisions: dict[tuple[int, int], int] = {}  # newest revision, by (gateway number, start)
+        self._committed: deque[tuple[int, int]] = deque()  # (time, commit index of the leader at that time)
 
     def view_changed(self, seen: ViewSeen) -> None:
         """A gateway's revision must increase with each change and must not come from a refused order."""
@@ -67,7 +67,7 @@
         self._check_caught_up()
 
     def fail(self, rule: str, detail: str) -> None:
-        """Keeps the violation if it is the first one."""
+        """Records a violation unless one was recorded before."""
         if self.failure is None:
             self.failure = Violation(rule, f"at {self._loop.microseconds / SECOND:.3f} s: {detail}")
 
@@ -92,7 +92,7 @@
                 self.fail("drain", f"gateway {gateway.number} sends to {ack.server}")
 
     def _check_configurations(self) -> None:
-        """Every gateway must have what was acknowledged `CONFIG_TIME` ago."""
+        """Every gateway must have applied the configurations acknowledged at least `CONFIG_TIME` ago."""
         due = self._loop.microseconds - CONFIG_TIME
         if not self._undisturbed_since(due):
             return
@@ -109,7 +109,7 @@
                 self.fail("config-late", f"gateway {gateway.number} has {version}, {newest} is acknowledged")
 
     def _check_caught_up(self) -> None:
-        """Every node must have applied what was committed `CATCH_UP_TIME` ago, unless faults were active."""
+        """Every node must have applied all commits older than `CATCH_UP_TIME`, unless faults were active."""
         leader = leading_machine(self._machines)
         if leader is not None and leader.node is not None:
             self._committed.append((self._loop.microseconds, leader.node.host.replica.commit_index))
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -83,7 +83,7 @@
         tolerated: int,
         site: Site,
     ) -> None:
-        """`seeds`: returns the seed addresses for its settings; `tolerated`: machines that may be lost."""
+        """`seeds`: returns the seed addresses for the settings; `tolerated`: machines that can be lost."""
         self.number = number
         self.name = f"control-{number}"
         self.zone = tuple(ZONES)[number % len(ZONES)]
@@ -209,13 +209,13 @@
 
     at: int
     gateway: int
-    start: int  # counts the starts of the gateway's process
+    start: int  # number of the start of the gateway's process
     revision: int
-    version: int  # of the configuration; 0 if there is none
+    version: int  # version of the configuration; 0 if there is none
     order: int  # the order that made the configuration, read from its marker route; 0 if there is none
     evacuated: frozenset[str]
     told_by: str  # peer address of the control node that sent the change
-    first: bool  # the gateway had no catalog since its start
+    first: bool  # whether it is the gateway's first catalog since its start
 
 
 class GatewayMachine:
--- a/brackenladder/simulation/mutants/exchange.py
+++ b/brackenladder/simulation/mutants/exchange.py
@@ -55,7 +55,7 @@
 
 
 def _finished_as_never_run(self: Any, end: Any) -> None:
-    """Reports a reset as an attempt that was not sent."""
+    """Reports an attempt that ended by a reset as never sent."""
     if end.outcome is Outcome.RESET:
         end = type(end)(Outcome.CONNECT_FAILED, None)
     _finish(self, end)
@@ -172,7 +172,7 @@
 
 
 def _turn_counts_as_arrival() -> Fault:
-    """The time of a pipelined request begins when the request before it has been answered."""
+    """A pipelined request's time limits start when the request before it is answered, not on arrival."""
 
     def next_arrival(self: Any) -> float:
         self._arrivals = deque()
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -19,7 +19,7 @@
 SWEEP_SECONDS = 0.1  # interval between checks for silent links and disconnected dialers
 BITS_PER_BYTE = 8
 PACKET_BYTES = 60  # size of an event that carries no message
-OTHER_REGION_LATENCY = 35_000  # microseconds one way
+OTHER_REGION_LATENCY = 35_000  # one-way latency in microseconds between regions
 SAME_REGION_LATENCY = 900
 
 
@@ -43,7 +43,7 @@
         self.region = region
         self.megabits = megabits
         self.process: Process | None = None
-        self.send_queue_empty_at = 0  # when the bytes sent so far have left the machine
+        self.send_queue_empty_at = 0  # time at which all bytes sent so far have left the machine
 
     @property
     def frozen(self) -> bool:
@@ -63,7 +63,7 @@
         self.delivered = 0
         # called with a description of a call that did not end in time
         self.report_held_call: Callable[[str], None] = _ignore_held_call
-        self._latest_arrivals: dict[tuple[str, str], int] = {}  # latest one, by direction
+        self._latest_arrivals: dict[tuple[str, str], int] = {}  # latest arrival time, by (sender, receiver)
         self._held_events: dict[tuple[str, str], deque[Event]] = {}
         loop.call_later(SWEEP_SECONDS, self._sweep)
 
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -27,9 +27,9 @@
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 
 ANSWER_TIMEOUT_SECONDS = 1.0  # timeout for an answer, in addition to the transfer time of a large body
-FIRST_PAUSE_SECONDS = 0.1  # before a call is repeated; doubles each time
+FIRST_PAUSE_SECONDS = 0.1  # pause before a call is repeated; it doubles each time
 LONGEST_PAUSE_SECONDS = 1.0
-EVACUATION_SECONDS = 5.0  # for how long an evacuation order is retried
+EVACUATION_SECONDS = 5.0  # time for which an evacuation order is retried
 ORDER_BYTES = 300
 BITS_PER_BYTE = 8
 
@@ -42,7 +42,7 @@
 
 @frozen
 class OperatorSettings:
-    """What operators do. Shares are fractions of their actions unless noted otherwise."""
+    """How often operators do what. Shares are fractions of their actions unless noted otherwise."""
 
     pause: float = 0.5  # mean seconds between two actions
     in_flight: int = 2  # concurrent actions of one operator
@@ -50,17 +50,17 @@
     invalid: float = 0.1  # fraction of the configurations that are invalid
     evacuations: float = 0.15
     reads: float = 0.15
-    repeats: float = 0.1  # an order that has been answered is sent again
+    repeats: float = 0.1  # share of actions that send an answered order again
     answers_lost: float = 0.1
     max_configuration_bytes: int = 2_000  # maximum size of a configuration
-    retry_seconds: float = 12.0  # for how long a configuration without a definite answer is retried
+    retry_seconds: float = 12.0  # time for which a configuration without a definite answer is retried
 
 
 class OrderObserver(Protocol):
-    """Is notified of what operators observe."""
+    """Receives what operators observe."""
 
     def order_decided(self) -> None:
-        """A node has acknowledged an order and is about to send the reply."""
+        """Handles an order that a node has acknowledged and is about to reply to."""
 
     def fail(self, rule: str, detail: str) -> None:
         """Reports a broken rule."""
@@ -198,14 +198,14 @@
         return await make_call(call, size, ANSWER_TIMEOUT_SECONDS + 4 * transfer), call
 
     async def _decide(self, node: ControlNode, order: Order) -> OrderReply:
-        """Runs on the node."""
+        """Decides an order; runs in the node's process."""
         reply = await _submit(node, order)
         if reply.outcome is OrderOutcome.ACCEPTED:
             self._observer.order_decided()
         return reply
 
     async def _repeat(self) -> None:
-        """Sends one of its own orders again that was acknowledged or refused. The answer must be the same."""
+        """Repeats an own order that was acknowledged or refused; the answer must be the same."""
         own = [
             record
             for record in self._history.orders
--- a/brackenladder/simulation/run.py
+++ b/brackenladder/simulation/run.py
@@ -24,9 +24,9 @@
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 from brackenladder.simulation.world import World
 
-START_SECONDS = 3.0  # from the first boot until the actors start
+START_SECONDS = 3.0  # seconds from the first boot until the actors start
 POLL_SECONDS = 0.2
-LONGEST_TURN_DELAY = 20_000  # microseconds; the delay of a process that shares its core with many others
+LONGEST_TURN_DELAY = 20_000  # microseconds; as for a process that shares its core with many others
 CLEAN_UP_TIME = 1_000  # microseconds in which tasks handle their cancellation after a run
 
 
--- a/brackenladder/simulation/servers.py
+++ b/brackenladder/simulation/servers.py
@@ -22,7 +22,7 @@
 DRAIN_SECONDS = 3.0
 GIVE_UP_SECONDS = 8.0  # a server that gets no acknowledgement ends after this time anyway
 REUSE_SECONDS = 2.0  # pause until an address is used again
-MAX_CALLS = 3  # nodes tried per heartbeat
+MAX_CALLS = 3  # most nodes that are tried for one heartbeat
 
 
 @frozen
@@ -31,8 +31,8 @@
 
     shortest: float = 8.0
     longest: float = 30.0
-    drains: float = 0.7  # fraction of the ends; the others are crashes
-    deregisters_first: float = 0.2  # fraction of the drains
+    drains: float = 0.7  # share of servers that end by a drain; the others crash
+    deregisters_first: float = 0.2  # share of drains that begin with the deregistration
 
 
 class Server:
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -35,7 +35,7 @@
 
     def __init__(self, ip: str, zone: str) -> None:
         self.ip = ip
-        self.zone = zone  # determines the latency
+        self.zone = zone  # zone, from which the latency is computed
         self.unreachable = False
 
 
@@ -99,7 +99,7 @@
     """Hosts, listeners and the connections between them."""
 
     def __init__(self, loop: VirtualEventLoop, random: Random, latency: Latency) -> None:
-        """`latency` returns the microseconds one way between two zones."""
+        """`latency` returns the one-way latency in microseconds between two zones."""
         self.loop = loop
         self.random = random
         self.latency = latency
@@ -162,7 +162,7 @@
     def _syn(self, host: StreamHost, ip: str, port: int, connected: asyncio.Future[StreamEnd]) -> None:
         peer = self._hosts[ip]
         if peer.unreachable or host.unreachable:
-            return  # the system would send the SYN again; the caller times out
+            return  # a real system would send the SYN again until the caller times out
         listener = self._listeners.get((ip, port))
         back = self.loop.microseconds + self.draw_latency(peer, host)
         if listener is None or listener.process.state is ProcessState.ENDED:
@@ -208,21 +208,21 @@
         self.protocol: asyncio.Protocol | None = None
         self.peer: StreamEnd
         self.sent = 0  # bytes that the system has taken from the process
-        self._inbox: deque[bytes] = deque()  # received and not yet read by the process
-        self._eof_received = False  # the peer's end of stream was received
-        self._reset_error: OSError | None = None  # set when a reset was received
-        self._outbox = b""  # written by the process and not yet taken by its system
-        self._in_flight = 0  # sent and not yet read by the peer's process
+        self._inbox: deque[bytes] = deque()  # data received and not yet read by the process
+        self._eof_received = False  # whether the peer's end of stream was received
+        self._reset_error: OSError | None = None  # the error of a received reset, or None
+        self._outbox = b""  # data written by the process and not yet taken by its system
+        self._in_flight = 0  # bytes sent and not yet read by the peer's process
         self._acknowledged_at = network.loop.microseconds
         self._last_arrival = 0  # arrival time of the latest event in this direction
         self._reading = True
         self._closing = False
-        self._eof_written = False  # the process has ended this direction
+        self._eof_written = False  # whether the process has ended its sending direction
         self._socket_closed = False
         self._writing_paused = False
-        self._connection_lost = False  # connection_lost was called or is scheduled
+        self._connection_lost = False  # whether connection_lost was called or is scheduled
         self._read_scheduled = False
-        # events lost on the way, to be sent again
+        # Events that were lost on the way and will be sent again.
         self._retransmissions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     # ---- methods for the protocol ---------------------------------------------------------------------
@@ -245,7 +245,7 @@
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """Ends this direction only."""
+        """Ends the sending direction only."""
         if not self._eof_written:
             self._eof_written = True
             self._send_buffered()
@@ -312,7 +312,7 @@
         self._wake_reader()
 
     def close_by_kernel(self, with_reset: bool) -> None:
-        """Closes the end without its process."""
+        """Closes this end of the connection without an action of its process."""
         self._closing = self._connection_lost = True
         self._outbox = b""
         self._close_socket(with_reset or bool(self._inbox))
@@ -377,7 +377,7 @@
         self.network.loop.call_external(self.network.loop.microseconds + RETRANSMISSION, self._send_again)
 
     def _send_again(self) -> None:
-        """Sends again what was not acknowledged, as TCP does."""
+        """Sends again the events that were lost on the way, as TCP does."""
         if self.host.unreachable or self.peer.host.unreachable:
             self._send_again_later()
             return
@@ -394,7 +394,7 @@
         if self._socket_closed or not self._in_flight:
             return
         if not self.host.unreachable and not self.peer.host.unreachable:
-            return  # the peer's system is reachable, its process only does not read
+            return  # the peer's system is reachable and only its process does not read
         if unacknowledged_for >= USER_TIMEOUT:
             self.receive_reset(TimeoutError(errno.ETIMEDOUT, "not acknowledged"))
         else:
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -42,14 +42,14 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.state = ProcessState.RUNNING
-        self.freezes = 0  # how often it was frozen
+        self.freezes = 0  # how often the process was frozen
         self._deferred: list[Callable[[], None]] = []
         self._context = copy_context()
         self._context.run(_current.set, self)
 
     @property
     def running(self) -> bool:
-        """Whether it is neither frozen nor ended."""
+        """Whether the process is neither frozen nor ended."""
         return self.state is ProcessState.RUNNING
 
     def run(self, call: Callable[..., T], *arguments: Any) -> T:
@@ -104,7 +104,7 @@
 class VirtualEventLoop(asyncio.BaseEventLoop):
     """An event loop without I/O in which waiting for a timer takes no real time."""
 
-    _ready: deque[Handle]  # these three are attributes of the base class
+    _ready: deque[Handle]  # declares the types of three attributes of the base class
     _scheduled: list[TimerHandle]
     _timer_cancelled_count: int
 
@@ -172,7 +172,7 @@
         self.run_forever()
 
     def _record_exception(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Records an unhandled exception, which is to fail the run.
+        """Records an unhandled exception, so that the run fails.
 
         Tasks of ended processes are discarded while they wait, which is no error. An exception raised from
         here would only be printed by asyncio and not fail the run.
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -21,7 +21,7 @@
 from brackenladder.simulation.virtual_loop import VirtualEventLoop
 
 MAX_SEEDS = 3
-WATCH_SECONDS = 0.25  # between two checks of nodes and gateways
+WATCH_SECONDS = 0.25  # interval of the live checks of nodes and gateways
 
 log = logbook.Logger("faults")
 
@@ -43,7 +43,7 @@
         self.network = SimulatedNetwork(loop, control_codec())
         self.history = History()
         self.coverage = Coverage()
-        self.last_fault_event_at = 0  # when a fault last began, occurred or ended
+        self.last_fault_event_at = 0  # time at which a fault last began, occurred or ended
         self.active_faults = 0  # number of faults that have not ended
         site = scenario.site
         self.seeds = seeds = min(MAX_SEEDS, site.control_nodes)
@@ -124,7 +124,7 @@
             site,
         )
         if machine.number >= self.seeds:
-            machine.lose_disk()  # only seed machines start with a founding replica on their disk
+            machine.lose_disk()  # all machines but the seeds start with an empty disk
         self._machine_number += 1
         self.machines.append(machine)
         return machine
@@ -201,20 +201,20 @@
     # -- observation
 
     def order_decided(self) -> None:
-        """A node has acknowledged an order and is about to send the reply."""
+        """Handles an order that a node has acknowledged and is about to reply to."""
         waiting, self._decision_waiters = self._decision_waiters, []
         for decision in waiting:
             if not decision.done():
                 decision.set_result(None)
 
     async def next_decision(self) -> None:
-        """Returns when a node next acknowledges an order."""
+        """Waits until a node acknowledges an order."""
         decision: asyncio.Future[None] = self.loop.create_future()
         self._decision_waiters.append(decision)
         await decision
 
     async def _run_checks(self) -> None:
-        """Updates the isolation and runs the live checks periodically."""
+        """Periodically recomputes which machines are isolated, and runs the live checks."""
         while True:
             await asyncio.sleep(WATCH_SECONDS)
             self._note_terms()
