--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -35,13 +35,16 @@
 )
 
 TICK = 50_000  # microseconds between two ticks
-GOSSIP_INTERVAL = 200_000  # between two gossip rounds
-CONFIRM_BEFORE_DEATH = 500_000  # time before the end of a suspicion when the suspect and others are asked
-SYNC_INTERVAL = 4_000_000  # between two digests, less a random part
-DEAD_PROBE_INTERVAL = 1_000_000  # between two pings to dead members
-MAX_EPOCH_RAISES = 4  # more raises within EPOCH_RAISE_WINDOW: another process uses this node's number
+GOSSIP_INTERVAL = 200_000  # microseconds between two gossip rounds
+# Microseconds before the end of a suspicion at which the suspect and others are asked again.
+CONFIRM_BEFORE_DEATH = 500_000
+SYNC_INTERVAL = 4_000_000  # microseconds between two digests; shortened by a random part
+DEAD_PROBE_INTERVAL = 1_000_000  # microseconds between two pings to dead members
+# More raises of the own epoch within EPOCH_RAISE_WINDOW mean that another process uses the same number.
+MAX_EPOCH_RAISES = 4
 EPOCH_RAISE_WINDOW = 60_000_000
-SUCCESSOR_NOTICE_INTERVAL = 1_000_000  # between two notices to a process that has been replaced by another
+# Microseconds between two notices to a process that another one has replaced.
+SUCCESSOR_NOTICE_INTERVAL = 1_000_000
 MAX_TRANSITIONS = 100  # transitions kept for display
 
 
@@ -235,7 +238,7 @@
                         if self.view.records[about] > record:
                             newer_here.append(about)
                             if record.state in (State.SUSPECT, State.DEAD):
-                                # The sender lacks the newer record.
+                                # The sender has an older record of the member than this node.
                                 self.gossip_queue.add_if_absent(about)
                 case Digest():
                     self.handle_digest(number, message, now)
@@ -243,7 +246,7 @@
                     requested_ranges.append(message)
                 case _:
                     self.on_other_message(number, message, now)
-        if requested_ranges:  # the reply to a sync: the records that are newer here
+        if requested_ranges:  # reply to a Range message: the records that are newer at this node
             requested = [n for r in requested_ranges for n in range(r.low, min(r.high, len(self.view)))]
             received_numbers = {m.number for m in frame.messages if isinstance(m, Recorded)}
             reply = [
@@ -335,7 +338,8 @@
             self.apply_record(number, record._replace(state=State.SUSPECT), now, self.own, reason)
         else:
             return
-        self.send_frame(number, [], now)  # notifies the suspect first, so that it can refute
+        # Tells the suspect before the others, so that it can refute the suspicion early.
+        self.send_frame(number, [], now)
 
     def declare_dead(self, now: int) -> None:
         """Declares suspects dead whose timeout is over, unless something was received from them."""
--- a/brackenladder/cluster/gossip_queue.py
+++ b/brackenladder/cluster/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Records to spread by gossip: the number of sends grows with the logarithm of the members."""
+"""Records to spread by gossip. Each is sent a number of times that grows with the log of the member count."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from brackenladder.cluster.wire import RECORD_FORMAT
 
-RETRANSMIT_FACTOR = 4  # a record is sent this many times log10 of the number of members
-MAX_QUEUED = 512  # queued records; beyond it the one sent most often is dropped
+RETRANSMIT_FACTOR = 4  # each record is sent RETRANSMIT_FACTOR * log10(number of members) times
+MAX_QUEUED = 512  # most queued records; if there are more, the one sent most often is dropped
 
 
 class GossipQueue:
--- a/brackenladder/cluster/health.py
+++ b/brackenladder/cluster/health.py
@@ -10,9 +10,9 @@
 from collections import deque
 from typing import Literal
 
-MAX_SCORE = 7  # as in Lifeguard: timeouts are multiplied by up to 8
+MAX_SCORE = 7  # highest local health score, as in Lifeguard: timeouts are multiplied by up to 8
 PAUSE_GAP = 1_000_000  # a longer gap between ticks, in microseconds, means that the process was suspended
-LATE_GAP = 300_000  # a longer gap means that the process runs late
+LATE_GAP = 300_000  # a longer gap between ticks, in microseconds, means that the process runs late
 ISOLATED_AFTER = 1_600_000  # microseconds without receiving anything after which a node counts as isolated
 MUTE_PROBES = 8  # successive unanswered probes after which a node that still receives messages counts as mute
 # Microseconds after an isolation in which a report that this node was declared dead shows that the others did
@@ -32,7 +32,8 @@
         self.answered: deque[bool] = deque(maxlen=MUTE_PROBES)
         self.connectivity: Connectivity = "ok"
         self.isolated_since = 0
-        self.isolation_ended_at = 0  # end of the last isolation; 0: none, or already diagnosed
+        # When the last isolation ended; 0: there was none, or its diagnosis has been returned.
+        self.isolation_ended_at = 0
         self.answered_since_pause = True  # a probe was answered since the last suspension
         self.pauses = 0
 
--- a/brackenladder/cluster/live_count.py
+++ b/brackenladder/cluster/live_count.py
@@ -16,13 +16,14 @@
 
 ABSENCE_TIME = 4_000_000  # microseconds after which a dead member, or one that left, is not counted any more
 RECENT = 1_000_000  # a member heard within this time counts as sending, whatever its state
-MIN_COUNTED_PART = 0.5  # the count is never below this part of the configured number
+MIN_COUNTED_PART = 0.5  # the count is never below this fraction of the number of configured nodes
 
 
 class LiveNodeCounter:
     """Counts the nodes that may send requests.
 
-    `absence_time`: microseconds that a member has to be gone for; at least the window of the cold limit.
+    `absence_time`: microseconds for which a member has to be gone before it is left out of the count. It must
+    be at least as long as the period to which the request limit of cold servers applies.
     """
 
     def __init__(self, size: int, absence_time: int = ABSENCE_TIME) -> None:
--- a/brackenladder/cluster/prober.py
+++ b/brackenladder/cluster/prober.py
@@ -12,11 +12,11 @@
 
 PROBE_PERIOD = 300_000  # microseconds
 PROBE_ROUNDS = 2  # periods that a probe may take
-RESEND_AFTER = 75_000  # a ping is resent after this time without a reply
-INDIRECT_AFTER = 150_000  # helpers are asked after this time without a reply
+RESEND_AFTER = 75_000  # microseconds without a reply after which a ping is sent again
+INDIRECT_AFTER = 150_000  # microseconds without a reply after which helpers are asked to ping the target
 HELPERS = 3
 STARTUP_GRACE = 3_000_000  # a member that has never been heard is not suspected for this time
-RECENT = 1_000_000  # members heard within this time are preferred as helpers
+RECENT = 1_000_000  # microseconds; members heard from within this time are preferred as helpers
 
 
 class Probe:
--- a/brackenladder/cluster/sender.py
+++ b/brackenladder/cluster/sender.py
@@ -27,9 +27,9 @@
 )
 
 FANOUT = 3  # members that a gossip round goes to
-BYTES_PER_SECOND = 3_000  # long-term limit of what a node sends
+BYTES_PER_SECOND = 3_000  # bytes per second that a node may send on average
 BURST = 12_000  # bytes that a node may send at once
-MAX_RANGES_ANSWERED = 4  # per received digest
+MAX_RANGES_ANSWERED = 4  # most differing ranges that are answered per received digest
 
 T = TypeVar("T")
 
@@ -56,7 +56,8 @@
         self.view = View(size, now)
         self.health = Health(now)
         self.gossip_queue = GossipQueue()
-        self.reported_by: dict[int, int] = {}  # by suspect or dead member: who last reported it
+        # By number of a suspect or dead member: the member that last reported this state.
+        self.reported_by: dict[int, int] = {}
         # Messages of other components that are attached to each ping and ack.
         self.extra_messages: Callable[[], Sequence[Message]] = tuple
         self.counters: Counter[str] = Counter()
--- a/brackenladder/cluster/suspicion.py
+++ b/brackenladder/cluster/suspicion.py
@@ -11,7 +11,8 @@
 
 from math import log
 
-MIN_TIMEOUT = 1_850_000  # microseconds, after the two periods of a probe
+# Microseconds from the suspicion, which itself begins after an unanswered probe of two periods.
+MIN_TIMEOUT = 1_850_000
 MAX_TIMEOUT = 3_600_000
 MAX_CONFIRMATIONS = 3  # confirmations by other members after which MIN_TIMEOUT applies
 
@@ -19,28 +20,30 @@
 class Suspicion:
     """The suspicion of one member.
 
-    `confirmers`: how many other members could confirm it; with none MIN_TIMEOUT applies immediately.
+    `confirmers`: how many other members could confirm the suspicion; if there are none,
+    MIN_TIMEOUT applies immediately.
     """
 
     __slots__ = ("reporters", "confirmation_requested", "needed", "since")
 
     def __init__(self, now: int, reporter: int, confirmers: int) -> None:
         self.since = now
-        self.confirmation_requested = False  # the suspect and others were asked again before its death
+        # The suspect and others have been asked again before it is declared dead.
+        self.confirmation_requested = False
         self.reporters = {reporter}
         self.needed = min(MAX_CONFIRMATIONS, max(0, confirmers))
 
     def confirm(self, reporter: int) -> bool:
-        """Notes that another member suspects it too. Returns whether that should be gossiped."""
+        """Notes that `reporter` suspects the member too. Returns whether to gossip this confirmation."""
         if reporter in self.reporters or len(self.reporters) > self.needed:
             return False
         self.reporters.add(reporter)
         return True
 
     def deadline(self, queue_time: int = 0) -> int:
-        """When the suspect is declared dead unless it refutes.
+        """When the suspect is declared dead unless it refutes the suspicion.
 
-        `queue_time`: microseconds that the gossip about other suspects takes.
+        `queue_time`: microseconds that sending the gossip about the other suspects takes.
         """
         if not self.needed:
             return self.since + MIN_TIMEOUT + queue_time
--- a/brackenladder/cluster/sync.py
+++ b/brackenladder/cluster/sync.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: finds the records in which two views differ by hashes of ranges, for what gossip missed."""
+"""Anti-entropy: compares hashes of ranges of records, to find the records that gossip failed to deliver."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
 def ranges(low: int, high: int) -> Iterator[tuple[int, int]]:
     """Splits a range of members into at most MAX_RANGES parts.
 
-    Each part except the last has at least as many members as records fit in a frame.
+    Each part except the last has at least RECORDS_PER_FRAME members, so no part that fits in one frame is
+    split further.
     """
     step = max(RECORDS_PER_FRAME, -(-(high - low) // MAX_RANGES))
     return ((at, min(at + step, high)) for at in range(low, high, step))
--- a/brackenladder/cluster/wire.py
+++ b/brackenladder/cluster/wire.py
@@ -21,17 +21,17 @@
 VERSION = 1
 MAX_DATAGRAM = 256  # bytes of a datagram between nodes; a limit of the platform
 TAG_SIZE = 8  # bytes
-REPLAY_WINDOW = 64  # frames may arrive out of order by up to this many counters
+REPLAY_WINDOW = 64  # a frame is accepted if its counter is less than this much below the highest one received
 HEADER_FORMAT = struct.Struct(">BBBHHQII")
 RECORD_FORMAT = struct.Struct(">BHQIBH")
 SEQ_FORMAT = struct.Struct(">BH")
 PAIR_FORMAT = struct.Struct(">BHH")
 DIGEST_FORMAT = struct.Struct(">BHHB")
-HOLDS_FORMAT = struct.Struct(">BI12s")  # a state's generation counter and its digest
+HOLDS_FORMAT = struct.Struct(">BI12s")  # generation counter of a desired state, and its digest
 ASK_PIECE_FORMAT = struct.Struct(">B12sI")
 PIECE_FORMAT = struct.Struct(">B12sIIB")
-PAYLOAD_SIZE = MAX_DATAGRAM - HEADER_FORMAT.size - TAG_SIZE  # bytes for messages
-MAX_RANGES = 16  # per digest
+PAYLOAD_SIZE = MAX_DATAGRAM - HEADER_FORMAT.size - TAG_SIZE  # bytes of a frame that are left for messages
+MAX_RANGES = 16  # most ranges that one Digest message holds
 NOBODY = 0xFFFF
 
 PING, ACK, ASK_PING, NACK, RECORDED, DIGESTED, RANGE, HOLDS, ASK_PIECE, PIECE = range(1, 11)
@@ -82,21 +82,21 @@
 
 
 class Holds(NamedTuple):
-    """The generation of the desired state that the sender uses."""
+    """Generation counter and digest of the desired state that the sender uses."""
 
     counter: int
     digest: bytes
 
 
 class AskPiece(NamedTuple):
-    """Requests the piece of a state at `offset`."""
+    """Requests the piece at `offset` of the desired state with this digest."""
 
     digest: bytes
     offset: int
 
 
 class Piece(NamedTuple):
-    """A piece of a state of `size` bytes."""
+    """A piece, beginning at `offset`, of a desired state that has `size` bytes in total."""
 
     digest: bytes
     offset: int
--- a/brackenladder/membership/current_list.py
+++ b/brackenladder/membership/current_list.py
@@ -6,8 +6,9 @@
 from brackenladder.membership.listing import Listing
 from brackenladder.membership.withdrawn import WithdrawnServers
 
-MIN_WAIT_MS, MAX_WAIT_MS = 3_000, 20_000  # limits of a watch without news
-WAIT_MS_PER_NODE = 500  # between them, per node of the tier, since discovery serves the nodes one by one
+MIN_WAIT_MS, MAX_WAIT_MS = 3_000, 20_000  # bounds of the result of `watch_wait_ms`
+# Between these bounds the wait grows with the number of nodes, since discovery serves them one by one.
+WAIT_MS_PER_NODE = 500
 
 
 def watch_wait_ms(nodes: int) -> int:
@@ -30,7 +31,7 @@
         self.version = known.version if known else None
         self.withdrawn = WithdrawnServers()
         if known is not None:
-            # Otherwise an older list could bring back a server that is draining in the known list.
+            # Records the draining servers of the known list, so that no older list makes them ready again.
             self.withdrawn.filter_listing(known, now)
 
     def for_new_discovery(self, now: float) -> CurrentList:
--- a/brackenladder/membership/stall.py
+++ b/brackenladder/membership/stall.py
@@ -8,8 +8,9 @@
 
 BEAT_INTERVAL = 0.1  # seconds between two beats of the event loop
 STALL_THRESHOLD = 0.2  # a longer gap between beats, in seconds, is a stall; the platform's rule allows 0.25 s
-RESUME_GRACE = 0.05  # seconds after a stall in which waiting input is read first
-READ_FIRST_DELAY = 0.002  # seconds for which a request is held back in that time
+# Seconds after a stall in which list updates that are already waiting are read before requests.
+RESUME_GRACE = 0.05
+READ_FIRST_DELAY = 0.002  # seconds for which a request that arrives within RESUME_GRACE is held back
 
 
 class StallDetector:
--- a/brackenladder/membership/watch_retry.py
+++ b/brackenladder/membership/watch_retry.py
@@ -11,7 +11,7 @@
 # Seconds in which the response with a full list has to begin. Discovery closes calls that have waited 1 s for
 # their turn.
 FIRST_BYTE_TIMEOUT = 1.2
-READ_TIMEOUT = 1.0  # seconds without another byte after which a partial response is given up
+READ_TIMEOUT = 1.0  # seconds without a further byte after which a partly received response is abandoned
 BODY_TIMEOUT = 3.0  # seconds for a whole response
 MAX_RETRIES = 4  # retries of a silent call that are made without asking the decision module
 MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # seconds before each retry except the first, chosen at random
--- a/brackenladder/membership/withdrawn.py
+++ b/brackenladder/membership/withdrawn.py
@@ -26,16 +26,17 @@
         self.ready: dict[str, int] = {}  # start time of each server that is ready in the newest list
         self.gone: dict[
             str, tuple[int, float]
-        ] = {}  # withdrawn servers: start time, and until when it counts
-        self.drained: dict[str, tuple[int, float]] = {}  # those of them that are draining
-        self.carried: dict[str, tuple[int, float]] = {}  # draining servers of the previous discovery
+        ] = {}  # by id: start time of the withdrawn server, and time until which it stays withdrawn
+        self.drained: dict[str, tuple[int, float]] = {}  # the part of `gone` that is listed as draining
+        # Servers that the discovery used before this one listed as draining.
+        self.carried: dict[str, tuple[int, float]] = {}
 
     def for_new_discovery(self, now: float) -> WithdrawnServers:
         """The withdrawals that still apply after a move to another discovery.
 
         Draining servers stay withdrawn for any version, since the new discovery numbers its versions
         independently. Without this, requests would go to draining servers while the new discovery lags
-        behind the old one. Servers that were only missing in the old one's list may come back.
+        behind the old one. Servers that were only missing in the old discovery's list may come back.
         """
         new = WithdrawnServers()
         new.carried = {
@@ -52,7 +53,7 @@
         )
 
     def _filter_same_discovery(self, listing: Listing, now: float) -> Listing:
-        """The same considering only the lists of the current discovery."""
+        """As `filter_listing`, but ignores the servers in `carried`."""
         for name in [name for name, (_, until) in self.gone.items() if until <= now]:
             del self.gone[name]
             self.drained.pop(name, None)
@@ -76,7 +77,8 @@
         return listing
 
     def _withdraw(self, name: str, started: int, now: float) -> None:
-        self.gone.pop(name, None)  # keeps the oldest withdrawal first
+        # Inserted again below, so that `gone` stays sorted by the time of withdrawal.
+        self.gone.pop(name, None)
         if len(self.gone) >= MAX_WITHDRAWN:
             oldest = next(iter(self.gone))
             del self.gone[oldest]
@@ -85,7 +87,10 @@
 
 
 def without(listing: Listing, withdrawn: dict[str, tuple[int, float]], now: float) -> Listing:
-    """The listing without ready servers whose start was withdrawn, while the withdrawal counts."""
+    """The listing without the ready servers that `withdrawn` holds with the same start time.
+
+    `withdrawn`: by server id, the start time and the time until which the withdrawal is in force.
+    """
     lines = tuple(
         line
         for line in listing.lines
