--- a/brackenladder/catalog/accepted_orders.py
+++ b/brackenladder/catalog/accepted_orders.py
@@ -7,7 +7,8 @@
 
 from brackenladder.catalog.orders import ConfigurationOrder, ReplaceConfiguration
 
-MAX_REMEMBERED_ORDERS = 4096  # beyond this, the oldest orders are forgotten first
+# Maximum number of digests kept; when it is exceeded, the oldest ones are dropped.
+MAX_REMEMBERED_ORDERS = 4096
 DIGEST_BYTES = 16
 
 
--- a/brackenladder/catalog/catalog.py
+++ b/brackenladder/catalog/catalog.py
@@ -53,11 +53,11 @@
 
 @frozen
 class _State:
-    """The state that the log determines, except the digests of accepted orders."""
+    """The state that results from the log, without the digests of accepted orders."""
 
     revision: int = 0
     configuration: Configuration | None = None
-    content: Document | None = None  # the decoded `document`; never modified in place
+    content: Document | None = None  # `document` in decoded form; never modified in place
     document: bytes = b""
     evacuated: frozenset[str] = frozenset()
     zone_revisions: tuple[tuple[str, int], ...] = ()  # log index of each zone's last change; sorted
--- a/brackenladder/catalog/faults.py
+++ b/brackenladder/catalog/faults.py
@@ -18,7 +18,7 @@
     UNKNOWN_SERVICE = "unknown_service"
     SAME_PLACE = "same_place"  # two routes with the same host and path prefix
     NO_WEIGHT = "no_weight"
-    STALE_VERSION = "stale_version"  # not greater than the current version
+    STALE_VERSION = "stale_version"  # the version of the document is not greater than the current one
     UNREADABLE = "unreadable"  # a file that cannot be opened
 
 
--- a/brackenladder/catalog/homes.py
+++ b/brackenladder/catalog/homes.py
@@ -1,4 +1,4 @@
-"""Home regions: which regions' gateways clients of other regions may use for a host."""
+"""Home regions: the regions whose gateways may serve a host to clients of other regions."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     """
 
     known: bool = False  # whether any route has the host
-    home_sets: tuple[Homes, ...] = ()  # the distinct home sets of its routes
+    home_sets: tuple[Homes, ...] = ()  # the distinct sets of home regions of the host's routes
 
     def permits(self, region: str) -> bool:
         """Whether clients of other regions may be directed to gateways of this region."""
         return self.known and all(region in homes for homes in self.home_sets)
 
     def forbidden(self, client_region: str, regions: Iterable[str]) -> list[str]:
-        """Those of the regions that a client of `client_region` must not be directed to, sorted."""
+        """The `regions` that a client of `client_region` must not be directed to, sorted."""
         return sorted(region for region in regions if region != client_region and not self.permits(region))
 
 
--- a/brackenladder/catalog/model.py
+++ b/brackenladder/catalog/model.py
@@ -52,7 +52,7 @@
 
     slots: int = 0
     kv_tokens: int = 0
-    stride: int = 1  # tokens per event of a stream
+    stride: int = 1  # number of tokens in each event of a stream
     models: tuple[str, ...] = ()
     kv_token_bytes: int = 0
     link_mbps: float = 0.0
@@ -67,9 +67,10 @@
 
     name: str
     health_path: str = DEFAULT_HEALTH_PATH
-    max_connections: int = DEFAULT_MAX_CONNECTIONS  # to one server, from all gateways together
+    # Maximum number of connections to one server from all gateways together.
+    max_connections: int = DEFAULT_MAX_CONNECTIONS
     cold_start_us: int = 0
-    cold_per_s: float = 0.0  # 0: no limit
+    cold_per_s: float = 0.0  # maximum number of requests per second to a cold server; 0: no limit
     engine: EngineSpec | None = None
 
 
--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -11,7 +11,7 @@
 from brackenladder.catalog.faults import Faults
 
 MAX_BASE_VERSION = 2**63 - 1
-UNFENCED = 2**62  # a `seen_revision` above all real ones: the order always takes effect
+UNFENCED = 2**62  # a `seen_revision` above every log index, with which an order always takes effect
 
 
 class OrderDecodeError(ValueError):
@@ -28,7 +28,7 @@
 
 
 def _bounded(base: int) -> int:
-    """Clamps to an encodable range. No version lies outside of it, so the order conflicts in any case."""
+    """Clamps a base version to the encodable range. A base outside of it conflicts with every version."""
     return min(max(base, -1), MAX_BASE_VERSION)
 
 
@@ -92,7 +92,7 @@
 
 @frozen
 class Conflict:
-    """The order has another base than the current version (0: there is no configuration)."""
+    """The base version of the order is not the current version (0: there is no configuration)."""
 
     current: int
 
@@ -102,7 +102,7 @@
     """The evacuation of the zone was changed after the order's `seen_revision`.
 
     Failure prevented: an order is delayed, the operator repeats it and has it acknowledged, then gives the
-    opposite order; the delayed copy arrives last and undoes that one.
+    opposite order; the delayed copy arrives last and undoes the opposite order.
     """
 
 
--- a/brackenladder/catalog/structuring.py
+++ b/brackenladder/catalog/structuring.py
@@ -25,7 +25,7 @@
 Hook = Callable[[Any, Any], Any]
 
 MAX_INTEGER = 2**63 - 1
-MAX_FLOAT = 1e15  # fits 64 bits also when converted to microseconds
+MAX_FLOAT = 1e15  # largest accepted number; fits 64 bits even when converted to microseconds
 DOCUMENT_NAME = "document_name"
 
 NonEmptyStr = Annotated[str, "not empty"]
--- a/brackenladder/catalog/validation.py
+++ b/brackenladder/catalog/validation.py
@@ -13,7 +13,7 @@
 
 @frozen
 class RouteEntry:
-    """A route as its document and as its model."""
+    """A route in two forms: the parsed document and the model converted from it."""
 
     document: RouteDocument
     route: Route
--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -40,7 +40,7 @@
 CONFIRM_BEFORE_DEATH = 500_000
 SYNC_INTERVAL = 4_000_000  # microseconds between two digests; shortened by a random part
 DEAD_PROBE_INTERVAL = 1_000_000  # microseconds between two pings to dead members
-# More raises of the own epoch within EPOCH_RAISE_WINDOW mean that another process uses the same number.
+# More raises of this node's epoch within EPOCH_RAISE_WINDOW mean that another process uses its number.
 MAX_EPOCH_RAISES = 4
 EPOCH_RAISE_WINDOW = 60_000_000
 # Microseconds between two notices to a process that another one has replaced.
@@ -246,7 +246,8 @@
                     requested_ranges.append(message)
                 case _:
                     self.on_other_message(number, message, now)
-        if requested_ranges:  # reply to a Range message: the records that are newer at this node
+        # Replies with the requested records that the sender lacks or has in an older version.
+        if requested_ranges:
             requested = [n for r in requested_ranges for n in range(r.low, min(r.high, len(self.view)))]
             received_numbers = {m.number for m in frame.messages if isinstance(m, Recorded)}
             reply = [
@@ -368,7 +369,8 @@
     def ask_before_death(self, number: int, now: int) -> None:
         """Pings the suspect and asks others for their records of it, before it is declared dead.
 
-        Without this, a node that has missed a refutation by chance would declare its sender dead.
+        Without this, a node that has missed a refutation by chance would declare the member that sent
+        it dead.
         """
         self.send_frame(number, [Ping(self.next_seq())], now)
         for other in self.sample([n for n in self.others if n != number], HELPERS):
--- a/brackenladder/cluster/gossip_queue.py
+++ b/brackenladder/cluster/gossip_queue.py
@@ -8,7 +8,7 @@
 from brackenladder.cluster.wire import RECORD_FORMAT
 
 RETRANSMIT_FACTOR = 4  # each record is sent RETRANSMIT_FACTOR * log10(number of members) times
-MAX_QUEUED = 512  # most queued records; if there are more, the one sent most often is dropped
+MAX_QUEUED = 512  # maximum number of queued records; when it is exceeded, the one sent most often is dropped
 
 
 class GossipQueue:
--- a/brackenladder/cluster/live_count.py
+++ b/brackenladder/cluster/live_count.py
@@ -31,7 +31,7 @@
         self.absence_time = max(absence_time, ABSENCE_TIME)
 
     def count(self, now: int, view: View, heard_at: Mapping[int, int], reliable: bool) -> int:
-        """The number of nodes that share the capacity. `reliable`: whether the view can be trusted now."""
+        """The number of nodes that share the capacity. `reliable`: False lets the number only grow."""
         present = sum(
             record.state in (State.ALIVE, State.SUSPECT)
             or now - since < self.absence_time
--- a/brackenladder/cluster/prober.py
+++ b/brackenladder/cluster/prober.py
@@ -123,7 +123,7 @@
             self.send_frame(relayed[0], [Ack(relayed[1])], now)
 
     def next_target(self) -> int | None:
-        """The next member in a shuffled round-robin order, so that none waits longer than two rounds."""
+        """The next member to probe, in a shuffled round-robin order: none waits longer than two rounds."""
         for _ in range(2):
             while self.probe_order:
                 target = self.probe_order.pop()
--- a/brackenladder/cluster/sender.py
+++ b/brackenladder/cluster/sender.py
@@ -29,7 +29,7 @@
 FANOUT = 3  # members that a gossip round goes to
 BYTES_PER_SECOND = 3_000  # bytes per second that a node may send on average
 BURST = 12_000  # bytes that a node may send at once
-MAX_RANGES_ANSWERED = 4  # most differing ranges that are answered per received digest
+MAX_RANGES_ANSWERED = 4  # maximum number of differing ranges that are answered per received digest
 
 T = TypeVar("T")
 
@@ -99,7 +99,7 @@
     def handle_digest(self, number: int, theirs: Digest, now: int) -> None:
         """Compares a member's digest with this node's records.
 
-        For each range that differs, sends the records, or digests of smaller ranges if it is large.
+        For each range that differs, sends the records, or digests of smaller ranges if the range is large.
         """
         parts = differing(self.view.records, theirs)
         for low, high in self.sample(parts, MAX_RANGES_ANSWERED):
--- a/brackenladder/cluster/view.py
+++ b/brackenladder/cluster/view.py
@@ -11,7 +11,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-NONCE_BITS = 24  # of an epoch; the nonce distinguishes two processes that start in the same second
+# Bits of an epoch that hold a nonce, which distinguishes two processes started in the same second.
+NONCE_BITS = 24
 
 
 class State(IntEnum):
@@ -45,7 +46,7 @@
 def epoch_above(known: int, nonce: int) -> int:
     """An epoch above a known epoch of the same member.
 
-    Without it, if the clock was set back between two processes of a node, the records of the old process
+    Without this function, if the clock was set back before a node restarted, the records of its old process
     would override those of the new one forever.
     """
     return epoch_of((known >> NONCE_BITS) + 1, nonce)
--- a/brackenladder/cluster/wire.py
+++ b/brackenladder/cluster/wire.py
@@ -31,7 +31,7 @@
 ASK_PIECE_FORMAT = struct.Struct(">B12sI")
 PIECE_FORMAT = struct.Struct(">B12sIIB")
 PAYLOAD_SIZE = MAX_DATAGRAM - HEADER_FORMAT.size - TAG_SIZE  # bytes of a frame that are left for messages
-MAX_RANGES = 16  # most ranges that one Digest message holds
+MAX_RANGES = 16  # maximum number of ranges in one Digest message
 NOBODY = 0xFFFF
 
 PING, ACK, ASK_PING, NACK, RECORDED, DIGESTED, RANGE, HOLDS, ASK_PIECE, PIECE = range(1, 11)
--- a/brackenladder/consensus/election.py
+++ b/brackenladder/consensus/election.py
@@ -8,8 +8,8 @@
 from brackenladder.consensus.members import voting_members
 from brackenladder.consensus.messages import Vote, VoteReply
 
-# After this many campaigns since the start the normal election timeout applies: over links that are slower
-# than the shorter timeouts no campaign can succeed with these.
+# After this many campaigns since the start of the replica, the normal election timeout replaces the shorter
+# one used at the start. Over links slower than the shorter timeout, no campaign could succeed with it.
 MAX_EARLY_CAMPAIGNS = 4
 
 
--- a/brackenladder/consensus/log.py
+++ b/brackenladder/consensus/log.py
@@ -7,7 +7,7 @@
 from brackenladder.consensus.members import decode_members
 from brackenladder.consensus.types import DurableState, Entry, EntryKind, Members, Snapshot
 
-ENTRY_OVERHEAD = 16  # bytes of an entry in a message beside its data
+ENTRY_OVERHEAD = 16  # bytes that an entry takes in a message in addition to its data
 
 
 @frozen
@@ -118,7 +118,7 @@
     def agreement_below(self, index: int, term: int) -> int:
         """The highest index up to `index` whose entry has a term of at most `term`, or is no longer held.
 
-        Two logs cannot agree above it if the other one has an entry of `term` at `index`.
+        Two logs cannot agree above the returned index if the other one has an entry of `term` at `index`.
         """
         index = min(index, self.last_index)
         while index > 0:
@@ -141,8 +141,8 @@
     ) -> None:
         """Sets the snapshot of a committed index and drops most of the entries that it covers.
 
-        The last `kept_bytes` of them stay in memory. If a follower still needs the entries after
-        `held_after`, up to `held_bytes` stay. The store drops all of them.
+        The last of the covered entries, `kept_bytes` in total, stay in memory. If a follower still needs the
+        entries after `held_after`, up to `held_bytes` stay. The store drops all covered entries.
         """
         self.snapshot = snapshot
         first = self._first_of_last(snapshot.index, kept_bytes)
@@ -171,4 +171,4 @@
     def install(self, snapshot: Snapshot) -> None:
         """Replaces the whole log by the snapshot."""
         self._start_after(snapshot)
-        self.durable_index = 0  # until the store has the snapshot
+        self.durable_index = 0  # nothing is durable until the store has the snapshot
--- a/brackenladder/consensus/messages.py
+++ b/brackenladder/consensus/messages.py
@@ -27,7 +27,8 @@
     address: str  # of the leader
     entries: tuple[Entry, ...] = ()
     contact_age: int = UNKNOWN_AGE  # microseconds since the leader was last in touch with a quorum
-    echo: int = 0  # `sent_at` of the newest reply that the leader has from this follower; 0: none yet
+    # `sent_at` of the newest reply that the leader has received from this follower; 0: none yet.
+    echo: int = 0
 
 
 @frozen
@@ -39,12 +40,12 @@
     term: int
     ok: bool
     round: int
-    prev_index: int  # of the request
+    prev_index: int  # `prev_index` of the request that this message answers
     match: int = 0  # durable here and equal to the leader's log up to this index
     received: int = 0  # equal to the leader's log up to this index, possibly not yet durable
     hint_index: int = 0  # if refused: the logs cannot agree above this index
     hint_term: int = 0  # if refused: the term of the entry at `hint_index`
-    sent_at: int = 0  # by the follower's own clock, microseconds
+    sent_at: int = 0  # when the follower sent the reply, in microseconds of its own clock
 
 
 @frozen
@@ -73,28 +74,28 @@
 
 @frozen
 class InstallSnapshot:
-    """Leader to follower: a snapshot chunk, sent if the follower needs entries that were compacted away."""
+    """Leader to follower: a snapshot chunk, if the follower needs entries that the log no longer holds."""
 
     sender: str
     to: str
     term: int
     address: str  # of the leader
     snapshot: Snapshot  # `data` holds only this chunk
-    offset: int = 0  # of the chunk, in bytes
-    total: int = 0  # bytes of the whole data
-    digest: bytes = b""  # of the whole data
+    offset: int = 0  # offset of the chunk in the snapshot data, in bytes
+    total: int = 0  # size of the whole snapshot data in bytes
+    digest: bytes = b""  # digest of the whole snapshot data
 
 
 @frozen
 class InstallSnapshotReply:
-    """Follower to leader: its log is durable and matches up to `match`, or how much has been received."""
+    """Follower to leader: how far the follower's durable log matches, or how much of the snapshot it has."""
 
     sender: str
     to: str
     term: int
     match: int
-    index: int = 0  # of the snapshot being transferred
-    received: int = 0  # bytes of it received without a gap
+    index: int = 0  # index of the snapshot that is being transferred
+    received: int = 0  # bytes of this snapshot that were received without a gap
 
 
 @frozen
--- a/brackenladder/consensus/planning.py
+++ b/brackenladder/consensus/planning.py
@@ -16,10 +16,10 @@
     """What the leader knows about the state of a member."""
 
     silent_for: int  # microseconds since its last message
-    behind: int  # log entries that aren't durable there
+    behind: int  # number of log entries that are not yet durable on the member
 
 
-MIN_VOTERS = 3  # fewer voters cannot tolerate the loss of one
+MIN_VOTERS = 3  # the smallest number of voters that tolerates the loss of one
 
 HealthOf = Callable[[str], Health]
 
@@ -122,7 +122,7 @@
         return None
 
     def replace_silent(self) -> Members | None:
-        """Replaces a voter that has been silent for too long by a standby learner."""
+        """Replaces a voter that has been silent for `Timing.replace_after` by a standby learner."""
         if not self._standby:
             return None
         longest = max(self._members.voters, key=self._silent_for)
@@ -131,9 +131,9 @@
         return self._replace_voters((longest,), self._standby[:1])
 
     def add_voters(self) -> Members | None:
-        """Promotes standby learners if the number of voters becomes odd.
+        """Promotes one or two standby learners, so that the number of voters becomes or stays odd.
 
-        With an odd number of voters a single learner stays on standby.
+        If it is odd already, a single learner stays on standby.
         """
         count = len(self._members.voters)
         room = self._timing.max_voters - count
@@ -143,7 +143,7 @@
         return self._replace_voters((), self._standby[:wanted])
 
     def forget_learner(self) -> Members | None:
-        """Removes a learner that has been silent for too long; it may ask to join again."""
+        """Removes a learner that has been silent for `Timing.forget_learner`; it may ask to join again."""
         for learner in self._members.learners:
             if self._silent_for(learner) >= self._timing.forget_learner:
                 staying = tuple(other for other in self._members.learners if other is not learner)
--- a/brackenladder/consensus/progress.py
+++ b/brackenladder/consensus/progress.py
@@ -29,7 +29,7 @@
         self.heard_at = now
         self.reply_sent_at = 0  # when the follower sent its newest reply, by its own clock
         self.echo_sent = 0  # the newest `reply_sent_at` that was echoed to the follower
-        self.round = 0  # the newest read confirmation round that it has answered
+        self.round = 0  # the newest read confirmation round that the follower has answered
         self.commit_sent = 0
         self.probing = False
         self.probe_sent = False
@@ -63,7 +63,7 @@
             self._sent_bytes -= self._sent.popleft().size
 
     def record_refusal(self, prev_index: int, agreement: int) -> bool:
-        """Notes a refusal: the entry at `prev_index` is missing there or differs.
+        """Notes a refusal: the entry at `prev_index` is missing at the follower or differs.
 
         The two logs may agree up to `agreement`. Returns False if the refusal is outdated.
         """
--- a/brackenladder/consensus/replica.py
+++ b/brackenladder/consensus/replica.py
@@ -73,7 +73,8 @@
         self._leading: Leadership | None = None
         self._leader_id = ""
         self._leader_address = ""
-        self._heard_at = NEVER  # when a leader was last heard, with or without a quorum of its own
+        # When this replica last heard from a leader, whether or not that leader had contact with a quorum.
+        self._heard_at = NEVER
         self._contact_at = NEVER  # see `quorum_contact_at`
         self._up_to_date_at = NEVER  # see `up_to_date_at`
         self._known_commit = 0  # the highest commit index that a leader has announced
@@ -360,9 +361,9 @@
         """Whether this replica has to campaign although it is not a voter by its own log.
 
         The candidate counts this replica as a voter because of an uncommitted membership change, but its log
-        is older: a leader of a later term left entries here and then failed. If no voter has a log as new as
-        this one, nobody else can be elected. This replica then leads until its first entry is committed and
-        hands over to a voter.
+        is older than this replica's: a leader of a later term appended entries here and then failed. If no
+        voter has a log as new as this one, nobody else can be elected. This replica then leads until its
+        first entry is committed and hands over to a voter.
         """
         if not vote.pre_vote or self._election.active or is_voter(self._core.members, self._core.replica_id):
             return False
--- a/brackenladder/consensus/snapshots.py
+++ b/brackenladder/consensus/snapshots.py
@@ -16,7 +16,7 @@
 from brackenladder.consensus.types import Snapshot
 
 DIGEST_BYTES = 16
-MAX_WAIT_FACTOR = 8  # longest wait for a reply, as a multiple of the first one
+MAX_WAIT_FACTOR = 8  # longest wait for a reply, as a multiple of the first wait
 
 
 def snapshot_digest(data: bytes) -> bytes:
@@ -90,7 +90,7 @@
             self._heard_at = now
             self._wait = self._timing.snapshot_retry
         if reply.received < self._acknowledged:
-            self._next = reply.received  # the follower has lost chunks that it had
+            self._next = reply.received  # the follower no longer has chunks that it had acknowledged
             self._all_sent = False
         self._acknowledged = reply.received
         return False
--- a/brackenladder/consensus/types.py
+++ b/brackenladder/consensus/types.py
@@ -12,7 +12,7 @@
 
     NOOP = 0  # empty; the first entry of a new leader
     COMMAND = 1  # a command for the state machine, or the last part of a large one
-    MEMBERS = 2  # an encoded `Members`
+    MEMBERS = 2  # a new member set: an encoded `Members`
     COMMAND_PART = 3  # a part of a large command; more parts follow
 
 
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -34,10 +34,11 @@
 
 MICROSECONDS_PER_MILLISECOND = 1000
 ELECTION_HEAD_START = 350_000  # microseconds by which the first election timeout after a start is shortened
-STOP_SECONDS = 1.5  # longest orderly shutdown; at least the sum of the waits below
-HANDOVER_SECONDS = 0.6  # longest wait for another leader before shutdown
-HTTP_GRACE_SECONDS = 0.3  # longest wait for open calls
-LINK_GRACE = 300_000  # microseconds; longest wait for messages queued for other nodes, set in the transport
+STOP_SECONDS = 1.5  # time limit of an orderly shutdown; at least the sum of the four waits below
+HANDOVER_SECONDS = 0.6  # longest wait in a shutdown until another node has become the leader
+HTTP_GRACE_SECONDS = 0.3  # longest wait in a shutdown until open HTTP calls are finished
+# Microseconds; longest wait in a shutdown until queued messages are sent. The transport sets this limit.
+LINK_GRACE = 300_000
 STORE_GRACE_SECONDS = 0.2  # longest wait for the last write to the store; a disk may hang
 
 log = logbook.Logger("control")
@@ -45,7 +46,7 @@
 
 @frozen
 class ReplicaStart:
-    """The state that a replica starts with."""
+    """A replica's id and its durable state; at the first start of the system also the initial voters."""
 
     replica_id: str
     state: DurableState
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -30,7 +30,7 @@
     def __init__(self, gateways: GatewayRegistry) -> None:
         self._gateways = gateways
         self._homes = ConfigurationHomes()
-        self._revision = 0  # catalog revision that `_homes` comes from
+        self._revision = 0  # revision of the catalog from which `_homes` is derived
         self._answers: Counter[Proximity] = Counter()
         self._last_proximity: dict[tuple[str, str], Proximity] = {}  # by host and client region
 
--- a/brackenladder/control_plane/directory_api.py
+++ b/brackenladder/control_plane/directory_api.py
@@ -17,7 +17,7 @@
 # If a client's region has no gateway, its directory is probably down too, and each lookup first waits in vain
 # for a second. A longer time to live makes such lookups rarer.
 FAR_TIME_TO_LIVE = 4.0  # seconds, at most; for answers with gateways of other regions
-MAX_HOLD_FACTOR = 3  # clients use an answer for at most this multiple of its TTL if they can get a new one
+MAX_HOLD_FACTOR = 3  # a client that can reach a directory replaces an answer within this multiple of its TTL
 MILLISECONDS_PER_SECOND = 1000
 
 Resolve = Callable[[ClientLocation], ResolvedGateways]
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -13,7 +13,9 @@
 
 INSTANCE_ID = "X-Brackenladder-Instance-Id"
 COLD_REMAINING = "X-Brackenladder-Cold-Remaining-Ms"
-CHECK_TIMEOUT_SECONDS = 1.0  # longest check; heartbeats arrive at about that interval
+# Time limit of a check; a longer one is of little use, since a live server sends a heartbeat about every
+# second.
+CHECK_TIMEOUT_SECONDS = 1.0
 MAX_CONCURRENT_CHECKS = 32
 MICROSECONDS_PER_MILLISECOND = 1000
 UNKNOWN = HealthAnswer("")
--- a/brackenladder/control_plane/http_server.py
+++ b/brackenladder/control_plane/http_server.py
@@ -20,12 +20,14 @@
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 BACKLOG = 512
-KEEPALIVE_SECONDS = 30.0  # longest wait for a first or next request, and for a complete body
+# Longest wait for the first or next request of a connection, and for a complete body.
+KEEPALIVE_SECONDS = 30.0
 RETRY_AFTER_SECONDS = "0.2"
-BIND_TIMEOUT_SECONDS = 10.0  # how long to retry an address that a killed process still holds
-BIND_RETRY_SECONDS = 0.1  # pause between these retries
+# Seconds for which binding is retried if a killed process still holds the address.
+BIND_TIMEOUT_SECONDS = 10.0
+BIND_RETRY_SECONDS = 0.1  # seconds between two attempts to bind the address
 MIN_GRACE_SECONDS = 0.02  # aiohttp treats 0 as no limit
-SHUTDOWN_STEPS = 2  # aiohttp waits for the handler, then again after cancelling it
+SHUTDOWN_STEPS = 2  # aiohttp waits twice for a handler: once to finish, and again after cancelling it
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -17,7 +17,8 @@
 
 JOIN_INTERVAL = 300_000  # microseconds between join requests
 DIAL_INTERVAL = 5_000_000  # microseconds between periodic updates of the dialled addresses
-LEADER_SILENCE = 2_000_000  # microseconds without contact to a leader after which a member asks to join again
+# Microseconds without contact with a leader after which a member asks to join again.
+LEADER_SILENCE = 2_000_000
 NEIGHBOUR_LIFETIME = 20_000_000  # microseconds for which an address that only peers reported is kept
 
 log = logbook.Logger("control")
@@ -26,8 +27,9 @@
 def max_voters(losses: int) -> int:
     """The number of voters that tolerates the simultaneous loss of `losses` of them.
 
-    There must not be more, because the number of voters never decreases. If a machine is replaced before its
-    silence is noticed, its old and its new replica both count, and dead voters could become the majority.
+    There must not be more voters, because their number never decreases. If a machine is replaced before its
+    silence is noticed, its old replica and its new one both count as voters. With more voters than this, dead
+    ones could become the majority.
     """
     return max(MIN_VOTERS, 2 * losses + 1)
 
@@ -51,7 +53,7 @@
         self._soft_state = soft_state
         self._clock = clock
         self._seeds = seeds
-        self._members = Members()  # as of the last check
+        self._members = Members()  # the members that were last logged and published
         self._neighbours: dict[str, int] = {}  # addresses reported by peers, and the time of the last report
         self._join_due = 0
         self._dial_due = 0
@@ -115,12 +117,13 @@
     def _publish_addresses(self, members: Members) -> None:
         zones = {member.address: member.zone for member in all_members(members)}
         addresses = tuple(sorted(zones))
-        # The revision: on every node, later member lists first appear at a higher last index.
+        # The log's last index serves as the revision of the address list. A newer member list comes with a
+        # newer log entry, so on every node its revision is higher than that of the list before.
         ordered_zones = tuple(zones[address] for address in addresses)
         self._soft_state.control_nodes_changed(self._host.replica.last_index, addresses, ordered_zones)
 
     def _join_if_due(self) -> None:
-        """Asks all peers to be admitted while this replica is not a member or has no contact to a leader."""
+        """Asks all peers for admission if this replica is no member or has lost contact with the leader."""
         now = self._clock()
         if now < self._join_due or self._host.leads:
             return
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -14,7 +14,7 @@
 
     ACCEPTED = 0  # committed, now or earlier
     INVALID = 1
-    CONFLICT = 2  # its base is not the current version
+    CONFLICT = 2  # the base version of the order is not the current version
     UNAVAILABLE = 3  # unknown: it may or may not have been committed
 
 
@@ -71,8 +71,10 @@
     """Asks the leader for its newest catalog revision and, if `document` is set, the configuration."""
 
     request: int
-    revision: int  # of the sender's catalog
-    document: bool = True  # whether the reply must include a newer document; this version sends False
+    revision: int  # revision of the sender's catalog
+    # Whether the reply must include the configuration if its revision differs from `revision`; this program
+    # version always sends False.
+    document: bool = True
 
 
 @frozen
@@ -82,7 +84,8 @@
     request: int
     confirmed: bool  # False: the sender could not confirm that it still leads
     revision: int = 0
-    document: bytes = b""  # empty if not asked for, or if the asking node already has it
+    # The configuration; empty if it was not requested, or if the requesting node already has it.
+    document: bytes = b""
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -13,8 +13,9 @@
 PART_BYTES = 48 * 1024
 WINDOW_BYTES = 192 * 1024
 MAX_ORDER_BYTES = 9 * 1024 * 1024
-MAX_PARTIAL_ORDERS = 16  # orders received at the same time over one link
-MAX_PARTIAL_BYTES = 2 * MAX_ORDER_BYTES  # of these orders together; a control node has 128 MB of memory
+MAX_PARTIAL_ORDERS = 16  # maximum number of partly received orders per link
+# Limit on the bytes of all partly received orders of a link; a control node has 128 MB of memory.
+MAX_PARTIAL_BYTES = 2 * MAX_ORDER_BYTES
 
 
 class OrderSender:
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -39,9 +39,10 @@
 from brackenladder.transport.link import Link
 
 CALL_SECONDS = 2.5  # longest time that a call waits for a definite answer
-ATTEMPT_SECONDS = 1.5  # if the leader has not replied by then, the call is repeated
+ATTEMPT_SECONDS = 1.5  # seconds without a reply of the leader after which the call is repeated
 RETRY_SECONDS = 0.1
-DEPARTURE_TIMEOUT_SECONDS = 0.7  # longest wait for a quorum to confirm a drain; servers wait 1 s
+# Longest wait for a quorum to confirm a drain; the server waits 1 s for the acknowledgement.
+DEPARTURE_TIMEOUT_SECONDS = 0.7
 SLOWEST_BYTES_PER_SECOND = 500_000  # lowest expected transfer rate of a large order
 MICROSECONDS_PER_SECOND = 1_000_000
 NO_DEFINITE_REPLY = OrderReply(0, OrderOutcome.UNAVAILABLE)
@@ -89,7 +90,7 @@
         """Submits an evacuation order. It has no base version by which the catalog could reject a late copy.
 
         Instead, each attempt first reads the newest revision, and the order takes effect only if the zone has
-        not changed after it. The call must be cancelled when the operator disconnects.
+        not changed after that revision. The call must be cancelled when the operator disconnects.
         """
         result = await self._retry(lambda: self._submit_fenced(order))
         return result.value_or(NO_DEFINITE_REPLY)
@@ -99,15 +100,16 @@
         return await self._retry(self._fetch_once)
 
     async def reaches_quorum(self) -> bool:
-        """Whether a quorum is reached, and has got all that this node wrote to its links before the call.
+        """Whether a quorum has received all that this node wrote to its links before the call.
 
-        Updates for other nodes use the same links as consensus, in sequence. So if another node confirms the
-        read as the leader, it has got them; if this node leads, the quorum that answered it has.
+        Updates for other nodes use the same links as consensus, in sequence. So if another node is
+        the leader and confirms a read, it has received the updates; if this node leads, the quorum that
+        answered its read has received them.
         """
         return isinstance(await self._retry(self._newest_revision, DEPARTURE_TIMEOUT_SECONDS), Success)
 
     def received(self, link: Link, message: object) -> bool:
-        """Handles a message of another control node; False if the message is for another part."""
+        """Handles a message of another control node; False if the message is for another component."""
         match message:
             case ForwardOrder():
                 self._spawn(self._serve_order(link, message))
--- a/brackenladder/control_plane/peers.py
+++ b/brackenladder/control_plane/peers.py
@@ -11,7 +11,8 @@
 from brackenladder.transport.errors import LinkClosed
 from brackenladder.transport.link import Dialer, Link, Transport
 
-MAX_DIALLED_ADDRESSES = 16  # limits what other nodes can make this one dial
+# Bounds the number of addresses that reports of other nodes can make this node dial.
+MAX_DIALLED_ADDRESSES = 16
 
 log = logbook.Logger("peers")
 
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -11,7 +11,7 @@
 from brackenladder.consensus.members import quorum_value
 from brackenladder.consensus.types import Members
 
-MAX_REPORT_AGE = 1_500_000  # microseconds that a report counts; same as `soft_state.IN_TOUCH_AGE`
+MAX_REPORT_AGE = 1_500_000  # microseconds after which a report is ignored; same as `soft_state.IN_TOUCH_AGE`
 
 
 @frozen
@@ -33,11 +33,11 @@
     def confirms(self, now: int, members: Members, revision: int) -> bool:
         """Whether no order after `revision` can have been committed before the members' recent reports.
 
-        A report of a later order prevents this whatever its age, even if it is not from a member: the member
-        list known here may be outdated.
+        A report of a later order prevents the confirmation, however old the report is, and even if it is not
+        from a member: the member list known here may be outdated.
 
-        Failure prevented: a node's disk answers long after its peers have reported, the node is disconnected
-        meanwhile, and publishes a catalog that was the newest at the time of the reports only.
+        Failure prevented: the disk returns the cache long after the peers have reported. The node has been
+        disconnected meanwhile, and publishes a catalog that was the newest only at the time of the reports.
         """
         if any(report.newest_order > revision for report in self._reports.values()):
             return False
--- a/brackenladder/control_plane/restart_recovery.py
+++ b/brackenladder/control_plane/restart_recovery.py
@@ -40,7 +40,8 @@
         self._newest_order = newest_order
         self._local_servers = local_servers
         self._gate = RestartGate()
-        self._remembered: RememberedCatalog | None = None  # until it is confirmed
+        # The catalog read from the cache, until a majority has confirmed it.
+        self._remembered: RememberedCatalog | None = None
         self._cache = RestartCache(
             environment.restart_file, environment.health_checks, replica_id, clock, self
         )
--- a/brackenladder/control_plane/server_calls.py
+++ b/brackenladder/control_plane/server_calls.py
@@ -10,7 +10,8 @@
 class ServerCalls:
     """The `operator_api.ServerEvents` of a control node.
 
-    A drain or deregistration is acknowledged only after a quorum round that began after it was forwarded.
+    A drain or deregistration is forwarded to the other nodes, and acknowledged only after a quorum round that
+    began after that.
 
     Failure prevented: a node that has just been disconnected acknowledges a drain that no other node learns
     of, and gateways go on sending requests to the server until its last heartbeat expires.
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -31,7 +31,8 @@
 
 TICK_SECONDS = 0.1
 SILENT_HEARTBEATS = 4  # missed heartbeats after which a server counts as gone
-SETTLE_HEARTBEATS = 1.1  # heartbeat intervals from the start until every live server has called some node
+# After this many heartbeat intervals from the start every live server has sent a heartbeat to some node.
+SETTLE_HEARTBEATS = 1.1
 FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks that show that this process was suspended
 IN_TOUCH_AGE = 1_500_000  # microseconds since the last quorum contact for which the node counts as in touch
 
@@ -45,7 +46,7 @@
         """The time since the last contact with a quorum."""
 
     def catalog_age(self) -> int:
-        """An upper bound on how stale the catalog is: all that was committed before is applied."""
+        """An upper bound on how stale the catalog is: all entries committed that long ago are applied."""
 
     def lacks_committed(self) -> bool:
         """Whether an entry known to be committed is not applied yet."""
@@ -91,14 +92,14 @@
     # -- calls of servers and clients
 
     def heartbeat(self, record: ServerRecord) -> bool:
-        """Records a heartbeat, even without quorum contact; returns whether the node is in touch."""
+        """Records a heartbeat, even without quorum contact; returns `in_touch`."""
         if self._servers.heartbeat(self._clock(), record):
             log.debug("server {} {} {}", record.id, record.state.name, record.address)
             self.flush()
         return self._in_touch()
 
     def deregister(self, server_id: str) -> bool:
-        """Removes a server; returns whether the node is in touch."""
+        """Removes a server; returns `in_touch`."""
         if self._servers.deregister(self._clock(), server_id):
             log.debug("server {} deregistered", server_id)
             self.flush()
@@ -145,8 +146,8 @@
     def peer_connected(self, replica_id: str) -> None:
         """A link to a control node is up.
 
-        Updates for a node use the same link as consensus: `OrderService.reaches_quorum` relies on the common
-        sequence of both.
+        Updates for a node use the same link as consensus: `OrderService.reaches_quorum` relies on both being
+        received in the order in which they were sent.
         """
         if replica_id not in self._update_links:
             self._start_updates(replica_id)
@@ -159,7 +160,7 @@
         return self._update_links.get(replica_id)
 
     def peer_received(self, replica_id: str, message: object) -> bool:
-        """Handles a message of a control node; False if the message is for another part."""
+        """Handles a message of a control node; False if the message is for another component."""
         if isinstance(message, PrefixNotices):
             self._relay.from_peer(self._clock(), message)
             self._relay_notices()
--- a/brackenladder/control_plane/status.py
+++ b/brackenladder/control_plane/status.py
@@ -48,8 +48,9 @@
     zone: str = named("Zone")
     region: str = named("Region")
     state: str = named("State")  # starting, ready or leaving
-    silent_ms: int = named("SilentMs")  # since any control node heard from it
-    revision: int | None = named("Revision")  # acknowledged to this node; None if not connected to it
+    silent_ms: int = named("SilentMs")  # milliseconds since any control node last heard from the gateway
+    # Catalog revision that the gateway acknowledged to this node; None if it is not connected to this node.
+    revision: int | None = named("Revision")
 
 
 @frozen
@@ -68,8 +69,10 @@
     role: str = named("Role")  # leader, follower, candidate or learner
     term: int = named("Term")
     leader: MemberStatus | None = named("Leader")
-    contact_age_ms: int | None = named("ContactAgeMs")  # with the leader, or for a leader with a quorum
-    in_touch: bool = named("InTouch")  # it acknowledges servers' reports
+    # Since the last contact with the leader or, on the leader itself, with a quorum.
+    contact_age_ms: int | None = named("ContactAgeMs")
+    # Whether this node has quorum contact, and so acknowledges reports of servers.
+    in_touch: bool = named("InTouch")
     voters: tuple[MemberStatus, ...] = named("Voters")
     outgoing: tuple[MemberStatus, ...] = named("Outgoing")  # old voters during a joint change of members
     learners: tuple[MemberStatus, ...] = named("Learners")
@@ -81,7 +84,8 @@
     evacuated_zones: tuple[str, ...] = named("EvacuatedZones")
     services: tuple[ServiceStatus, ...] = named("Services")
     gateways: tuple[GatewayStatus, ...] = named("Gateways")
-    violations: tuple[ViolationStatus, ...] = named("Violations", ())  # empty: none, or an older program
+    # Empty if there are none, or if the node runs a program version that does not report them.
+    violations: tuple[ViolationStatus, ...] = named("Violations", ())
 
 
 def member_statuses(
--- a/brackenladder/membership/latest_list.py
+++ b/brackenladder/membership/latest_list.py
@@ -5,7 +5,7 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-MAX_CHANGES = 64  # lists of changes kept separately; when there are more, they are merged into the full list
+MAX_CHANGES = 64  # lists of changes kept separately; more than these are merged into the full list
 
 
 class LatestList:
--- a/brackenladder/membership/watch_retry.py
+++ b/brackenladder/membership/watch_retry.py
@@ -40,7 +40,8 @@
         """Seconds until a failed call is retried, or None if the decision module decides when.
 
         `silent`: nothing was received in time; other failures count as a response. A silent watch is retried
-        quickly because its news count as delivered from a fixed time on, which a longer backoff would miss.
+        quickly: the news that it missed count as delivered from a fixed time on, and a longer backoff would
+        exceed that time.
         """
         if silent and not self.tries:
             self.tries = 1
--- a/brackenladder/membership/withdrawn.py
+++ b/brackenladder/membership/withdrawn.py
@@ -28,7 +28,7 @@
             str, tuple[int, float]
         ] = {}  # by id: start time of the withdrawn server, and time until which it stays withdrawn
         self.drained: dict[str, tuple[int, float]] = {}  # the part of `gone` that is listed as draining
-        # Servers that the discovery used before this one listed as draining.
+        # As `gone`, for servers that were listed as draining by the discovery services used earlier.
         self.carried: dict[str, tuple[int, float]] = {}
 
     def for_new_discovery(self, now: float) -> WithdrawnServers:
