--- a/brackenladder/catalog/catalog.py
+++ b/brackenladder/catalog/catalog.py
@@ -68,7 +68,7 @@
 
 
 class Catalog:
-    """Applies orders to the state. All values that it returns are immutable, also after later orders."""
+    """Applies orders to the state. The values that it returns are never changed by later orders."""
 
     def __init__(self) -> None:
         self._state = _State()
--- a/brackenladder/cluster/detector.py
+++ b/brackenladder/cluster/detector.py
@@ -369,8 +369,8 @@
     def ask_before_death(self, number: int, now: int) -> None:
         """Pings the suspect and asks others for their records of it, before it is declared dead.
 
-        Without this, a node that has missed a refutation by chance would declare the member that sent
-        it dead.
+        Without this, a node that has missed a refutation by chance would declare dead the member that sent
+        the refutation.
         """
         self.send_frame(number, [Ping(self.next_seq())], now)
         for other in self.sample([n for n in self.others if n != number], HELPERS):
--- a/brackenladder/cluster/gossip_queue.py
+++ b/brackenladder/cluster/gossip_queue.py
@@ -1,4 +1,7 @@
-"""Records to spread by gossip. Each is sent a number of times that grows with the log of the member count."""
+"""Records to spread by gossip.
+
+The number of times that each record is sent grows with the logarithm of the number of members.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
     """The members whose newest record is being spread, with the number of times it was sent."""
 
     def __init__(self) -> None:
-        self.sends: dict[int, int] = {}  # by member's number
+        self.sends: dict[int, int] = {}  # number of sends, by the member's number
 
     def add(self, number: int) -> None:
         if number not in self.sends and len(self.sends) >= MAX_QUEUED:
--- a/brackenladder/cluster/prober.py
+++ b/brackenladder/cluster/prober.py
@@ -87,7 +87,7 @@
         if probe is not None:
             missed = not probe.answered and self.heard_at.get(probe.target, -1) < probe.since
             if missed and probe.rounds < PROBE_ROUNDS:
-                # With packet loss many probes fail in their first period. Without a second one the gossip
+                # With packet loss many probes fail in their first period. Without a second period the gossip
                 # would be full of suspects that answer the next probe.
                 probe.rounds += 1
                 probe.asked = set()
--- a/brackenladder/consensus/following.py
+++ b/brackenladder/consensus/following.py
@@ -46,7 +46,8 @@
         match = received
         token = core.writes.pending_token
     else:
-        # A heartbeat is answered immediately, even while the store is stuck.
+        # This reply doesn't wait for entries to become durable, so that a heartbeat is answered even while
+        # the store hangs.
         match = min(received, durable)
         token = core.writes.pending_hard_token
     reply = AppendReply(
--- a/brackenladder/consensus/messages.py
+++ b/brackenladder/consensus/messages.py
@@ -24,7 +24,7 @@
     prev_term: int
     commit: int  # the leader's commit index
     round: int  # read confirmation round; the reply repeats it
-    address: str  # of the leader
+    address: str  # address of the leader
     entries: tuple[Entry, ...] = ()
     contact_age: int = UNKNOWN_AGE  # microseconds since the leader was last in touch with a quorum
     # `sent_at` of the newest reply that the leader has received from this follower; 0: none yet.
@@ -79,7 +79,7 @@
     sender: str
     to: str
     term: int
-    address: str  # of the leader
+    address: str  # address of the leader
     snapshot: Snapshot  # `data` holds only this chunk
     offset: int = 0  # offset of the chunk in the snapshot data, in bytes
     total: int = 0  # size of the whole snapshot data in bytes
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -37,7 +37,7 @@
 STOP_SECONDS = 1.5  # time limit of an orderly shutdown; at least the sum of the four waits below
 HANDOVER_SECONDS = 0.6  # longest wait in a shutdown until another node has become the leader
 HTTP_GRACE_SECONDS = 0.3  # longest wait in a shutdown until open HTTP calls are finished
-# Microseconds; longest wait in a shutdown until queued messages are sent. The transport sets this limit.
+# Microseconds; longest wait in a shutdown until queued messages are sent. The transport applies it.
 LINK_GRACE = 300_000
 STORE_GRACE_SECONDS = 0.2  # longest wait for the last write to the store; a disk may hang
 
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -73,7 +73,7 @@
         self._peers = peers
         self._clock = clock
         self._replies = ReplyTable()
-        self._senders: dict[int, OrderSender] = {}  # by request number
+        self._senders: dict[int, OrderSender] = {}  # the large orders that are being sent, by request number
         self._receivers: dict[Link, OrderReceiver] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
--- a/brackenladder/control_plane/peers.py
+++ b/brackenladder/control_plane/peers.py
@@ -45,8 +45,9 @@
         self._listener = listener
         self._hello = hello
         self._dialers: dict[str, Dialer] = {}
-        self._peers: dict[Link, Hello] = {}  # by link, dialled or accepted
-        self._dialled: dict[str, Link] = {}  # by replica id
+        self._peers: dict[Link, Hello] = {}  # identity of the other end, by link (dialled or accepted)
+        # Links that this node dialled, by the replica id of the other end.
+        self._dialled: dict[str, Link] = {}
         self._accepted: dict[str, Link] = {}
 
     async def listen(self, address: str) -> None:
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -24,7 +24,7 @@
     """Collects the members' reports on their logs, this node's included. Times are of this host's clock."""
 
     def __init__(self) -> None:
-        self._reports: dict[str, _Report] = {}  # by replica id
+        self._reports: dict[str, _Report] = {}  # the newest report of each replica, by replica id
 
     def record(self, now: int, replica_id: str, newest_order: int) -> None:
         """Records the index of the newest order in a replica's log, committed or not."""
--- a/brackenladder/control_plane/status.py
+++ b/brackenladder/control_plane/status.py
@@ -36,7 +36,7 @@
     name: str = named("Name")
     ready: int = named("Ready")
     draining: int = named("Draining")
-    cold: int = named("Cold")  # subset of `ready`
+    cold: int = named("Cold")  # those of the `ready` servers that are still cold
 
 
 @frozen
--- a/brackenladder/membership/watch_retry.py
+++ b/brackenladder/membership/watch_retry.py
@@ -7,15 +7,16 @@
 
 from __future__ import annotations
 
-ANSWER_TIMEOUT = 0.6  # seconds after the end of its wait in which a watch has to be answered
+ANSWER_TIMEOUT = 0.6  # seconds after the end of a watch's wait within which discovery has to answer
 # Seconds in which the response with a full list has to begin. Discovery closes calls that have waited 1 s for
 # their turn.
 FIRST_BYTE_TIMEOUT = 1.2
 READ_TIMEOUT = 1.0  # seconds without a further byte after which a partly received response is abandoned
 BODY_TIMEOUT = 3.0  # seconds for a whole response
 MAX_RETRIES = 4  # retries of a silent call that are made without asking the decision module
-MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # seconds before each retry except the first, chosen at random
-JITTER = 0.1  # random part by which a wait is shortened, so that watches of a fleet don't end together
+MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # bounds, in seconds, of the random pause before each retry except the first
+# Largest fraction by which a wait is shortened at random, so that the watches of a fleet don't end together.
+JITTER = 0.1
 
 
 def jittered_wait_ms(longest: int, chance: float) -> int:
