--- a/brackenladder/cluster/wire.py
+++ b/brackenladder/cluster/wire.py
@@ -75,7 +75,7 @@
 
 
 class Range(NamedTuple):
-    """Tells that this frame has the sender's records from `low` to `high`, and asks for newer ones."""
+    """Says that the frame holds the sender's records from `low` to `high`; asks for newer ones of these."""
 
     low: int
     high: int
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -43,7 +43,7 @@
         return self.log.members
 
     def find(self, replica_id: str) -> Member | None:
-        """The member with this id."""
+        """The member with this id in the newest member set; None if there is none."""
         return find_member(self.log.members, replica_id)
 
     def set_term(self, term: int, voted_for: str = "") -> None:
@@ -81,7 +81,8 @@
     def compact(self, index: int, data: bytes, held_after: int | None = None) -> None:
         """Replaces the log up to `index` by the state machine's state after the entry at `index`.
 
-        `held_after`: the entries after this index stay in memory, up to `Timing.held_bytes`.
+        `held_after`: the entries after this index stay in memory, up to `Timing.held_bytes`, because a
+        follower still needs them.
         """
         term = self.log.term(index)
         if index <= self.log.snapshot_index or index > self.commit_index or term is None:
--- a/brackenladder/consensus/leadership.py
+++ b/brackenladder/consensus/leadership.py
@@ -153,7 +153,7 @@
         return max(heard, key=lambda voter: self._match(voter.replica_id), default=None)
 
     def begin_transfer(self, now: int) -> None:
-        """Starts a transfer to the best successor; it is given up after the shortest election timeout."""
+        """Starts a transfer to the best successor; it is abandoned after the shortest election timeout."""
         successor = self.best_successor(now)
         if successor is None or self._transfer_target:
             return
--- a/brackenladder/consensus/members.py
+++ b/brackenladder/consensus/members.py
@@ -67,7 +67,7 @@
 
 
 def find_member(members: Members, replica_id: str) -> Member | None:
-    """The member with this id."""
+    """The voter or learner with this id; None if there is none."""
     for member in all_members(members):
         if member.replica_id == replica_id:
             return member
--- a/brackenladder/consensus/pauses.py
+++ b/brackenladder/consensus/pauses.py
@@ -28,5 +28,5 @@
             self._grace_until = now + self._timing.heartbeat
 
     def in_grace_period(self, now: int) -> bool:
-        """Whether silence doesn't count as a failure of other replicas yet."""
+        """Whether silence of other replicas is ignored, because this process was suspended just before."""
         return now < self._grace_until
--- a/brackenladder/consensus/reconfiguration.py
+++ b/brackenladder/consensus/reconfiguration.py
@@ -40,7 +40,7 @@
         return self._leading.established and core.log.members_index <= core.commit_index
 
     def advance(self, now: int) -> None:
-        """Starts or completes a change if one is due and no entry with members is uncommitted."""
+        """Starts or completes a change if one is due and every entry that sets members is committed."""
         if not self._settled:
             return
         members = self._core.members
--- a/brackenladder/consensus/writes.py
+++ b/brackenladder/consensus/writes.py
@@ -101,7 +101,7 @@
             draft.truncate_from = min(draft.truncate_from or index, index)
 
     def snapshot(self, snapshot: Snapshot, clear: bool) -> None:
-        """Queues a snapshot: of the own state machine, or (`clear`) one that replaces the whole log."""
+        """Queues a snapshot of this replica's state machine, or (`clear`) one that replaces the whole log."""
         if clear:
             self._durable_after = 0
         self._last_token += 1
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -22,7 +22,7 @@
 
 
 class HealthChecks(Protocol):
-    """Checks the health of servers."""
+    """Checks the health of servers that were read from the restart cache."""
 
     async def check_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
         """The answers of the servers, in the same order; `UNKNOWN` for one that is unhealthy or silent."""
