--- a/brackenladder/cluster/gossip_queue.py
+++ b/brackenladder/cluster/gossip_queue.py
@@ -1,4 +1,7 @@
-"""Records to spread by gossip: the number of sends grows with the logarithm of the members."""
+"""Records to spread by gossip.
+
+The number of times that each record is sent grows with the logarithm of the number of members.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +10,15 @@
 
 from brackenladder.cluster.wire import RECORD_FORMAT
 
-RETRANSMIT_FACTOR = 4  # a record is sent this many times log10 of the number of members
-MAX_QUEUED = 512  # queued records; beyond it the one sent most often is dropped
+RETRANSMIT_FACTOR = 4  # each record is sent RETRANSMIT_FACTOR * log10(number of members) times
+MAX_QUEUED = 512  # maximum number of queued records; when it is exceeded, the one sent most often is dropped
 
 
 class GossipQueue:
     """The members whose newest record is being spread, with the number of times it was sent."""
 
     def __init__(self) -> None:
-        self.sends: dict[int, int] = {}  # by member's number
+        self.sends: dict[int, int] = {}  # number of sends, by the member's number
 
     def add(self, number: int) -> None:
         if number not in self.sends and len(self.sends) >= MAX_QUEUED:
