--- a/brackenladder/delivery/documents.py
+++ b/brackenladder/delivery/documents.py
@@ -16,7 +16,7 @@
 
 DocumentParser = Callable[[bytes], "Result[Configuration, object]"]
 
-COMPRESS_ABOVE = 4096  # bytes
+COMPRESS_ABOVE = 4096  # bytes; longer documents are compressed
 
 
 @frozen
--- a/brackenladder/delivery/gateway_count.py
+++ b/brackenladder/delivery/gateway_count.py
@@ -20,7 +20,7 @@
     """
 
     def __init__(self) -> None:
-        self._reported: dict[str, int] = {}  # by control node, while it is connected
+        self._reported: dict[str, int] = {}  # the last number of each connected control node
         self._held: list[_Held] = []
         self._last = 1
         self.known = False  # a control node that knew of all gateways has reported the number
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -111,7 +111,7 @@
 
     revision: int
     addresses: tuple[str, ...]  # "ip:port"
-    zones: tuple[str, ...] = ()  # by address; empty if the sender does not know them
+    zones: tuple[str, ...] = ()  # of the nodes, in the order of `addresses`; empty if not known
 
 
 @frozen
--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -6,7 +6,8 @@
 
 # Microseconds after which a server that all control nodes omit is removed, if one of them had listed it.
 RETRACTED_TIMEOUT = 10_000_000
-OMITTED_TIMEOUT = 60_000_000  # microseconds; the same if none of them had listed the server
+# Microseconds; the same timeout if none of the connected control nodes had listed the server.
+OMITTED_TIMEOUT = 60_000_000
 
 
 class OmittedServers:
@@ -17,10 +18,11 @@
     """
 
     def __init__(self) -> None:
-        self._lists: dict[str, set[str]] = {}  # by connected control node that has sent a full update
+        # Ids listed by each connected control node that has sent a full update.
+        self._lists: dict[str, set[str]] = {}
         self._last_lists: dict[str, set[str]] = {}  # by control node, its list when the link was lost
-        self._retracted: set[str] = set()  # omitted by a control node that had listed them before
-        self._missing_since: dict[str, int] = {}  # by server id
+        self._retracted: set[str] = set()  # servers omitted by a control node that had listed them before
+        self._missing_since: dict[str, int] = {}  # when all control nodes began to omit a server, by its id
 
     def apply_full_list(
         self, now: int, control_node: str, server_ids: set[str], known: Iterable[str]
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -26,7 +26,7 @@
 from brackenladder.registry.records import ServerRecord
 from brackenladder.registry.registry import ServerRegistry
 
-MAX_RECORDS = 1000  # in one message
+MAX_RECORDS = 1000  # server records in one message
 
 
 @frozen
@@ -44,8 +44,10 @@
     now: int
     leader_contact_age: int
     may_send_catalog: bool
-    server_updates: dict[int, tuple[ServersUpdate, ...]] = field(factory=dict)  # by acknowledged version
-    catalog_updates: dict[bool, CatalogUpdate] = field(factory=dict)  # by whether the document is omitted
+    # Server updates by the version that the subscriber has acknowledged.
+    server_updates: dict[int, tuple[ServersUpdate, ...]] = field(factory=dict)
+    # Catalog updates by whether the document is omitted from them.
+    catalog_updates: dict[bool, CatalogUpdate] = field(factory=dict)
 
     @property
     def fresh(self) -> bool:
--- a/brackenladder/delivery/service_servers.py
+++ b/brackenladder/delivery/service_servers.py
@@ -10,7 +10,7 @@
 
 from brackenladder.registry.records import ServerRecord
 
-MAX_CHANGES = 1_024  # kept per service; a reader that is further behind has to read all servers
+MAX_CHANGES = 1_024  # changes kept per service; a reader that is further behind has to read all servers
 
 NO_SERVERS: Mapping[str, ServerRecord] = MappingProxyType({})
 
--- a/brackenladder/delivery/subscriber.py
+++ b/brackenladder/delivery/subscriber.py
@@ -102,7 +102,7 @@
         return ()
 
     def tick(self, now: int) -> None:
-        """Apply timeouts: the gateway count, omitted servers and announced ends of servers."""
+        """Apply what depends on time: a lower gateway count, removal of omitted servers, announced ends."""
         self.view.set_gateways(self._count.highest(now), self._count.known)
         self.view.remove_servers(self._omitted.take_due(now))
         self.view.expire(now)
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -44,7 +44,8 @@
         self._listeners: list[Callable[[ViewChange], None]] = []
 
     def cold_until(self, server_id: str) -> int:
-        """When a server turns warm, on this host's clock in microseconds (may be past); 0: was not cold."""
+        """When a server turns warm, on this host's clock in microseconds (may be past); 0: it was never
+        cold."""
         return self._registry.cold_until(server_id)
 
     def ends_at(self, server_id: str) -> int:
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -66,7 +66,7 @@
         self.watch(True)
 
     def on_agent_listing(self, listing: Listing | None) -> None:
-        """Passes a list on; repeats a failed call."""
+        """Passes a list from the agent on; if the call failed (None), repeats it."""
         if listing is None:
             self.loop.call_later(PUSH_RETRY, self.watch, True)
         else:
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -133,7 +133,7 @@
 
     def on_message_complete(self) -> None:
         self.complete = True
-        # Only available here: the parser is reset afterwards.
+        # This has to be read here, as the parser is reset afterwards.
         self.keep_alive = self.parser.should_keep_alive()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -236,7 +236,8 @@
     def on_watch_answer(self, call: DiscoveryCall, body: bytes | None) -> None:
         listing = self.parse_answer(body)
         if listing is None:
-            # Ended before the failure is reported, since the module may respond with a new watch.
+            # The call is ended before its failure is reported, since the decision module may start a new
+            # watch at once.
             call.end()
             self.watch_call = None
             pause = self.watch_retry.failed(call.timed_out, self.random.random())
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -60,7 +60,7 @@
 
 
 class ClientExchange(Protocol):
-    """A client's request, as its calls, its attempts and the relay see it."""
+    """The interface of a client's request for its calls, its attempts and the relay of its response."""
 
     @property
     def context(self) -> ExchangeContext:
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -213,7 +213,7 @@
         return (self.route,) if newest is None else (self.route, newest)
 
     def may_resume(self) -> bool:
-        """Whether all binding routes allow the stream to be resumed at one more server."""
+        """Whether all routes that apply to the request allow its stream to be resumed at one more server."""
         return all(route.resumable for route in self._binding_routes()) and self._has_attempts()
 
     def _has_attempts(self) -> bool:
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -47,7 +47,7 @@
 
 
 class ServicePools:
-    """The pools of all services, kept in line with the view's configuration."""
+    """One pool of servers per service; pools are created, updated and closed as the configuration changes."""
 
     def __init__(
         self,
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -31,7 +31,7 @@
 # The bytes received for a body may be this many times its length, because of chunk framing.
 MAX_FRAMING_FACTOR = 8
 MAX_PIPELINED = 8  # complete requests that may wait on one connection behind an open one
-# So many connections of the limit are only used to refuse clients with a 503 when the others are taken.
+# Number of connections, within the limit, that are only used to answer 503 when all others are taken.
 REFUSING_CONNECTIONS = 16
 FLUSH_TIMEOUT = 30.0  # seconds in which a client may read the rest of a large last response
 SWEEP_INTERVAL = 0.25  # seconds between two checks for slow clients
@@ -91,7 +91,8 @@
         self.announced = 0  # the Content-Length
         self.keep = error == 0
         self.size = 0  # bytes that count towards the limit of held requests while it waits or is open
-        self.reservation: BodyReservation | None = None  # of a large body, which has a budget of its own
+        # Memory reserved for a large body; it counts towards `body_budget`.
+        self.reservation: BodyReservation | None = None
         self.chunks = True  # whether the client understands chunked encoding
 
 
@@ -123,7 +124,7 @@
         self.open_request: HttpRequest | None = None
         self.reading_stopped = False  # nothing more is read from this client
         self.write_paused = False  # the client does not read its responses
-        self.relay: Relay | None = None  # of a large response that is being sent
+        self.relay: Relay | None = None  # the relay of a large response that is being sent
         self.chunks = True  # whether the client of the open request understands chunked encoding
         self.requests_started = 0  # requests that were passed to the handler
         self.paused = False
@@ -206,7 +207,8 @@
             return
         key = name.lower()
         headers = request.headers
-        request.lines.append((key, name, value))  # the limit is checked after each slice, which may exceed it
+        # `feed` checks the limit on lines after each slice of input, so one slice may exceed it.
+        request.lines.append((key, name, value))
         request.size += len(name) + len(value)
         if key not in headers:
             headers[key] = value
@@ -372,7 +374,7 @@
         if not self.refusing and not self.owner.closing:
             return False
         if self.waiting:
-            self.reading_stopped = True  # or it would never end
+            self.reading_stopped = True  # otherwise the shutdown would never end
             self.discard_partial()
         return not self.waiting
 
@@ -482,7 +484,7 @@
 
 
 class ClientConnections:
-    """The listener and its connections, within a limit of file descriptors."""
+    """The listener for clients and its connections, limited by the file descriptors available to them."""
 
     def __init__(
         self,
@@ -529,7 +531,7 @@
         return ClientConnection(self, refusing=len(self.connections) >= self.max_connections)
 
     def release(self, request: HttpRequest) -> None:
-        """Frees the reservation of a request, and grants those that now fit."""
+        """Frees the memory reserved for a request, and grants waiting reservations that now fit."""
         reservation, request.reservation = request.reservation, None
         if reservation is None:
             return
--- a/brackenladder/http/large_bodies.py
+++ b/brackenladder/http/large_bodies.py
@@ -32,7 +32,7 @@
 
 
 class BodyBudget:
-    """`max_bytes` for all large bodies together."""
+    """Reserves memory for large bodies, `max_bytes` for all of them together."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
--- a/brackenladder/http/relay.py
+++ b/brackenladder/http/relay.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 STALLED = 30.0  # seconds without progress after which the relay is aborted
-LARGEST_ANSWER = 1 << 30  # bytes
+LARGEST_ANSWER = 1 << 30  # bytes of a relayed response's body
 
 
 class ServerSide(Protocol):
@@ -32,7 +32,7 @@
 
 
 class Relay:
-    """Forwards the body of a response whose call has been concluded by its first bytes.
+    """Forwards the body of a large response; its call was already concluded when the first bytes arrived.
 
     If either side breaks, the client's connection is cut, so that the client can tell that the response is
     incomplete. `length` is the length of the body, if the server announced it; otherwise the client gets
@@ -86,10 +86,9 @@
         self.client.transport.write(body)
 
     def check_stalled(self) -> None:
-        """Aborts the relay if neither side made progress for a while.
-
-        The client's timeout does not apply: a large response is timed by its first bytes, and must not be cut
-        off while the server still sends.
+        """Aborts the relay if no bytes were forwarded for `STALLED` seconds. The client's timeout does not
+        apply: a large response is timed by its first bytes, and must not be cut off while the server still
+        sends.
         """
         left = self.last_progress + STALLED - self.loop.time()
         if left > 0:
--- a/brackenladder/http/server_connection.py
+++ b/brackenladder/http/server_connection.py
@@ -18,7 +18,7 @@
 
 OK = Outcome.OK  # a constant of its own, as looking up an enum member for each response would be slow
 LARGEST_HEAD = 32768  # bytes of a response's head, including all interim responses before it
-LARGEST_LINES = 128  # header lines of the same, and trailers
+LARGEST_LINES = 128  # header lines of a response, including interim responses and trailers
 # Bytes of a response that is not relayed, including chunk framing.
 LARGEST_ANSWER = LARGEST_HEAD + 8 * LARGE_BODY
 
@@ -55,7 +55,7 @@
         """Takes the most recently used idle connection that can still be used."""
 
     def keep(self, connection: Connection) -> None:
-        """Returns a connection to the idle ones."""
+        """Puts a connection back among the idle ones, for reuse."""
 
     def closed_idle(self, age: float) -> None:
         """Notes that a server closed a connection that was idle for `age` seconds."""
@@ -185,10 +185,10 @@
             self.conclude()
 
     def conclude(self) -> None:
-        """Ends the exchange if its response is complete, or unusable."""
+        """Ends the exchange if its response is complete or can't be used."""
         if self.complete:
-            # A complete response is used even if surplus bytes follow it, or a request that has run would
-            # fail. The connection is not reused then.
+            # A complete response is used even if surplus bytes follow it: otherwise a request that has run
+            # would fail. After surplus bytes the connection is not reused.
             answer = Answer(self.status, self.body, self.content_type, self.rejected, self.report)
             self.finish(
                 OK if self.status == 200 else outcome_of(answer),
@@ -335,7 +335,8 @@
 
 
 def outcome_of(answer: Answer) -> Outcome:
-    """The outcome that a response means. A 503 or 504 without `X-Rejected` may come from a later tier."""
+    """The outcome of an attempt that received this response. A 503 or 504 without `X-Rejected` may come from
+    a later tier."""
     if answer.status == 200:
         return OK
     if answer.status in (503, 504) and answer.rejected:
--- a/brackenladder/http/server_exchange.py
+++ b/brackenladder/http/server_exchange.py
@@ -107,7 +107,8 @@
             self.write(connection)
 
     def write_after_wait(self, connection: Connection) -> None:
-        """Writes the request after that wait, on another connection if this one was closed meanwhile.
+        """Writes the request after pending list updates were read, on another connection if this one was
+        closed.
 
         Written to a closed connection, the request would fail and count against its server.
         """
--- a/brackenladder/http/server_pool.py
+++ b/brackenladder/http/server_pool.py
@@ -11,7 +11,7 @@
 from brackenladder.http.server_connection import Connection, Endpoint
 from brackenladder.membership.stall import BEAT_INTERVAL, StallDetector
 
-IDLE_MARGIN = 0.3  # seconds before the server would close an idle connection
+IDLE_MARGIN = 0.3  # seconds by which an idle connection is closed before the server would close it
 SWEEP = 0.5  # seconds between two sweeps of idle connections
 # A close within this many seconds of a response says nothing about the server's idle timeout.
 AFTER_ANSWER = 0.05
@@ -20,7 +20,7 @@
 
 
 class ServerPool:
-    """All connections to servers, within a limit of file descriptors."""
+    """All connections to servers, limited by the file descriptors available to them."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, max_connections: int, connect_timeout: float, idle_time: float
@@ -50,7 +50,7 @@
         return None
 
     def keep(self, connection: Connection) -> None:
-        """Returns a connection to the idle ones."""
+        """Puts a connection back among the idle ones, for reuse."""
         connection.idle_since = self.loop.time()
         connection.endpoint.idle.append(connection)
         if not self.sweeping:
--- a/brackenladder/http/upstream.py
+++ b/brackenladder/http/upstream.py
@@ -83,7 +83,7 @@
     # ---- Upstream -------------------------------------------------------------------------------------
 
     def attempt(self, server: int, call: Call, expires: int, done: Done) -> Attempt | None:
-        """An exchange with a server; None if the server is not ready."""
+        """Returns an exchange that will send the call to a server; None if the server is not ready."""
         endpoint = self.pool.endpoints.get(server)
         if endpoint is None or not endpoint.ready:
             return None
--- a/brackenladder/registry/directory.py
+++ b/brackenladder/registry/directory.py
@@ -9,7 +9,7 @@
 
 from brackenladder.registry.gateways import GatewayRecord, GatewayState
 
-MAX_ADDRESSES = 64  # in one answer
+MAX_ADDRESSES = 64  # gateway addresses in one answer
 
 
 class Proximity(Enum):
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -9,7 +9,8 @@
 NO_SEQ = -1  # lower than any sequence number that a server sends
 NEVER = 0  # a point in time that is not known
 COLD_LATER = 50_000  # microseconds; if the cold period ends later by more than this, the record has changed
-COLD_EARLIER = 500_000  # microseconds; the same limit for a cold period that ends earlier
+# Microseconds; if the cold period ends earlier by more than this, the record has changed.
+COLD_EARLIER = 500_000
 END_TOLERANCE = 300_000  # microseconds; if an announced end moves by more than this, the record has changed
 
 
@@ -23,7 +24,8 @@
 
     id: str
     heard_at: int  # when this node, or a peer by its own account, last received a heartbeat of the server
-    last_record: ServerRecord | None = None  # without its times, see below; None: only its end is known
+    # Without `cold_for` and `remaining`; None: only the server's end is known.
+    last_record: ServerRecord | None = None
     changed_seq: int = NO_SEQ  # the lowest seq known to have reported the same content
     heartbeat_seq: int = NO_SEQ
     cold_until: int = NEVER
@@ -32,7 +34,7 @@
     deregistered: bool = False
     gone_at: int = NEVER  # when this node learned that the server has ended
     suspected_at: int = NEVER  # the value of `heard_at` for which peers were last asked about the server
-    version: int = 0  # of the registry, at the last change that had to be propagated
+    version: int = 0  # the registry's version at the entry's last change that had to be propagated
 
     @property
     def record_seq(self) -> int:
@@ -53,7 +55,7 @@
 
     @property
     def known(self) -> bool:
-        """Whether there is anything to propagate: a record or an end."""
+        """Whether the server's record or its end is known; otherwise there is nothing to propagate."""
         return self.last_record is not None or self.gone
 
     def merge(self, now: int, record: ServerRecord) -> bool:
--- a/brackenladder/registry/exchange.py
+++ b/brackenladder/registry/exchange.py
@@ -19,7 +19,7 @@
 HEARTBEAT_BATCH_INTERVAL = 300_000  # microseconds between two batches of heartbeats
 GATEWAYS_INTERVAL = 1_000_000  # microseconds between two batches of gateway presence
 SETTLE_TIME = 2_000_000  # microseconds after the start within which every server has sent a heartbeat
-MAX_RECORDS = 500  # in one message
+MAX_RECORDS = 500  # server records in one message
 
 
 @frozen
@@ -40,7 +40,7 @@
         self._servers = servers
         self._gateways = gateways
         self._settled_at = now + settle_time
-        self._fully_sent: dict[str, bool] = {}  # whether a connected peer was sent everything, by peer
+        self._fully_sent: dict[str, bool] = {}  # by connected peer: whether it was sent everything known here
         self._replies: list[PeerMessage] = []
         self._pending_heartbeats: dict[str, None] = {}  # servers whose heartbeats go into the next batch
         self._heartbeats_sent_at = now
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -8,7 +8,7 @@
 from attrs import define, frozen
 
 OFFER_TIMEOUT = 2_500_000  # microseconds without a message after which clients are not sent to a gateway
-# The same for a gateway that is linked to this node: an idle link sends pings, so silence shows sooner.
+# The same limit for a gateway that is linked to this node: as an idle link sends pings, it can be shorter.
 LINKED_OFFER_TIMEOUT = 1_100_000
 RELAY_DELAY = 1_000_000  # microseconds by which presence from peers may be newer just because it was relayed
 LIVENESS_WINDOW = 20_000_000  # microseconds after its last message for which a gateway counts as alive
@@ -47,14 +47,14 @@
     """A gateway and the age of its last message, as exchanged between control nodes."""
 
     gateway: GatewayRecord
-    age: int  # microseconds, at the time of sending
+    age: int  # microseconds since its last message, at the time of sending
 
 
 @define
 class _KnownGateway:
     gateway: GatewayRecord
-    heard_at: int  # last message to any control node
-    heard_here_at: int | None = None  # last message to this node
+    heard_at: int  # when any control node last received a message of the gateway
+    heard_here_at: int | None = None  # when this node last received a message of the gateway
 
     def offered(self, now: int) -> bool:
         """Whether clients may be sent to this gateway."""
@@ -84,7 +84,8 @@
             self._first_heard_at = now
         changed = self._merge(gateway, now)
         known = self._known[gateway.node]
-        # A process that has not replaced its predecessor yet must not keep that predecessor alive.
+        # While the record of a gateway's previous process is still valid here, messages of the new process
+        # must not keep the previous one alive.
         known.heard_here_at = now if known.gateway.incarnation == gateway.incarnation else None
         if changed:
             self._local_changes[gateway.node] = None
@@ -178,7 +179,7 @@
 
 
 def _replaces(received: GatewayRecord, known: GatewayRecord, later: int) -> bool:
-    """Whether a record replaces the known one, which was heard `later` microseconds before it."""
+    """Whether `received` replaces `known`; `later`: microseconds by which it was heard after `known`."""
     if received.incarnation != known.incarnation and abs(later) >= SUCCESSION_TIMEOUT:
         return later > 0
     return _rank(received) >= _rank(known)
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -14,9 +14,10 @@
 from brackenladder.registry.entries import NEVER, ServerEntry
 from brackenladder.registry.records import HeardServer, ServerRecord, ServerState, same_content
 
-TOMBSTONE_LIFETIME = 300_000_000  # microseconds for which the end of a server is remembered
-SETTLE_TIME = 2_000_000  # microseconds in touch with the peers after which servers may time out again
-END_SLACK = 300_000  # microseconds after its announced end at which a server without heartbeats is gone
+TOMBSTONE_LIFETIME = 300_000_000  # microseconds for which the tombstone of a server that has ended is kept
+SETTLE_TIME = 2_000_000  # microseconds of uninterrupted contact with the peers before servers may time out
+# Microseconds after its announced end at which a server without heartbeats counts as gone.
+END_SLACK = 300_000
 SUSPECT_LEAD = 800_000  # microseconds before a server times out at which peers are asked about it
 FOREVER = 1 << 62  # a timeout that never elapses
 
@@ -33,7 +34,7 @@
     """Merges server records. Every change that has to be propagated increments `version`."""
 
     def __init__(self, timeout: int = FOREVER) -> None:
-        """`timeout`: microseconds without a heartbeat to any node after which a server is gone."""
+        """`timeout`: microseconds without a heartbeat to any node after which a server counts as gone."""
         self._timeout = timeout
         self._entries: dict[str, ServerEntry] = {}  # ordered by `version`
         self._in_touch_since: int | None = None
@@ -60,7 +61,7 @@
         return changed
 
     def deregister(self, now: int, server_id: str) -> bool:
-        """Record that a server deregistered; False if that was known."""
+        """Record that a server deregistered; False if it was already recorded as deregistered."""
         entry = self._entry(server_id, heard_at=now)
         if entry.deregistered:
             return False
@@ -73,8 +74,9 @@
     ) -> tuple[ServerRecord, ...]:
         """Merge records of another node; return the records that changed here, as they are now.
 
-        `ages`: microseconds since that node last knew the server to be alive, by id. An expired tombstone
-        that newer heartbeats refute counts as a change: nodes that accepted it have to be corrected.
+        `ages`: microseconds since that node last knew the server to be alive, by id. If a received record
+        says that a server timed out, but this node has newer heartbeats of the server, its entry counts as
+        changed: the nodes that accepted the timeout have to be corrected.
         """
         ages = ages or {}
         changed = [entry for record in records if (entry := self._merge(now, record, ages.get(record.id, 0)))]
@@ -213,7 +215,7 @@
     def _merge(self, now: int, record: ServerRecord, age: int) -> ServerEntry | None:
         """Merge one record; return its entry if it changed."""
         if record.id not in self._entries and record.state is not ServerState.GONE and age > self._timeout:
-            return None  # it timed out before this node knew of it
+            return None  # the server timed out before this node knew of it
         entry = self._entry(record.id, heard_at=now - age)
         changed = entry.merge(now, record)
         if record.state is not ServerState.GONE:
@@ -257,7 +259,7 @@
         return [entry for after, entry in expiries if now > after]
 
     def _expires_after(self, entry: ServerEntry, settled: bool) -> int:
-        """The time after which a server without a further heartbeat is gone."""
+        """The time after which a server without a further heartbeat counts as gone."""
         if entry.last_record is None or entry.gone:
             return FOREVER
         times_out_at = entry.heard_at + self._timeout if settled else FOREVER
@@ -288,7 +290,7 @@
 
 
 def _supersedes(entry: ServerEntry, record: ServerRecord) -> bool:
-    """Whether an entry known here overrides a record that another node sent."""
+    """Whether this node's entry is newer than a record that another node sent."""
     if record.state is ServerState.GONE:
         return not entry.gone or (entry.deregistered and record.expired)
     if entry.gone or entry.last_record is None:
--- a/brackenladder/registry/remembered_servers.py
+++ b/brackenladder/registry/remembered_servers.py
@@ -13,7 +13,7 @@
 
 from brackenladder.registry.records import ServerRecord, ServerState
 
-MAX_SERVERS = 1_024  # in the list
+MAX_SERVERS = 1_024  # servers in the list on disk
 
 
 @frozen
@@ -47,7 +47,8 @@
     """Selects the servers to remember, and tracks which are in the list that was written last."""
 
     def __init__(self) -> None:
-        self._written: frozenset[tuple[str, str]] = frozenset()  # ids and addresses
+        # Ids and addresses in the list that was written last.
+        self._written: frozenset[tuple[str, str]] = frozenset()
 
     def select(
         self, servers: Iterable[ServerRecord], health_paths: Mapping[str, str]
--- a/brackenladder/sockets/listener.py
+++ b/brackenladder/sockets/listener.py
@@ -97,7 +97,8 @@
         self.sock: socket.socket | None = None
         self.shared = False  # the socket is also used by the predecessor process and the successor
         self.accepting = False
-        self.recheck_timer: asyncio.TimerHandle | None = None  # until a connection may have become evictable
+        # Calls `recheck` when a connection may have become evictable.
+        self.recheck_timer: asyncio.TimerHandle | None = None
         self.attach_tasks: set[asyncio.Task[None]] = set()
 
     def start(self, address: Address) -> None:
@@ -206,7 +207,8 @@
         connection = self.make_connection()
         self.connections.add(connection)
         task = self.loop.create_task(self.attach(connection, accepted))
-        # The loop holds only a weak reference, so that the task could be collected before its end.
+        # The loop holds only a weak reference to the task, which could otherwise be garbage-collected while
+        # it runs.
         self.attach_tasks.add(task)
         task.add_done_callback(self.attach_tasks.discard)
 
--- a/brackenladder/sockets/operator_listener.py
+++ b/brackenladder/sockets/operator_listener.py
@@ -47,7 +47,7 @@
             self.respond(self.owner.answer(line))
 
     def eof_received(self) -> bool:
-        """The end of the client's sending also ends the line."""
+        """Treats the end of the client's input as the end of its line."""
         if not self.answered:
             self.respond(self.owner.answer(self.line))
         return True
--- a/brackenladder/storage/handover.py
+++ b/brackenladder/storage/handover.py
@@ -14,7 +14,7 @@
 
 FILE_NAME = "brackenladder-handover.json"
 FORMAT = 1
-MAX_FILE_BYTES = 4 << 20  # bytes
+MAX_FILE_BYTES = 4 << 20  # larger handover files are rejected
 MAX_AGE = 10_000_000  # microseconds; an older file is ignored
 
 
--- a/brackenladder/storage/holds.py
+++ b/brackenladder/storage/holds.py
@@ -15,7 +15,7 @@
 
 FILE_NAME = "brackenladder-holds.json"
 FORMAT = 1
-MAX_FILE_BYTES = 1 << 20  # bytes
+MAX_FILE_BYTES = 1 << 20  # larger holds files are rejected
 
 
 class HoldsError(Exception):
@@ -27,7 +27,8 @@
 
     def __init__(self, folder: str) -> None:
         self.path = os.path.join(folder, FILE_NAME)
-        self.last_stamp: tuple[int, int, int] | None = None  # of the file as last read or written here
+        # Identifies the version of the file that this process last read or wrote.
+        self.last_stamp: tuple[int, int, int] | None = None
 
     @contextmanager
     def locked(self) -> Iterator[None]:
--- a/brackenladder/storage/quarantine.py
+++ b/brackenladder/storage/quarantine.py
@@ -13,7 +13,8 @@
 from brackenladder.storage.sqlite_file import FILE_NAME, SIDE_SUFFIXES, sync_to_disk
 
 MAX_QUARANTINED = 2  # quarantined stores per folder; older ones are removed
-MAX_QUARANTINED_BYTES = 2 << 20  # to which each of their files is truncated; the disk is small
+# Bytes to which each file of a quarantined store is truncated, as the disk is small.
+MAX_QUARANTINED_BYTES = 2 << 20
 
 _SUFFIX = ".corrupt-"
 
--- a/brackenladder/storage/sqlite_errors.py
+++ b/brackenladder/storage/sqlite_errors.py
@@ -32,7 +32,7 @@
 
 
 def store_error(error: sqlite3.Error | OSError | CorruptRow, path: str) -> StoreError:
-    """Returns the store error for an error that occurred at `path`."""
+    """Converts an error of sqlite3 or the file system at `path` to the `StoreError` subclass that fits it."""
     if isinstance(error, CorruptRow):
         return StoreCorrupt(f"{path}: {error}")
     if isinstance(error, OSError):
--- a/brackenladder/storage/sqlite_file.py
+++ b/brackenladder/storage/sqlite_file.py
@@ -24,8 +24,9 @@
 PAGE_BYTES = 4096
 CACHE_KB = 512
 CHECKPOINT_PAGES = 256  # pages in the WAL after which they are copied to the database
-WAL_KEPT_BYTES = 1 << 20  # to which a longer WAL is truncated after a checkpoint
-MAX_DATABASE_BYTES = 56 << 20  # the WAL may grow to the same size, and the disk has 128 MB
+WAL_KEPT_BYTES = 1 << 20  # bytes to which a longer WAL is truncated after a checkpoint
+# Bytes; the WAL may grow to the same size, and both have to fit on a disk of 128 MB.
+MAX_DATABASE_BYTES = 56 << 20
 
 _UNFINISHED_SUFFIX = ".new"
 _MAGIC = b"SQLite format 3\x00"
@@ -80,7 +81,7 @@
 
 
 def create_store(path: str, replica_id: str) -> None:
-    """Creates a store at `path`, where there is none; it gets that name once it is completely durable."""
+    """Creates a store under a temporary name, and renames it to `path` once it is completely durable."""
     unfinished = path + _UNFINISHED_SUFFIX
     _remove_with_journals(unfinished)
     with closing(connect(unfinished)) as connection:
--- a/brackenladder/storage/sqlite_tables.py
+++ b/brackenladder/storage/sqlite_tables.py
@@ -110,7 +110,8 @@
 
 def _write_snapshot(connection: sqlite3.Connection, snapshot: Snapshot) -> None:
     connection.execute("DELETE FROM entry WHERE position <= ?", (snapshot.index,))
-    connection.execute("DELETE FROM snapshot")  # first, so that the new one reuses the old one's pages
+    # Deleted first, so that the new snapshot reuses the old one's pages.
+    connection.execute("DELETE FROM snapshot")
     members = encode_members(snapshot.members)
     checksum = _snapshot_checksum(snapshot.index, snapshot.term, members, snapshot.data)
     row = (snapshot.index, snapshot.term, members, snapshot.data, checksum)
--- a/tests/endings/test_client_ends.py
+++ b/tests/endings/test_client_ends.py
@@ -73,7 +73,7 @@
             held = hold_connects(bench)
             client = Raw(bench.port, call("invite"))
             await until(lambda held=held: held.up == 1)
-            # Connecting takes at least this long; a stricter order can't be enforced.
+            # Connecting takes at least this long; the test requires no stricter order of events.
             await asyncio.sleep(0.0015)
             client.leave(how)
             held.go.set()  # the connecting task continues before the loop polls any socket
--- a/tests/endings/test_rpc_ends.py
+++ b/tests/endings/test_rpc_ends.py
@@ -44,7 +44,8 @@
             await until(lambda n=n: len(server.calls) == n)
             leaving = Raw(bench.port, call(7))
             await until(lambda: len(endpoint.queue) == 1)
-            await asyncio.sleep(0.0015)  # the minimum time that it waits
+            # It waits at least this long; no stricter order of events is required.
+            await asyncio.sleep(0.0015)
             leaving.leave("rst")
             endpoint.links[0].data_received(answer(server.calls[-1][1]))
             assert (await staying.receive())[2] is None
