--- a/brackenladder/delivery/gateway_count.py
+++ b/brackenladder/delivery/gateway_count.py
@@ -26,7 +26,7 @@
         self.known = False  # a control node that knew of all gateways has reported the number
 
     def report(self, now: int, control_node: str, number: int, settled: bool = True) -> None:
-        """Take the number that a connected control node reports; not `settled`: there may be more."""
+        """Take the number that a control node reports; `settled` False: it may not know all gateways."""
         self.known = self.known or settled
         before = self._reported.get(control_node, 0)
         if before > number:
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -11,7 +11,7 @@
 from brackenladder.registry.messages import GatewaysTold, ServersHeard, ServersTold, ServersWanted
 from brackenladder.registry.records import ServerRecord
 
-UNKNOWN_AGE = 1 << 62  # microseconds; there was no contact with the leader yet
+UNKNOWN_AGE = 1 << 62  # microseconds; means that the time since the last leader contact is not known
 FRESH_AGE = 1_000_000  # microseconds since leader contact up to which a control node's data counts as fresh
 
 
--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -6,7 +6,7 @@
 
 # Microseconds after which a server that all control nodes omit is removed, if one of them had listed it.
 RETRACTED_TIMEOUT = 10_000_000
-# Microseconds; the same timeout if none of the connected control nodes had listed the server.
+# The same timeout, in microseconds, if no control node had listed the server before.
 OMITTED_TIMEOUT = 60_000_000
 
 
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -121,7 +121,7 @@
         self._mark_all()
 
     def set_gateways(self, number: int, settled: bool = True) -> None:
-        """Set the number of live gateways; not `settled`: there may be more."""
+        """Set the number of live gateways; `settled` False: this node may not know all of them yet."""
         if (number, settled) == (self._gateways.number, self._gateways.settled):
             return
         self._gateways = GatewayCount(self._gateways.sequence + 1, number, settled)
@@ -130,7 +130,7 @@
     def take_messages(
         self, now: int, leader_contact_age: int, may_send_catalog: bool = True
     ) -> tuple[SubscriberMessage, ...]:
-        """Return the messages that are due. To be called after every change and ack, and some times a second.
+        """Return the messages that are due. Call it after every change and ack, and several times a second.
 
         `leader_contact_age` is sent along: a starting gateway relies on control nodes whose leader contact is
         at most `FRESH_AGE` old. Callers pass `UNKNOWN_AGE` while this node knows that it lacks log entries or
--- a/brackenladder/delivery/subscriptions.py
+++ b/brackenladder/delivery/subscriptions.py
@@ -8,8 +8,8 @@
 
 NOTHING = -1  # lower than the number of any update
 # Microseconds after which a control node sends a document that the gateway's nearest control node has not
-# delivered. Shorter than a round trip between regions plus two timer ticks of a control node, it would send
-# the document twice; it must also stay well below the setting `ConfigMs`, 3 s.
+# delivered. It covers a round trip between regions plus two timer ticks of a control node, and is a tenth of
+# the default of the setting `ConfigMs`.
 STANDBY_TIME = 300_000
 
 
@@ -54,8 +54,7 @@
         return True
 
     def defers_document(self, now: int) -> bool:
-        """Whether this node still leaves it to the gateway's nearest control node to send a changed
-        document."""
+        """Whether a changed document is still left to the gateway's nearest control node to send."""
         if self.nearest or self.have_revision == 0:
             return False
         if self.document_deferred_since is None:
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -44,8 +44,7 @@
         self._listeners: list[Callable[[ViewChange], None]] = []
 
     def cold_until(self, server_id: str) -> int:
-        """When a server turns warm, on this host's clock in microseconds (may be past); 0: it was never
-        cold."""
+        """When a server turns warm, on this host's clock in microseconds (may be past); 0: never cold."""
         return self._registry.cold_until(server_id)
 
     def ends_at(self, server_id: str) -> int:
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -16,7 +16,7 @@
 
 
 class PolledDiscovery(Discovery):
-    """Discovery, called when the decision module asks for it. It starts with the list known beforehand."""
+    """Discovery, called when the decision module asks for the list; starts with the list known beforehand."""
 
     def __init__(
         self,
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -88,7 +88,7 @@
         self.transport.write(self.request)
 
     def start_timeout(self, time: float) -> None:
-        """Starts the timeout of the step that begins now, in seconds."""
+        """Starts a timeout of `time` seconds for the step that begins now, in place of the last step's."""
         if self.timer is not None:
             self.timer.cancel()
         self.deadline = self.loop.time() + time
--- a/brackenladder/gateway/answers.py
+++ b/brackenladder/gateway/answers.py
@@ -11,7 +11,7 @@
 from brackenladder.core.call import Failure
 from brackenladder.gateway.headers import RETRY_AFTER
 
-DEFAULT_RETRY_AFTER = 250_000  # microseconds
+DEFAULT_RETRY_AFTER = 250_000  # microseconds; sent if the caller gives no wait
 MICROSECONDS_PER_SECOND = 1e6
 
 
--- a/brackenladder/gateway/clients.py
+++ b/brackenladder/gateway/clients.py
@@ -15,7 +15,8 @@
 from brackenladder.catalog.configuration import Limits
 from brackenladder.gateway.answers import Status, own_answer
 
-MAX_HEAD_FIELD = 65_536  # bytes; the configured limit of the whole head is lower
+# Bytes of the request line, or of one header field; the configured limit of the whole head is lower.
+MAX_HEAD_FIELD = 65_536
 MAX_HEADERS = 256
 LINGER_SECONDS = 1.0  # how long the rest of an unwanted request body is read before the connection is closed
 UNREAD_SECONDS = 30.0  # how long a client may read nothing of its response; the HTTP node uses the same limit
@@ -97,7 +98,7 @@
         self._unread_timer = self._loop.call_later(UNREAD_SECONDS, self._abort_unread)
 
     def resume_writing(self) -> None:
-        """Stop that timeout: the client reads again."""
+        """Stop the timeout that `pause_writing` started: the client reads again."""
         self._stop_unread_timer()
         super().resume_writing()
 
--- a/brackenladder/gateway/connections.py
+++ b/brackenladder/gateway/connections.py
@@ -103,7 +103,7 @@
             self._connector.close_idle(request)
 
     def keep_only(self, addresses: set[str]) -> None:
-        """Close idle connections to all other addresses, whose servers no longer exist."""
+        """Close the idle connections to addresses not in `addresses`: their servers no longer exist."""
         for address in [address for address in self._requests if address not in addresses]:
             self.close_idle(address)
             self._stale_check.forget(address)
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -27,7 +27,7 @@
 
 
 class RunnableAttempt(Protocol):
-    """An attempt as its call sees it; the call runs it in the task of the client's request."""
+    """The interface of an attempt for its call, which runs it in the task of the client's request."""
 
     @property
     def record(self) -> ServerRecord:
--- a/brackenladder/gateway/events.py
+++ b/brackenladder/gateway/events.py
@@ -6,10 +6,10 @@
 
 from attrs import frozen
 
-LARGEST_EVENT = 4 * 1024 * 1024  # bytes
+LARGEST_EVENT = 4 * 1024 * 1024  # bytes in one event
 
 _END = re.compile(rb"\n\r?\n")  # the blank line that ends an event
-_END_LENGTH = 3  # the length of its longest match, in bytes
+_END_LENGTH = 3  # bytes in the longest match of `_END`
 _ID = re.compile(rb"(?:^|\n)id: ?([0-9]{1,18})\r?\n")
 
 
--- a/brackenladder/gateway/exchange.py
+++ b/brackenladder/gateway/exchange.py
@@ -69,7 +69,7 @@
         self.route: Route
         self.body = b""
         self.prompt_tokens = 0
-        self.client_deadline = 0  # by the gateway's clock, as are all times here
+        self.client_deadline = 0  # end of the client's timeout; like all times here, by the gateway's clock
         self.servers: set[str] = set()  # the servers that may have run the request
         self._cached_lines: bytes | None = None
         self._held_call: HeldCall
@@ -208,12 +208,12 @@
         return None if newest is self.route or newest == self.route else newest
 
     def _binding_routes(self) -> tuple[Route, ...]:
-        """The route matched when the request was read, and the current one if it differs; both apply."""
+        """The routes that apply: the one matched on reading the request, and the current one if different."""
         newest = self.newest_route()
         return (self.route,) if newest is None else (self.route, newest)
 
     def may_resume(self) -> bool:
-        """Whether all routes that apply to the request allow its stream to be resumed at one more server."""
+        """Whether all routes that apply allow the request's stream to be resumed at one more server."""
         return all(route.resumable for route in self._binding_routes()) and self._has_attempts()
 
     def _has_attempts(self) -> bool:
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -71,7 +71,7 @@
         # Pools of services that were removed from the configuration, kept until their calls and streams have
         # ended. They still follow the view's list of servers.
         self._leaving: list[ServicePool] = []
-        self._splits: dict[str, TrafficSplit] = {}  # by route name
+        self._splits: dict[str, TrafficSplit] = {}  # by name of a route with several targets
         self._early = EarlyNotices()
         self._read_configuration()
         self._unsubscribe = view.subscribe(self._changed)
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -27,14 +27,15 @@
 
 READY_PATH = "/-/readyz"
 BACKLOG = 1024  # connections that wait to be accepted
-# Of the grace period: for this long clients may still use an outdated directory response.
+# Fraction of the grace period in which new requests are accepted, since clients may still use an outdated
+# directory response.
 INTAKE_FRACTION = 0.4
 # A request that was sent later than this after SIGTERM has to be answered fully, however long it takes. One
 # that was sent earlier may be aborted at the end of the grace period (rule LOST of the soak test).
 LATEST_EXCUSED_SECONDS = 3.0
 MAX_INTAKE_SECONDS = LATEST_EXCUSED_SECONDS - 0.3  # accepted requests take a while to arrive
-# Of the grace period, at its end, in which open calls are given up. The soak rules excuse a server that is
-# aborted in the last sixth.
+# Fraction of the grace period, at its end, in which open calls are given up. The soak test's rules excuse a
+# server that is aborted in the last sixth of the period.
 GIVE_UP_FRACTION = 1 / 10
 MAX_GIVE_UP_SECONDS = 0.7
 DRAIN_STEP_SECONDS = 0.1
@@ -155,7 +156,7 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """The addresses that it listens on: for clients, for readiness checks."""
+        """The addresses that the gateway listens on: for clients and for readiness checks."""
         return [listener.sockets[0].getsockname()[:2] for listener in self._listeners]
 
     async def _listen(self, address: str, factory: Callable[[], asyncio.BaseProtocol]) -> None:
@@ -165,7 +166,7 @@
         self._listeners.append(listener)
 
     async def _drained(self, until: float, until_idle: bool) -> bool:
-        """Wait until that time or until no connection is left, and return whether none is left."""
+        """Wait for the time `until`, or with `until_idle` for the last connection; True if none is left."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             if until_idle:
--- a/brackenladder/gateway/server_connection.py
+++ b/brackenladder/gateway/server_connection.py
@@ -23,7 +23,7 @@
 
     @property
     def idle_for(self) -> float:
-        """Seconds since the last response on it ended; 0 for a new connection."""
+        """Seconds since the last response on this connection ended; 0 for a new connection."""
         return self.protocol.idle_for
 
     async def send_head_start(self, start: bytes, wait: float) -> bool:
--- a/brackenladder/gateway/server_protocol.py
+++ b/brackenladder/gateway/server_protocol.py
@@ -15,10 +15,10 @@
 DEFAULT_IDLE_SECONDS = 0.3  # for servers that announce no idle timeout: they close within their first second
 # Subtracted from the server's idle timeout, so that a request arrives before the close.
 IDLE_MARGIN_SECONDS = 0.7
-LEAST_IDLE_FRACTION = 0.3  # used for short idle timeouts, of which the margin would leave too little
-MAX_HEAD_FIELD = 65_536  # bytes
+LEAST_IDLE_FRACTION = 0.3  # fraction of a short idle timeout that is used, as the margin would leave less
+MAX_HEAD_FIELD = 65_536  # bytes of a response's status line, or of one header field
 MAX_HEADERS = 256
-READ_BUFFER = 65_536  # bytes
+READ_BUFFER = 65_536  # bytes; aiohttp's buffer limit for a response's body
 
 
 class AnswerBroken(Exception):
@@ -35,11 +35,12 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
         self.request_id: str | None = None  # of the current request
-        self.reusable_until = 0.0  # by the event loop's clock; 0: there was no response yet
+        # Until when the connection may be reused, by the event loop's clock; 0: no response has ended yet.
+        self.reusable_until = 0.0
         self.idle_since = 0.0  # when the last response ended, by the event loop's clock; 0: there was none
         self._framing = AnswerFraming(False)
         self._accepted = False  # the head of the current request's response was received
-        self._answered = False  # that response was received to its end
+        self._answered = False  # the current request's response was received to its end
         self._ended_in_order = False  # the server closed its side with a FIN, not a reset
         self._surplus = False  # bytes arrived that do not belong to the response
         self._lost_waiter: asyncio.Future[None] | None = None
--- a/brackenladder/gateway/stale_check.py
+++ b/brackenladder/gateway/stale_check.py
@@ -9,15 +9,16 @@
 
 IDLE_SECONDS = 0.2  # a connection that was idle for longer may be stale
 LEAST_WAIT_SECONDS = 0.001
-WAIT_ROUND_TRIPS = 2.0  # multiples of the shortest round trip seen that a reset is waited for
-MOST_WAIT_SECONDS = 0.01  # the longest wait over a short round trip
+WAIT_ROUND_TRIPS = 2.0  # a check waits for a reset this many times the shortest round trip to the server
+MOST_WAIT_SECONDS = 0.01  # the longest wait for a reset if the round trip is short
 # Over longer round trips, checks are made only after a stale connection was found.
 LONG_ROUND_TRIP_SECONDS = 0.025
-SUSPICION_SECONDS = 20.0  # how long after a stale connection was found such checks are made
+# Seconds after a stale connection was found in which checks over long round trips are made.
+SUSPICION_SECONDS = 20.0
 
 
 class StaleCheck:
-    """Determines how long a check may take. Times are seconds of the monotonic clock."""
+    """Decides for how long an idle connection is checked. Times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self._round_trips: dict[str, float] = {}  # the shortest connect time of each address
--- a/brackenladder/gateway/start_gate.py
+++ b/brackenladder/gateway/start_gate.py
@@ -7,9 +7,9 @@
 from brackenladder.delivery.view import SystemView, ViewChange
 from brackenladder.registry.records import ServerState
 
-# Of the client's timeout; held no longer than this, the client still has time for a retry.
+# Fraction of the client's timeout for which a request is held at most, so that there is time for a retry.
 HOLD_FRACTION = 0.25
-MAX_HOLD = 1_200_000  # microseconds
+MAX_HOLD = 1_200_000  # microseconds for which a request is held at most
 US_PER_S = 1e6
 
 
@@ -37,7 +37,7 @@
         self._unsubscribe()
 
     async def wait(self, client_timeout: int) -> None:
-        """Return once the gate is open, or after the usable part of the client's timeout."""
+        """Return once the gate is open, or once the request has been held for as long as allowed."""
         try:
             async with asyncio.timeout(min(MAX_HOLD, client_timeout * HOLD_FRACTION) / US_PER_S):
                 await self._opened.wait()
--- a/brackenladder/gateway/traffic_split.py
+++ b/brackenladder/gateway/traffic_split.py
@@ -21,10 +21,10 @@
         self.targets = tuple(targets)
         total = sum([target.weight for target in targets])
         self._shares = [target.weight / total for target in targets]
-        self._ahead = [0.0] * len(self._shares)  # requests received beyond the share
+        self._ahead = [0.0] * len(self._shares)  # requests that each target received beyond its share
 
     def choose(self, point: float) -> Target:
-        """The target at `point`, or the one furthest below its share if that target is ahead of its own.
+        """The target at `point`, or if that one is too far ahead of its share, the one furthest behind.
 
         `point` is a position from 0 up to 1 along the targets' shares.
         """
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -29,7 +29,7 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_BUFFERED_BODY = 1024 * 1024  # bytes; a larger body is relayed as it arrives
-LEAST_CONNECTIONS = 4  # allowed to each server, however small this gateway's share is
+LEAST_CONNECTIONS = 4  # connections allowed to each server, however small this gateway's share is
 CONNECTION_SHARE = 0.8  # the fraction of `MaxConnections` that all gateways together use
 MICROSECONDS_PER_SECOND = 1e6
 END_OF_LINE = b"\r\n"
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -87,8 +87,8 @@
         self.lines: list[tuple[bytes, bytes, bytes]] = []  # headers: lower-case name, name, value
         self.headers: dict[bytes, bytes] = {}  # by lower-case name; the first value counts
         self.parts: list[bytes] = []  # pieces of the body
-        self.length = 0  # of the body, in bytes
-        self.announced = 0  # the Content-Length
+        self.length = 0  # bytes of the body received so far
+        self.announced = 0  # value of the Content-Length header
         self.keep = error == 0
         self.size = 0  # bytes that count towards the limit of held requests while it waits or is open
         # Memory reserved for a large body; it counts towards `body_budget`.
@@ -314,7 +314,8 @@
         """Passes the next waiting request to the handler, if none is open.
 
         `waited`: the request did not arrive just now, so the client may have disconnected since. This has to
-        be checked, as nothing is read (an end of the connection neither) while many requests wait.
+        be checked, as nothing is read from the socket, not even the end of the connection, while many
+        requests wait.
         """
         if self.open_request is not None or self.write_paused or self.connection_closed or not self.waiting:
             return
@@ -573,7 +574,7 @@
         self.loop.call_later(SWEEP_INTERVAL, self.sweep)
 
     def set_service_stage(self, service: ServiceStage) -> None:
-        """Applies the step that an operator's pause has reached."""
+        """Applies the stage that an operator's pause of this node has reached."""
         self.draining = service >= ServiceStage.PAUSED
         self.closing = service >= ServiceStage.CLOSING
         self.refusing_requests = service >= ServiceStage.REFUSING
@@ -603,7 +604,7 @@
 
         def close_finished(seconds: float) -> None:
             now = self.loop.time()
-            # On a shared socket, new connections reach the successor.
+            # On a shared socket, new connections are accepted by the successor process.
             self.closing = self.closing or seconds >= self.handover or self.listener.shared
             if seconds < self.handover:
                 return
--- a/brackenladder/http/front.py
+++ b/brackenladder/http/front.py
@@ -14,7 +14,8 @@
 
 FULL_RETRY_AFTER = 500_000  # microseconds; suggested to clients that were refused because the node is full
 METHODS = {Effect.SAFE: b"GET", Effect.KEYED: b"POST", Effect.UNSAFE: b"POST"}
-Route = Callable[[int, int, bytes, bytes], Host]  # by class, tenant's number, target, tenant's name
+# The pool's host by traffic class, tenant's number, target and tenant's name.
+Route = Callable[[int, int, bytes, bytes], Host]
 STATUS = {Failure.GIVEN_UP: 502, Failure.EXPIRED: 504, Failure.FAULT: 500}
 
 
@@ -109,7 +110,7 @@
         self.clients.adopt(number)
 
     def set_service_stage(self, service: ServiceStage) -> None:
-        """Applies the step that an operator's pause has reached."""
+        """Applies the stage that an operator's pause of this node has reached."""
         self.clients.set_service_stage(service)
 
     async def drain(self) -> None:
--- a/brackenladder/http/large_bodies.py
+++ b/brackenladder/http/large_bodies.py
@@ -13,9 +13,9 @@
 LARGE_BODY = 65536  # bytes; bodies up to this size need no reservation
 LARGEST_BODY = 32 << 20
 FIRST_STEP = 256 << 10  # bytes reserved at first for a body of unknown length
-STEP_FACTOR = 4  # growth of that reservation each time it is filled
+STEP_FACTOR = 4  # growth of the reservation for a body of unknown length each time it is filled
 HEAD_TIMEOUT = 2.5  # seconds within which a request's head has to be complete
-# Bytes per second that a body has to arrive with, starting HEAD_TIMEOUT after its head.
+# Bytes per second at which a body has to arrive, starting HEAD_TIMEOUT after its head.
 MIN_BODY_RATE = 32 << 10
 BUDGET_WAIT = 5.0  # seconds after which a body that got no reservation is refused
 
--- a/brackenladder/http/relay.py
+++ b/brackenladder/http/relay.py
@@ -86,9 +86,10 @@
         self.client.transport.write(body)
 
     def check_stalled(self) -> None:
-        """Aborts the relay if no bytes were forwarded for `STALLED` seconds. The client's timeout does not
-        apply: a large response is timed by its first bytes, and must not be cut off while the server still
-        sends.
+        """Aborts the relay if neither side made progress for `STALLED` seconds.
+
+        The client's timeout does not apply: a large response is timed by its first bytes, and must not be cut
+        off while the server still sends.
         """
         left = self.last_progress + STALLED - self.loop.time()
         if left > 0:
--- a/brackenladder/http/server_connection.py
+++ b/brackenladder/http/server_connection.py
@@ -293,7 +293,7 @@
         if self.complete or status < 200:  # surplus bytes, or an interim response
             return
         self.status = status
-        # Known only at this point, before the parser starts afresh.
+        # This has to be read here, before the parser is reset for the next response.
         self.keep = self.parser.should_keep_alive()
         self.complete = True
 
@@ -335,8 +335,7 @@
 
 
 def outcome_of(answer: Answer) -> Outcome:
-    """The outcome of an attempt that received this response. A 503 or 504 without `X-Rejected` may come from
-    a later tier."""
+    """The outcome for a response. A 503 or 504 without `X-Rejected` may come from a later tier."""
     if answer.status == 200:
         return OK
     if answer.status in (503, 504) and answer.rejected:
--- a/brackenladder/http/server_exchange.py
+++ b/brackenladder/http/server_exchange.py
@@ -107,8 +107,7 @@
             self.write(connection)
 
     def write_after_wait(self, connection: Connection) -> None:
-        """Writes the request after pending list updates were read, on another connection if this one was
-        closed.
+        """Writes the request after list updates were read, on another connection if this one was closed.
 
         Written to a closed connection, the request would fail and count against its server.
         """
--- a/brackenladder/http/upstream.py
+++ b/brackenladder/http/upstream.py
@@ -63,7 +63,7 @@
             del endpoints[number]
 
     def update_server(self, number: int, line: Line) -> None:
-        """Applies a server's address and state, and closes connections to an earlier process."""
+        """Applies a server's address and state; closes connections to the server's earlier processes."""
         endpoint = self.pool.endpoints.get(number)
         if line.state != State.READY:
             if endpoint is not None:
@@ -122,7 +122,7 @@
             endpoint.close_idle()
 
     def report(self, text: bytes) -> tuple[float, ...]:
-        """The values of a load report in the settings' order; empty if one is missing or invalid."""
+        """The values of a load report, in the order of the settings; empty if one is missing or invalid."""
         values = dict(pair.strip().partition("=")[::2] for pair in text.decode("latin-1").split(","))
         try:
             report = tuple(
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -26,7 +26,7 @@
     heard_at: int  # when this node, or a peer by its own account, last received a heartbeat of the server
     # Without `cold_for` and `remaining`; None: only the server's end is known.
     last_record: ServerRecord | None = None
-    changed_seq: int = NO_SEQ  # the lowest seq known to have reported the same content
+    changed_seq: int = NO_SEQ  # the lowest seq known to have reported the content of `last_record`
     heartbeat_seq: int = NO_SEQ
     cold_until: int = NEVER
     ends_at: int = NEVER
@@ -77,7 +77,7 @@
             self.heard_at = max(self.heard_at, heard_at)
 
     def confirm(self, heard: HeardServer) -> bool:
-        """Note that a peer saw the current record repeated; False if that record is not known here."""
+        """Note that a heartbeat to a peer repeated the server's record; False if it is not known here."""
         if self.last_record is None or self.last_record.seq < heard.changed_seq:
             return False
         if heard.seq > self.last_record.seq:
--- a/brackenladder/registry/records.py
+++ b/brackenladder/registry/records.py
@@ -44,7 +44,7 @@
     id: str
     seq: int
     age: int  # microseconds since it was received, at the time of sending
-    changed_seq: int  # the lowest `seq` known to have reported the same content
+    changed_seq: int  # the lowest `seq` known to have reported the same content as the newest record
 
 
 def same_content(one: ServerRecord, other: ServerRecord) -> bool:
--- a/brackenladder/sockets/listener.py
+++ b/brackenladder/sockets/listener.py
@@ -45,7 +45,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def is_busy(self) -> bool:
-        """Whether requests are open or wait, or nothing more is read."""
+        """Whether a request is open or waiting, or reading has stopped."""
         raise NotImplementedError
 
     def has_partial_request(self) -> bool:
@@ -64,7 +64,7 @@
         return bool(self.transport is not None and self.transport.get_write_buffer_size())
 
     def gone(self) -> bool:
-        """Whether the client has closed the connection, which may not have been read from the socket yet."""
+        """Whether the client has closed the connection, even if the event loop has not reported it yet."""
         if self.transport is None or self.transport.is_closing():
             return True
         poll = select.poll()
@@ -141,10 +141,11 @@
         self.listen()
 
     def find_evictable(self) -> AcceptedConnection | None:
-        """The connection to close in favour of a new one: without any request, else idle, else stalled.
+        """The connection to close for a new one: preferably without any request, else idle, else stalled.
 
-        Among those of a kind, the one that has been inactive longest. Hundreds of clients that send nothing,
-        or half a request, must not push out clients that are served or have just been accepted.
+        Of several such connections, the one that has been inactive longest is closed. Hundreds of clients
+        that send nothing, or half a request, must not push out clients that are served or have just been
+        accepted.
         """
         now = self.loop.time()
         evictable = [
--- a/brackenladder/storage/sqlite_errors.py
+++ b/brackenladder/storage/sqlite_errors.py
@@ -16,7 +16,7 @@
 
 PRIMARY_CODE = 0xFF  # mask of the primary result code within an extended one
 _ERROR_TYPES: dict[int, type[StoreError]] = {
-    sqlite3.SQLITE_ERROR: StoreCorrupt,  # tables or text that this program does not write
+    sqlite3.SQLITE_ERROR: StoreCorrupt,  # the file has tables or text that this program would not write
     sqlite3.SQLITE_CONSTRAINT: StoreCorrupt,
     sqlite3.SQLITE_FULL: StoreFull,
     sqlite3.SQLITE_CORRUPT: StoreCorrupt,
--- a/brackenladder/storage/sqlite_file.py
+++ b/brackenladder/storage/sqlite_file.py
@@ -81,7 +81,7 @@
 
 
 def create_store(path: str, replica_id: str) -> None:
-    """Creates a store under a temporary name, and renames it to `path` once it is completely durable."""
+    """Creates a store where there is none: it is renamed to `path` once it is completely durable."""
     unfinished = path + _UNFINISHED_SUFFIX
     _remove_with_journals(unfinished)
     with closing(connect(unfinished)) as connection:
