--- a/brackenladder/gateway/context.py
+++ b/brackenladder/gateway/context.py
@@ -22,4 +22,5 @@
     start_gate: StartGate
     held_calls: HeldCalls = field(factory=HeldCalls)
     draining: bool = False
-    intake_closed: bool = False  # requests read from now on are refused: there is no time to serve them
+    # If True, requests read from now on are refused: there is no time left to serve them.
+    intake_closed: bool = False
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -41,7 +41,7 @@
         """Run the attempt; returns after its end has been reported."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Cancel the attempt with this outcome."""
+        """Cancel the attempt, which then ends with this outcome."""
 
     def drop(self) -> None:
         """Discard the attempt before it has started."""
--- a/brackenladder/gateway/events.py
+++ b/brackenladder/gateway/events.py
@@ -39,7 +39,7 @@
         self.rest = b""
 
     def feed_whole(self, data: bytes) -> bytes:
-        """The complete events so far, as one byte string."""
+        """Take more of the body; return the events that are now complete, as one byte string."""
         begin = max(0, len(self.rest) - _END_LENGTH)
         data = self.rest + data if self.rest else data
         last = 0
@@ -49,7 +49,7 @@
         return data[:last]
 
     def feed(self, data: bytes) -> list[Event]:
-        """The complete events so far, one by one."""
+        """Take more of the body; return the events that are now complete, one by one."""
         return split_events(self.feed_whole(data))
 
     def _keep(self, rest: bytes) -> None:
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -48,7 +48,7 @@
         self.order = EventOrder()
         self._successor_call = successor_call
         self._tracks_order = answer.streaming and exchange.route.resumable
-        # Set after no other server could take over a stalled stream: it waits for the current one.
+        # No other server could take over a stalled stream: the relay waits for the current server.
         self._no_successor = False
         self._last_data_at = 0
 
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -33,7 +33,7 @@
 # A request that was sent later than this after SIGTERM has to be answered fully, however long it takes. One
 # that was sent earlier may be aborted at the end of the grace period (rule LOST of the soak test).
 LATEST_EXCUSED_SECONDS = 3.0
-MAX_INTAKE_SECONDS = LATEST_EXCUSED_SECONDS - 0.3  # accepted requests take a while to arrive
+MAX_INTAKE_SECONDS = LATEST_EXCUSED_SECONDS - 0.3  # 0.3 s for requests that are still accepted to arrive
 # Fraction of the grace period, at its end, in which open calls are given up. The soak test's rules excuse a
 # server that is aborted in the last sixth of the period.
 GIVE_UP_FRACTION = 1 / 10
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -98,7 +98,10 @@
 
 
 def _check_homes(call: GatewayCall, record: ServerRecord) -> None:
-    """Check, just before writing, that the server is in a home region, by the platform's own zone table."""
+    """Check, just before writing, that the server is in one of the home regions of the call's routes.
+
+    Its region is looked up in the platform's zone table; a route without home regions allows all of them.
+    """
     region = call.pool.platform.region_of(record.zone)
     for route in (call.exchange.route, call.exchange.newest_route()):
         if route is not None and route.homes and region not in route.homes:
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -375,7 +375,8 @@
         if not self.refusing and not self.owner.closing:
             return False
         if self.waiting:
-            self.reading_stopped = True  # otherwise the shutdown would never end
+            # Otherwise a client that keeps sending could delay the shutdown for ever.
+            self.reading_stopped = True
             self.discard_partial()
         return not self.waiting
 
@@ -433,7 +434,7 @@
         self.owner.loop.call_later(LINGER, self.close_when_flushed, self.owner.loop.time() + FLUSH_TIMEOUT)
 
     def close_when_flushed(self, latest: float) -> None:
-        """Aborts the connection once all is sent, so that slow clients get the end of a large response."""
+        """Aborts the connection once its output is sent, so that slow clients get all of a large response."""
         if self.transport.get_write_buffer_size() and self.owner.loop.time() < latest:
             self.owner.loop.call_later(LINGER, self.close_when_flushed, latest)
         else:
--- a/brackenladder/http/large_bodies.py
+++ b/brackenladder/http/large_bodies.py
@@ -83,7 +83,7 @@
 
 
 def next_step(granted_bytes: int) -> int:
-    """The next reservation for a body of unknown length that has filled `granted_bytes`."""
+    """How many bytes to reserve next for a body of unknown length that has filled `granted_bytes`."""
     return min(max(FIRST_STEP, granted_bytes * STEP_FACTOR), LARGEST_BODY)
 
 
--- a/brackenladder/http/relay.py
+++ b/brackenladder/http/relay.py
@@ -107,7 +107,7 @@
                 self.connection.transport.resume_reading()
 
     def complete(self) -> None:
-        """Ends the relay: the body is complete."""
+        """Ends the relay after the whole body was forwarded."""
         client = self.end()
         if client is not None:
             if self.chunked:
--- a/brackenladder/http/server_connection.py
+++ b/brackenladder/http/server_connection.py
@@ -58,7 +58,7 @@
         """Puts a connection back among the idle ones, for reuse."""
 
     def closed_idle(self, age: float) -> None:
-        """Notes that a server closed a connection that was idle for `age` seconds."""
+        """Notes that a server closed a connection that had been idle for `age` seconds."""
 
     def has_room(self) -> bool:
         """Whether one more connection may be opened."""
@@ -67,7 +67,7 @@
         """Counts a connection that is being opened."""
 
     def lost(self, connection: Connection) -> None:
-        """Counts a connection's end, once."""
+        """Counts a connection's end; does nothing if it is called for the same connection again."""
 
 
 class UnusableAnswer(Exception):
--- a/brackenladder/http/server_pool.py
+++ b/brackenladder/http/server_pool.py
@@ -97,7 +97,7 @@
         self.open += 1
 
     def lost(self, connection: Connection) -> None:
-        """Counts a connection's end, once."""
+        """Counts a connection's end; does nothing if it is called for the same connection again."""
         if connection.counted:
             connection.counted = False
             self.open -= 1
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -7,7 +7,7 @@
 from brackenladder.registry.records import HeardServer, ServerRecord, ServerState, same_content
 
 NO_SEQ = -1  # lower than any sequence number that a server sends
-NEVER = 0  # a point in time that is not known
+NEVER = 0  # stands for a point in time that is not known or was not announced
 COLD_LATER = 50_000  # microseconds; if the cold period ends later by more than this, the record has changed
 # Microseconds; if the cold period ends earlier by more than this, the record has changed.
 COLD_EARLIER = 500_000
--- a/brackenladder/registry/messages.py
+++ b/brackenladder/registry/messages.py
@@ -18,7 +18,7 @@
 
 @frozen
 class ServersHeard:
-    """Heartbeats that changed nothing."""
+    """Heartbeats that left the servers' records unchanged; they show that the servers are alive."""
 
     heard: tuple[HeardServer, ...]
 
--- a/brackenladder/registry/records.py
+++ b/brackenladder/registry/records.py
@@ -31,8 +31,11 @@
     state: ServerState
     seq: int
     software: str = ""
-    cold_for: int = 0  # microseconds for which the server remains cold, at the time of sending
-    remaining: int = -1  # microseconds until it shuts down even if requests are running; -1: not announced
+    # Microseconds, at the time of sending, for which the server remains cold: after its start it has a lower
+    # load limit for a while.
+    cold_for: int = 0
+    # Microseconds until the server shuts down, even if requests are running; -1: not announced.
+    remaining: int = -1
     models: tuple[str, ...] = ()
     expired: bool = False  # in a GONE record: the server timed out and did not deregister
 
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -150,7 +150,7 @@
         return NEVER if entry is None else entry.ends_at
 
     def age(self, now: int, server_id: str) -> int:
-        """Microseconds since the last known heartbeat of a server to any node; 0 if it is not known."""
+        """Microseconds since the last known heartbeat of a server to any node; 0 for an unknown server."""
         entry = self._entries.get(server_id)
         return 0 if entry is None else max(0, now - entry.heard_at)
 
