--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -71,9 +71,9 @@
     revision: int  # log index of the last change; 0: there was none
     document_revision: int  # revision at which the document last changed
     document: bytes = b""
-    compressed: bool = False  # with zlib
+    compressed: bool = False  # whether `document` is compressed with zlib
     evacuated: tuple[str, ...] = ()
-    leader_contact_age: int = UNKNOWN_AGE  # microseconds, at the time of sending
+    leader_contact_age: int = UNKNOWN_AGE  # microseconds since leader contact, at the time of sending
 
 
 @frozen
--- a/brackenladder/gateway/clients.py
+++ b/brackenladder/gateway/clients.py
@@ -165,7 +165,7 @@
         loop = asyncio.get_running_loop()
         super().__init__(message, payload, protocol, payload_writer, task, loop)
         assert isinstance(protocol, ClientProtocol)
-        self.waited = loop.time() - protocol.next_arrival()  # seconds
+        self.waited = loop.time() - protocol.next_arrival()  # seconds behind earlier requests
 
 
 class ClientServer(web.Server):
--- a/brackenladder/gateway/failures.py
+++ b/brackenladder/gateway/failures.py
@@ -7,7 +7,7 @@
 import logbook
 from attrs import define
 
-LOG_INTERVAL = 5_000_000  # microseconds between two lines of a kind
+LOG_INTERVAL = 5_000_000  # microseconds between two log lines about failures of the same kind
 
 
 @define
--- a/brackenladder/gateway/framing.py
+++ b/brackenladder/gateway/framing.py
@@ -32,7 +32,7 @@
     __slots__ = ("_without_body", "_part", "_head", "_left", "_last", "ended", "guessed")
 
     def __init__(self, without_body: bool) -> None:
-        self._without_body = without_body  # the request was a HEAD
+        self._without_body = without_body  # the request was a HEAD, so the response has no body
         self.restart()
 
     @property
--- a/brackenladder/http/front.py
+++ b/brackenladder/http/front.py
@@ -14,7 +14,7 @@
 
 FULL_RETRY_AFTER = 500_000  # microseconds; suggested to clients that were refused because the node is full
 METHODS = {Effect.SAFE: b"GET", Effect.KEYED: b"POST", Effect.UNSAFE: b"POST"}
-# The pool's host by traffic class, tenant's number, target and tenant's name.
+# Chooses the host of a pool by traffic class, tenant's number, target and tenant's name.
 Route = Callable[[int, int, bytes, bytes], Host]
 STATUS = {Failure.GIVEN_UP: 502, Failure.EXPIRED: 504, Failure.FAULT: 500}
 
@@ -99,7 +99,7 @@
         self.tenants = {name.encode(): i for i, name in enumerate(tenants)}
         self.unknown_tenant = len(tenants)  # the number that stands for all tenants not named in the settings
         self.by_connection: dict[ClientConnection, HttpCall] = {}
-        self.by_call_id: dict[bytes, HttpCall] = {}  # by X-Call-Id
+        self.by_call_id: dict[bytes, HttpCall] = {}  # calls by X-Call-Id
 
     def start(self, address: Address) -> None:
         """Binds and listens. Raises OSError if the address can't be bound."""
--- a/brackenladder/registry/exchange.py
+++ b/brackenladder/registry/exchange.py
@@ -47,7 +47,7 @@
         self._gateways_sent_at = now
 
     def settled(self, now: int) -> bool:
-        """Whether this node knows all servers: it ran long enough, or a peer that did so sent it all."""
+        """Whether this node knows all servers: it ran long enough, or a peer that had done so sent it all."""
         return now >= self._settled_at
 
     def peer_connected(self, peer: str) -> None:
