--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -11,7 +11,7 @@
 from brackenladder.registry.messages import GatewaysTold, ServersHeard, ServersTold, ServersWanted
 from brackenladder.registry.records import ServerRecord
 
-UNKNOWN_AGE = 1 << 62  # microseconds; there was no contact with the leader yet
+UNKNOWN_AGE = 1 << 62  # microseconds; means that the time since the last leader contact is not known
 FRESH_AGE = 1_000_000  # microseconds since leader contact up to which a control node's data counts as fresh
 
 
@@ -71,9 +71,9 @@
     revision: int  # log index of the last change; 0: there was none
     document_revision: int  # revision at which the document last changed
     document: bytes = b""
-    compressed: bool = False  # with zlib
+    compressed: bool = False  # whether `document` is compressed with zlib
     evacuated: tuple[str, ...] = ()
-    leader_contact_age: int = UNKNOWN_AGE  # microseconds, at the time of sending
+    leader_contact_age: int = UNKNOWN_AGE  # microseconds since leader contact, at the time of sending
 
 
 @frozen
@@ -111,7 +111,7 @@
 
     revision: int
     addresses: tuple[str, ...]  # "ip:port"
-    zones: tuple[str, ...] = ()  # by address; empty if the sender does not know them
+    zones: tuple[str, ...] = ()  # of the nodes, in the order of `addresses`; empty if not known
 
 
 @frozen
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -27,7 +27,7 @@
 
 
 class RunnableAttempt(Protocol):
-    """An attempt as its call sees it; the call runs it in the task of the client's request."""
+    """The interface of an attempt for its call, which runs it in the task of the client's request."""
 
     @property
     def record(self) -> ServerRecord:
@@ -41,7 +41,7 @@
         """Run the attempt; returns after its end has been reported."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Cancel the attempt with this outcome."""
+        """Cancel the attempt, which then ends with this outcome."""
 
     def drop(self) -> None:
         """Discard the attempt before it has started."""
@@ -60,7 +60,7 @@
 
 
 class ClientExchange(Protocol):
-    """A client's request, as its calls, its attempts and the relay see it."""
+    """The interface of a client's request for its calls, its attempts and the relay of its response."""
 
     @property
     def context(self) -> ExchangeContext:
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -29,7 +29,7 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_BUFFERED_BODY = 1024 * 1024  # bytes; a larger body is relayed as it arrives
-LEAST_CONNECTIONS = 4  # allowed to each server, however small this gateway's share is
+LEAST_CONNECTIONS = 4  # connections allowed to each server, however small this gateway's share is
 CONNECTION_SHARE = 0.8  # the fraction of `MaxConnections` that all gateways together use
 MICROSECONDS_PER_SECOND = 1e6
 END_OF_LINE = b"\r\n"
@@ -98,7 +98,10 @@
 
 
 def _check_homes(call: GatewayCall, record: ServerRecord) -> None:
-    """Check, just before writing, that the server is in a home region, by the platform's own zone table."""
+    """Check, just before writing, that the server is in one of the home regions of the call's routes.
+
+    Its region is looked up in the platform's zone table; a route without home regions allows all of them.
+    """
     region = call.pool.platform.region_of(record.zone)
     for route in (call.exchange.route, call.exchange.newest_route()):
         if route is not None and route.homes and region not in route.homes:
