--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -23,7 +23,7 @@
 from brackenladder.fleet.variants import MODULE_POLICY, files_of, policies
 from brackenladder.rehearsal.checker import RULES
 
-MAX_SEEDS = 10_000  # in one range
+MAX_SEEDS = 10_000  # seeds in one range such as `1-50`
 MAX_NODES = 2_000
 
 
@@ -173,7 +173,7 @@
 
 
 def restore_run(values: dict[str, float], verdicts: dict[str, str]) -> PolicyRun:
-    """Returns the run that `stored_figures` was given, from its stored form."""
+    """Rebuilds a run from the figures that `stored_figures` returned for it, and its verdicts."""
     names = [key.removeprefix("worth ") for key in values if key.startswith("worth ")]
     worths = {name: (values[f"worth {name}"], values[f"weight {name}"]) for name in names}
     return PolicyRun(worths, verdicts, values["nearest"], int(values["faults"]))
--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -73,7 +73,7 @@
                     f"pool {name}: {new_capacity:g} of {old_capacity:g} by weight, with calls open in it",
                 )
             )
-        # Servers that are draining already count too: the limit is for all that are out of service at once.
+        # Servers that were draining before the change count too: the limit is on all servers out of service.
         members = [x for x in lines if contains(before, x) and weight(before, x) > 0]
         out = [x for x in members if x.state != State.READY or not contains(spec, x) or weight(spec, x) == 0]
         leaving = [x for x in out if x.state == State.READY]
--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -13,9 +13,9 @@
 from brackenladder.membership.listing import Line
 
 VERSION = 1
-MAX_PLAN_BYTES = 4 << 20  # bytes
+MAX_PLAN_BYTES = 4 << 20  # largest plan file
 HISTORY = 50  # number of applied changes that are kept
-MAX_NAMED_KEYS = 5  # keys listed in a refusal
+MAX_NAMED_KEYS = 5  # changed keys listed in the refusal of a stale plan
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
--- a/brackenladder/held_calls.py
+++ b/brackenladder/held_calls.py
@@ -12,7 +12,7 @@
 from brackenladder.invariants import VIOLATIONS, Invariant, InvariantChecks
 
 TOLERANCE = 1_000_000  # microseconds for which a call may last past its limit
-LONGEST_STEP = 500_000  # microseconds between two checks that count; longer gaps mean a suspended process
+LONGEST_STEP = 500_000  # microseconds that a longer gap between two checks (after a suspension) counts as
 
 
 class HeldCall:
--- a/brackenladder/invariants.py
+++ b/brackenladder/invariants.py
@@ -22,11 +22,11 @@
 
 
 class Invariant(Enum):
-    """Conditions that must always hold. "Home regions" are the only regions that may serve a route."""
+    """Conditions that must always hold. A route's home regions are the only ones that may serve it."""
 
     DIRECTORY_KEEPS_HOMES = "directory-keeps-homes"  # clients are only sent to home regions of their host
     SERVER_KEEPS_HOMES = "server-keeps-homes"  # requests only go to servers in the route's home regions
-    SERVER_TAKES_REQUESTS = "server-takes-requests"  # none goes to a draining, removed or evacuated server
+    SERVER_TAKES_REQUESTS = "server-takes-requests"  # no request to a draining, removed or evacuated server
     CALL_ENDS_IN_TIME = "call-ends-in-time"  # no call lasts more than a second past its time limit
 
 
--- a/brackenladder/local_site/processes.py
+++ b/brackenladder/local_site/processes.py
@@ -14,8 +14,8 @@
 import brackenladder
 from brackenladder.local_site.layout import GRACE_S, Layout, Machine
 
-RESTART_SECONDS = 1.0  # before an ended process is started again
-KILL_MARGIN_SECONDS = 2.0  # beyond the grace period, before SIGKILL
+RESTART_SECONDS = 1.0  # pause before an ended process is started again
+KILL_MARGIN_SECONDS = 2.0  # time after the grace period until a process gets SIGKILL
 PACKAGE_ROOT = Path(brackenladder.__file__).parents[1]
 
 
--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -16,7 +16,7 @@
 OPERATOR_SOCKETS = 20  # descriptors for the operator listener, its connections and its files
 RESERVED_SOCKETS = 32  # descriptors for the event loop, the listener, UDP, discovery, the standard streams
 BULK_SHARE = 0.43  # share of the memory limit that large bodies may use
-HELD_SHARE = 8  # 1/8 of the memory limit may be used by client requests
+HELD_SHARE = 8  # client requests, without large bodies, may use 1/8 of the memory limit
 MIN_CONNECTIONS = 8
 
 
@@ -31,7 +31,7 @@
     name: str
     listen: Address
     discovery: Address
-    filed_discovery: object  # the value in the file; the environment may override it
+    filed_discovery: object  # `discovery` as the file has it; the environment may override it
     seed: int
     connections: int  # descriptors for connections of clients and servers together
     most_held: int  # limit in bytes of client requests in memory
@@ -45,10 +45,10 @@
     tenants: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    connect_timeout: float  # seconds
+    connect_timeout: float  # seconds to establish a connection to a server
     idle_time: float  # seconds after which a server closes an idle connection
     inline_reports: bool
-    report_names: tuple[tuple[str, str], ...]  # of load reports: the name in the settings, the internal one
+    report_names: tuple[tuple[str, str], ...]  # load reports: (name in the settings, internal name)
     door: Address | None = None  # the address of the operator listener
     passed: int | None = None  # the descriptor of an inherited listening socket
     folder: str | None = None  # private directory shared by the old and the new process of a restart
--- a/brackenladder/node/control_links.py
+++ b/brackenladder/node/control_links.py
@@ -46,7 +46,7 @@
         self._relay_choice = relay_choice
         self._on_notices = on_notices
         self._relay = ""  # the control node that relays prefix notices; empty if none is linked
-        # Whether notices from other gateways have arrived: cached prefixes, or that none are known.
+        # Whether a message with other gateways' prefix notices has arrived, even one without any notice.
         self.has_prefix_notices = False
         self._seeds: tuple[str, ...] = ()
         self._known: tuple[str, ...] = ()  # the list of control nodes that the links were last chosen from
--- a/brackenladder/node/control_socket.py
+++ b/brackenladder/node/control_socket.py
@@ -18,9 +18,9 @@
 from brackenladder.node.pools import Pools
 
 VERSION = 1
-MAX_LINE_BYTES = 2 * MAX_PLAN_BYTES  # twice, as the plan is escaped in a JSON string
+MAX_LINE_BYTES = 2 * MAX_PLAN_BYTES  # a plan is sent as a JSON string, whose escapes can double its length
 TIMEOUT = 10.0  # seconds to receive a complete line or to send the reply
-MAX_CLIENTS = 8  # open connections
+MAX_CLIENTS = 8  # connections that may be open at the same time
 
 
 class ControlRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -37,7 +37,8 @@
     def __init__(self, pools: Pools, table: ControlTable, log: Callable[[str], None]) -> None:
         self.pools = pools
         self.members: Callable[[], dict[str, Any]] | None = None  # returns the status of the other nodes
-        self.recovery: Callable[[], dict[str, Any]] | None = None  # returns the generation and the phase
+        # Returns the state's generation and the phase of recovery.
+        self.recovery: Callable[[], dict[str, Any]] | None = None
         self.path = table.socket
         self.users = {os.getuid(), 0, *table.users}
         self.audit = table.audit
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -26,7 +26,7 @@
 from brackenladder.transport.tcp import TcpTransport
 
 TICK_SECONDS = 0.2
-STARTING_TICK_SECONDS = 0.05  # until the view is complete; shorter, so that the gateway is ready sooner
+STARTING_TICK_SECONDS = 0.05  # instead of `TICK_SECONDS` until the gateway is ready, to notice that sooner
 PREFIX_NOTICES_TIMEOUT = 300_000  # microseconds that a starting gateway waits for other gateways' notices
 NOTICE_SECONDS = 0.01  # prefix notices within this time are sent in one message
 
@@ -42,7 +42,8 @@
     """The clocks, random numbers, links and sockets that a gateway uses. Simulations replace them."""
 
     clock: Callable[[], int] = monotonic_microseconds
-    wall_clock: Callable[[], int] = lambda: time.time_ns() // 1000  # microseconds; identifies this start
+    # Microseconds. The value at the start identifies this run of the process.
+    wall_clock: Callable[[], int] = lambda: time.time_ns() // 1000
     random: Callable[[], Random] = Random
     transport: Callable[[str], Transport] = _tcp_transport  # called with the node's name
     open_socket: OpenSocket = server_socket
@@ -80,13 +81,17 @@
         )
         self._timer: asyncio.TimerHandle | None = None
         self._unreadable_logged = 0  # the last revision that was logged as unreadable
-        self._complete_at: int | None = None  # when the view first became complete
+        self._complete_at: int | None = None  # when the wait for only the prefix notices began
         self._loop: asyncio.AbstractEventLoop
         self._transport: Transport
         self._links: ControlLinks
 
     async def start(self) -> None:
-        """Starts listening and connects to the control nodes. Ready once the view is complete."""
+        """Starts listening and connects to the control nodes.
+
+        It reports ready once it has the configuration and, unless these time out, the server list and other
+        gateways' prefix notices.
+        """
         self._loop = asyncio.get_running_loop()
         self._transport = self._environment.transport(self._platform.node_name)
         self._links = ControlLinks(
@@ -106,7 +111,7 @@
         self._tick()
 
     def reload(self, platform: Platform) -> None:
-        """Applies the seeds of changed settings."""
+        """Applies changed seeds: the addresses of the control nodes to contact first."""
         self._platform = platform
         self._links.set_seeds(platform.seed_inner_addresses)
 
--- a/brackenladder/node/handover.py
+++ b/brackenladder/node/handover.py
@@ -12,7 +12,7 @@
 from brackenladder.operations.maintenance import Maintenance
 from brackenladder.storage.handover import HandoverError, read_handover, write_handover
 
-WRITE_INTERVAL = 1.0  # seconds
+WRITE_INTERVAL = 1.0  # seconds between two writes of the list
 MAX_SERVERS = 1000  # writing a longer list would block the event loop; the successor then asks discovery
 
 
--- a/brackenladder/node/http.py
+++ b/brackenladder/node/http.py
@@ -25,7 +25,7 @@
     log: Log,
     stray_log: Log,
 ) -> Pool:
-    """Creates the pool of HTTP servers. Half of the connections are for servers."""
+    """Creates the pool of HTTP servers, which may use half of `config.connections`."""
     settings = config.settings
     upstream = HttpUpstream(
         loop,
@@ -56,7 +56,10 @@
 def http_front(
     config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, ready: Callable[[], bool], log: Log
 ) -> HttpFront:
-    """Creates the front. The other half of the connections is for clients. `ready` answers `/ready`."""
+    """Creates the front. Clients may use the half of `config.connections` that servers don't use.
+
+    `ready` is called to answer `/ready`.
+    """
     front = HttpFront(pool.host, config.classes, config.tenants, ready, log.line)
     max_clients = config.connections - config.connections // 2
     front.clients = ClientConnections(loop, max_clients, config.most_held, config.most_bulk, front)
--- a/brackenladder/node/listener.py
+++ b/brackenladder/node/listener.py
@@ -18,7 +18,7 @@
         """Listens on an inherited socket, given as a descriptor. Raises OSError if it isn't a socket."""
 
     def set_service_stage(self, service: ServiceStage) -> None:
-        """Applies the state that an operator's pause has reached. Called repeatedly during a pause."""
+        """Applies the stage that an operator's pause has reached. Called repeatedly during a pause."""
 
     async def drain(self) -> None:
         """Shuts down after answering the accepted requests."""
--- a/brackenladder/node/log.py
+++ b/brackenladder/node/log.py
@@ -19,7 +19,7 @@
 
     def __init__(self, name: str, limit: int) -> None:
         self.name = name
-        self.limit = limit  # lines per second
+        self.limit = limit  # most lines written per second
         self.left = limit
         self.second = 0
         self.omitted = 0
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -19,9 +19,9 @@
 from brackenladder.node.operator import MembersTable, OperatorError
 from brackenladder.peers.datagrams import PeerDatagrams
 
-MAX_KEYS = 2  # two during a key rotation
+MAX_KEYS = 2  # the old and the new key during a key rotation
 KEY_BYTES = (16, 64)
-MAX_FILE_BYTES = 4096  # of the key file
+MAX_FILE_BYTES = 4096  # largest key file
 COUNT_INTERVAL = 10  # ticks between two counts of the live nodes
 
 
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -178,7 +178,8 @@
         if self.handover is not None:
             self.handover.start()
         if self.config.passed is not None:
-            # Without a server list yet, it would accept requests that its predecessor can still serve.
+            # Without a server list yet, this process would accept requests that it can't serve but that its
+            # predecessor, which still listens, can.
             deadline = self.loop.time() + LIST_TIMEOUT
             while not self.ready() and self.loop.time() < deadline:
                 await asyncio.sleep(LIST_POLL_INTERVAL)
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -86,7 +86,10 @@
             self.pool.roster.apply_listing(self.maintenance.listing_for(servers, 0))
 
     def hold(self, call: OperatorCall) -> bytes:
-        """Suspends or restores a server. The other process's file is written before the reply."""
+        """Suspends or restores a server.
+
+        The hold is written to the file that the node's processes share before the reply is sent.
+        """
         maintenance, now = self.maintenance, time_ns() // 1000
         try:
             with self.file.locked() if self.file is not None else nullcontext():
@@ -104,7 +107,8 @@
         except TooManyHolds:
             return format_answer(False, "too many servers are held back")
         except HoldsError as e:
-            # It is applied in this process. The reply tells the operator that a successor won't know of it.
+            # The hold is in force in this process but couldn't be written to the file. The error reply tells
+            # the operator that a process which takes over at a restart won't know of the hold.
             self.log(str(e))
             return format_answer(False, str(e))
         return format_answer(True)
@@ -132,7 +136,7 @@
         return format_answer(True)
 
     def update_pause(self) -> None:
-        """Passes the state that the pause has reached to the fronts."""
+        """Tells the fronts which stage the pause has reached."""
         if self.pause_timer is not None:
             self.pause_timer.cancel()
             self.pause_timer = None
--- a/brackenladder/node/operator.py
+++ b/brackenladder/node/operator.py
@@ -34,7 +34,7 @@
 
 
 class MethodTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A method: its class, and the paths of other values in the params, such as `0.key`."""
+    """A method: its class, and the paths (as `0.key`) in the params of tenant, budget and idempotency key."""
 
     klass: str = msgspec.field(name="class")
     tenant: str = ""
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -80,9 +80,8 @@
         self.host.messenger = messenger
         self.has_listing = False  # whether a server list has arrived
         self.admit: Callable[[Listing], Listing] | None = None  # applies operators' suspensions to a list
-        self.distribute: Callable[[Listing], None] | None = (
-            None  # hands it to several pools in place of this one
-        )
+        # Passes a listing to all HTTP pools. None: a listing is applied to this pool only.
+        self.distribute: Callable[[Listing], None] | None = None
 
     def start(self) -> None:
         """Starts the host and the source of the list."""
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -30,16 +30,16 @@
 
 
 class NullDirectory:
-    """The directory and list consumer of pools other than the default one.
+    """Stands in for the server list's source and for the upstream in pools other than the default one.
 
     Only the default pool requests the server list, and `Pools.distribute` updates the upstream for all pools.
     """
 
     def watch(self, on: bool) -> None:
-        """Does nothing: the default pool watches."""
+        """Does nothing: the default pool watches the server list."""
 
     def fetch(self) -> None:
-        """Does nothing: the default pool fetches."""
+        """Does nothing: the default pool requests the server list."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
         """Does nothing: `Pools.distribute` has updated the upstream."""
@@ -89,10 +89,11 @@
         self.state = DEFAULT_STATE
         self.latest_list: LatestList | None = None
         self.history: tuple[AppliedChange, ...] = ()
-        self.pools_per_server: dict[str, int] = {}  # by server id; empty if there is only one pool
+        # Number of pools by server id; empty if there is only one pool.
+        self.pools_per_server: dict[str, int] = {}
         self.routed_pools = {DEFAULT: RoutedPool(DEFAULT, PoolSpec(), first.host, config, self)}
         self.changed: Callable[[], None] = lambda: None  # called after each applied plan
-        self.closed = False  # every request is refused at once
+        self.closed = False  # while true, every request is refused at once
         self.draining: list[RoutedPool] = []  # removed pools, until their last call has ended
         self.random_fraction = random.random  # splits traffic; needs no secure or seeded source
         self.router = Router((), config.classes, config.tenants)
@@ -217,7 +218,7 @@
             if selectors_before != {name: selector(spec) for name, spec in desired.pools.items()}:
                 self.pools_per_server.clear()
                 self.count_pools(whole.lines)
-                before = {}  # the number of a server's pools may have changed, so update all pools
+                before = {}  # a server may now be in more or fewer pools, so update all pools
             for name, pool in self.routed_pools.items():
                 if before.get(name) != pool.spec:
                     pool.apply_pool_listing(whole)
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -30,10 +30,10 @@
 from brackenladder.recovery.startup import Phase, StartupRecovery
 from brackenladder.storage.state_store import SavedState, StateStore
 
-POLL_INTERVAL = 0.05  # seconds
+POLL_INTERVAL = 0.05  # seconds between two checks of the progress of recovery
 PING_INTERVAL = 500_000  # microseconds between two rounds of pinging nodes that haven't answered
-MAX_PINGS = 24  # pinged nodes per round
-COUNTER_LIMIT = 1 << 32  # counters of generations are below it
+MAX_PINGS = 24  # nodes pinged in one round
+COUNTER_LIMIT = 1 << 32  # the counter of a generation is always smaller
 
 
 class Recovery:
@@ -90,7 +90,7 @@
             self.known.forget(number)
         newest = self.known.newest(self.mine)
         if newest.digest == self.mine.digest and newest.counter > self.counter:
-            self.counter = newest.counter  # the same state with a higher counter
+            self.counter = newest.counter  # another node has the same state with a higher counter
             self.save()
         unheard = [n for n in self.members.detector.others if n not in self.known.heard]
         phase = self.startup.update(now, self.mine, self.known, self.refused, len(unheard))
--- a/brackenladder/node/replica_store.py
+++ b/brackenladder/node/replica_store.py
@@ -21,7 +21,7 @@
 OPEN_RETRY_SECONDS = 0.3
 TRANSIENT_ERRORS = (StoreFailed, StoreFull, StoreInUse)
 CORRUPT_TRIES = 2  # a store counts as damaged only if it is found corrupt twice
-MAX_SET_ASIDE = 2  # stores per start; if new stores get damaged too, the disk is unusable
+MAX_SET_ASIDE = 2  # damaged stores moved aside per start; if more get damaged, the disk is unusable
 
 log = logbook.Logger("store")
 
@@ -36,7 +36,7 @@
 
 
 Opened = Result[OpenedStore, StoreError]
-NewReplicaId = Callable[[bool], str]  # called with whether a damaged store was moved aside in the folder
+NewReplicaId = Callable[[bool], str]  # gets whether a damaged store was moved aside in the folder
 
 
 async def open_replica_store(folder: str, new_replica_id: NewReplicaId) -> OpenedStore:
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -19,7 +19,7 @@
 from brackenladder.rpc.upstream import RpcUpstream, UpstreamLimits
 
 IDLE_MARGIN = 0.3  # idle connections are closed this many seconds before the server would close them
-MIN_HTTP_CONNECTIONS = 8  # descriptors that must be left for HTTP
+MIN_HTTP_CONNECTIONS = 8  # connections that must be left for HTTP after RPC has taken its sockets
 
 
 def message_limits(table: RpcTable) -> MessageLimits:
@@ -31,7 +31,7 @@
 ) -> Pool:
     """Creates the pool of RPC servers, without probes and without messages between nodes.
 
-    Half of the table's sockets are for servers.
+    Its connections to servers may use half of `table.sockets`, those of clients the other half.
     """
     settings = replace(
         config.settings, probes=False, peers=False, list_on_request=table.discovery is not None
@@ -70,7 +70,7 @@
 def rpc_front(
     table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, stray_log: Log
 ) -> RpcFront:
-    """Creates the RPC front. The other half of the sockets is for clients."""
+    """Creates the RPC front. Clients may use the half of `table.sockets` that servers don't use."""
     limits = FrontLimits(
         message_limits(table),
         table.client_calls,
--- a/brackenladder/operations/calls.py
+++ b/brackenladder/operations/calls.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-MAX_CALL_BYTES = 512  # with the line end
+MAX_CALL_BYTES = 512  # longest call, including the line end
 CALLS_WITHOUT_ARGUMENT = ("STATUS", "PAUSE", "RESUME")
 CALLS_ON_A_SERVER = ("SUSPEND", "RESTORE")
 
--- a/brackenladder/operations/pause.py
+++ b/brackenladder/operations/pause.py
@@ -4,8 +4,10 @@
 
 from enum import IntEnum
 
-CLOSING_AFTER = 0.6  # the proxy in front notices a pause within 0.1 s and opens connections for 0.2 s more
-REFUSING_AFTER = 1.8  # 2 s after a pause begins, no later request may be open and no connection idle
+# The proxy in front of the node notices a pause within 0.1 s and may open connections for 0.2 s more.
+CLOSING_AFTER = 0.6
+# From 2 s after the start of a pause, no newer request may be open and no connection may be idle.
+REFUSING_AFTER = 1.8
 ENDING_AFTER = 3.0
 
 
--- a/brackenladder/operator_client/control_client.py
+++ b/brackenladder/operator_client/control_client.py
@@ -21,13 +21,14 @@
 from brackenladder.control_plane.status import ControlStatus
 from brackenladder.operator_client.errors import ControlError, NoAnswer, Refusal
 
-# For one request. A node may wait 2.5 s for the outcome of an order before it answers that it is unknown.
+# Limit of one request. A control node may wait 2.5 s for the outcome of a change before it answers that
+# the outcome is unknown.
 CALL_TIMEOUT_SECONDS = 4.0
 DEFAULT_TIMEOUT_SECONDS = 15.0
 FIRST_RETRY_PAUSE_SECONDS = 0.1
 MAX_RETRY_PAUSE_SECONDS = 1.0
 MAX_REDIRECTS = 2
-RETRYABLE_STATUSES = frozenset({408, 429})  # and every 5xx: another node may have a definite answer
+RETRYABLE_STATUSES = frozenset({408, 429})  # these and every 5xx: another node may have a definite answer
 
 
 @frozen
--- a/brackenladder/operator_client/errors.py
+++ b/brackenladder/operator_client/errors.py
@@ -11,7 +11,7 @@
     """The exit status of the process."""
 
     SUCCESS = 0
-    FAILED = 1  # refused, damaged, different, without quorum, or no node answered
+    FAILED = 1  # change refused, store damaged, difference found, no quorum or no answer
     USAGE_ERROR = 2  # invalid arguments or files
 
 
--- a/brackenladder/platform_settings.py
+++ b/brackenladder/platform_settings.py
@@ -62,8 +62,8 @@
 class ProcessLimits:
     """The resources that the process may use."""
 
-    cpu_share: PositiveFloat = named("CpuShare", 1.0)  # of one core
-    cores: PositiveFloat = named("Cores", 1)  # the speed of that core as a multiple of a normal one
+    cpu_share: PositiveFloat = named("CpuShare", 1.0)  # share of one core that the process may use
+    cores: PositiveFloat = named("Cores", 1)  # speed of the core, as a multiple of a reference core
     memory_mb: NonNegativeInt = named("MemoryMb", 256)
     max_fds: NonNegativeInt = named("MaxFds", 1024)
     link_mbps: NonNegativeFloat = named("LinkMbps", 1000.0)
@@ -125,7 +125,7 @@
     zone: str
     region: str
     ports: PortRange
-    seeds: tuple[str, ...] = ()  # `Control` addresses, as `ip:port`
+    seeds: tuple[str, ...] = ()  # `Control` addresses (`ip:port`) of the control nodes to contact first
     bootstrap: bool = False  # set at the very first start of the system, when all disks are empty
     counts_for_quorum: bool = False
     data_dir: str = ""  # empty: the process has no disk
--- a/brackenladder/rpc/call.py
+++ b/brackenladder/rpc/call.py
@@ -12,7 +12,7 @@
 IN_DOUBT = (
     "refused",
     "failed",
-)  # first words of errors from another node of this program, whose own attempts may have run
+)  # first words of errors of a server that is itself a node of this program: its attempts may have run
 
 
 class Reply:
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -60,7 +60,7 @@
 
     def released(self) -> None:
         if self.msgid is None:
-            # A notification has no response, so calls that wait for it to end are resumed here.
+            # A notification has no response that would resume pending messages, so they are resumed here.
             self.client.notifications.discard(self)
             self.client.on_call_ended()
         elif self.client.calls.get(self.msgid) is self:
@@ -79,7 +79,7 @@
         self.reply(self.last_error or PACK(["failed", FAILURE_TEXTS[why]]), NIL)
 
     def gone(self) -> bool:
-        if self.msgid is None or not self.client.gone():  # a notification doesn't depend on its client
+        if self.msgid is None or not self.client.gone():  # a notification runs even after its client has left
             return False
         self.client.abandon()
         return True
@@ -102,9 +102,9 @@
         self.calls: dict[int, ClientCall] = {}  # open calls by msgid
         self.notifications: set[ClientCall] = set()
         self.ending = False  # no longer reads; closes once all calls are answered
-        self.write_full = False  # the client doesn't read its responses
+        self.write_full = False  # the client reads its responses too slowly, so the write buffer is full
         self.stall_timer: asyncio.TimerHandle | None = None
-        self.pending: list[Message] = []  # received, but over the limit of open calls
+        self.pending: list[Message] = []  # received but not processed yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -278,7 +278,7 @@
         self.host.take(call)
 
     def set_service_stage(self, service: ServiceStage) -> None:
-        """Applies the step that an operator's pause has reached."""
+        """Applies the stage that an operator's pause has reached."""
         self.service = service
         if service >= ServiceStage.REFUSING:
             self.close_idle(service >= ServiceStage.ENDING)
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -8,8 +8,8 @@
 
 from brackenladder.interface import ClassSettings, Effect
 
-MAX_STEPS = 8  # steps of a path
-MAX_BUDGET = 3_600_000  # milliseconds
+MAX_STEPS = 8  # longest path, in array indexes and map names
+MAX_BUDGET = 3_600_000  # longest budget that a call may give, in milliseconds
 
 Path = tuple[int | str, ...]
 
@@ -28,9 +28,10 @@
 
 @dataclass(frozen=True)
 class Method:
-    """A method: its class, and the paths of other values in the params (empty: not given).
+    """A method: its class, and the paths in the params of the tenant, the budget and the idempotency key.
 
-    `failures` match the errors that mean a server failure and aren't an application's response.
+    An empty path means that calls don't give the value. `failures` match the errors that mean a server
+    failure; any other error is a response of the application.
     """
 
     klass: int
@@ -120,8 +121,8 @@
         self.table = dict(table)
         self.classes = classes
         self.tenants = {name: i for i, name in enumerate(tenants)}
-        self.tenant = self.tenants.get(tenant, len(tenants))  # for calls without one
-        self.budget = budget  # microseconds, for calls without one
+        self.tenant = self.tenants.get(tenant, len(tenants))  # of calls that name no tenant
+        self.budget = budget  # of calls that give no budget; microseconds
 
     def get(self, name: str) -> Method | None:
         return self.table.get(name)
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -33,7 +33,7 @@
     pipeline: int
     connections: int
     all: int
-    connect_timeout: float  # seconds
+    connect_timeout: float  # seconds to establish a connection
     idle: float  # seconds until an unused connection is closed, which should be before its server closes it
 
 
@@ -78,7 +78,7 @@
         self.open_exchanges: dict[
             int, Exchange | None
         ] = {}  # by msgid; None if given up: the msgid stays reserved
-        self.silent_since: float | None = None  # when a call was given up, if nothing was received since
+        self.silent_since: float | None = None  # when a call was first given up since the last received bytes
         self.partially_written: Exchange | None = None  # the kernel hasn't taken its write completely
         self.paused = False
         self.last_msgid = 0
@@ -177,7 +177,7 @@
     def has_room(self) -> bool:
         """Whether another call may be written now.
 
-        Not if the current response has stopped partway, as further responses would have to wait for it.
+        False also while a response has stopped partway, as further responses would have to wait for its rest.
         """
         if self.may_be_dead():
             return False
@@ -189,7 +189,7 @@
         return len(self.open_exchanges) < self.upstream.limits.pipeline and not self.response_stalled()
 
     def has_unexpected_input(self) -> bool:
-        """Whether a connection without calls has a close or stray bytes in its socket, unread.
+        """Whether a connection without calls has unread input: stray bytes or the server's close.
 
         A call written to a connection that the server has closed would count as one that may have run.
         """
@@ -207,7 +207,7 @@
         call = exchange.call
         if call.msgid is None:
             self.transport.write(notification(call.name, call.raw_params))
-            exchange.end(Outcome.CANCELLED)  # it may have run; there is no response
+            exchange.end(Outcome.CANCELLED)  # a notification gets no response, and it may have run
             return
         msgid = self.msgid()
         self.open_exchanges[msgid] = exchange
@@ -246,7 +246,7 @@
         self.silent_since = None
         for message in self.reader.feed(data):
             if not isinstance(message, Response) or message.msgid not in self.open_exchanges:
-                # After a response to a call that wasn't sent, later responses can't be trusted either.
+                # A response to no open call: the server's later responses can't be trusted either.
                 self.upstream.log(f"rpc server {self.endpoint.host}:{self.endpoint.port}: unexpected message")
                 self.abort()
                 return
--- a/brackenladder/system/local/local_system.py
+++ b/brackenladder/system/local/local_system.py
@@ -26,9 +26,9 @@
 from brackenladder.rehearsal.standins.heartbeats import Heartbeats
 from brackenladder.rehearsal.standins.model_server import ModelServer, ServerSettings
 
-STARTUP_TIMEOUT_SECONDS = 30.0  # for the whole system to become ready, and for each later condition
+STARTUP_TIMEOUT_SECONDS = 30.0  # limit until the system is ready, and for each later wait
 POLL_INTERVAL_SECONDS = 0.05
-READY_CHECK_TIMEOUT_SECONDS = 1.0  # for one HTTP request to a gateway or directory
+READY_CHECK_TIMEOUT_SECONDS = 1.0  # limit of one HTTP request to a gateway or directory
 
 
 class LocalError(Exception):
--- a/brackenladder/system/local/run.py
+++ b/brackenladder/system/local/run.py
@@ -20,7 +20,7 @@
 from brackenladder.system.local.local_system import LocalSystem
 from brackenladder.system.local.traffic import Traffic
 
-FAULT_AFTER_SECONDS = 3.0  # of traffic before the fault
+FAULT_AFTER_SECONDS = 3.0  # duration of traffic before the fault is injected
 
 
 @frozen
--- a/brackenladder/system/simulate_command.py
+++ b/brackenladder/system/simulate_command.py
@@ -19,8 +19,8 @@
 from brackenladder.simulation.schedules import DESCRIPTIONS, run_schedule
 from brackenladder.system.output import print_line, print_to_stderr
 
-PROGRESS_INTERVAL = 50  # schedules
-SEED_LIMIT = 1 << 40  # exclusive
+PROGRESS_INTERVAL = 50  # schedules between two progress lines
+SEED_LIMIT = 1 << 40  # every seed is smaller
 DEFAULT_TRIES = 400  # schedules within which a planted fault must be found
 _SEEDS = re.compile(r"(\d+)(?:-(\d+))?")
 
--- a/brackenladder/system/store_report.py
+++ b/brackenladder/system/store_report.py
@@ -33,7 +33,7 @@
     snapshot_bytes: int
     first_index: int
     last_index: int
-    entries: dict[str, int]  # by kind
+    entries: dict[str, int]  # number of log entries by kind
     entry_bytes: int
     members: Members
     revision: int
--- a/brackenladder/transport/keepalive.py
+++ b/brackenladder/transport/keepalive.py
@@ -16,7 +16,7 @@
 
     last_sent_at: float
     last_received_at: float
-    grace_given: bool  # its silence limit has been extended once since it last received anything
+    grace_given: bool  # the silence limit has been extended since the link last received anything
 
     def ping(self, now: float) -> None:
         """Sends a ping unless other bytes are already waiting to be sent."""
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -38,10 +38,10 @@
     retry_min: int = 50_000  # first pause between connection attempts; doubles with each failure
     retry_max: int = 500_000  # longest pause between attempts
     refused_pause: int = 60_000  # longest pause after ECONNREFUSED: the host is up, its process restarts
-    refused_tries: int = 25  # refusals in a row with the short pause; later ones back off like other failures
-    stable_after: int = 1_000_000  # a link that was open for this long resets the pause
+    refused_tries: int = 25  # refusals in a row with the short pause; then it grows up to `retry_max`
+    stable_after: int = 1_000_000  # a link open for this long resets the pause to `retry_min`
     listen_timeout: int = 10_000_000  # how long binding is retried while the address is in use
-    listen_retry: int = 100_000  # pause between these retries
+    listen_retry: int = 100_000  # pause between attempts to bind
     close_grace: int = 500_000  # time for the links of a closing transport to send their queued messages
 
 
@@ -50,8 +50,8 @@
     """Limits on the resources that links may use."""
 
     queue_bytes: int = 8 << 20  # per link: queued bytes that the kernel hasn't taken yet
-    frame_bytes: int = 16 << 20  # a frame's body
-    hello_bytes: int = 1 << 10  # the body of the hello frame
+    frame_bytes: int = 16 << 20  # largest body of a frame
+    hello_bytes: int = 1 << 10  # largest body of the hello frame
     incoming: int = 512  # accepted connections of a transport that may be open at the same time
 
 
--- a/brackenladder/transport/memory.py
+++ b/brackenladder/transport/memory.py
@@ -13,8 +13,8 @@
 from brackenladder.transport.link import LinkHandler, LinkLimits, OnRefused, ProtocolVersions
 from brackenladder.transport.memory_link import Ending, Event, MemoryLink, Opening
 
-FIRST_FREE_PORT = 20_000  # for listeners on port 0
-FIRST_DIALING_PORT = 40_000  # for the dialling ends of links
+FIRST_FREE_PORT = 20_000  # first port given to a listener on port 0
+FIRST_DIALING_PORT = 40_000  # first port given to the dialling end of a link
 EVENT_LIMIT = 100_000  # most events that one `run` delivers
 
 
@@ -42,7 +42,7 @@
     def __init__(self, codec: Codec | None = None) -> None:
         self.codec = codec
         self._events: deque[Event] = deque()
-        self._delayed: list[Event] = []  # by cuts
+        self._delayed: list[Event] = []  # events that a cut holds back
         self._cuts: set[tuple[str, str]] = set()
         self._listeners: dict[str, Listener] = {}
         self._dialers: list[MemoryDialer] = []
@@ -59,7 +59,10 @@
         return len(self._events) + len(self._delayed)
 
     def deliver(self, count: int = 1) -> int:
-        """Delivers up to `count` events, oldest first. Returns how many it delivered; cuts delay others."""
+        """Delivers up to `count` events, oldest first.
+
+        Events across a cut are set aside and not counted. Returns the number of delivered events.
+        """
         done = 0
         while done < count and self._events:
             event = self._events.popleft()
@@ -106,7 +109,7 @@
         self._release()
 
     def expire_silent(self) -> None:
-        """Ends the links that receive nothing: those across a cut and those to a node without power."""
+        """Simulates the silence timeout at link ends that receive nothing due to a cut or a power loss."""
         for link in self._open_links():
             if link.other in self._powered_off_links or (link.peer, link.owner) in self._cuts:
                 link.abort(LinkClosed.SILENT)
@@ -222,7 +225,7 @@
     dialer: MemoryDialer
 
     def happen(self) -> None:
-        """Runs the attempt."""
+        """Makes the connection attempt."""
         self.dialer.attempt()
 
 
--- a/brackenladder/transport/memory_link.py
+++ b/brackenladder/transport/memory_link.py
@@ -17,8 +17,8 @@
 class Event:
     """An event that happens when the test delivers it. Cuts don't delay events from a node to itself."""
 
-    sender: str  # name of the node that sent it
-    receiver: str  # name of the node where it takes effect
+    sender: str  # name of the node that caused the event
+    receiver: str  # name of the node where the event takes effect
 
     @property
     def direction(self) -> tuple[str, str]:
@@ -56,7 +56,7 @@
         self.peer = ""
         self.version = 0
         self.opened = False
-        self.was_reset = False  # messages that it sent and that are still in transit are lost
+        self.was_reset = False  # if true, messages in transit from this end are lost
         self.queued_bytes = 0
         self._codec = codec
         self._limits = limits
@@ -163,7 +163,7 @@
 
 @frozen(eq=False)
 class Opening(Event):
-    """The completion of the handshake at one end, `link`."""
+    """The handshake is complete at `link`, one of the two ends."""
 
     link: MemoryLink
 
@@ -174,7 +174,7 @@
 
 @frozen(eq=False)
 class Delivery(Event):
-    """The arrival of a message from `source` at the other end."""
+    """A message sent by the end `source` arrives at the other end."""
 
     source: MemoryLink
     payload: object
@@ -189,7 +189,7 @@
 
 @frozen(eq=False)
 class Ending(Event):
-    """The end of a link at one end, `link`."""
+    """The link closes at `link`, one of the two ends."""
 
     link: MemoryLink
     reason: LinkClosed
--- a/brackenladder/transport/type_codec.py
+++ b/brackenladder/transport/type_codec.py
@@ -48,7 +48,7 @@
         try:
             self._add_fields(record, message_type)
         except BaseException:
-            self._records.clear()  # other codecs built meanwhile may refer to the incomplete one
+            self._records.clear()  # codecs of nested classes may refer to this incomplete one
             raise
         return record
 
