--- a/brackenladder/cli/experiment.py
+++ b/brackenladder/cli/experiment.py
@@ -32,7 +32,7 @@
 from brackenladder.fleet.variants import VariantError, files_of, variant
 from brackenladder.rehearsal.scenario import Scenario, ScenarioError, load, shipped
 
-PIPE_WIDTH = 200  # columns of a table when the output is not a terminal
+PIPE_WIDTH = 200  # width in characters of a table if the output is not a terminal
 
 
 def load_experiment(file: str) -> tuple[Experiment, Scenario]:
--- a/brackenladder/cli/members.py
+++ b/brackenladder/cli/members.py
@@ -12,7 +12,7 @@
 
 from brackenladder.cli.control import FAILED, NodeError, call_node
 
-POLL_INTERVAL_SECONDS = 1.0  # between two queries with --follow
+POLL_INTERVAL_SECONDS = 1.0  # pause between two queries with --follow
 STYLES = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim"}
 
 
--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -14,11 +14,11 @@
 
 MIN_CAPACITY = 0.5  # share of a pool's capacity (by weight) that must remain while it has open calls
 MAX_DRAINED = 0.34  # share of a pool's servers that may be out of service, including those draining already
-SMALL = 3  # a pool of this size or less may always lose one server
+SMALL = 3  # a pool with at most this many servers may always lose one
 
 
 class Finding(msgspec.Struct, frozen=True, forbid_unknown_fields=True, order=True):
-    """A reason to refuse a change: the violated `rule`, and the pool or class that it is `of`."""
+    """A reason to refuse a change: the violated `rule`, and the name of the pool or class (`of`)."""
 
     rule: str
     of: str
@@ -41,7 +41,7 @@
 ) -> list[Finding]:
     """Returns the reasons to refuse a change, in a stable order. The change is allowed if there are none.
 
-    `open_calls`: by pool. `allow_empty`: pools that are meant to have no server.
+    `open_calls`: number of open calls by pool. `allow_empty`: pools that are meant to have no server.
     """
     found: list[Finding] = []
     # Only pools that are used or that change are checked, as the check blocks the node's event loop.
@@ -86,5 +86,5 @@
 
 
 def count_serving(new: DesiredState, lines: Sequence[Line]) -> dict[str, int]:
-    """Returns the number of servers of each pool that may get new requests, which a check depends on."""
+    """Returns by pool how many servers may get new requests. A plan records these numbers."""
     return {name: len(serving_servers(spec, lines)) for name, spec in sorted(new.pools.items())}
--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -32,7 +32,7 @@
 
 
 class AppliedChange(msgspec.Struct, frozen=True):
-    """A change that a node has applied. `at`: Unix time in seconds; `by`: the user id."""
+    """A change that a node has applied. `at`: Unix time in seconds; `by`: the operator's user id."""
 
     at: float
     by: int
@@ -53,7 +53,7 @@
 
 
 class PlanRefused(Exception):
-    """A plan may not be applied. The text says why."""
+    """The plan must not be applied. The text says why."""
 
 
 def compute_seal(plan: Plan) -> str:
--- a/brackenladder/invariants.py
+++ b/brackenladder/invariants.py
@@ -24,7 +24,7 @@
 class Invariant(Enum):
     """Conditions that must always hold. A route's home regions are the only ones that may serve it."""
 
-    DIRECTORY_KEEPS_HOMES = "directory-keeps-homes"  # clients are only sent to home regions of their host
+    DIRECTORY_KEEPS_HOMES = "directory-keeps-homes"  # clients are only directed to their host's home regions
     SERVER_KEEPS_HOMES = "server-keeps-homes"  # requests only go to servers in the route's home regions
     SERVER_TAKES_REQUESTS = "server-takes-requests"  # no request to a draining, removed or evacuated server
     CALL_ENDS_IN_TIME = "call-ends-in-time"  # no call lasts more than a second past its time limit
--- a/brackenladder/local_site/first_configuration.py
+++ b/brackenladder/local_site/first_configuration.py
@@ -11,7 +11,7 @@
 HOST = "local.example"
 CHAT_PATH, CARDS_PATH = "/chat/", "/cards/"
 FIRST_VERSION = 1
-SHARED_PROMPTS = 4  # number of different prompt prefixes that requests share
+SHARED_PROMPTS = 4  # number of prompt prefixes, each shared by many requests
 SHARED_TOKENS, OWN_TOKENS, TOKENS_OUT = 1200, 300, 80
 
 
--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -13,7 +13,7 @@
 
 Address = tuple[str, int]
 
-OPERATOR_SOCKETS = 20  # descriptors for the operator listener, its connections and its files
+OPERATOR_SOCKETS = 20  # file descriptors for the operator listener, its connections and its files
 RESERVED_SOCKETS = 32  # descriptors for the event loop, the listener, UDP, discovery, the standard streams
 BULK_SHARE = 0.43  # share of the memory limit that large bodies may use
 HELD_SHARE = 8  # client requests, without large bodies, may use 1/8 of the memory limit
@@ -33,7 +33,7 @@
     discovery: Address
     filed_discovery: object  # `discovery` as the file has it; the environment may override it
     seed: int
-    connections: int  # descriptors for connections of clients and servers together
+    connections: int  # file descriptors for connections to clients and servers together
     most_held: int  # limit in bytes of client requests in memory
     most_bulk: int  # limit in bytes of large bodies in memory, which don't count for `most_held`
     peer_listen: Address | None
--- a/brackenladder/node/early_listener.py
+++ b/brackenladder/node/early_listener.py
@@ -4,7 +4,7 @@
 
 import socket
 
-BACKLOG = 1024  # connections that the kernel queues until they are accepted
+BACKLOG = 1024  # connections that the kernel queues until the gateway accepts them
 
 
 def open_early(address: str) -> socket.socket | None:
--- a/brackenladder/node/handover.py
+++ b/brackenladder/node/handover.py
@@ -17,7 +17,7 @@
 
 
 class Handover:
-    """Writes and reads the list. `maintenance` has it as discovery sent it, without operators' changes."""
+    """Writes and reads the list. What is written is discovery's list from `maintenance`, without holds."""
 
     def __init__(
         self,
@@ -59,6 +59,6 @@
         self.timer = self.loop.call_later(WRITE_INTERVAL, self.write)
 
     def stop(self) -> None:
-        """Stops writing, as the successor now writes newer lists."""
+        """Stops writing. Called when this process shuts down: its successor now writes newer lists."""
         if self.timer is not None:
             self.timer.cancel()
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -43,10 +43,10 @@
 
 
 class Members:
-    """The other nodes of the tier, as the failure detector sees them.
+    """The other nodes of the tier (the nodes that share the load), as the failure detector sees them.
 
-    `on_live_count` is called with the number of live nodes of the tier when it changes. `number` is this
-    node's own.
+    `on_live_count` is called with the tier's number of live nodes whenever that number changes. `number` is
+    this node's own member number.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
             self.count_live()
 
     def count_live(self) -> None:
-        """Counts the live nodes and reports a changed number."""
+        """Counts the live nodes, and passes the number to `on_live_count` if it has changed."""
         detector, before = self.detector, self.live_nodes.number
         if (
             self.live_nodes.count(
@@ -113,7 +113,7 @@
         return True
 
     def is_present(self, number: int) -> bool:
-        """Whether a member is considered alive or suspect."""
+        """Whether the failure detector considers a member alive or suspect."""
         records = self.detector.view.records
         return number < len(records) and records[number].state <= State.SUSPECT
 
@@ -134,7 +134,7 @@
             self.log(f"members: {e}")
 
     def end(self) -> None:
-        """Tells the other nodes that this one leaves, and stops the timer."""
+        """Tells the other nodes that this node is leaving, and stops the timer."""
         if self.timer is not None:
             self.timer.cancel()
         self.detector.leave(self.now())
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -94,8 +94,8 @@
         self.routed_pools = {DEFAULT: RoutedPool(DEFAULT, PoolSpec(), first.host, config, self)}
         self.changed: Callable[[], None] = lambda: None  # called after each applied plan
         self.closed = False  # while true, every request is refused at once
-        self.draining: list[RoutedPool] = []  # removed pools, until their last call has ended
-        self.random_fraction = random.random  # splits traffic; needs no secure or seeded source
+        self.draining: list[RoutedPool] = []  # removed pools that still have open calls
+        self.random_fraction = random.random  # for splitting traffic; needn't be secure or reproducible
         self.router = Router((), config.classes, config.tenants)
         first.distribute = self.distribute
 
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -39,8 +39,8 @@
 class Recovery:
     """Recovers the state of `pools` and keeps it saved.
 
-    `members` carries the messages to and from other nodes. `store` is None without `[state]`. `serve_alone`:
-    serve even if no other node answers.
+    `members` carries the messages to and from other nodes. `store` is None if the operator file has no
+    `[state]`. `serve_alone`: whether to serve even if no other node answers.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.counter = 0
         self.fetch: StateFetch | None = None
         self.refused = ""  # why the newest state was not accepted
-        self.phases: list[tuple[Phase, int]] = []  # each with the time at which it began
+        self.phases: list[tuple[Phase, int]] = []  # the phases so far, with the time at which each began
         self.startup = StartupRecovery(members.now(), len(members.detector.view) - 1, serve_alone)
         self.timer: asyncio.TimerHandle | None = None
         self.writing: asyncio.Future[bool] | None = None
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -125,7 +125,7 @@
 
 
 def without_rpc_sockets(config: Config, table: RpcTable) -> Config:
-    """Returns the configuration of the HTTP part: its connections less the sockets of RPC."""
+    """Returns the configuration for HTTP, whose `connections` exclude the sockets reserved for RPC."""
     left = config.connections - table.sockets
     if left < MIN_HTTP_CONNECTIONS:
         raise ConfigError(
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -95,7 +95,7 @@
         return Listing(ListKind.CHANGES, version, lines)
 
     def replace_holds(self, holds: Mapping[str, Hold]) -> list[str]:
-        """Adopts the holds saved by another process of this node. Returns the servers with a changed hold."""
+        """Adopts the holds saved by this node's other process. Returns the servers whose holds changed."""
         changed = [name for name in {**self.holds, **holds} if self.holds.get(name) != holds.get(name)]
         self.holds = dict(holds)
         return changed
--- a/brackenladder/rpc/call.py
+++ b/brackenladder/rpc/call.py
@@ -29,7 +29,7 @@
     """An attempt that was given up, on a connection that other calls may share."""
 
     def ended(self) -> bool:
-        """Whether it can no longer run at its server: it was answered, or its connection is closed.
+        """Whether the call can no longer run at the server: it was answered, or the connection is closed.
 
         Closes the connection if no other call waits for a response on it.
         """
--- a/brackenladder/rpc/codec.py
+++ b/brackenladder/rpc/codec.py
@@ -77,7 +77,7 @@
         self.error = ""
         self.buffer = bytearray()
         self.skipper = self.new_skipper()
-        self.skipper_bytes = 0  # buffered bytes that the skipper has been fed
+        self.skipper_bytes = 0  # how many bytes of `buffer` have been passed to the skipper
 
     def new_skipper(self) -> msgpack.Unpacker:
         """Returns an Unpacker that finds the end of a message and can resume when more bytes arrive."""
@@ -120,7 +120,7 @@
             return 0
         except (ValueError, msgpack.UnpackException, RecursionError) as e:
             raise ProtocolError(f"not MessagePack: {type(e).__name__}") from None
-        size = int(self.skipper.tell())  # of this message only, as each message has a new skipper
+        size = int(self.skipper.tell())  # of this message only: the skipper is replaced after each one
         if size > limit:
             raise ProtocolError(f"a message of over {limit} bytes")
         # The skipper may have been fed bytes of the next message; they are fed to the new skipper again.
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -25,8 +25,8 @@
 from brackenladder.rpc.methods import CallParameters, Method, Methods
 from brackenladder.sockets.listener import LINGER, AcceptedConnection, Address, Listener
 
-FULL_RETRY_AFTER = 500_000  # microseconds; the retry advice when too many calls are open
-STALL_TIMEOUT = 2.0  # seconds after which a client that doesn't read its responses is closed
+FULL_RETRY_AFTER = 500_000  # microseconds that a client is told to wait if too many calls are open
+STALL_TIMEOUT = 2.0  # seconds after which the connection of a client that doesn't read is closed
 SETTLE = 0.2  # seconds for which a connection counts as in use after its last bytes
 HAS_NOT_RUN = "not served; it has not run, and may be sent again"
 MAY_HAVE_RUN = "not served; it may have run, and sending it again does no harm"
@@ -48,7 +48,7 @@
 
 
 class ClientCall(RpcCall):
-    """A call or a notification of a client, and the connection for its response."""
+    """A call or a notification from `client`, the connection on which a call is answered."""
 
     __slots__ = ("client",)
 
@@ -101,7 +101,7 @@
         self.reader = MessageReader(front.limits.message_limits)
         self.calls: dict[int, ClientCall] = {}  # open calls by msgid
         self.notifications: set[ClientCall] = set()
-        self.ending = False  # no longer reads; closes once all calls are answered
+        self.ending = False  # reading has stopped; the connection closes once all calls are answered
         self.write_full = False  # the client reads its responses too slowly, so the write buffer is full
         self.stall_timer: asyncio.TimerHandle | None = None
         self.pending: list[Message] = []  # received but not processed yet
@@ -131,8 +131,8 @@
     def process_pending(self, waited: bool = False) -> None:
         """Processes pending messages up to the limit of open calls. If some remain, reading is paused.
 
-        `waited` says that the messages have been pending for some time. The client may have disconnected
-        since, which goes unnoticed while reading is paused.
+        `waited`: the messages have been pending for some time, so check first whether the client has
+        disconnected, which goes unnoticed while reading is paused.
         """
         if waited and self.pending and self.gone():
             self.abandon()
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class FailurePattern:
-    """Matches errors that mean a server failure: with `value` at `path` (empty: the error itself)."""
+    """Matches errors that mean a server failure: those with `value` at `path` (empty: the whole error)."""
 
     path: Path
     value: Any
@@ -86,7 +86,7 @@
 
 
 def matches(value: Any, wanted: Any) -> bool:
-    """Whether a value equals the operator's: 1 equals 1.0 but not true, and bytes are compared as text."""
+    """Whether a value equals the configured one: 1 equals 1.0 but not true; bytes are compared as text."""
     if isinstance(value, bytes):
         value = value.decode(errors="replace")
     if isinstance(value, list) and isinstance(wanted, list):
@@ -128,7 +128,10 @@
         return self.table.get(name)
 
     def may_notify(self, method: Method) -> bool:
-        """Whether the method may be notified. The sender doesn't learn whether it ran, and may repeat it."""
+        """Whether clients may call the method by notification.
+
+        The sender of a notification doesn't learn whether it ran, and may send it again.
+        """
         return method.notify or self.classes[method.klass].effect == Effect.SAFE
 
     def read_parameters(self, method: Method, params: Sequence[Any]) -> CallParameters | str:
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -53,8 +53,8 @@
     def retire(self) -> None:
         """Stops new calls. Written calls may finish, then the connections close.
 
-        Waiting calls are returned in the next loop iteration, after the Balancer has the new list. Otherwise
-        it could choose this server for them again.
+        Calls not written yet are returned to the pool's Balancer in the next loop iteration, when it has the
+        new server list. Before that, it could choose this server for them again.
         """
         self.ready = False
         queue, self.queue = self.queue, deque()
@@ -77,7 +77,7 @@
         self.retired = False
         self.open_exchanges: dict[
             int, Exchange | None
-        ] = {}  # by msgid; None if given up: the msgid stays reserved
+        ] = {}  # by msgid; None for a call that was given up, whose msgid stays reserved
         self.silent_since: float | None = None  # when a call was first given up since the last received bytes
         self.partially_written: Exchange | None = None  # the kernel hasn't taken its write completely
         self.paused = False
@@ -162,10 +162,10 @@
         return any(exchange is not None for exchange in self.open_exchanges.values())
 
     def may_be_dead(self) -> bool:
-        """Whether the server may be unreachable: a call was given up a while ago and nothing came since.
+        """Whether the server may be unreachable: nothing was received since a call was given up a while ago.
 
         New calls then use other connections. Calls that already wait here are kept: the server may just be
-        slow, and another client's short budget must not fail them.
+        slow, and the call may have been given up only because its client set a short budget.
         """
         if self.silent_since is None:
             return False
@@ -288,7 +288,7 @@
         self.stop(Outcome.TIMEOUT)
 
     def stop(self, outcome: Outcome) -> None:
-        """Gives the attempt up. A call that wasn't written can't have run."""
+        """Gives up the attempt. If its call wasn't written yet, the call can't have run."""
         if self.closed:
             return
         if self.link is not None:
@@ -389,7 +389,11 @@
     # ---- connections ----------------------------------------------------------------------------------
 
     def dispatch(self, endpoint: Endpoint) -> None:
-        """Writes waiting calls. After a stall of the process, updates of the server list are read first."""
+        """Writes waiting calls.
+
+        If the process has just been stalled, they are written a little later, so that updates of the server
+        list which arrived during the stall are read first.
+        """
         if self.stall.must_read_first(monotonic()):
             self.loop.call_later(READ_FIRST_DELAY, self.write, endpoint)
         else:
@@ -411,7 +415,7 @@
             if len(endpoint.links) < self.limits.connections and self.open < self.limits.all:
                 self.connect(endpoint)
             elif not endpoint.links:
-                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # no connection may be opened
+                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # the limits allow no further connection
 
     def connect(self, endpoint: Endpoint) -> None:
         link = Link(self, endpoint)
@@ -422,9 +426,9 @@
         task.add_done_callback(self.tasks.discard)
 
     def on_connection_ended(self, endpoint: Endpoint, failed: bool) -> None:
-        """Retries waiting calls after a connection has ended. Fails them if it couldn't be established.
+        """Dispatches waiting calls again after a connection to their server has ended.
 
-        They wait on if another connection to the server is established.
+        If the connection couldn't be established (`failed`) and no other one is, the calls fail.
         """
         if failed and not any(link.connected for link in endpoint.links):
             queue, endpoint.queue = endpoint.queue, deque()
@@ -434,7 +438,7 @@
             self.dispatch(endpoint)
 
     def sweep(self) -> None:
-        """Closes idle connections, and silent ones whose calls have all been given up."""
+        """Closes idle connections, and unresponsive ones whose calls have all been given up."""
         now = self.loop.time()
         for endpoint in list(self.endpoints.values()):
             for link in list(endpoint.links):
--- a/brackenladder/system/config_change.py
+++ b/brackenladder/system/config_change.py
@@ -16,7 +16,7 @@
 from brackenladder.system.config_diff import Difference, differences
 
 Document = dict[str, Any]
-MAX_FILE_BYTES = 8 * 1024 * 1024  # a control node accepts no larger one
+MAX_FILE_BYTES = 8 * 1024 * 1024  # a control node accepts no larger configuration
 
 
 @frozen
@@ -29,7 +29,7 @@
 
     @property
     def is_update(self) -> bool:
-        """Whether it changes single items by name, rather than the whole configuration."""
+        """Whether the file changes single items by name, rather than the whole configuration."""
         return UPSERT in self.document or REMOVE in self.document
 
 
--- a/brackenladder/system/local/local_system.py
+++ b/brackenladder/system/local/local_system.py
@@ -66,7 +66,7 @@
     async def status(self) -> ControlStatus:
         """Returns the status from the control node that has applied most of the log.
 
-        The first node to answer may have just restarted, and would report no configuration.
+        A node that has just restarted may answer first, but would report no configuration.
         """
         first = await self.control.status()
         if isinstance(first, Failure):
--- a/brackenladder/system/local/traffic.py
+++ b/brackenladder/system/local/traffic.py
@@ -13,7 +13,7 @@
 from brackenladder.local_site.layout import ZONES, Layout
 from brackenladder.rehearsal.standins.model_clients import ModelClient, Outcome, OutcomeKind
 
-CHATS_PER_SECOND, CARDS_PER_SECOND = 2.0, 4.0  # for the client of each zone
+CHATS_PER_SECOND, CARDS_PER_SECOND = 2.0, 4.0  # request rates of the client of each zone
 MILLISECONDS = 1000
 MAX_DETAILS = 5
 
@@ -24,7 +24,7 @@
 
     counts: Counter[OutcomeKind] = Factory(Counter)
     seconds: list[float] = Factory(list)  # response times of served requests
-    details: Counter[str] = Factory(Counter)  # reasons of requests that were not served
+    details: Counter[str] = Factory(Counter)  # how often each reason for not serving a request occurred
 
     def add(self, outcome: Outcome) -> None:
         """Counts one request."""
--- a/brackenladder/system/output.py
+++ b/brackenladder/system/output.py
@@ -13,7 +13,7 @@
 
 
 def print_to_stderr(line: str) -> None:
-    """Prints a line on standard error, so that standard output holds only the result."""
+    """Prints a line on standard error, so that standard output has only the command's result."""
     print(line, file=sys.stderr, flush=True)
 
 
--- a/brackenladder/system/store_report.py
+++ b/brackenladder/system/store_report.py
@@ -125,7 +125,7 @@
             members = decode_members(entry.data)
         command = assembler.take(entry)
         if command is not None:
-            decode_order(command)  # raises for an unknown order, which `apply` would only count as invalid
+            decode_order(command)  # raises for an unknown command, which `apply` would only count as invalid
             catalog.apply(entry.index, command)
     return members
 
--- a/brackenladder/transport/dialer.py
+++ b/brackenladder/transport/dialer.py
@@ -26,7 +26,8 @@
         """Returns the microseconds to wait before the next attempt.
 
         `refused` says that the last attempt ended with ECONNREFUSED: the host is up but no process listens on
-        the port. The process is probably restarting, so the first such pauses stay short.
+        the port. The process is probably restarting, so the pauses after the first `refused_tries` refusals
+        in a row stay short.
         """
         longest = self._next
         self._refusals = self._refusals + 1 if refused else 0
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -37,7 +37,7 @@
     connect_timeout: int = 700_000  # limit for establishing a TCP connection
     retry_min: int = 50_000  # first pause between connection attempts; doubles with each failure
     retry_max: int = 500_000  # longest pause between attempts
-    refused_pause: int = 60_000  # longest pause after ECONNREFUSED: the host is up, its process restarts
+    refused_pause: int = 60_000  # longest pause after ECONNREFUSED, as the process is probably restarting
     refused_tries: int = 25  # refusals in a row with the short pause; then it grows up to `retry_max`
     stable_after: int = 1_000_000  # a link open for this long resets the pause to `retry_min`
     listen_timeout: int = 10_000_000  # how long binding is retried while the address is in use
@@ -116,7 +116,7 @@
 
     @property
     def address(self) -> str:
-        """The address that it connects to."""
+        """The address that the dialer connects to."""
 
     @property
     def link(self) -> Link | None:
--- a/brackenladder/transport/memory.py
+++ b/brackenladder/transport/memory.py
@@ -15,7 +15,7 @@
 
 FIRST_FREE_PORT = 20_000  # first port given to a listener on port 0
 FIRST_DIALING_PORT = 40_000  # first port given to the dialling end of a link
-EVENT_LIMIT = 100_000  # most events that one `run` delivers
+EVENT_LIMIT = 100_000  # a `run` that delivers more events raises RunawayNetwork
 
 
 class RunawayNetwork(TransportError):
@@ -74,7 +74,7 @@
         return done
 
     def run(self, redial: bool = True) -> int:
-        """Lets each dialer without a link try once, then delivers all events. Returns their number."""
+        """Lets each dialer without a link try once, then delivers all events. Returns how many."""
         if redial:
             self.redial()
         done = self.deliver(EVENT_LIMIT)
@@ -99,7 +99,7 @@
         self._cuts.add((sender, receiver))
 
     def heal(self, one: str, other: str) -> None:
-        """Ends the cuts between two nodes. Delayed events are delivered first."""
+        """Ends the cuts between two nodes. Events that the cuts delayed are then the next to be delivered."""
         self._cuts -= {(one, other), (other, one)}
         self._release()
 
--- a/brackenladder/transport/tcp_link.py
+++ b/brackenladder/transport/tcp_link.py
@@ -65,7 +65,7 @@
         self._batch: list[bytes] = []
         self._batch_bytes = 0
 
-    # the interface `Link`
+    # methods of the `Link` interface
 
     def send(self, message: object) -> bool:
         """See `Link.send`."""
@@ -190,7 +190,7 @@
             message = self._settings.codec.decode(body)
         except DecodeError as fault:
             if fault.fault is DecodeFault.UNKNOWN_TAG:
-                return  # a message type that only a newer node knows
+                return  # an unknown message type, sent by a newer node, is ignored
             raise
         self._handler.received(self, message)
 
