--- a/brackenladder/control/state.py
+++ b/brackenladder/control/state.py
@@ -76,7 +76,7 @@
 
 
 def describe_pool_error(table: Any) -> str:
-    """Describes the first invalid pool by name, which msgspec's error for the whole state doesn't give."""
+    """Describes the error in the first invalid pool with the pool's name, which msgspec's error lacks."""
     pools = table.get("pools") if isinstance(table, dict) else None
     for name, pool in pools.items() if isinstance(pools, dict) else ():
         weights = pool.get("weights") if isinstance(pool, dict) else None
@@ -102,7 +102,7 @@
 
 
 def warnings(state: DesiredState) -> list[str]:
-    """Returns warnings of valid settings that are probably mistakes."""
+    """Returns warnings about settings that are valid but probably mistakes."""
     return [f"pools.{name}: no route uses it" for name in sorted(set(state.pools) - used_pools(state.routes))]
 
 
--- a/brackenladder/local_site/layout.py
+++ b/brackenladder/local_site/layout.py
@@ -14,7 +14,8 @@
 ZONES = {f"{region}-a": region for region in REGIONS}
 FRONT_PORT, READY_PORT, CONTROL_PORT, DIRECTORY_PORT, SERVER_PORT = 8144, 8140, 8146, 8148, 8080
 INTERNAL_PORTS = (7660, 7675)
-FIRST_CONTROL, FIRST_GATEWAY, FIRST_SERVER = 1, 11, 21  # last byte of the first address of each kind
+# Last byte of the IP address of the first process of each kind.
+FIRST_CONTROL, FIRST_GATEWAY, FIRST_SERVER = 1, 11, 21
 HEARTBEAT_MS = 600
 GRACE_S = 8
 DEFAULT_NETWORK = "127.77.0"
--- a/brackenladder/node/blocked_signals.py
+++ b/brackenladder/node/blocked_signals.py
@@ -1,7 +1,7 @@
 """Blocks SIGHUP and SIGTERM while a role process starts, until its signal handlers are installed.
 
-Their default action ends the process at once. If a reload or a planned shutdown came during the start, a
-gateway, which already listens by then, would reset the connections that wait in its accept queue.
+The default action of these signals ends the process at once. A gateway already listens early in its start, so
+a reload or a planned shutdown at that time would reset the connections that wait in its accept queue.
 """
 
 from __future__ import annotations
--- a/brackenladder/node/config.py
+++ b/brackenladder/node/config.py
@@ -101,7 +101,7 @@
 
 
 def parse_descriptor(text: str | None) -> int | None:
-    """Parses the number of an inherited descriptor. Returns None for an empty text."""
+    """Parses the number of an inherited file descriptor. Returns None for an empty text."""
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) < 7):
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -192,7 +192,7 @@
         self.listening = True
 
     def reload(self, config: Config, operator: Operator | None = None) -> None:
-        """Applies a new configuration. Connections, requests and the learned state stay.
+        """Applies a new configuration. Connections, requests and what was learned about servers stay.
 
         Changes that need a restart are logged. `known` and `seed` are ignored, as only a start uses them.
         """
@@ -222,7 +222,7 @@
         self.log.line(f"reload: discovery {config.discovery[0]}:{config.discovery[1]}")
 
     def reload_operator(self, old: Operator, new: Operator) -> list[str]:
-        """Applies a changed address of RPC's discovery. Returns the changed keys that need a restart."""
+        """Applies a changed `rpc.discovery`. Returns the changed keys that only a restart applies."""
         if old.rpc is None or new.rpc is None or old.rpc.discovery is None or new.rpc.discovery is None:
             return ["rpc"] if old.rpc != new.rpc else []
         not_applied = [
--- a/brackenladder/node/operator.py
+++ b/brackenladder/node/operator.py
@@ -63,7 +63,10 @@
 
 
 class ControlTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[control]`: the socket for `show`, `plan` and `apply`. `users`: further user ids that may use it."""
+    """`[control]`: the socket for `show`, `plan` and `apply`.
+
+    `users`: the ids of users that may use it besides root and the node's own user.
+    """
 
     socket: Annotated[str, Meta(min_length=1, max_length=100)]
     users: tuple[Annotated[int, Meta(ge=0)], ...] = ()
@@ -78,13 +81,13 @@
 
 
 class StateTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[state]`: a folder of this node alone, with the state that it restores after a restart."""
+    """`[state]`: the folder, used by this node only, for the state that it restores after a restart."""
 
     folder: Annotated[str, Meta(min_length=1, max_length=4096)]
 
 
 class RecoveryTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`[recovery]`: asking other nodes for newer state at a start. `alone`: what to do if none answers."""
+    """`[recovery]`: at its start, a node asks others for newer state. `alone`: what to do if none answers."""
 
     alone: Literal["serve", "refuse"] = "serve"
 
@@ -100,7 +103,7 @@
 
 
 def with_rpc_discovery(operator: Operator, discovery: str) -> Operator:
-    """Returns a copy with another address of RPC's discovery."""
+    """Returns a copy with another address of the discovery service of RPC servers."""
     assert operator.rpc is not None
     rpc = msgspec.structs.replace(operator.rpc, discovery=discovery)
     return msgspec.structs.replace(operator, rpc=rpc)
@@ -138,7 +141,7 @@
 
 
 def describe_method_error(table: dict[str, Any]) -> str:
-    """Describes the first invalid method by name, which msgspec's error for the whole table doesn't give."""
+    """Describes the error in the first invalid method with its name, which msgspec's error lacks."""
     rpc = table.get("rpc")
     methods = rpc.get("methods") if isinstance(rpc, dict) else None
     for name, entry in methods.items() if isinstance(methods, dict) else ():
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -2,7 +2,7 @@
 
     Listener: client's bytes --Call--> Host (asks the Balancer) --attempt--> upstream --> a server's bytes
                                          ^
-                        source --Listing--> Roster (numbers for names), which updates upstream and Host
+                        source --Listing--> Roster (maps names to numbers), which updates upstream and Host
 
 Several listeners may use one pool. The Host ends each call once: as served, refused or failed.
 """
@@ -38,10 +38,10 @@
         """Sets a newer list to start with. To be called only before `start`."""
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Changes the address of discovery."""
+        """Changes the address of the discovery service."""
 
     def close(self) -> None:
-        """Cancels open requests to discovery."""
+        """Cancels open requests to the discovery service."""
 
 
 class PoolUpstream(Upstream, ServerListConsumer, Protocol):
@@ -56,7 +56,7 @@
 
 
 class Pool:
-    """One pool of servers. `source` creates the source of its list from a callback for listings."""
+    """One pool of servers. `source` creates the source of its list, which passes listings to a callback."""
 
     def __init__(
         self,
@@ -99,5 +99,5 @@
             self.roster.apply_listing(listing)
 
     def begin_shutdown(self) -> None:
-        """Limits new calls to the time that is left until the node is killed, as it shuts down."""
+        """Called at the start of a shutdown: limits new calls to the time left until the node is killed."""
         self.host.conclude_by = last_moment(self.host.now(), self.settings.classes)
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -226,6 +226,6 @@
         self.front.route = self.route if desired.routes else None
 
     def begin_shutdown(self) -> None:
-        """Limits new calls of all pools to the time that is left until the node is killed."""
+        """Called at the start of a shutdown: limits all pools' new calls to the time left until the kill."""
         for pool in (*self.routed_pools.values(), *self.draining):
             pool.host.conclude_by = last_moment(pool.host.now(), self.config.settings.classes)
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -1,4 +1,4 @@
-"""Servers that operators put on hold, and how a hold changes what discovery reports. No I/O, no clock.
+"""Servers that operators put on hold (out of service), and the resulting server list. No I/O, no clock.
 
 Times are integer microseconds of Unix time, as are the start times in discovery's list.
 """
@@ -11,13 +11,13 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-MAX_HOLDS = 4096  # servers on hold or with a recent hold
+MAX_HOLDS = 4096  # limit on servers that are on hold or whose hold is still remembered
 HOLD_RETENTION_US = 300_000_000  # how long a hold is remembered after its end
 
 
 @dataclass(frozen=True)
 class Hold:
-    """A hold on a server from `since` to `until`, where 0 means that it has not ended."""
+    """A hold on a server from `since` to `until`. `until` is 0 while the hold lasts."""
 
     since: int
     until: int = 0
@@ -30,15 +30,15 @@
 class Maintenance:
     """Applies operators' holds to the server list from discovery.
 
-    A server on hold is reported as draining, whatever the list says. During the hold it may have been
-    restarted, which the list may show late. Until the list has a start time at or after the begin of the
-    hold, the server therefore counts as started at the end of the hold. Otherwise a cold server would get
+    A server on hold is reported as draining even if the list has it as ready. It may be restarted during the
+    hold, which the list may show late. So after the hold, the server counts as started at the end of the
+    hold until the list has a start time at or after the begin of the hold. Otherwise a cold server would get
     the load of a warm one and fail.
     """
 
     def __init__(self) -> None:
         self.holds: dict[str, Hold] = {}
-        self.lines: dict[str, Line] = {}  # discovery's latest list, without servers that are gone
+        self.lines: dict[str, Line] = {}  # discovery's latest list by server, without those that are gone
 
     def is_known(self, server: str) -> bool:
         """Whether the server is in the list or on hold."""
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -42,7 +42,7 @@
     failures: tuple[FailurePattern, ...] = ()
 
     def fails(self, error: Any) -> bool:
-        """Whether this error means that the server failed. The call may have run."""
+        """Whether this error means that the server failed. Even then the call may have run."""
         return any(matches(value_at(error, pattern.path), pattern.value) for pattern in self.failures)
 
 
--- a/brackenladder/transport/keepalive.py
+++ b/brackenladder/transport/keepalive.py
@@ -29,7 +29,7 @@
     """Watches links. The timer runs only while there are links.
 
     A timer that fires late means that this process was not running. Data that arrived in that time may still
-    be unread, so each link that would now be closed as silent gets one extension of its limit.
+    be unread, so the silence limit of each link that would now be closed is extended once.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timing: LinkTiming) -> None:
@@ -67,7 +67,7 @@
             self._arm(max(now + self._slack, self._next_due()))
 
     def _extend_limits(self, now: float) -> None:
-        """Gives links that would be closed now one more ping interval, once until they receive something."""
+        """Gives links that would be closed now one more ping interval, but only once during a silence."""
         earliest = now - self._silence_timeout + self._ping_every
         for link in self._links:
             if link.last_received_at < earliest and not link.grace_given:
