--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -13,9 +13,9 @@
 from brackenladder.membership.listing import Line
 
 VERSION = 1
-MAX_PLAN_BYTES = 4 << 20  # bytes
+MAX_PLAN_BYTES = 4 << 20  # largest plan file
 HISTORY = 50  # number of applied changes that are kept
-MAX_NAMED_KEYS = 5  # keys listed in a refusal
+MAX_NAMED_KEYS = 5  # changed keys listed in the refusal of a stale plan
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -32,7 +32,7 @@
 
 
 class AppliedChange(msgspec.Struct, frozen=True):
-    """A change that a node has applied. `at`: Unix time in seconds; `by`: the user id."""
+    """A change that a node has applied. `at`: Unix time in seconds; `by`: the operator's user id."""
 
     at: float
     by: int
@@ -53,7 +53,7 @@
 
 
 class PlanRefused(Exception):
-    """A plan may not be applied. The text says why."""
+    """The plan must not be applied. The text says why."""
 
 
 def compute_seal(plan: Plan) -> str:
