--- a/brackenladder/cluster/prober.py
+++ b/brackenladder/cluster/prober.py
@@ -12,11 +12,11 @@
 
 PROBE_PERIOD = 300_000  # microseconds
 PROBE_ROUNDS = 2  # periods that a probe may take
-RESEND_AFTER = 75_000  # a ping is resent after this time without a reply
-INDIRECT_AFTER = 150_000  # helpers are asked after this time without a reply
+RESEND_AFTER = 75_000  # microseconds without a reply after which a ping is sent again
+INDIRECT_AFTER = 150_000  # microseconds without a reply after which helpers are asked to ping the target
 HELPERS = 3
 STARTUP_GRACE = 3_000_000  # a member that has never been heard is not suspected for this time
-RECENT = 1_000_000  # members heard within this time are preferred as helpers
+RECENT = 1_000_000  # microseconds; members heard from within this time are preferred as helpers
 
 
 class Probe:
@@ -87,7 +87,7 @@
         if probe is not None:
             missed = not probe.answered and self.heard_at.get(probe.target, -1) < probe.since
             if missed and probe.rounds < PROBE_ROUNDS:
-                # With packet loss many probes fail in their first period. Without a second one the gossip
+                # With packet loss many probes fail in their first period. Without a second period the gossip
                 # would be full of suspects that answer the next probe.
                 probe.rounds += 1
                 probe.asked = set()
@@ -123,7 +123,7 @@
             self.send_frame(relayed[0], [Ack(relayed[1])], now)
 
     def next_target(self) -> int | None:
-        """The next member in a shuffled round-robin order, so that none waits longer than two rounds."""
+        """The next member to probe, in a shuffled round-robin order: none waits longer than two rounds."""
         for _ in range(2):
             while self.probe_order:
                 target = self.probe_order.pop()
--- a/brackenladder/http/relay.py
+++ b/brackenladder/http/relay.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 STALLED = 30.0  # seconds without progress after which the relay is aborted
-LARGEST_ANSWER = 1 << 30  # bytes
+LARGEST_ANSWER = 1 << 30  # bytes of a relayed response's body
 
 
 class ServerSide(Protocol):
@@ -32,7 +32,7 @@
 
 
 class Relay:
-    """Forwards the body of a response whose call has been concluded by its first bytes.
+    """Forwards the body of a large response; its call was already concluded when the first bytes arrived.
 
     If either side breaks, the client's connection is cut, so that the client can tell that the response is
     incomplete. `length` is the length of the body, if the server announced it; otherwise the client gets
@@ -86,7 +86,7 @@
         self.client.transport.write(body)
 
     def check_stalled(self) -> None:
-        """Aborts the relay if neither side made progress for a while.
+        """Aborts the relay if neither side made progress for `STALLED` seconds.
 
         The client's timeout does not apply: a large response is timed by its first bytes, and must not be cut
         off while the server still sends.
@@ -107,7 +107,7 @@
                 self.connection.transport.resume_reading()
 
     def complete(self) -> None:
-        """Ends the relay: the body is complete."""
+        """Ends the relay after the whole body was forwarded."""
         client = self.end()
         if client is not None:
             if self.chunked:
--- a/brackenladder/registry/records.py
+++ b/brackenladder/registry/records.py
@@ -31,8 +31,11 @@
     state: ServerState
     seq: int
     software: str = ""
-    cold_for: int = 0  # microseconds for which the server remains cold, at the time of sending
-    remaining: int = -1  # microseconds until it shuts down even if requests are running; -1: not announced
+    # Microseconds, at the time of sending, for which the server remains cold: after its start it has a lower
+    # load limit for a while.
+    cold_for: int = 0
+    # Microseconds until the server shuts down, even if requests are running; -1: not announced.
+    remaining: int = -1
     models: tuple[str, ...] = ()
     expired: bool = False  # in a GONE record: the server timed out and did not deregister
 
@@ -44,7 +47,7 @@
     id: str
     seq: int
     age: int  # microseconds since it was received, at the time of sending
-    changed_seq: int  # the lowest `seq` known to have reported the same content
+    changed_seq: int  # the lowest `seq` known to have reported the same content as the newest record
 
 
 def same_content(one: ServerRecord, other: ServerRecord) -> bool:
--- a/brackenladder/rpc/call.py
+++ b/brackenladder/rpc/call.py
@@ -12,7 +12,7 @@
 IN_DOUBT = (
     "refused",
     "failed",
-)  # first words of errors from another node of this program, whose own attempts may have run
+)  # first words of errors of a server that is itself a node of this program: its attempts may have run
 
 
 class Reply:
@@ -29,7 +29,7 @@
     """An attempt that was given up, on a connection that other calls may share."""
 
     def ended(self) -> bool:
-        """Whether it can no longer run at its server: it was answered, or its connection is closed.
+        """Whether the call can no longer run at the server: it was answered, or the connection is closed.
 
         Closes the connection if no other call waits for a response on it.
         """
