--- a/brackenladder/fleet/compare.py
+++ b/brackenladder/fleet/compare.py
@@ -36,7 +36,7 @@
 
 
 def parse_side(text: str) -> dict[str, str]:
-    """Parses `key=value[,key=value]`, which selects the runs of one variant."""
+    """Parses `key=value[,key=value]`, the grid values that select the runs of one variant."""
     pairs = [part.partition("=") for part in text.split(",")]
     if not all(key and sign for key, sign, _ in pairs):
         raise CompareError(f"'{text}': not of the form key=value[,key=value]")
--- a/brackenladder/fleet/links.py
+++ b/brackenladder/fleet/links.py
@@ -155,7 +155,7 @@
         self.end(Outcome.CONNECT_FAILED)
 
     def send_request(self, link: Link) -> None:
-        """Sends the request unless the call, the endpoint or the time no longer allows it."""
+        """Sends the request, unless the call has ended, the server is not ready or the time has passed."""
         if self.connect_timer is not None:
             self.connect_timer.cancel()
         now = self.links.queue.now
@@ -172,7 +172,7 @@
         self.stop(Outcome.CONNECT_FAILED if self.link is None else Outcome.TIMEOUT)
 
     def stop(self, outcome: Outcome) -> None:
-        """Aborts the attempt and closes its connection, so that no late answer meets another request."""
+        """Aborts the attempt and closes its connection, so that a late answer can't reach another request."""
         if self.ended:
             return
         if self.link is not None:
--- a/brackenladder/fleet/overload.py
+++ b/brackenladder/fleet/overload.py
@@ -60,7 +60,7 @@
     def __init__(self, settings: ChokeTable, cores: int, now: int) -> None:
         self.settings = settings
         self.cores = cores
-        self.threshold = cores + settings.at * sqrt(cores)  # limit of the mean of held requests
+        self.threshold = cores + settings.at * sqrt(cores)  # overloaded above this mean of held requests
         self.held_average = MovingAverage(round(settings.over_s * MICRO), now)
         self.busy_average = MovingAverage(round(settings.rest_s * MICRO), now)
         self.slow_since = -1  # time when the server became slow; -1: it has not become slow
--- a/brackenladder/fleet/rivals/stale_oracle.py
+++ b/brackenladder/fleet/rivals/stale_oracle.py
@@ -16,7 +16,7 @@
     further tier.
     """
 
-    seen: dict[int, tuple[int, int, bool]]  # by server: time of the look-up, wait, whether it had room
+    seen: dict[int, tuple[int, int, bool]]  # by server: (time of the look-up, wait, had room)
 
     def look(self, now: int, server: int) -> tuple[int, bool]:
         """The wait at a server, and whether it has room: its cached state plus this node's later requests."""
--- a/brackenladder/fleet/servers.py
+++ b/brackenladder/fleet/servers.py
@@ -40,7 +40,7 @@
         """Name of the node that opened the connection."""
 
     def closed_by_server(self) -> None:
-        """The node sees that the server closed the connection."""
+        """Tells the node that the server has closed the connection."""
 
 
 class IncomingRequest(Protocol):
--- a/brackenladder/rehearsal/checker/cold.py
+++ b/brackenladder/rehearsal/checker/cold.py
@@ -18,7 +18,7 @@
     """Compares the work sent to servers that are warming up with their capacity."""
 
     def check(self, knowledge: Knowledge) -> None:
-        """Checks each cold start over every window of `terms.fall`, an overload that crashes a server."""
+        """Checks each cold start over every window of `terms.fall`; so long an overload crashes a server."""
         arrivals: defaultdict[str, list[tuple[int, int, str, str]]] = defaultdict(list)
         for request in self.history.requests.values():
             node = request.sent.node if request.sent is not None else ""
@@ -73,7 +73,8 @@
                 continue
             window = sent[first : i + 1]
             aware = sum(w for at, w, node, _ in window if told_at.get(node, NEVER) <= at)
-            if aware * 3 < 2 * total:  # over a third came from nodes not yet told that it is ready
+            # Over a third of the work came from nodes not yet told that the server is ready.
+            if aware * 3 < 2 * total:
                 continue
             self.evidence.nearest = max(self.evidence.nearest, total / room)
             if total > room:
--- a/brackenladder/rehearsal/checker/lost.py
+++ b/brackenladder/rehearsal/checker/lost.py
@@ -20,7 +20,7 @@
             limit = sent.t + sent.budget + terms.answer
             if self.history.paused(sent.node, sent.t - terms.slack, limit + terms.slack):
                 continue
-            over = NEVER  # from then on nothing more may be sent for this request
+            over = NEVER  # time from which nothing more may be sent for this request
             answer, broken, gave_up = request.answer, request.broken, request.gave_up
             if answer is not None:
                 over = answer.t
--- a/brackenladder/rehearsal/checker/verdicts.py
+++ b/brackenladder/rehearsal/checker/verdicts.py
@@ -58,11 +58,11 @@
     edges: int
     evidence: tuple[Finding, ...]
     edge_cases: tuple[Finding, ...]
-    nearest: float = 0.0  # of `cold`: the largest ratio of work sent to work allowed; above 1 it is a break
+    nearest: float = 0.0  # rule `cold`: largest ratio of work sent to work allowed; above 1 is a break
 
 
 class Report(msgspec.Struct, frozen=True):
-    """The results for all rules. `lag`: the largest lag of a stand-in, in microseconds; `late`: its name."""
+    """The results for all rules. `lag`: a stand-in's largest lag, in microseconds; `late`: that stand-in."""
 
     rulings: dict[Rule, Ruling]
     lag: int
--- a/brackenladder/rehearsal/members.py
+++ b/brackenladder/rehearsal/members.py
@@ -85,7 +85,7 @@
         self.begin = begin
         self.slack = SLACK_FACTOR * slack
         self.steps = [s for s in steps if s.kind in (*LINK_FAULTS, *DATAGRAM_FAULTS)]
-        # `down`: the process does not run or is paused. `absent`: likewise, but only long pauses.
+        # `down`: the process does not run or is paused. `absent`: it does not run, or is paused for too long.
         self.down: defaultdict[str, Intervals] = defaultdict(Intervals)
         self.absent: defaultdict[str, Intervals] = defaultdict(Intervals)
         self.deaths: list[tuple[int, int, str]] = []  # (ended at, ready again at, node)
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -34,7 +34,7 @@
     "stop": signal.SIGSTOP,
     "cont": signal.SIGCONT,
 }
-ENDING_SIGNALS = ("kill", "term")  # those of SIGNALS that end the process
+ENDING_SIGNALS = ("kill", "term")  # the SIGNALS that end the process
 MEMBERS_POLL = 0.25  # seconds between two queries of a node's membership view
 MEMBERS_TIMEOUT = 1.0  # seconds; a paused node does not answer
 
--- a/brackenladder/rehearsal/plan.py
+++ b/brackenladder/rehearsal/plan.py
@@ -25,8 +25,8 @@
 
 MICRO = 1_000_000
 DEPLOY_AT_ONCE = 0.2  # share of the servers that a deploy takes down at a time
-MIN_FAULT_GAP = MICRO // 2  # between two faults of the same sort at one server
-BOOT_TIME = MICRO  # from the end of a deployed server to the start of its successor
+MIN_FAULT_GAP = MICRO // 2  # least time between two faults of the same sort at one server
+BOOT_TIME = MICRO  # time from the end of a deployed server to the start of its successor
 
 
 class ServerPlan(msgspec.Struct, frozen=True):
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -300,7 +300,7 @@
         return msgspec.structs.replace(step, at=max(step.at, now() - self.begin))
 
     def note(self, step: Step) -> None:
-        """Records the begin of a fault in the runner's journal."""
+        """Records the start of a fault in the runner's journal."""
         self.journal.add(Fault(now(), self.begin + step.end, step.kind, step.target))
 
     async def update_known_servers(self, node: NodeProcess, network: StandIn) -> None:
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -123,10 +123,10 @@
     count: Annotated[int, Meta(ge=1, le=10_000)] = 4
     pod: Annotated[int, Meta(ge=1)] = 2  # servers in a pod, which share the idempotency keys seen
     cores: Annotated[int, Meta(ge=1, le=64)] = 2
-    speed: Span = (0.85, 1.1)  # of a core, relative to the standard core
+    speed: Span = (0.85, 1.1)  # range of a core's speed, relative to the standard core
     queue: Annotated[int, Meta(ge=0)] = 64  # requests that can wait; more are rejected
     connections: Annotated[int, Meta(ge=1)] = 512
-    idle_s: Positive = 5.0  # after which idle connections are closed
+    idle_s: Positive = 5.0  # idle time after which a server closes a connection
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.12
     warm_s: AtLeastZero = 24.0
     report_ms: Span = (330.0, 1500.0)  # interval at which load reports are refreshed
@@ -152,8 +152,8 @@
 class Network(Table, frozen=True):
     """One-way delay between two machines; used by the simulation model only."""
 
-    near_ms: AtLeastZero = 0.1  # within a zone
-    far_ms: AtLeastZero = 0.1  # between zones
+    near_ms: AtLeastZero = 0.1  # delay within a zone
+    far_ms: AtLeastZero = 0.1  # delay between zones
 
 
 class Surge(Table, frozen=True):
--- a/brackenladder/rehearsal/standins/clients.py
+++ b/brackenladder/rehearsal/standins/clients.py
@@ -28,7 +28,7 @@
         self.resent = False
         self.budget = 0
         self.sent = 0
-        self.reused = False  # its connection had carried a request before
+        self.reused = False  # whether the try's connection had carried a request before
         self.timer: asyncio.TimerHandle | None = None
 
     def stop(self) -> None:
--- a/brackenladder/rehearsal/standins/model_clients.py
+++ b/brackenladder/rehearsal/standins/model_clients.py
@@ -46,7 +46,7 @@
     """The result of one request."""
 
     kind: OutcomeKind
-    seconds: float  # from the first try to the first event or complete answer, or to the failure
+    seconds: float  # time from the first try to the first event, complete answer or failure
     detail: str = ""
 
 
--- a/brackenladder/simulation/exchange/checks.py
+++ b/brackenladder/simulation/exchange/checks.py
@@ -97,7 +97,7 @@
     if request.route.streaming:
         _check_stream(request, run, runs)
     elif run.unframed and run.crashed and run.answer.startswith(request.answer):
-        return  # without a length, only the end of the connection marks the end of the body
+        return  # without a stated length, a body ends with its connection, so a part looks complete
     elif request.answer != run.answer or run.cut:
         raise Violation(
             "mixed", f"{request.id} gets {len(request.answer)} of {len(run.answer)} bytes as whole"
--- a/brackenladder/simulation/exchange/history.py
+++ b/brackenladder/simulation/exchange/history.py
@@ -46,7 +46,7 @@
     gateway_start: int = 0  # number of the start of the gateway's process
     # The pipelined request before this one on the connection, if still unanswered when this one was sent.
     queued_behind: Request | None = None
-    excused: bool = False  # its connection was disturbed, so that a late answer or none is allowed
+    excused: bool = False  # a fault hit its connection, so that a late answer or none is allowed
 
 
 @define(eq=False)
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -29,7 +29,7 @@
         self._machines = machines
         self._voters: frozenset[str] = frozenset()  # replica ids of the newest members seen
         self._newest_log = (0, 0)
-        # by machine name: the number of the start whose process has reached a majority
+        # by machine name: latest start whose process has reached a majority
         self._start_with_contact: dict[str, int] = {}
         self._spans: dict[str, list[_Span]] = {}
 
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -272,7 +272,7 @@
     # -- planned work
 
     def _check_losses(self) -> None:
-        """LOST: a completely sent request gets a complete answer unless an unplanned fault was active."""
+        """LOST: a fully sent request gets a complete answer unless an unplanned fault is active or recent."""
         for tried in self._tries.values():
             if not tried.read:
                 continue
--- a/brackenladder/soak/events.py
+++ b/brackenladder/soak/events.py
@@ -33,7 +33,7 @@
 
 
 Record = Callable[[Event], None]  # writes an event to the journal
-Order = dict[str, Any]  # from the soak runner to an actor: `do`, and its arguments
+Order = dict[str, Any]  # what the soak runner tells an actor: `do` names it, the rest are arguments
 
 
 @frozen
--- a/brackenladder/soak/schedule.py
+++ b/brackenladder/soak/schedule.py
@@ -17,7 +17,7 @@
 POWER_LOSS_SHARE = 0.1  # share of kills that hit all eligible machines, like a power loss
 PLANNED_SHARE, STORM_SHARE, LATE_SHARE = 0.3, 0.45, 0.25  # share of the total time that each phase takes
 CALM_SECONDS = 4.5  # fault-free seconds before planned work; longer than ContactMs
-FIRST_SECONDS = 0.5  # from the start of a phase to its first step
+FIRST_SECONDS = 0.5  # seconds from the start of a phase to its first step
 STEP_GAPS = (0.4, 2.0)  # seconds between two steps, shortest and longest
 
 
@@ -107,7 +107,7 @@
         self._gateways = layout.gateways
         self._names = [one.name for one in (layout.machines if with_control else layout.gateways)]
         self._servers = [one.id.partition(".")[0] for one in layout.servers()]
-        self._scale = max(1, len(layout.gateways) // 5)  # multiplies the targets of a step
+        self._scale = max(1, len(layout.gateways) // 5)  # factor on the number of targets of a step
 
     def phase(self, seconds: float, kinds: Sequence[Kind], leaves: Sequence[Leave]) -> Phase:
         """Draws the steps of a phase from these kinds."""
