--- a/brackenladder/cli/experiment.py
+++ b/brackenladder/cli/experiment.py
@@ -25,14 +25,14 @@
     run_of,
 )
 from brackenladder.fleet.figures import FIGURES
-from brackenladder.fleet.jobs import played
-from brackenladder.fleet.model import passed_over
+from brackenladder.fleet.jobs import play_all
+from brackenladder.fleet.model import unsupported
 from brackenladder.fleet.queue import Standstill
 from brackenladder.fleet.results import Results, ResultsError
 from brackenladder.fleet.variants import VariantError, files_of, variant
 from brackenladder.rehearsal.scenario import Scenario, ScenarioError, load, shipped
 
-PIPE_WIDTH = 200  # columns of a table when the output is not a terminal
+PIPE_WIDTH = 200  # width in characters of a table if the output is not a terminal
 
 
 def load_experiment(file: str) -> tuple[Experiment, Scenario]:
@@ -95,7 +95,7 @@
     console = Console(highlight=False)
     if not console.is_terminal:
         console = Console(highlight=False, width=PIPE_WIDTH)
-    for text in passed_over(base):
+    for text in unsupported(base):
         console.print(f"ignored in the model: {text}", markup=False)
     try:
         faults = run_missing(console, definition, runs, stored, jobs or 0)
@@ -138,7 +138,7 @@
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task(definition.title, total=len(pending))
         jobs: Iterator[tuple[Cell, Run, int]] = iter(pending)
-        for done in played(jobs, worker_count) if pending else ():
+        for done in play_all(jobs, worker_count) if pending else ():
             stored.add(done.cell, done.seed, done.figures, done.series, done.verdicts, done.seconds)
             progress.advance(task)
             if done.faults:
@@ -177,7 +177,7 @@
     for name, (_, higher_is_better) in FIGURES.items():
         estimate = difference([(x[name], y[name]) for x, y in pairs])
         verdict = "no difference seen"
-        if estimate.seen:
+        if estimate.significant:
             verdict = "better" if (estimate.mean > 0) == higher_is_better else "worse"
         interval = f"{estimate.low:+.4g} to {estimate.high:+.4g}"
         table.add_row(
--- a/brackenladder/fleet/variants.py
+++ b/brackenladder/fleet/variants.py
@@ -1,4 +1,4 @@
-"""What decides in a run: this checkout's module, another's, either with constants changed, or a rival."""
+"""Selects the policy of a run: the decision module of this or another checkout, or a baseline policy."""
 
 from __future__ import annotations
 
@@ -11,75 +11,75 @@
 from types import ModuleType
 
 from brackenladder.fleet.nodes import Module
-from brackenladder.fleet.rivals import RIVALS
+from brackenladder.fleet.rivals import BASELINE_POLICIES
 from brackenladder.policy.balancer import Balancer
 
-OWN = "module"
-NUMBERS = count()
+MODULE_POLICY = "module"
+VARIANT_NUMBERS = count()
 
 
 class VariantError(Exception):
-    """No such variant; the text is one line."""
+    """There is no such variant; the text is one line."""
 
 
 def policies() -> list[str]:
-    """The names that may decide."""
-    return [OWN, *RIVALS]
+    """Names of all policies."""
+    return [MODULE_POLICY, *BASELINE_POLICIES]
 
 
 def variant(policy: str, checkout: str, constants: Mapping[str, float]) -> Module:
-    """Who decides. `checkout`: a folder with another build of this package; empty for this one.
+    """Returns a policy. `checkout`: folder of another checkout of this package; empty for this one.
 
-    The module is loaded apart, so that changed constants reach this variant alone.
+    The module is loaded as a separate copy, so that changed constants affect this variant alone.
     """
-    if policy != OWN:
-        if policy not in RIVALS:
+    if policy != MODULE_POLICY:
+        if policy not in BASELINE_POLICIES:
             raise VariantError(f"policy: no '{policy}'; there are {', '.join(policies())}")
         if checkout or constants:
             raise VariantError(f"policy: '{policy}' has no checkout and no constants")
-        return RIVALS[policy]
+        return BASELINE_POLICIES[policy]
     if not checkout and not constants:
         return Balancer
-    rooms = loaded(checkout)
+    modules = load_modules(checkout)
     for name, value in constants.items():
-        having = [room for room in rooms if name in vars(room)]
-        old = vars(having[0])[name] if having else None
+        owners = [module for module in modules if name in vars(module)]
+        old = vars(owners[0])[name] if owners else None
         if not name.isupper() or isinstance(old, bool) or not isinstance(old, int | float):
             raise VariantError(f"module.{name}: the module has no number of that name")
-        for room in having:  # those that import it have it as their own
-            setattr(room, name, int(value) if isinstance(old, int) and value == int(value) else value)
-    made: Module = rooms[0].Balancer
-    return made
+        for module in owners:  # modules that import the constant have their own copy
+            setattr(module, name, int(value) if isinstance(old, int) and value == int(value) else value)
+    balancer_class: Module = modules[0].Balancer
+    return balancer_class
 
 
 def files_of(checkout: str) -> list[Path]:
-    """The decision module of a checkout; in older ones it is one file."""
+    """Source files of a checkout's decision module; older checkouts have a single file."""
     package = Path(checkout or Path(__file__).parents[2]) / "brackenladder"
     old = package / "balance.py"
     return [old] if old.is_file() else sorted((package / "policy").glob("*.py"))
 
 
-def loaded(checkout: str) -> list[ModuleType]:
-    """The decision module of a checkout under a name of its own: the file with Balancer, and its rooms."""
+def load_modules(checkout: str) -> list[ModuleType]:
+    """Loads a checkout's decision module under a unique name: the module with Balancer, then the others."""
     files = files_of(checkout)
     if not files:
         raise VariantError(f"checkout: no {checkout}/brackenladder/policy")
-    first = files[0]  # of a package `__init__.py`, in the order of names
-    name = f"brackenladder_variant_{next(NUMBERS)}"
-    rooms = [str(first.parent)] if first.name == "__init__.py" else None
-    spec = importlib.util.spec_from_file_location(name, first, submodule_search_locations=rooms)
+    first = files[0]  # `__init__.py` in a package, since files are sorted by name
+    name = f"brackenladder_variant_{next(VARIANT_NUMBERS)}"
+    search_path = [str(first.parent)] if first.name == "__init__.py" else None
+    spec = importlib.util.spec_from_file_location(name, first, submodule_search_locations=search_path)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     try:
         spec.loader.exec_module(module)
-        if rooms:
+        if search_path:
             module = importlib.import_module(f"{name}.balancer")
-    except Exception as e:  # another checkout's code may do anything
+    except Exception as e:  # the other checkout's code may raise anything
         raise VariantError(f"checkout: {first}: {type(e).__name__}: {e}") from None
     finally:
         ours = [key for key in sys.modules if key == name or key.startswith(f"{name}.")]
-        others = [sys.modules.pop(key) for key in ours]
+        submodules = [sys.modules.pop(key) for key in ours]
     if not callable(getattr(module, "Balancer", None)):
         raise VariantError(f"checkout: {first}: no Balancer")
-    return [module, *(room for room in others if room is not module)]
+    return [module, *(submodule for submodule in submodules if submodule is not module)]
--- a/brackenladder/node/log.py
+++ b/brackenladder/node/log.py
@@ -19,7 +19,7 @@
 
     def __init__(self, name: str, limit: int) -> None:
         self.name = name
-        self.limit = limit  # lines per second
+        self.limit = limit  # most lines written per second
         self.left = limit
         self.second = 0
         self.omitted = 0
@@ -30,7 +30,7 @@
         if second != self.second:
             self.second, self.left = second, self.limit
             if self.omitted:
-                self.write(f"{self.omitted} lines left out")
+                self.write(f"{self.omitted} lines omitted")
                 self.omitted = 0
         if self.left == 0:
             self.omitted += 1
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -13,17 +13,17 @@
 from brackenladder.node.log import Log
 from brackenladder.node.operator import RpcTable
 from brackenladder.node.pool import NoMessenger, OnListing, Pool, Source
-from brackenladder.rpc.codec import Bounds
+from brackenladder.rpc.codec import MessageLimits
 from brackenladder.rpc.front import FrontLimits, RpcFront
 from brackenladder.rpc.methods import MethodError, Methods, compile_method
 from brackenladder.rpc.upstream import RpcUpstream, UpstreamLimits
 
 IDLE_MARGIN = 0.3  # idle connections are closed this many seconds before the server would close them
-MIN_HTTP_CONNECTIONS = 8  # descriptors that must be left for HTTP
+MIN_HTTP_CONNECTIONS = 8  # connections that must be left for HTTP after RPC has taken its sockets
 
 
-def message_limits(table: RpcTable) -> Bounds:
-    return Bounds(message=table.message_kb << 10, nesting=table.nesting)
+def message_limits(table: RpcTable) -> MessageLimits:
+    return MessageLimits(message=table.message_kb << 10, nesting=table.nesting)
 
 
 def rpc_pool(
@@ -31,7 +31,7 @@
 ) -> Pool:
     """Creates the pool of RPC servers, without probes and without messages between nodes.
 
-    Half of the table's sockets are for servers.
+    Its connections to servers may use half of `table.sockets`, those of clients the other half.
     """
     settings = replace(
         config.settings, probes=False, peers=False, list_on_request=table.discovery is not None
@@ -47,8 +47,9 @@
 
     def source(on_listing: OnListing) -> Source:
         if table.discovery is None:
-            lines = [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers]
-            return FixedList(lines, on_listing)
+            return FixedList(
+                [fixed_line(s.id, s.addr, s.zone, s.kind, s.cell) for s in table.servers], on_listing
+            )
         address = parse_address(table.discovery, "rpc.discovery")
         return PolledDiscovery(loop, address, None, settings.instances, on_listing, stray_log.line)
 
@@ -69,7 +70,7 @@
 def rpc_front(
     table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, stray_log: Log
 ) -> RpcFront:
-    """Creates the RPC front. The other half of the sockets is for clients."""
+    """Creates the RPC front. Clients may use the half of `table.sockets` that servers don't use."""
     limits = FrontLimits(
         message_limits(table),
         table.client_calls,
@@ -92,7 +93,7 @@
     for i, server in enumerate(table.servers):
         fixed_line(server.id, server.addr, server.zone, server.kind, server.cell)
         if server.id in {s.id for s in table.servers[:i]}:
-            raise ConfigError(f"operator file: rpc.servers: {server.id}: stands twice")
+            raise ConfigError(f"operator file: rpc.servers: {server.id}: listed twice")
     compile_methods(table, config)
     without_rpc_sockets(config, table)
 
@@ -124,7 +125,7 @@
 
 
 def without_rpc_sockets(config: Config, table: RpcTable) -> Config:
-    """Returns the configuration of the HTTP part: its connections less the sockets of RPC."""
+    """Returns the configuration for HTTP, whose `connections` exclude the sockets reserved for RPC."""
     left = config.connections - table.sockets
     if left < MIN_HTTP_CONNECTIONS:
         raise ConfigError(
--- a/brackenladder/system/local/local_system.py
+++ b/brackenladder/system/local/local_system.py
@@ -26,9 +26,9 @@
 from brackenladder.rehearsal.standins.heartbeats import Heartbeats
 from brackenladder.rehearsal.standins.model_server import ModelServer, ServerSettings
 
-STARTUP_TIMEOUT_SECONDS = 30.0  # for the whole system to become ready, and for each later condition
+STARTUP_TIMEOUT_SECONDS = 30.0  # limit until the system is ready, and for each later wait
 POLL_INTERVAL_SECONDS = 0.05
-READY_CHECK_TIMEOUT_SECONDS = 1.0  # for one HTTP request to a gateway or directory
+READY_CHECK_TIMEOUT_SECONDS = 1.0  # limit of one HTTP request to a gateway or directory
 
 
 class LocalError(Exception):
@@ -66,7 +66,7 @@
     async def status(self) -> ControlStatus:
         """Returns the status from the control node that has applied most of the log.
 
-        The first node to answer may have just restarted, and would report no configuration.
+        A node that has just restarted may answer first, but would report no configuration.
         """
         first = await self.control.status()
         if isinstance(first, Failure):
@@ -179,7 +179,7 @@
     async def _is_ready(self) -> bool:
         """Whether all gateways are ready, all servers registered, and all directories answer."""
         checks = [f"http://{machine.ready}/-/readyz" for machine in self.layout.gateways]
-        # With a host of the configuration: for a host that no route names there is no answer.
+        # A directory answers only for a host that a route names, hence the configured one.
         checks += [f"http://{directory}/-/resolve?Name={HOST}" for directory in self.layout.directories]
         if not all([await self._returns_ok(url) for url in checks]):
             return False
