--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -165,7 +165,7 @@
 
 
 def stored_figures(done: FinishedRun) -> dict[str, float]:
-    """Returns the figures of a run in the form in which they are stored."""
+    """Returns the figures of a run by the names under which the results file stores them."""
     values = {"faults": float(done.faults), "nearest": done.figures["cold"]}
     for name, (share, weight) in done.worths.items():
         values |= {f"worth {name}": share, f"weight {name}": weight}
--- a/brackenladder/cli/members.py
+++ b/brackenladder/cli/members.py
@@ -57,7 +57,7 @@
 
 
 def print_view(console: Console, view: dict[str, Any]) -> None:
-    """Prints the view as a table, and the latest transitions."""
+    """Prints what this node knows of the other nodes as a table, then their latest changes of state."""
     own, counters = view["self"], view["counters"]
     console.print(
         f"node {own['number']}: {own['state']}, health score {own['score']}, {own['living']} nodes share"
--- a/brackenladder/cli/rehearse.py
+++ b/brackenladder/cli/rehearse.py
@@ -144,7 +144,7 @@
 
 
 def size_error(scenario: Scenario, where: str) -> str:
-    """Returns why a scenario is too large for sockets or the model, or an empty text."""
+    """Returns why a scenario is too large to run over sockets or in the simulation, or an empty text."""
     if where == "sockets":
         return too_large(scenario)
     from brackenladder.fleet.model import too_large as model_size_error
@@ -153,14 +153,14 @@
 
 
 def ignored_in_model(scenario: Scenario) -> list[str]:
-    """Returns the parts of a scenario that the model ignores."""
+    """Names the settings and faults of a scenario that have no effect in the simulation."""
     from brackenladder.fleet.model import unsupported
 
     return unsupported(scenario)
 
 
 def play_in_model(scenario: Scenario, seed: int, command: str, keep: str | None) -> Result:
-    """Runs a scenario in virtual time."""
+    """Simulates a scenario in virtual time, without sockets."""
     from brackenladder.fleet.model import play
     from brackenladder.fleet.queue import Standstill
 
--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -1,4 +1,4 @@
-"""Checks the effect of a change on service, based on the current server list."""
+"""Checks, from the current server list, whether a configuration change would interrupt a service."""
 
 from __future__ import annotations
 
--- a/brackenladder/delivery/gateway_count.py
+++ b/brackenladder/delivery/gateway_count.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-HOLD_TIME = 20_000_000  # microseconds for which a number still counts after a lower one replaced it
+HOLD_TIME = 20_000_000  # microseconds for which a gateway count still applies after a lower one replaced it
 
 
 @frozen
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -36,7 +36,9 @@
     state: GatewayState
     seq: int
     have_revision: int = 0  # revision of the catalog that the gateway has
-    relay: bool = False  # the receiver is the nearest control node and relays prefix notices for the gateway
+    # The receiver is the control node nearest to the gateway. It forwards the gateway's prefix notices (which
+    # server has which prompt prefixes cached) to other gateways, and theirs to this one.
+    relay: bool = False
 
     @property
     def gateway(self) -> GatewayRecord:
--- a/brackenladder/delivery/subscriber.py
+++ b/brackenladder/delivery/subscriber.py
@@ -178,8 +178,9 @@
     def _note_complete(self, source: _Source) -> None:
         """Update `complete`, which also requires a configuration.
 
-        Failure prevented: a control node that has just restarted is in contact with the leader before it has
-        the committed entries, sends an empty catalog, and the gateway becomes ready without a configuration.
+        Otherwise the gateway could become ready without a configuration: a control node that has just
+        restarted is in contact with the leader before it has the committed entries, and sends an empty
+        catalog.
         """
         configured = self.view.configuration is not None
         self.complete = self.complete or (configured and source.complete)
--- a/brackenladder/delivery/subscriptions.py
+++ b/brackenladder/delivery/subscriptions.py
@@ -8,8 +8,8 @@
 
 NOTHING = -1  # lower than the number of any update
 # Microseconds after which a control node sends a document that the gateway's nearest control node has not
-# delivered. It covers a round trip between regions plus two timer ticks of a control node, and is a tenth of
-# the default of the setting `ConfigMs`.
+# delivered. It exceeds a round trip between regions plus two timer ticks of a control node; otherwise both
+# nodes would send the document. It is a tenth of the default of the setting `ConfigMs`.
 STANDBY_TIME = 300_000
 
 
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -97,8 +97,8 @@
     def expire(self) -> None:
         """Handles a timeout; after a pause of this process, the socket is read first.
 
-        Failure prevented: the answer is waiting in the socket, the call is abandoned unread, and requests go
-        to a server that the answer withdraws.
+        Otherwise the call would be abandoned while its answer waits unread in the socket, and requests would
+        go to a server that this answer withdraws.
         """
         if self.loop.time() - self.deadline > STALL_THRESHOLD:
             self.start_timeout(RESUME_GRACE)
@@ -216,8 +216,8 @@
     def change_address(self, address: tuple[str, int]) -> None:
         """Switches to another address; answers from the old one are ignored.
 
-        Failure prevented: the new address numbers its versions differently, so a watch that continues from
-        the old version misses changes, or the new list is taken for an old one.
+        The new address numbers its versions differently. A watch that continued from the old version would
+        miss changes, or the new list would be taken for an old one.
         """
         self.close()
         self.address = address
@@ -279,7 +279,7 @@
         return changes
 
     def close(self) -> None:
-        """Ends all calls."""
+        """Ends all open calls to the discovery service."""
         self.cancel_retry()
         for call in (self.watch_call, self.fetch_call):
             if call is not None:
--- a/brackenladder/local_site/first_configuration.py
+++ b/brackenladder/local_site/first_configuration.py
@@ -107,5 +107,5 @@
 
 
 def card_request() -> RequestSpec:
-    """Returns a small safe request."""
+    """Returns a small request to the plain service that may be repeated without side effects."""
     return RequestSpec(HOST, f"{CARDS_PATH}7", streaming=False, deadline_s=3.0)
--- a/brackenladder/local_site/layout.py
+++ b/brackenladder/local_site/layout.py
@@ -90,12 +90,12 @@
 
     @property
     def seeds(self) -> tuple[str, ...]:
-        """The addresses of the control nodes."""
+        """The control nodes' addresses to which every node connects at first (setting `Seeds`)."""
         return tuple(machine.control for machine in self.control)
 
     @property
     def directories(self) -> tuple[str, ...]:
-        """The addresses of the directories."""
+        """The control nodes' addresses at which clients look up gateways."""
         return tuple(machine.directory for machine in self.control)
 
     def servers(self) -> tuple[ServerSettings, ...]:
@@ -114,19 +114,19 @@
         )
 
     def data_dir(self, machine: Machine) -> Path:
-        """Returns the folder of a control node's store."""
+        """Returns the folder in which a control node stores its log and state."""
         return self.folder / machine.name
 
     def settings_path(self, machine: Machine) -> Path:
-        """Returns the path of a node's settings file."""
+        """Returns the path of the TOML file with the content of `settings_text`."""
         return self.folder / f"{machine.name}.toml"
 
     def log_path(self, machine: Machine) -> Path:
-        """Returns the path of a node's log."""
+        """Returns the path of the file that receives the output of a node's process."""
         return self.folder / f"{machine.name}.log"
 
     def settings_text(self, machine: Machine, bootstrap: bool) -> str:
-        """Returns the content of a node's settings file."""
+        """Returns the TOML settings with which a node's process starts."""
         is_control = machine.role == "control"
         listen = {"Front": machine.front, "Ready": machine.ready}
         if is_control:
--- a/brackenladder/node/control_role.py
+++ b/brackenladder/node/control_role.py
@@ -22,7 +22,7 @@
 
 
 class ControlRole:
-    """The `RoleProcess` of a control node."""
+    """Runs a control node in this process, as a `RoleProcess`."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
--- a/brackenladder/node/gateway_role.py
+++ b/brackenladder/node/gateway_role.py
@@ -27,8 +27,10 @@
 
 TICK_SECONDS = 0.2
 STARTING_TICK_SECONDS = 0.05  # instead of `TICK_SECONDS` until the gateway is ready, to notice that sooner
-PREFIX_NOTICES_TIMEOUT = 300_000  # microseconds that a starting gateway waits for other gateways' notices
-NOTICE_SECONDS = 0.01  # prefix notices within this time are sent in one message
+# Microseconds that a starting gateway waits for other gateways' prefix notices, which say which server has
+# which prompt prefixes cached.
+PREFIX_NOTICES_TIMEOUT = 300_000
+NOTICE_SECONDS = 0.01  # prefix notices of this many seconds are collected and sent in one message
 
 log = logbook.Logger("gateway")
 
@@ -50,7 +52,7 @@
 
 
 class GatewayRole:
-    """The `RoleProcess` of a gateway."""
+    """Runs a gateway in this process, as a `RoleProcess`."""
 
     def __init__(
         self,
--- a/brackenladder/node/listener.py
+++ b/brackenladder/node/listener.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Listener:
-    """A front and its address or inherited socket."""
+    """A server for client connections, and the address or inherited socket on which it listens."""
 
     front: Front
     address: tuple[str, int]
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -57,7 +57,7 @@
         self.operator_listener.start(address)
 
     def end(self) -> None:
-        """Ends the handling of pauses, as the node shuts down. Servers stay suspended."""
+        """Stops updating the stage of a pause, as the node shuts down. Suspended servers stay suspended."""
         self.ended = True
 
     # ---- servers --------------------------------------------------------------------------------------
@@ -67,7 +67,7 @@
         return self.maintenance.process_listing(listing)
 
     def sync_holds(self) -> None:
-        """Applies suspensions that the node's other process has recorded.
+        """Applies the server suspensions that the node's other process has recorded in the file.
 
         Otherwise one process would go on sending to a server that an operator suspended in the other.
         """
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -32,7 +32,7 @@
         """The version of the current list."""
 
     def start(self) -> None:
-        """Starts to pass lists to the pool."""
+        """Starts to pass server lists to the callback."""
 
     def set_initial_listing(self, listing: Listing) -> None:
         """Sets a newer list to start with. To be called only before `start`."""
@@ -84,7 +84,7 @@
         self.distribute: Callable[[Listing], None] | None = None
 
     def start(self) -> None:
-        """Starts the host and the source of the list."""
+        """Starts the pool's host, which runs the balancing policy, and the source of the server list."""
         self.host.start()
         self.source.start()
 
--- a/brackenladder/operations/pause.py
+++ b/brackenladder/operations/pause.py
@@ -4,7 +4,8 @@
 
 from enum import IntEnum
 
-# The proxy in front of the node notices a pause within 0.1 s and may open connections for 0.2 s more.
+# From here on, each connection is closed after its current answer. The proxy in front of the node opens no
+# more by then: it notices a pause within 0.1 s and may open connections for 0.2 s more.
 CLOSING_AFTER = 0.6
 # From 2 s after the start of a pause, no newer request may be open and no connection may be idle.
 REFUSING_AFTER = 1.8
--- a/brackenladder/platform_settings.py
+++ b/brackenladder/platform_settings.py
@@ -81,7 +81,9 @@
 
 @frozen
 class Bounds:
-    """The platform's numeric bounds, each in the unit of its name. A missing one has its default."""
+    """The table `[Bounds]` of the settings file: times (names in S or s: seconds; in Ms or ms: milliseconds),
+    ratios and counts. A missing key takes the default given here.
+    """
 
     seed_lag_s: NonNegativeFloat = named("SeedLagS", 3)
     reuse_after_s: NonNegativeFloat = named("ReuseAfterS", 2)
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -23,8 +23,8 @@
     """
 
     id: str
-    heard_at: int  # when this node, or a peer by its own account, last received a heartbeat of the server
-    # Without `cold_for` and `remaining`; None: only the server's end is known.
+    heard_at: int  # when this node, or a peer that reported the time, last received a heartbeat of the server
+    # The record without `cold_for` and `remaining`. None: all that is known is that the server has ended.
     last_record: ServerRecord | None = None
     changed_seq: int = NO_SEQ  # the lowest seq known to have reported the content of `last_record`
     heartbeat_seq: int = NO_SEQ
@@ -71,7 +71,7 @@
         return self.gone != was_gone
 
     def note_heartbeat(self, seq: int, heard_at: int) -> None:
-        """Note that the server was alive at `heard_at`."""
+        """Note a heartbeat that this node or a peer received at `heard_at`."""
         if seq >= self.heartbeat_seq:
             self.heartbeat_seq = seq
             self.heard_at = max(self.heard_at, heard_at)
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -12,7 +12,7 @@
 LINKED_OFFER_TIMEOUT = 1_100_000
 # Microseconds; a gateway counts as linked to this node unless peers have heard it this much later.
 RELAY_DELAY = 1_000_000
-LIVENESS_WINDOW = 20_000_000  # microseconds after its last message for which a gateway counts as alive
+LIVENESS_WINDOW = 20_000_000  # a gateway counts as alive for this many microseconds after its last message
 # Microseconds of silence after which another process of the same node replaces the known one, even with a
 # lower incarnation: the wall clock may have been set back between the two starts.
 SUCCESSION_TIMEOUT = 1_500_000
--- a/brackenladder/registry/remembered_servers.py
+++ b/brackenladder/registry/remembered_servers.py
@@ -35,8 +35,8 @@
 def verify(server: RememberedServer, answer: HealthAnswer) -> ServerRecord | None:
     """Return the record of a server that answered as itself and is warm; None: wait for its heartbeat.
 
-    Failure prevented: after a restart, gateways do not know yet how many they are and so cannot divide a cold
-    server's load limit among them; together they would overload it.
+    A cold server is left out because, after a restart, gateways do not know yet how many they are and so
+    cannot divide the server's load limit among them; together they would overload it.
     """
     if answer.server_id != server.record.id or answer.cold_for > 0:
         return None
--- a/brackenladder/rpc/codec.py
+++ b/brackenladder/rpc/codec.py
@@ -120,10 +120,10 @@
             return 0
         except (ValueError, msgpack.UnpackException, RecursionError) as e:
             raise ProtocolError(f"not MessagePack: {type(e).__name__}") from None
-        size = int(self.skipper.tell())  # of this message only: the skipper is replaced after each one
+        size = int(self.skipper.tell())  # bytes of this message only: each message has its own skipper
         if size > limit:
             raise ProtocolError(f"a message of over {limit} bytes")
-        # The skipper may have been fed bytes of the next message; they are fed to the new skipper again.
+        # The old skipper may have read bytes of the next message, so the new one gets those bytes again.
         self.skipper = self.new_skipper()
         self.skipper_bytes = 0
         return size
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -204,7 +204,7 @@
 
 
 class RpcFront:
-    """The front: a listener and its client connections."""
+    """Accepts client connections on a listener and keeps the open ones."""
 
     def __init__(
         self,
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -266,7 +266,7 @@
 
 
 class Exchange:
-    """One attempt. It ends exactly once."""
+    """One attempt to send a call to a server. It ends exactly once."""
 
     def __init__(self, upstream: RpcUpstream, endpoint: Endpoint, call: RpcCall, done: Done) -> None:
         self.upstream = upstream
@@ -428,7 +428,8 @@
     def on_connection_ended(self, endpoint: Endpoint, failed: bool) -> None:
         """Dispatches waiting calls again after a connection to their server has ended.
 
-        If the connection couldn't be established (`failed`) and no other one is, the calls fail.
+        If it couldn't be established (`failed`) and the server has no other established connection, the
+        waiting calls fail.
         """
         if failed and not any(link.connected for link in endpoint.links):
             queue, endpoint.queue = endpoint.queue, deque()
--- a/brackenladder/storage/holds.py
+++ b/brackenladder/storage/holds.py
@@ -15,15 +15,15 @@
 
 FILE_NAME = "brackenladder-holds.json"
 FORMAT = 1
-MAX_FILE_BYTES = 1 << 20  # larger holds files are rejected
+MAX_FILE_BYTES = 1 << 20  # larger files are rejected
 
 
 class HoldsError(Exception):
-    """The file cannot be read or written. The message is one line."""
+    """The file of suspended servers cannot be read or written. The message is one line."""
 
 
 class HoldsFile:
-    """The holds file in `folder`."""
+    """The file in `folder` that records the servers suspended by operators (holds)."""
 
     def __init__(self, folder: str) -> None:
         self.path = os.path.join(folder, FILE_NAME)
--- a/brackenladder/storage/log_store.py
+++ b/brackenladder/storage/log_store.py
@@ -44,7 +44,7 @@
 
 
 class StoreClosed(StoreError):
-    """The store has been closed by its owner."""
+    """The call came after `close`."""
 
 
 class StoreForeign(StoreError):
--- a/brackenladder/system/local/local_system.py
+++ b/brackenladder/system/local/local_system.py
@@ -26,7 +26,7 @@
 from brackenladder.rehearsal.standins.heartbeats import Heartbeats
 from brackenladder.rehearsal.standins.model_server import ModelServer, ServerSettings
 
-STARTUP_TIMEOUT_SECONDS = 30.0  # limit until the system is ready, and for each later wait
+STARTUP_TIMEOUT_SECONDS = 30.0  # longest wait for the system to be ready, and for any later condition
 POLL_INTERVAL_SECONDS = 0.05
 READY_CHECK_TIMEOUT_SECONDS = 1.0  # limit of one HTTP request to a gateway or directory
 
--- a/brackenladder/system/local/run.py
+++ b/brackenladder/system/local/run.py
@@ -36,7 +36,7 @@
 
 @define
 class LocalSummary:
-    """The results of a run."""
+    """What a run of the local system counted and observed."""
 
     status: ControlStatus | None = None
     traffic: dict[str, Any] = field(factory=dict)
--- a/brackenladder/system/store_report.py
+++ b/brackenladder/system/store_report.py
@@ -63,7 +63,7 @@
         }
 
     def lines(self) -> list[str]:
-        """Returns the readable lines."""
+        """Returns the lines that are printed without `--json`."""
         kinds = ", ".join(f"{count} {kind}" for kind, count in self.entries.items()) or "none"
         snapshot = f"at {self.snapshot_index}, {self.snapshot_bytes} bytes" if self.snapshot_index else "none"
         return [
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -47,9 +47,9 @@
 
 @frozen
 class LinkLimits:
-    """Limits on the resources that links may use."""
+    """Limits on the memory and connections that links may use."""
 
-    queue_bytes: int = 8 << 20  # per link: queued bytes that the kernel hasn't taken yet
+    queue_bytes: int = 8 << 20  # most bytes on one link that wait to be written to its socket
     frame_bytes: int = 16 << 20  # largest body of a frame
     hello_bytes: int = 1 << 10  # largest body of the hello frame
     incoming: int = 512  # accepted connections of a transport that may be open at the same time
--- a/brackenladder/transport/tcp_link.py
+++ b/brackenladder/transport/tcp_link.py
@@ -22,7 +22,7 @@
 
 
 class LinkState(Enum):
-    """The state of a link."""
+    """How far a link is between its handshake and its end."""
 
     HANDSHAKE = auto()  # the other side's hello hasn't arrived yet
     OPEN = auto()
