--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -14,7 +14,7 @@
 
 MIN_CAPACITY = 0.5  # share of a pool's capacity (by weight) that must remain while it has open calls
 MAX_DRAINED = 0.34  # share of a pool's servers that may be out of service, including those draining already
-SMALL = 3  # a pool with at most this many servers may always lose one
+SMALL = 3  # a pool of at most this many servers may always have one of them taken out of service
 
 
 class Finding(msgspec.Struct, frozen=True, forbid_unknown_fields=True, order=True):
--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -13,7 +13,7 @@
 from brackenladder.membership.listing import Line
 
 VERSION = 1
-MAX_PLAN_BYTES = 4 << 20  # largest plan file
+MAX_PLAN_BYTES = 4 << 20  # most bytes in a plan file
 HISTORY = 50  # number of applied changes that are kept
 MAX_NAMED_KEYS = 5  # changed keys listed in the refusal of a stale plan
 
--- a/brackenladder/delivery/gateway_count.py
+++ b/brackenladder/delivery/gateway_count.py
@@ -20,13 +20,13 @@
     """
 
     def __init__(self) -> None:
-        self._reported: dict[str, int] = {}  # the last number of each connected control node
+        self._reported: dict[str, int] = {}  # the last gateway count reported by each connected control node
         self._held: list[_Held] = []
         self._last = 1
         self.known = False  # a control node that knew of all gateways has reported the number
 
     def report(self, now: int, control_node: str, number: int, settled: bool = True) -> None:
-        """Take the number that a control node reports; `settled` False: it may not know all gateways."""
+        """Take a control node's number of gateways; `settled` False: it may not know all gateways."""
         self.known = self.known or settled
         before = self._reported.get(control_node, 0)
         if before > number:
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -113,7 +113,7 @@
 
     revision: int
     addresses: tuple[str, ...]  # "ip:port"
-    zones: tuple[str, ...] = ()  # of the nodes, in the order of `addresses`; empty if not known
+    zones: tuple[str, ...] = ()  # zones of the nodes at `addresses`, in the same order; empty if not known
 
 
 @frozen
--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -40,7 +40,7 @@
             self._lists[control_node].add(server_id)
 
     def ended(self, server_id: str) -> None:
-        """Handle the tombstone of a server."""
+        """Forget a server whose end has been reported: it need not be removed as omitted any more."""
         for server_ids in self._lists.values():
             server_ids.discard(server_id)
         for server_ids in self._last_lists.values():
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -218,7 +218,7 @@
     def _parts(
         self, this_round: _Round, records: tuple[ServerRecord, ...], full: bool
     ) -> tuple[ServersUpdate, ...]:
-        """Split an update into messages of at most `MAX_RECORDS` records."""
+        """Split an update of the server list into messages of at most `MAX_RECORDS` records."""
         starts = range(0, max(1, len(records)), MAX_RECORDS)
         return tuple(
             ServersUpdate(
--- a/brackenladder/delivery/subscriber.py
+++ b/brackenladder/delivery/subscriber.py
@@ -45,7 +45,10 @@
 
 
 class Subscriber:
-    """Handles the messages of all control nodes and maintains the view. Call `tick` about once a second."""
+    """Builds a gateway's view (configuration, servers, gateway count) from the messages of all control nodes.
+
+    Call `tick` about once a second.
+    """
 
     def __init__(self, parse: DocumentParser = parse_document) -> None:
         """`parse` turns a document into a configuration."""
@@ -66,7 +69,7 @@
         return self._reader.unreadable_revision
 
     def complete_or_timed_out(self, now: int) -> bool:
-        """Whether the view is complete, or has had a configuration for `READY_TIMEOUT`."""
+        """Whether configuration and servers have arrived, or the configuration `READY_TIMEOUT` ago."""
         if self.complete:
             return True
         first = self._first_configuration_at
--- a/brackenladder/delivery/subscriptions.py
+++ b/brackenladder/delivery/subscriptions.py
@@ -6,7 +6,7 @@
 
 from brackenladder.delivery.messages import Ack, UpdateKind
 
-NOTHING = -1  # lower than the number of any update
+NOTHING = -1  # no update; lower than the number of any update
 # Microseconds after which a control node sends a document that the gateway's nearest control node has not
 # delivered. It exceeds a round trip between regions plus two timer ticks of a control node; otherwise both
 # nodes would send the document. It is a tenth of the default of the setting `ConfigMs`.
@@ -35,7 +35,7 @@
 
 @define
 class Subscription:
-    """What one subscriber has received."""
+    """Which updates a gateway (subscriber) has received and which are in flight to it."""
 
     have_revision: int  # revision of the subscriber's catalog, received from any control node
     nearest: bool = False  # this control node is the gateway's nearest one
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -16,7 +16,7 @@
 
 
 class ViewChange(Flag):
-    """Which parts of a view have changed."""
+    """Which parts of what a gateway knows (its view) have changed."""
 
     CATALOG = auto()
     SERVERS = auto()
@@ -37,7 +37,7 @@
         self.gateways = 1  # the highest number of live gateways in the last 20 s
         self.gateways_known = False  # a control node that knew of all gateways has reported the number
         self._servers: dict[str, ServerRecord] = {}
-        # READY and DRAINING servers by id.
+        # The servers that are READY or DRAINING, by id.
         self.servers: Mapping[str, ServerRecord] = MappingProxyType(self._servers)
         self.by_service = ServiceServers()  # the same servers, for readers that process changes only
         self._registry = ServerRegistry()
@@ -64,7 +64,7 @@
     def set_catalog(
         self, revision: int, configuration: Configuration | None, evacuated: frozenset[str]
     ) -> bool:
-        """Set the catalog; False, without a change, if `revision` is not newer."""
+        """Set the catalog (the configuration); return False, without a change, if `revision` is not newer."""
         if revision <= self.revision:
             return False
         self.revision = revision
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -16,7 +16,10 @@
 
 
 class PolledDiscovery(Discovery):
-    """Discovery, called when the decision module asks for the list; starts with the list known beforehand."""
+    """Calls discovery whenever the Balancer, which picks a server for each call, asks for the server list.
+
+    It starts with the list known beforehand.
+    """
 
     def __init__(
         self,
@@ -44,7 +47,7 @@
 class AgentDiscovery(PolledDiscovery):
     """An agent on the node's own host, which answers at once with the list that was pushed to it.
 
-    The node itself watches the agent for as long as the pool runs; the decision module does not ask for it.
+    The node itself watches the agent for as long as the pool runs; the Balancer does not ask for the list.
     """
 
     def __init__(
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -193,7 +193,7 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the current list."""
+        """The version of the newest server list that was received, or None."""
         return self.current_list.version
 
     def watch(self, on: bool) -> None:
@@ -236,8 +236,8 @@
     def on_watch_answer(self, call: DiscoveryCall, body: bytes | None) -> None:
         listing = self.parse_answer(body)
         if listing is None:
-            # The call is ended before its failure is reported, since the decision module may start a new
-            # watch at once.
+            # The call is ended before its failure is reported, since on the report the Balancer may start a
+            # new watch at once.
             call.end()
             self.watch_call = None
             pause = self.watch_retry.failed(call.timed_out, self.random.random())
--- a/brackenladder/invariants.py
+++ b/brackenladder/invariants.py
@@ -31,7 +31,7 @@
 
 
 class InvariantChecks:
-    """Counts violations. Thread-safe."""
+    """Counts the violations of each invariant. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = Lock()
@@ -55,7 +55,7 @@
 
     @property
     def total(self) -> int:
-        """The number of all violations."""
+        """The sum of the violations of all invariants."""
         return sum(self.violations().values())
 
     @contextmanager
--- a/brackenladder/local_site/first_configuration.py
+++ b/brackenladder/local_site/first_configuration.py
@@ -16,7 +16,10 @@
 
 
 def first_configuration() -> dict[str, Any]:
-    """Returns a streaming route to the model servers and a safe route to the plain servers."""
+    """Returns a configuration: a streaming route to the model servers, and a safe one to the plain servers.
+
+    Requests of a safe route change nothing at a server, so they may be sent again.
+    """
     return {
         "Version": FIRST_VERSION,
         "Routes": [
--- a/brackenladder/node/control_links.py
+++ b/brackenladder/node/control_links.py
@@ -89,7 +89,7 @@
         self._choose_relay()
 
     def link_up(self, address: str, link: Link) -> None:
-        """Handles a new link to a control node."""
+        """Registers a new link to a control node and announces this gateway on it."""
         self._links[address] = link
         self._subscriber.connected(self._clock(), address)
         link.send(self._presence.message(self._subscriber.view.revision))
@@ -119,7 +119,7 @@
                 link.send(message)
 
     def link_down(self, address: str, link: Link, reason: LinkClosed) -> None:
-        """Handles the end of a link."""
+        """Forgets a link to a control node that has ended."""
         if self._links.get(address) is not link:
             return
         log.info("link to control node {} closed: {}", address, reason)
@@ -128,7 +128,10 @@
         self._choose_relay()
 
     def _choose_relay(self) -> None:
-        """Chooses the nearest control node as relay once their zones are known, and announces a change."""
+        """Chooses which control node forwards prefix notices: the nearest, once their zones are known.
+
+        A change is announced to the control nodes.
+        """
         zones = self._subscriber.control_zones
         relay = self._relay_choice.nearest(self._links, zones) if zones else ""
         if relay != self._relay:
--- a/brackenladder/node/control_role.py
+++ b/brackenladder/node/control_role.py
@@ -51,12 +51,12 @@
             raise RoleError(f"can't listen: {error}") from error
 
     def reload(self, platform: Platform) -> None:
-        """Applies changed settings."""
+        """Applies changed settings to the running node; does nothing before its start."""
         if self.node is not None:
             self.node.reload(platform)
 
     async def stop(self) -> None:
-        """Stops the node in an orderly way."""
+        """Stops the node if it has been started."""
         if self.node is not None:
             await self.node.stop()
 
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -21,7 +21,7 @@
 
 MAX_KEYS = 2  # the old and the new key during a key rotation
 KEY_BYTES = (16, 64)
-MAX_FILE_BYTES = 4096  # largest key file
+MAX_FILE_BYTES = 4096  # most bytes in a key file
 COUNT_INTERVAL = 10  # ticks between two counts of the live nodes
 
 
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -30,11 +30,14 @@
 
 LIST_TIMEOUT = 3.0  # seconds to wait for the server list before accepting clients on an inherited socket
 LIST_POLL_INTERVAL = 0.01
-RELOADED = ("discovery", "filed_discovery", "peers", "peers_all")  # fields that a reload changes
+RELOADED = ("discovery", "filed_discovery", "peers", "peers_all")  # fields of `Config` that a reload changes
 
 
 class Node:
-    """Creates and connects the parts. Parts that the operator file doesn't configure are not imported."""
+    """Creates and connects what the operator file configures: pools, listeners, membership and recovery.
+
+    Modules of what it doesn't configure are not imported.
+    """
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, operator: Operator | None = None
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -52,7 +52,7 @@
         pool.admit = self.admit
 
     def start(self, address: Address) -> None:
-        """Applies recorded suspensions and starts the listener. Raises OSError if it can't be bound."""
+        """Applies recorded suspensions and listens for operators. Raises OSError if it can't be bound."""
         self.sync_holds()
         self.operator_listener.start(address)
 
@@ -88,7 +88,7 @@
     def hold(self, call: OperatorCall) -> bytes:
         """Suspends or restores a server.
 
-        The hold is written to the file that the node's processes share before the reply is sent.
+        Before the reply is sent, the change is written to the file that the node's processes share.
         """
         maintenance, now = self.maintenance, time_ns() // 1000
         try:
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -25,7 +25,7 @@
 
 
 class Source(Directory, Protocol):
-    """A source of the server list."""
+    """Fetches a pool's server list from discovery or a file, and passes each new list to the pool."""
 
     @property
     def version(self) -> int | None:
@@ -56,7 +56,10 @@
 
 
 class Pool:
-    """One pool of servers. `source` creates the source of its list, which passes listings to a callback."""
+    """Balances calls over one group of servers.
+
+    `source` creates the object that gets the group's server list; it passes each new list to a callback.
+    """
 
     def __init__(
         self,
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -46,7 +46,7 @@
 
 
 class RoutedPool(Roster):
-    """One pool: its host, and the roster of the servers that match its specification."""
+    """One pool: the Host that balances its calls, and the numbered list of servers that match the pool."""
 
     def __init__(self, name: str, spec: PoolSpec, host: Host, config: Config, pools: Pools) -> None:
         super().__init__(host, NullDirectory(), config.zones, config.kinds)
@@ -64,7 +64,7 @@
 
 
 def selector(spec: PoolSpec) -> PoolSpec:
-    """Returns the part of a pool's specification that selects its servers."""
+    """Returns the fields of a pool's specification that decide which servers belong to it."""
     return msgspec.structs.replace(spec, weights={}, limit=0)
 
 
@@ -132,11 +132,11 @@
     # ---- requests -------------------------------------------------------------------------------------
 
     def hosts(self) -> list[Host]:
-        """The hosts of all pools."""
+        """For each pool, the Host that asks its Balancer for a server for each call."""
         return [pool.host for pool in self.routed_pools.values()]
 
     def route(self, klass: int, tenant: int, target: bytes, name: bytes) -> Host:
-        """Returns the host that handles a request. `name` is the tenant's name."""
+        """Returns the Host of the pool that serves a request. `name` is the tenant's name."""
         path, _, query = target.partition(b"?")
         sticky_by = self.router.sticky(klass, tenant, path)
         key = ""
--- a/brackenladder/node/role_runner.py
+++ b/brackenladder/node/role_runner.py
@@ -37,7 +37,7 @@
         """Opens everything that the role needs. Raises RoleError if it can't."""
 
     def reload(self, platform: Platform) -> None:
-        """Applies the settings of a changed file."""
+        """Applies the settings file after a change, without a restart."""
 
     async def stop(self) -> None:
         """Shuts down in an orderly way, within the platform's grace period."""
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -11,20 +11,20 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-MAX_HOLDS = 4096  # limit on servers that are on hold or whose hold is still remembered
-HOLD_RETENTION_US = 300_000_000  # how long a hold is remembered after its end
+MAX_HOLDS = 4096  # most servers that are suspended, or whose suspension has ended but is still remembered
+HOLD_RETENTION_US = 300_000_000  # microseconds for which a suspension is remembered after its end
 
 
 @dataclass(frozen=True)
 class Hold:
-    """A hold on a server from `since` to `until`. `until` is 0 while the hold lasts."""
+    """The time during which an operator keeps a server out of service. `until` is 0 until it ends."""
 
     since: int
     until: int = 0
 
 
 class TooManyHolds(Exception):
-    """No more servers can be put on hold."""
+    """`MAX_HOLDS` servers are already suspended or remembered as such."""
 
 
 class Maintenance:
@@ -49,7 +49,7 @@
         return hold is not None and not hold.until
 
     def suspend(self, server: str, now: int) -> None:
-        """Puts a server on hold; a repeated call changes nothing. Raises TooManyHolds at the limit."""
+        """Takes a server out of service; a repeated call changes nothing. May raise TooManyHolds."""
         self.drop_expired_holds(now)
         if self.is_held(server):
             return
@@ -58,7 +58,7 @@
         self.holds[server] = Hold(now)
 
     def restore(self, server: str, now: int) -> None:
-        """Ends the hold on a server, even after several calls of `suspend`. Ignores a server not on hold."""
+        """Ends a server's suspension, even after several calls of `suspend`. Ignores any other server."""
         if self.is_held(server):
             self.holds[server] = replace(self.holds[server], until=now)
 
--- a/brackenladder/platform_settings.py
+++ b/brackenladder/platform_settings.py
@@ -117,7 +117,7 @@
 
 @frozen
 class Platform:
-    """The checked settings of a process."""
+    """The settings that the platform gives a process, after all checks."""
 
     node_name: str
     role: str
--- a/brackenladder/registry/directory.py
+++ b/brackenladder/registry/directory.py
@@ -13,7 +13,7 @@
 
 
 class Proximity(Enum):
-    """How close to the client the gateways in an answer are."""
+    """How close the gateways in an answer are to the client that asked."""
 
     ZONE = "its zone"
     REGION = "its region"
@@ -21,7 +21,7 @@
     NOWHERE = "none"  # no gateway is available
 
 
-OWN_REGION = (Proximity.ZONE, Proximity.REGION)  # values that mean the client's own region
+OWN_REGION = (Proximity.ZONE, Proximity.REGION)  # the gateways are in the client's own region
 
 
 @frozen
@@ -39,7 +39,7 @@
 
     addresses: tuple[str, ...] = ()
     proximity: Proximity = Proximity.NOWHERE
-    regions: frozenset[str] = frozenset()  # the regions of these gateways
+    regions: frozenset[str] = frozenset()  # the regions of the gateways in `addresses`
 
     @property
     def in_client_region(self) -> bool:
--- a/brackenladder/registry/exchange.py
+++ b/brackenladder/registry/exchange.py
@@ -24,7 +24,7 @@
 
 @frozen
 class PeerMessage:
-    """A message to be sent to one peer."""
+    """A message to be sent to one other control node."""
 
     peer: str
     message: object
@@ -51,7 +51,7 @@
         return now >= self._settled_at
 
     def peer_connected(self, peer: str) -> None:
-        """Handle a new link to a peer."""
+        """Note a new link to a control node, which first gets everything known here."""
         self._fully_sent[peer] = False
 
     def peer_disconnected(self, peer: str) -> None:
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -10,7 +10,8 @@
 OFFER_TIMEOUT = 2_500_000  # microseconds without a message after which clients are not sent to a gateway
 # The same limit for a gateway that is linked to this node: as an idle link sends pings, it can be shorter.
 LINKED_OFFER_TIMEOUT = 1_100_000
-# Microseconds; a gateway counts as linked to this node unless peers have heard it this much later.
+# A gateway counts as linked to this node unless another control node has received a message of it that is at
+# least this many microseconds newer than the last one received here.
 RELAY_DELAY = 1_000_000
 LIVENESS_WINDOW = 20_000_000  # a gateway counts as alive for this many microseconds after its last message
 # Microseconds of silence after which another process of the same node replaces the known one, even with a
--- a/brackenladder/registry/registry.py
+++ b/brackenladder/registry/registry.py
@@ -39,9 +39,9 @@
         self._entries: dict[str, ServerEntry] = {}  # ordered by `version`
         self._in_touch_since: int | None = None
         self._settled = False
-        self._expiry_check_at = FOREVER  # no server times out before this time
-        self._suspect_check_at = FOREVER  # no server becomes suspect before this time
-        self._cleanup_check_at = FOREVER  # no entry is removed before this time
+        self._expiry_check_at = FOREVER  # time before which no server can time out
+        self._suspect_check_at = FOREVER  # time before which no server can become suspect
+        self._cleanup_check_at = FOREVER  # time before which no entry is due for removal
         self._removed_version = 0  # the highest version among removed entries
         self._local_changes: dict[str, None] = {}
         self._local_heard: dict[str, None] = {}
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -121,8 +121,8 @@
         self.table = dict(table)
         self.classes = classes
         self.tenants = {name: i for i, name in enumerate(tenants)}
-        self.tenant = self.tenants.get(tenant, len(tenants))  # of calls that name no tenant
-        self.budget = budget  # of calls that give no budget; microseconds
+        self.tenant = self.tenants.get(tenant, len(tenants))  # the tenant of calls that name none
+        self.budget = budget  # microseconds that a call may take if it gives no budget
 
     def get(self, name: str) -> Method | None:
         return self.table.get(name)
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -48,7 +48,7 @@
         self.started = started
         self.ready = True
         self.links: list[Link] = []
-        self.queue: deque[Exchange] = deque()  # waiting for a connection
+        self.queue: deque[Exchange] = deque()  # calls that wait for a connection to this server
 
     def retire(self) -> None:
         """Stops new calls. Written calls may finish, then the connections close.
@@ -65,7 +65,7 @@
 
 
 class Link(asyncio.Protocol):
-    """A connection to a server."""
+    """A connection to a server, on which several calls may be open."""
 
     def __init__(self, upstream: RpcUpstream, endpoint: Endpoint) -> None:
         self.upstream = upstream
@@ -79,7 +79,7 @@
             int, Exchange | None
         ] = {}  # by msgid; None for a call that was given up, whose msgid stays reserved
         self.silent_since: float | None = None  # when a call was first given up since the last received bytes
-        self.partially_written: Exchange | None = None  # the kernel hasn't taken its write completely
+        self.partially_written: Exchange | None = None  # its write was not taken completely by the kernel
         self.paused = False
         self.last_msgid = 0
         self.last_received = upstream.loop.time()
--- a/brackenladder/storage/handover.py
+++ b/brackenladder/storage/handover.py
@@ -1,6 +1,7 @@
 """The handover file, in which a process leaves the server list for the process that replaces it.
 
-It is in the same folder as the holds file, is rewritten about once a second, and is used only while fresh.
+It is in the same folder as the file of suspended servers and is rewritten about once a second. A file older
+than `MAX_AGE` is ignored.
 """
 
 from __future__ import annotations
--- a/brackenladder/storage/holds.py
+++ b/brackenladder/storage/holds.py
@@ -55,7 +55,7 @@
         return self.stamp() != self.last_stamp
 
     def read(self) -> dict[str, Hold]:
-        """Returns the holds by server; empty if there is no file. Raises HoldsError for an invalid file."""
+        """Returns the suspensions by server id; none without a file. Raises HoldsError if it is invalid."""
         self.last_stamp = self.stamp()
         if self.last_stamp is None:
             return {}
@@ -74,7 +74,7 @@
             raise HoldsError("holds: not a valid holds file") from None
 
     def write(self, holds: Mapping[str, Hold]) -> None:
-        """Writes the holds atomically. Raises HoldsError if that fails; the file is then unchanged."""
+        """Writes the suspensions atomically. Raises HoldsError if that fails; the file is then unchanged."""
         table = {
             "format": FORMAT,
             "holds": {server: [hold.since, hold.until] for server, hold in holds.items()},
--- a/brackenladder/storage/memory_log.py
+++ b/brackenladder/storage/memory_log.py
@@ -11,7 +11,7 @@
 
 @define
 class _Content:
-    """The content that a disk would hold."""
+    """What a store on disk would contain."""
 
     hard_state: HardState = HardState()
     snapshot: Snapshot | None = None
@@ -42,7 +42,7 @@
         return Success(DurableState(content.hard_state, content.snapshot, tuple(content.entries)))
 
     def apply(self, write: Write) -> Result[None, StoreError]:
-        """Applies a write atomically."""
+        """Applies a write completely or, if it does not fit the log, not at all."""
         if self._closed:
             return Failure(StoreClosed("the store is closed"))
         return self._content.span.after(write).map(lambda span: self._change(write, span))
--- a/brackenladder/storage/writer.py
+++ b/brackenladder/storage/writer.py
@@ -23,7 +23,7 @@
 
 @frozen
 class PendingWrite:
-    """A write and the callback for its result."""
+    """A write that waits in the queue, and the callback that gets its result."""
 
     write: Write
     done: WriteCallback
--- a/brackenladder/system/store_report.py
+++ b/brackenladder/system/store_report.py
@@ -29,7 +29,7 @@
     format: int
     term: int
     voted_for: str
-    snapshot_index: int  # 0 if there is no snapshot
+    snapshot_index: int  # index of the last log entry in the snapshot; 0 if there is none
     snapshot_bytes: int
     first_index: int
     last_index: int
--- a/brackenladder/transport/address.py
+++ b/brackenladder/transport/address.py
@@ -13,7 +13,7 @@
 
 @frozen
 class Address:
-    """A parsed address."""
+    """An IPv4 address and a port."""
 
     ip: str
     port: int
--- a/brackenladder/transport/keepalive.py
+++ b/brackenladder/transport/keepalive.py
@@ -67,7 +67,7 @@
             self._arm(max(now + self._slack, self._next_due()))
 
     def _extend_limits(self, now: float) -> None:
-        """Gives links that would be closed now one more ping interval, but only once during a silence."""
+        """Gives links that would be closed now one more ping interval, once until new data arrives."""
         earliest = now - self._silence_timeout + self._ping_every
         for link in self._links:
             if link.last_received_at < earliest and not link.grace_given:
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -36,12 +36,12 @@
     silence_timeout: int = 1_600_000  # a link that has received nothing for this long is closed
     connect_timeout: int = 700_000  # limit for establishing a TCP connection
     retry_min: int = 50_000  # first pause between connection attempts; doubles with each failure
-    retry_max: int = 500_000  # longest pause between attempts
+    retry_max: int = 500_000  # longest pause between two attempts to connect
     refused_pause: int = 60_000  # longest pause after ECONNREFUSED, as the process is probably restarting
     refused_tries: int = 25  # refusals in a row with the short pause; then it grows up to `retry_max`
-    stable_after: int = 1_000_000  # a link open for this long resets the pause to `retry_min`
+    stable_after: int = 1_000_000  # a link open for this long resets the retry pause to `retry_min`
     listen_timeout: int = 10_000_000  # how long binding is retried while the address is in use
-    listen_retry: int = 100_000  # pause between attempts to bind
+    listen_retry: int = 100_000  # pause between two attempts to bind a listener's address
     close_grace: int = 500_000  # time for the links of a closing transport to send their queued messages
 
 
@@ -50,8 +50,8 @@
     """Limits on the memory and connections that links may use."""
 
     queue_bytes: int = 8 << 20  # most bytes on one link that wait to be written to its socket
-    frame_bytes: int = 16 << 20  # largest body of a frame
-    hello_bytes: int = 1 << 10  # largest body of the hello frame
+    frame_bytes: int = 16 << 20  # most bytes in the body of a frame
+    hello_bytes: int = 1 << 10  # most bytes in the body of the hello frame
     incoming: int = 512  # accepted connections of a transport that may be open at the same time
 
 
@@ -99,7 +99,7 @@
 
 
 class LinkHandler(Protocol):
-    """Receives the events of links."""
+    """Called when a link opens, receives a message or ends."""
 
     def connected(self, link: Link) -> None:
         """Called when the handshake is complete."""
@@ -108,7 +108,7 @@
         """Called for each received message."""
 
     def closed(self, link: Link, reason: LinkClosed) -> None:
-        """Called when the link has ended."""
+        """Called once when the link has ended, with the reason."""
 
 
 class Dialer(Protocol):
--- a/brackenladder/transport/memory.py
+++ b/brackenladder/transport/memory.py
@@ -42,7 +42,7 @@
     def __init__(self, codec: Codec | None = None) -> None:
         self.codec = codec
         self._events: deque[Event] = deque()
-        self._delayed: list[Event] = []  # events that a cut holds back
+        self._delayed: list[Event] = []  # events that wait until a simulated partition is healed
         self._cuts: set[tuple[str, str]] = set()
         self._listeners: dict[str, Listener] = {}
         self._dialers: list[MemoryDialer] = []
@@ -104,7 +104,7 @@
         self._release()
 
     def heal_all(self) -> None:
-        """Ends all cuts."""
+        """Ends all cuts. Events that the cuts delayed are then the next to be delivered."""
         self._cuts.clear()
         self._release()
 
@@ -225,7 +225,7 @@
     dialer: MemoryDialer
 
     def happen(self) -> None:
-        """Makes the connection attempt."""
+        """Lets the dialer try to connect, unless it has been closed."""
         self.dialer.attempt()
 
 
@@ -264,7 +264,7 @@
             self.transport.network.queue(Attempt(name, name, self))
 
     def attempt(self) -> None:
-        """Tries to connect now."""
+        """Tries to connect; does nothing after `close`."""
         self._attempt_queued = False
         if self._closed:
             return
--- a/brackenladder/transport/memory_link.py
+++ b/brackenladder/transport/memory_link.py
@@ -22,11 +22,11 @@
 
     @property
     def direction(self) -> tuple[str, str]:
-        """Sender and receiver. Events of one direction happen in the order in which they were queued."""
+        """Sender and receiver of the event. Events with the same two happen in the order they were queued."""
         return self.sender, self.receiver
 
     def happen(self) -> None:
-        """Applies the event."""
+        """Called when the test network delivers the event, to carry out its effect."""
         raise NotImplementedError
 
 
@@ -80,7 +80,7 @@
 
     @property
     def other(self) -> MemoryLink:
-        """The other end."""
+        """The end of this link at the other node."""
         assert self._other is not None
         return self._other
 
