--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -19,7 +19,10 @@
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A plan. `base`, `result`: digests of the state before and after; `seal`: digest of the other fields."""
+    """The differences from one state, which may only be applied to that state.
+
+    `base`, `result`: digests of the state before and after; `seal`: digest of the other fields.
+    """
 
     version: int = VERSION
     base: str
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -80,7 +80,7 @@
 
 @frozen
 class CatalogChange:
-    """The commands that lead from one revision to another, for a gateway that has the first."""
+    """The commands that change one catalog revision into another, for a gateway that has the first."""
 
     from_revision: int
     to_revision: int
--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -48,7 +48,7 @@
         self._forget(server_id)
 
     def disconnected(self, now: int, control_node: str, known: Iterable[str]) -> None:
-        """Handle the loss of the link to a control node."""
+        """Keep the last list of a control node whose link is lost, in case it connects again."""
         server_ids = self._lists.pop(control_node, None)
         if server_ids is not None:
             self._last_lists[control_node] = server_ids
--- a/brackenladder/delivery/subscriptions.py
+++ b/brackenladder/delivery/subscriptions.py
@@ -15,7 +15,7 @@
 
 @define
 class Channel:
-    """One kind of update for one subscriber; at most one is in flight."""
+    """Tracks one kind of update for one gateway: the one in flight, if any, and the last acknowledged."""
 
     have: int = NOTHING  # number of the last update that the subscriber applied
     in_flight: int | None = None  # number of the update that was sent and not acknowledged yet
--- a/brackenladder/delivery/view.py
+++ b/brackenladder/delivery/view.py
@@ -24,7 +24,7 @@
 
 
 class SystemView:
-    """The merged view of one gateway.
+    """What one gateway knows from all control nodes: configuration, servers, gateway count.
 
     Readers use the attributes and `subscribe`. The subscriber and tests write with `set_catalog`,
     `merge_servers`, `remove_servers` and `set_gateways`, each of which notifies the listeners.
--- a/brackenladder/node/control_links.py
+++ b/brackenladder/node/control_links.py
@@ -61,7 +61,7 @@
 
     @property
     def has_relay(self) -> bool:
-        """Whether there is a link to the control node that relays prefix notices to other gateways."""
+        """Whether this gateway is linked to the control node that forwards its prefix notices to others."""
         return self._relay in self._links
 
     def announce_presence(self) -> None:
@@ -77,7 +77,7 @@
             link.send(notices)
 
     def tick(self) -> None:
-        """Repeats the presence when it is due and applies changes of the list of control nodes."""
+        """Repeats the presence message when it is due, and applies changes of the list of control nodes."""
         now = self._clock()
         if self._links:
             self._linked_at = now
--- a/brackenladder/node/handover.py
+++ b/brackenladder/node/handover.py
@@ -17,7 +17,10 @@
 
 
 class Handover:
-    """Writes and reads the list. What is written is discovery's list from `maintenance`, without holds."""
+    """Writes the server list for a successor process and reads a predecessor's.
+
+    What is written is discovery's list as `maintenance` has it, without operators' suspensions.
+    """
 
     def __init__(
         self,
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -117,7 +117,7 @@
         self.control.recovery = self.recovery.status
 
     def set_live_count(self, number: int) -> None:
-        """Sets the number of live nodes of the tier."""
+        """Passes on the number of live nodes among which this tier's limits are divided."""
         for host in self.control.pools.hosts() if self.control is not None else [self.http.host]:
             host.set_instances(number)
 
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -136,7 +136,7 @@
         return format_answer(True)
 
     def update_pause(self) -> None:
-        """Tells the fronts which stage the pause has reached."""
+        """Tells the listeners' fronts, which accept client calls, which stage the pause has reached."""
         if self.pause_timer is not None:
             self.pause_timer.cancel()
             self.pause_timer = None
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -115,7 +115,7 @@
                 )
 
     def distribute(self, listing: Listing) -> None:
-        """Passes a listing to the upstream first and then to every pool."""
+        """Passes a server list to the upstream first and then to every pool."""
         if self.latest_list is None:
             self.latest_list = LatestList(listing)
         else:
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -141,7 +141,7 @@
         return ""
 
     def on_plan_applied(self) -> None:
-        """Starts a new generation after an operator's plan was applied here."""
+        """Numbers the state anew (a new generation) after an operator's plan changed it here."""
         self.counter = max(self.counter, self.known.newest(self.mine).counter) + 1
         self.refused = ""
         self.save()
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -1,4 +1,4 @@
-"""Creates the RPC pool and front from the operator file."""
+"""Creates the RPC pool, and the front that accepts its clients, from the operator file."""
 
 from __future__ import annotations
 
--- a/brackenladder/operations/__init__.py
+++ b/brackenladder/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Operator commands of a node: parsing, servers on hold, and pausing the node. Pure logic without I/O."""
+"""Operator commands of a node: parsing, suspending servers, and pausing the node. Pure logic without I/O."""
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -28,7 +28,7 @@
 
 
 class Maintenance:
-    """Applies operators' holds to the server list from discovery.
+    """Applies operators' suspensions of servers (holds) to the server list from discovery.
 
     A server on hold is reported as draining even if the list has it as ready. It may be restarted during the
     hold, which the list may show late. So after the hold, the server counts as started at the end of the
@@ -41,7 +41,7 @@
         self.lines: dict[str, Line] = {}  # discovery's latest list by server, without those that are gone
 
     def is_known(self, server: str) -> bool:
-        """Whether the server is in the list or on hold."""
+        """Whether the server is in discovery's list or is suspended now."""
         return server in self.lines or self.is_held(server)
 
     def is_held(self, server: str) -> bool:
@@ -69,7 +69,7 @@
             del self.holds[server]
 
     def process_listing(self, listing: Listing) -> Listing:
-        """Records a listing from discovery and returns it with the holds applied."""
+        """Records a server list from discovery and returns it with suspended servers shown as draining."""
         if listing.kind != ListKind.CHANGES:
             self.lines.clear()
         for line in listing.lines:
--- a/brackenladder/operations/pause.py
+++ b/brackenladder/operations/pause.py
@@ -23,7 +23,7 @@
 
 
 class Pause:
-    """The pause of a node, if any, and its stage."""
+    """Whether an operator has paused the node, and which stage the pause has reached."""
 
     def __init__(self) -> None:
         self.since: float | None = None
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -30,9 +30,10 @@
 
 @frozen
 class GatewayRecord:
-    """One gateway. Of two records of the same node, the one with the higher (`incarnation`, `seq`) wins.
+    """What a gateway reports of itself.
 
-    Exception: of two incarnations heard at least `SUCCESSION_TIMEOUT` apart, the one heard last wins.
+    Of two records of the same node, the one with the higher (`incarnation`, `seq`) wins. Exception: of
+    two incarnations heard at least `SUCCESSION_TIMEOUT` apart, the one heard last wins.
     """
 
     node: str
--- a/brackenladder/storage/state_store.py
+++ b/brackenladder/storage/state_store.py
@@ -39,7 +39,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The content of a file. `sum`: checksum of the bytes of `kept`."""
+    """A saved state as written to a file. `sum`: checksum of the bytes of `kept`."""
 
     format: int
     owner: StateOwner
--- a/brackenladder/system/config_diff.py
+++ b/brackenladder/system/config_diff.py
@@ -17,7 +17,10 @@
 
 @frozen
 class Difference:
-    """One difference. `before` is None for an added value, `after` for a removed one."""
+    """A value that differs between two configurations.
+
+    `before` is None for an added value, `after` for a removed one.
+    """
 
     path: str  # for example `Routes.chat.TimeoutMs`
     before: Any
--- a/brackenladder/system/local/traffic.py
+++ b/brackenladder/system/local/traffic.py
@@ -27,7 +27,7 @@
     details: Counter[str] = Factory(Counter)  # how often each reason for not serving a request occurred
 
     def add(self, outcome: Outcome) -> None:
-        """Counts one request."""
+        """Adds one request to the counts, by its outcome."""
         self.counts[outcome.kind] += 1
         if outcome.kind in (OutcomeKind.SERVED, OutcomeKind.RETRIED):
             self.seconds.append(outcome.seconds)
