--- a/brackenladder/fleet/compare.py
+++ b/brackenladder/fleet/compare.py
@@ -36,7 +36,7 @@
 
 
 def parse_side(text: str) -> dict[str, str]:
-    """Parses `key=value[,key=value]`, which selects the runs of one variant."""
+    """Parses `key=value[,key=value]`, the grid values that select the runs of one variant."""
     pairs = [part.partition("=") for part in text.split(",")]
     if not all(key and sign for key, sign, _ in pairs):
         raise CompareError(f"'{text}': not of the form key=value[,key=value]")
@@ -44,7 +44,7 @@
 
 
 def remaining_keys(cell: Cell, wanted: Mapping[str, str]) -> tuple[tuple[str, Value], ...] | None:
-    """The other keys of a cell that has the wanted values; None if it does not have them."""
+    """The cell's keys except the wanted ones; None if the cell does not have the wanted values."""
     values = dict(cell)
     if any(key not in values or str(values[key]) != value for key, value in wanted.items()):
         return None
--- a/brackenladder/rehearsal/checker/verdicts.py
+++ b/brackenladder/rehearsal/checker/verdicts.py
@@ -33,7 +33,7 @@
     answer: int = 20_000
     slack: int = 50_000
     lag: int = 50_000
-    tries: tuple[Rule, ...] = RULES  # others are 'not tried' unless broken, since only chance exercises them
+    tries: tuple[Rule, ...] = RULES  # a rule not listed is 'not tried' unless it is broken
 
 
 class Finding(msgspec.Struct, frozen=True):
@@ -58,11 +58,11 @@
     edges: int
     evidence: tuple[Finding, ...]
     edge_cases: tuple[Finding, ...]
-    nearest: float = 0.0  # of `cold`: the largest ratio of work sent to work allowed; above 1 it is a break
+    nearest: float = 0.0  # rule `cold`: largest ratio of work sent to work allowed; above 1 is a break
 
 
 class Report(msgspec.Struct, frozen=True):
-    """The results for all rules. `lag`: the largest of a stand-in, in microseconds; `late`: which one."""
+    """The results for all rules. `lag`: a stand-in's largest lag, in microseconds; `late`: that stand-in."""
 
     rulings: dict[Rule, Ruling]
     lag: int
