--- a/brackenladder/catalog/documents.py
+++ b/brackenladder/catalog/documents.py
@@ -17,7 +17,7 @@
 
 @frozen
 class TargetDocument:
-    """A service that gets a share of a route's traffic."""
+    """Names a service and the weight of its share of a route's traffic, as in the JSON configuration."""
 
     backend: NonEmptyStr = named("Backend")
     weight: NonNegativeFloat = named("Weight")
@@ -52,7 +52,7 @@
 
 @frozen
 class EngineDocument:
-    """The inference engine of a model server."""
+    """What an operator states about a model server's inference engine; None where a field is left out."""
 
     slots: NonNegativeInt | None = named("Slots", None)
     kv_tokens: NonNegativeInt | None = named("KvTokens", None)
@@ -64,7 +64,7 @@
 
 @frozen
 class ServiceDocument:
-    """A service."""
+    """The settings of a service as written in the JSON configuration; None where a field is left out."""
 
     name: NonEmptyStr = named("Name")
     health_path: str | None = named("HealthPath", None)
--- a/brackenladder/catalog/model.py
+++ b/brackenladder/catalog/model.py
@@ -48,7 +48,7 @@
 
 @frozen
 class EngineSpec:
-    """The inference engine of a model server; 0 means unknown."""
+    """What is known of a model server's inference engine: its slots, cache and link; 0 means unknown."""
 
     slots: int = 0
     kv_tokens: int = 0
@@ -60,7 +60,7 @@
 
 @frozen
 class Service:
-    """A service.
+    """The settings that apply to all servers of a service.
 
     A server is cold for `cold_start_us` after its start, and handles at most `cold_per_s` requests/s then.
     """
--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -101,8 +101,8 @@
 class Outdated:
     """The evacuation of the zone was changed after the order's `seen_revision`.
 
-    Failure prevented: an order is delayed, the operator repeats it and has it acknowledged, then gives the
-    opposite order; the delayed copy arrives last and undoes the opposite order.
+    Otherwise, if an order is delayed, and the operator repeats it, has it acknowledged and then gives the
+    opposite order, the delayed copy arrives last and undoes the opposite order.
     """
 
 
--- a/brackenladder/cluster/wire.py
+++ b/brackenladder/cluster/wire.py
@@ -108,7 +108,7 @@
 
 
 class Frame(NamedTuple):
-    """A decoded and authenticated frame."""
+    """The sender, receiver and messages of a datagram whose signature was valid."""
 
     sender: int
     to: int
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -34,12 +34,12 @@
 
     @property
     def replica_id(self) -> str:
-        """This replica's id."""
+        """The id by which the other replicas know this one in messages, votes and the member set."""
         return self.member.replica_id
 
     @property
     def members(self) -> Members:
-        """The newest members in the log."""
+        """The member set by the newest entry that sets one, committed or not."""
         return self.log.members
 
     def find(self, replica_id: str) -> Member | None:
--- a/brackenladder/consensus/planning.py
+++ b/brackenladder/consensus/planning.py
@@ -114,7 +114,7 @@
         return None
 
     def replace_wiped(self) -> Members | None:
-        """Replaces a voter by the learner at its address, which proves that the voter's disk is lost."""
+        """Replaces a voter by the learner at its address: a new replica there shows that its disk is lost."""
         for learner in self._ready:
             for voter in self._members.voters:
                 if voter.address == learner.address:
--- a/brackenladder/control_plane/consensus_host.py
+++ b/brackenladder/control_plane/consensus_host.py
@@ -108,8 +108,8 @@
 
         All entries that were committed that long ago have been applied.
 
-        Failure prevented: this node is in contact with its leader, but entries or a snapshot are still in
-        transit, and it answers from a catalog that has been replaced.
+        Otherwise a node that is in contact with its leader while entries or a snapshot are still in transit
+        answers from a catalog that has been replaced.
         """
         if self._snapshot_error is not None:
             return UNKNOWN_AGE
@@ -127,7 +127,7 @@
     async def wait_for_leader_change(self, timeout: float) -> None:
         """Waits until the known leader changes, for at most `timeout` seconds.
 
-        Failure prevented: before Python 3.12, `asyncio.wait_for` loses a cancellation that comes in the same
+        `asyncio.wait_for` is not used: before Python 3.12 it loses a cancellation that comes in the same
         event loop iteration as the leader change. A caller's time limit then has no effect, and the caller
         waits for ever.
         """
--- a/brackenladder/control_plane/directory.py
+++ b/brackenladder/control_plane/directory.py
@@ -62,11 +62,11 @@
 
     @property
     def answers(self) -> dict[Proximity, int]:
-        """The number of answers by proximity."""
+        """The number of answers by how near the offered gateways are to the client."""
         return dict(self._answers)
 
     def _record_answer(self, now: int, host: str, region: str, proximity: Proximity) -> None:
-        """Counts an answer, and logs when the proximity for a group of clients changes.
+        """Counts an answer; logs if a group of clients is now directed to nearer or farther gateways.
 
         Clients choose the names that they send, so log lines and memory are bounded. A change between zone
         and region is not logged: clients of different zones of a region get different answers in turn.
--- a/brackenladder/control_plane/http_server.py
+++ b/brackenladder/control_plane/http_server.py
@@ -54,7 +54,7 @@
 async def _read_body(request: web.BaseRequest) -> bool:
     """Reads the body into the request's buffer; False if it is not complete in time.
 
-    Failure prevented: a caller stops sending in the middle of its body, and its request waits until it
+    Otherwise the request of a caller that stops sending in the middle of its body waits until the caller
     disconnects.
     """
     try:
@@ -82,7 +82,7 @@
 
 
 class HttpListener:
-    """Passes the requests at one address to a handler."""
+    """An HTTP server at one address, which passes its requests to a handler."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
--- a/brackenladder/control_plane/instances.py
+++ b/brackenladder/control_plane/instances.py
@@ -19,7 +19,7 @@
 
 @frozen
 class HeartbeatFault:
-    """A fault in the body of a heartbeat."""
+    """Names the invalid field in the body of a heartbeat."""
 
     field: str
     problem: str
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -6,7 +6,7 @@
 
 from attrs import frozen
 
-UNKNOWN_ORDER = 1 << 62  # sent by a node of an earlier version, which does not report its newest order
+UNKNOWN_ORDER = 1 << 62  # in place of a log index, from nodes of earlier versions that report none
 
 
 class OrderOutcome(IntEnum):
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -1,7 +1,7 @@
 """Sends large orders to the leader in parts, with a window of unacknowledged bytes.
 
-Failure prevented: an order of several megabytes is sent as one message, and the answers to heartbeats on the
-same link are delayed behind it.
+Otherwise, if an order of several megabytes is sent as one message, the answers to heartbeats on the same link
+are delayed behind it.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
     def _evict_oldest(self, newest: int) -> None:
         """Drops the oldest orders while the total is above the limit; their senders will repeat them.
 
-        Failure prevented: orders that were abandoned half-way fill the leader's memory.
+        Otherwise orders that were abandoned half-way fill the leader's memory.
         """
         while sum(len(partial.data) for partial in self._partial.values()) > MAX_PARTIAL_BYTES:
             oldest = next(request for request in self._partial if request != newest)
--- a/brackenladder/control_plane/orders.py
+++ b/brackenladder/control_plane/orders.py
@@ -96,7 +96,7 @@
         return result.value_or(NO_DEFINITE_REPLY)
 
     async def fetch(self) -> Result[Document, Unavailable]:
-        """The newest configuration, confirmed by a quorum."""
+        """The newest configuration; a quorum confirms that no newer one is committed."""
         return await self._retry(self._fetch_once)
 
     async def reaches_quorum(self) -> bool:
--- a/brackenladder/control_plane/peers.py
+++ b/brackenladder/control_plane/peers.py
@@ -138,7 +138,7 @@
 
 
 class _DialledLink:
-    """The transport's handler for one dialled address."""
+    """Passes the events of the link to one dialled address on to `PeerLinks`."""
 
     def __init__(self, links: PeerLinks) -> None:
         self._links = links
@@ -154,7 +154,7 @@
 
 
 class _AcceptedLinks:
-    """The transport's handler for all links that other nodes dialled."""
+    """Passes the events of all links that other nodes dialled on to `PeerLinks`."""
 
     def __init__(self, links: PeerLinks) -> None:
         self._links = links
--- a/brackenladder/control_plane/restart_cache.py
+++ b/brackenladder/control_plane/restart_cache.py
@@ -49,8 +49,8 @@
 class RestartState:
     """The content of the cache file. It is only valid together with the log of the same replica.
 
-    Failure prevented: a new log is started in a folder that still has this file; the new log's revisions are
-    lower than the cached one, and are taken for outdated.
+    Otherwise, if a new log is started in a folder that still has this file, the new log's revisions are lower
+    than the cached one and are taken for outdated.
     """
 
     replica_id: str
@@ -66,7 +66,7 @@
         """The catalog from before the restart. It may be outdated."""
 
     def prefixes_remembered(self, notices: tuple[PrefixNotice, ...]) -> None:
-        """The prefixes that servers held in their caches."""
+        """Receives the prompt prefixes that each server had cached before the restart."""
 
     def server_found(self, record: ServerRecord) -> None:
         """A server from the cache that has passed its health check."""
--- a/brackenladder/control_plane/server_calls.py
+++ b/brackenladder/control_plane/server_calls.py
@@ -13,8 +13,8 @@
     A drain or deregistration is forwarded to the other nodes, and acknowledged only after a quorum round that
     began after that.
 
-    Failure prevented: a node that has just been disconnected acknowledges a drain that no other node learns
-    of, and gateways go on sending requests to the server until its last heartbeat expires.
+    Otherwise a node that has just been disconnected acknowledges a drain that no other node learns of, and
+    gateways go on sending requests to the server until its last heartbeat expires.
     """
 
     def __init__(self, soft_state: SoftState, orders: OrderService) -> None:
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -31,7 +31,8 @@
 
 TICK_SECONDS = 0.1
 SILENT_HEARTBEATS = 4  # missed heartbeats after which a server counts as gone
-# After this many heartbeat intervals from the start every live server has sent a heartbeat to some node.
+# After this many heartbeat intervals from this node's start, every live server has sent a heartbeat to some
+# control node.
 SETTLE_HEARTBEATS = 1.1
 FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks that show that this process was suspended
 IN_TOUCH_AGE = 1_500_000  # microseconds since the last quorum contact for which the node counts as in touch
@@ -223,7 +224,7 @@
         self._relay.restore(self._clock(), notices)
 
     def prefixes(self) -> tuple[PrefixNotice, ...]:
-        """The prefixes that carry the most traffic."""
+        """Notices of the cached prompt prefixes that carry the most traffic."""
         return self._relay.heaviest(self._clock())
 
     def control_nodes_changed(
@@ -265,7 +266,7 @@
                 subscriber.close()
 
     def _relay_notices(self) -> None:
-        """Sends the pending prefix notices. They are hints, and are dropped if a link's queue is full."""
+        """Sends the pending notices of cached prefixes: hints, dropped if a link's queue is full."""
         for notice in self._relay.take(self._clock()):
             if notice.receiver is Receiver.PEERS:
                 self._peers.broadcast(notice.message)
@@ -280,8 +281,8 @@
     def _may_publish_catalog(self, now: int) -> bool:
         """Whether this node's catalog is known to have been the newest a moment ago.
 
-        Failure prevented: a node that is disconnected, has restarted alone or is still catching up sends an
-        old configuration to gateways that have none, and directs clients by outdated home regions.
+        Otherwise a node that is disconnected, has restarted alone or is still catching up sends an old
+        configuration to gateways that have none, and directs clients by outdated home regions.
         """
         confirmed = self._confirmed_at is not None and now - self._confirmed_at <= IN_TOUCH_AGE
         return confirmed or self._state_age.catalog_age() <= IN_TOUCH_AGE
@@ -292,8 +293,9 @@
     def _send_known_prefixes(self, link: Link, name: str | None, message: Subscribe) -> None:
         """Sends the known prefixes to a gateway that subscribes first, before it has requests to place.
 
-        Failure prevented: after a restart of all nodes, gateways send their held requests before a relay for
-        notices is chosen, and prompts cached on one server are processed again on another.
+        Otherwise, after a restart of all nodes, gateways send their held requests before they have chosen the
+        control node that relays prefix notices to them, and prompts cached on one server are processed again
+        on another.
         """
         notices = self.prefixes() if name is None and message.region == self._region else ()
         if notices:
@@ -302,7 +304,7 @@
     def _subscribed(self, link: Link, name: str, message: Subscribe) -> None:
         """Records a gateway's presence. Only the control node chosen as its relay reports it to the peers.
 
-        Failure prevented: all five control nodes report every gateway to each of the others every second.
+        Otherwise all five control nodes report every gateway to each of the others every second.
         """
         self._publisher.subscribed(name, message)
         self._relay.set_subscribed(name, message.relay)
--- a/brackenladder/control_plane/status.py
+++ b/brackenladder/control_plane/status.py
@@ -21,7 +21,7 @@
 
 @frozen
 class MemberStatus:
-    """A replica of the log."""
+    """The id and location of a consensus replica, as shown in the status."""
 
     replica_id: str = named("ReplicaId")
     address: str = named("Address")
--- a/brackenladder/core/call.py
+++ b/brackenladder/core/call.py
@@ -61,8 +61,7 @@
     def may_be_written(self, now: int) -> bool:
         """Whether its first byte may be sent to a server at `now`, by the clock of the core.
 
-        Failure prevented: a call waits in a queue or for a connection, its client disconnects meanwhile, and
-        the call is still sent.
+        Otherwise a call whose client disconnects while it waits in a queue or for a connection is still sent.
         """
         if not self.open or now >= self.write_by:
             return False
--- a/brackenladder/core/ending.py
+++ b/brackenladder/core/ending.py
@@ -21,7 +21,7 @@
 def handover(classes: Sequence[ClassSettings]) -> float:
     """Seconds after SIGTERM in which open connections still accept calls.
 
-    Failure prevented: with short deadlines the process is killed while clients still send calls to it.
+    Otherwise, with short deadlines, the process is killed while clients still send calls to it.
     """
     return min(HANDOVER, max(TAKING, (kill_after(classes) - 2 * KILL_MARGIN) / 1e6))
 
@@ -29,6 +29,6 @@
 def last_moment(now: int, classes: Sequence[ClassSettings]) -> int:
     """The time by which all calls accepted from `now` on must be concluded, in microseconds.
 
-    Failure prevented: calls accepted during the shutdown are still open when the process is killed.
+    Otherwise calls accepted during the shutdown are still open when the process is killed.
     """
     return now + kill_after(classes) - KILL_MARGIN
--- a/brackenladder/core/host.py
+++ b/brackenladder/core/host.py
@@ -238,7 +238,7 @@
 
         It is the end of the window of its class, in which servers discard repeats of the first attempt.
 
-        Failure prevented: a retry is started within the window, waits for a connection, and is written after
+        Otherwise a retry that is started within the window and waits for a connection may be written after
         the servers have forgotten the first attempt.
         """
         if call.klass < len(self.settings.classes):
--- a/brackenladder/core/roster.py
+++ b/brackenladder/core/roster.py
@@ -16,7 +16,7 @@
 def numbered(names: dict[str, int], name: str) -> int:
     """The number of a name; all names beyond MAX_NAMES share the last one.
 
-    Failure prevented: a list that gives each machine a kind of its own makes the node's memory grow forever.
+    Otherwise a list that gives each machine a kind of its own makes the node's memory grow forever.
     """
     return names.setdefault(name, len(names)) if len(names) < MAX_NAMES else names.get(name, MAX_NAMES - 1)
 
--- a/brackenladder/gateway/answers.py
+++ b/brackenladder/gateway/answers.py
@@ -59,7 +59,7 @@
 
 @frozen
 class WholeAnswer:
-    """A server's response, fully read."""
+    """A server's response with its whole body in memory, unlike `OpenAnswer`."""
 
     server_id: str
     status: int
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -93,7 +93,7 @@
         return self._pools.get(split.choose(self._point(route, parts)).service)
 
     def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Pass prefix notices to the pools, and keep those about still unknown servers for a moment."""
+        """Pass notices of cached prefixes to the pools; keep those about unknown servers for a moment."""
         for pool in self._pools.values():
             pool.receive_prefix_notices(now, notices)
         self._early.add(now, [notice for notice in notices if not self._is_known(notice.server)])
--- a/brackenladder/gateway/relay.py
+++ b/brackenladder/gateway/relay.py
@@ -33,7 +33,7 @@
 
 
 class Relay:
-    """Relays one response to its client."""
+    """Copies a response to its client as it arrives; a resumable stream may continue at another server."""
 
     def __init__(
         self,
--- a/brackenladder/gateway/server.py
+++ b/brackenladder/gateway/server.py
@@ -44,7 +44,7 @@
 
 
 def _discard_notices() -> None:
-    """Ignores prefix notices, for a gateway that has no peers."""
+    """Ignores notices of prefixes that servers have cached, for a gateway that has no peers."""
 
 
 class Gateway:
--- a/brackenladder/gateway/server_protocol.py
+++ b/brackenladder/gateway/server_protocol.py
@@ -85,7 +85,7 @@
         self.reusable_until = self.idle_since + idle_limit_seconds(message.headers.get(KEEP_ALIVE))
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser with the bytes of responses only, one part at a time."""
+        """Pass the bytes of a response to the parser, part by part; abort if no response is expected."""
         if not data:
             super().data_received(data)
             return
--- a/brackenladder/gateway/stale_check.py
+++ b/brackenladder/gateway/stale_check.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-IDLE_SECONDS = 0.2  # a connection that was idle for longer may be stale
+IDLE_SECONDS = 0.2  # after a longer idle time the server may have closed the connection (it is stale)
 LEAST_WAIT_SECONDS = 0.001
 WAIT_ROUND_TRIPS = 2.0  # a check waits for a reset this many times the shortest round trip to the server
 MOST_WAIT_SECONDS = 0.01  # the longest wait for a reset if the round trip is short
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -65,7 +65,7 @@
         self.records: Records | None = None  # the pool, set after its creation
 
     def record(self, server: int) -> ServerRecord | None:
-        """The record of a server, if it may still be used."""
+        """The state and address of a server; None if the server is gone or there is no pool yet."""
         return None if self.records is None else self.records.record(server)
 
     def usable(self, server: int, server_id: str, traits: CallTraits) -> bool:
@@ -130,7 +130,7 @@
 
 
 class ServerAttempt:
-    """One attempt. It runs in the task of the client's request."""
+    """Sends a call to one server and reports the end of it. It runs in the task of the client's request."""
 
     def __init__(
         self,
--- a/brackenladder/http/server_pool.py
+++ b/brackenladder/http/server_pool.py
@@ -71,7 +71,7 @@
             self.loop.call_later(SWEEP, self.sweep)
 
     def closed_idle(self, age: float) -> None:
-        """Lowers the idle time after a server closed a connection that was idle for `age` seconds.
+        """Lowers `idle_time` after a server closed a connection that was idle for `age` seconds.
 
         Servers may close earlier than the settings say. A request that is written at that moment is reset and
         counts as one that may have run, and such failures would be taken for overload.
--- a/brackenladder/interface.py
+++ b/brackenladder/interface.py
@@ -1,4 +1,4 @@
-"""The decision module's interface: settings, servers, outcomes, actions and events.
+"""The interface between a load balancer and its host: settings, servers, outcomes, actions and events.
 
 Times are integer microseconds of one monotonic clock that the host passes in as `now`.
 This file has all that a host needs to know to embed `brackenladder.policy.balancer.Balancer`.
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class ClassSettings:
-    """Settings of one class of requests."""
+    """How requests of one class may be retried, how long they may take and what they are worth."""
 
     effect: Effect
     aim: int  # an answer within this time earns the full worth
--- a/brackenladder/membership/stall.py
+++ b/brackenladder/membership/stall.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-BEAT_INTERVAL = 0.1  # seconds between two beats of the event loop
+BEAT_INTERVAL = 0.1  # seconds between two calls of `beat` by a timer of the event loop
 STALL_THRESHOLD = 0.2  # a longer gap between beats, in seconds, is a stall; the platform's rule allows 0.25 s
 # Seconds after a stall in which list updates that are already waiting are read before requests.
 RESUME_GRACE = 0.05
--- a/brackenladder/membership/watch_retry.py
+++ b/brackenladder/membership/watch_retry.py
@@ -13,7 +13,7 @@
 FIRST_BYTE_TIMEOUT = 1.2
 READ_TIMEOUT = 1.0  # seconds without a further byte after which a partly received response is abandoned
 BODY_TIMEOUT = 3.0  # seconds for a whole response
-MAX_RETRIES = 4  # retries of a silent call that are made without asking the decision module
+MAX_RETRIES = 4  # retries of a silent call that are made before the load balancer is told of the failure
 MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # bounds, in seconds, of the random pause before each retry except the first
 # Largest fraction by which a wait is shortened at random, so that the watches of a fleet don't end together.
 JITTER = 0.1
@@ -38,11 +38,11 @@
         self.tries = 0
 
     def failed(self, silent: bool, chance: float) -> float | None:
-        """Seconds until a failed call is retried, or None if the decision module decides when.
+        """Seconds until a failed call is retried, or None if the load balancer decides when.
 
         `silent`: nothing was received in time; other failures count as a response. A silent watch is retried
-        quickly: the news that it missed count as delivered from a fixed time on, and a longer backoff would
-        exceed that time.
+        quickly: after a fixed time, every watcher is assumed to have the changes of the server list, and a
+        longer backoff would exceed that time.
         """
         if silent and not self.tries:
             self.tries = 1
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -221,8 +221,8 @@
     def take_retry(self, now: int) -> bool:
         """Takes a retry from this gateway's part of the budget: none before their number is known.
 
-        Failure prevented: all processes start at once, each gateway assumes to be the only one, and together
-        they spend the whole budget, or a cold server's whole share, once each.
+        Otherwise, if all processes start at once, each gateway assumes to be the only one, and together they
+        spend the whole budget, or a cold server's whole share, once each.
         """
         return self.site.gateways_known and self.budget.spend(now, self.site.gateways)
 
@@ -317,8 +317,8 @@
     def due_trial(self, now: int, req: Request, job: Job) -> Server | None:
         """An ejected server whose trial is due.
 
-        Failure prevented: a service has no retryable requests, so an ejected server never gets a trial.
-        Therefore a trial that has been due for EJECT_TIME may use any request.
+        A trial that has been due for EJECT_TIME may use any request. Otherwise an ejected server of a service
+        without retryable requests never gets a trial.
         """
         if not self.ejected or now < self.next_trial:
             return None
--- a/brackenladder/placement/choice.py
+++ b/brackenladder/placement/choice.py
@@ -19,7 +19,7 @@
 
 @frozen
 class Choice:
-    """The server chosen for an attempt."""
+    """The server chosen for an attempt, and the expected cost of the call there."""
 
     server: Server
     cost: float
@@ -71,8 +71,8 @@
     def _remote_candidates(self, now: int, job: Job) -> Sequence[Server]:
         """Servers of other regions: all if there are few, else a sample and those with the prompt cached.
 
-        The sample is of permitted regions only. Failure prevented: a sample of all regions has no server of
-        a small home region, and a call that could run there is refused.
+        The sample is of permitted regions only. Otherwise a sample of all regions may have no server of a
+        small home region, and a call that could run there is refused.
         """
         remote: list[Server] = []
         for region, servers in self.site.remote.items():
--- a/brackenladder/placement/cost.py
+++ b/brackenladder/placement/cost.py
@@ -92,8 +92,8 @@
         At the server that hashing assigns to the prompt, shared parts that no server was recently sent count
         as cached.
 
-        Failure prevented: a new shared prefix is cached nowhere, so each gateway sends it to another server
-        that has a part of it cached, and several servers prefill and cache the whole.
+        Otherwise, since a new shared prefix is cached nowhere, each gateway sends it to another server that
+        has a part of it cached, and several servers prefill and cache the whole.
         """
         cached = self._cached_tokens(server, job)
         if assigned and not self.recent_holders(now, job):
--- a/brackenladder/placement/load.py
+++ b/brackenladder/placement/load.py
@@ -71,7 +71,7 @@
         self.tokens = 0
 
     def of(self, server: int) -> ServerLoad:
-        """The load of one server, created if there is none yet."""
+        """The load of one server; an entry without load is added for a new server."""
         load = self.servers.get(server)
         if load is None:
             load = self.servers[server] = ServerLoad()
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -113,7 +113,7 @@
 
     @property
     def balancer(self) -> PromptBalancer:
-        """The balancer of this service."""
+        """The balancer that chooses the server of each call of this service; `host` keeps it."""
         module = self.host.balancer
         assert isinstance(module, PromptBalancer)
         return module
--- a/brackenladder/placement/prefixes.py
+++ b/brackenladder/placement/prefixes.py
@@ -23,7 +23,7 @@
 
 
 def chain_of(model: str, parts: Sequence[PromptPart]) -> tuple[ChainLink, ...]:
-    """The links of a prompt, one for each part; their keys also depend on the model."""
+    """One link for each part of a prompt. Its key is a hash of the model and the ids of the parts so far."""
     links = []
     key = _digest(b"", model)
     for part in parts:
@@ -49,7 +49,7 @@
         self.tokens = 0
 
     def cached_tokens(self, chain: Sequence[ChainLink]) -> int:
-        """The number of tokens of a prompt that are cached."""
+        """The number of a prompt's tokens that the server has cached."""
         tokens = 0
         for link in chain:
             if link.key not in self.links:
--- a/brackenladder/placement/silent_zones.py
+++ b/brackenladder/placement/silent_zones.py
@@ -19,9 +19,9 @@
 class SilentZones:
     """For each zone, the servers that left calls unanswered since any server of the zone last answered.
 
-    Failure prevented: a zone loses power, and until the server list is updated each call finds out again, at
-    another server, that nothing answers there. With many gateways each has few calls, and no server fails
-    often enough at one gateway to be ejected by itself.
+    Otherwise, if a zone loses power, until the server list is updated each call finds out again, at another
+    server, that nothing answers there. With many gateways each has few calls, and no server fails often
+    enough at one gateway to be ejected by itself.
     """
 
     _zones: dict[str, dict[int, _Silence]] = field(factory=dict)  # by zone and server
--- a/brackenladder/policy/balancer.py
+++ b/brackenladder/policy/balancer.py
@@ -119,7 +119,7 @@
 
     def request(self, now: int, request: int, klass: int, tenant: int, time_left: int, repeat: bool) -> None:
         s = self.settings
-        # Failure prevented: a request of an unknown class is retried by the rules of another class.
+        # Otherwise a request of an unknown class would be retried by the rules of another class.
         known = klass < len(s.classes)
         klass = min(klass, len(s.classes) - 1)
         c = s.classes[klass]
@@ -294,11 +294,11 @@
             ctl.track_in_flight(now, -1)
         srv.quiet_since = now
         if srv.cold_until <= now and (outcome in NEVER_RAN or outcome == RESET):
-            # Only calls that the server accepted count. Failure prevented: a server that rejects or resets
-            # most calls restarts, and its slow-start share, derived from all calls sent, overloads it.
+            # Only calls that the server accepted count. Otherwise, if a server that rejects or resets most
+            # calls restarts, its slow-start share, derived from all calls sent, overloads it.
             self.warm_sent -= 1
         if outcome in UNINFORMATIVE:
-            # Failure prevented: a client disconnects during a trial, and no other trial ever starts.
+            # Otherwise no other trial ever starts if a client disconnects during one.
             srv.trial_in_flight = False
             return
         ok = outcome == OK
@@ -314,13 +314,13 @@
                 self.end_window(now)
         failure = 0.0 if ok or outcome in (TIMEOUT, REJECTED) else 1.0
         self.record_result(srv, failure)
-        # Failure prevented: a zone is lost, and its failed connects, which are no load on any server, lower
-        # the limit for the servers that are left.
+        # Otherwise, if a zone is lost, its failed connects, which are no load on any server, lower the limit
+        # for the servers that are left.
         if not srv.ejected and outcome not in (REJECTED, CONNECT_FAILED):
             ctl.lost += SMOOTH_ALL * ((0.0 if ok else 1.0) - ctl.lost)
             if failure and req is not None and ctl.lost > OVERLOAD_LOSS:
-                # Failure prevented: lower tiers have lost servers, most calls do work and then fail, and the
-                # limit stays, since errors add no samples. Fewer errors are no sign of load (idle servers may
+                # Otherwise, if lower tiers have lost servers, most calls do work and then fail, and the limit
+                # stays, since errors add no samples. Fewer errors are no sign of load (idle servers may
                 # return them too), but two among a dozen calls would set a window's p90 and halve the limit.
                 ctl.failure(now, req.klass)
         if ok:
@@ -367,8 +367,8 @@
         for srv in [e for e in self.ejected if not e.member]:
             self.readmit(srv)
         while self.ejected and not self.can_eject(len(self.members), unreachable=False, more=0):
-            # Failure prevented: the list shrinks, and one good server gets all calls and is overloaded, while
-            # an ejected one could answer most calls.
+            # Otherwise, if the list shrinks, one good server gets all calls and is overloaded, while an
+            # ejected one could answer most calls.
             self.readmit(self.ejected[0])
         copies = self.settings.instances * len(self.members) / max(1, self.listed)
         self.controller.resize(len(self.members), copies)
@@ -386,7 +386,7 @@
         self.controller.in_flight += self.update_eligible_members()
 
     def eject(self, now: int, srv: Server, silent: bool, unreachable: bool = False) -> None:
-        # Failure prevented: a draining server's last calls fail, it is ejected and later gets a trial call.
+        # Otherwise, if a draining server's last calls fail, it is ejected and later gets a trial call.
         if not srv.member or not srv.ejected and not self.can_eject(len(self.members), unreachable):
             return
         if not srv.ejected:
@@ -439,7 +439,7 @@
         mean = min(self.mean_rtt)
         for _ in range(3):
             a, slow_a = self.pick(now, pool, mean)
-            # With weights, one server may be drawn twice, else those of low weight get more than their share.
+            # With weights, both may be the same server, else those of low weight get more than their share.
             b, slow_b = self.pick(now, pool, mean, None if self.weighted else a)
             # Compares the expected time for all calls in flight, including this one; calls count more at a
             # server that an operator gave a lower weight.
@@ -460,7 +460,7 @@
     ) -> tuple[Server, float]:
         """A random member other than `other`, and its slowness; slower ones are rejected more often.
 
-        Failure prevented: among few members, two slow ones are often drawn together and stay overloaded.
+        Otherwise, among few members, two slow ones are often drawn together and stay overloaded.
         """
         while True:
             for _ in range(PICK_TRIES):
--- a/brackenladder/policy/ejection.py
+++ b/brackenladder/policy/ejection.py
@@ -42,12 +42,12 @@
         if srv.ejected:
             return (False, False) if srv.trial_in_flight else None
         if srv.fails_in_row >= EJECT_FAILS and outcome == CONNECT_FAILED:
-            # Failure prevented: a zone is lost and most members fail about as often as the mean, so none is
-            # an outlier, and calls fail for seconds until the server list is updated.
+            # Otherwise, if a zone is lost, most members fail about as often as the mean, so none is an
+            # outlier, and calls fail for seconds until the server list is updated.
             return False, True
         in_row = srv.fails_in_row >= EJECT_FAILS and srv.fail_rate > self.fail_rate * 2
         if in_row or srv.calls >= EJECT_FAILS and srv.fail_rate > EJECT_RATE + self.fail_rate:
-            # Failure prevented: a member that fails fast has few calls in flight, so it is chosen most often.
+            # Otherwise a member that fails fast is chosen most often, since it has few calls in flight.
             return False, False
         return None
 
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -18,7 +18,7 @@
 PASS_CALLS = 50  # samples after which a pass ends once it has its least length
 GRADIENT_LOW, GRADIENT_HIGH = 0.5, 2.0  # bounds on the factor by which one window changes the limit
 
-# Constants for which the filter specifies no value, and those of additions to it.
+# Constants that the published filter leaves open, and those of additions to it.
 WINDOW_SAMPLES = 80  # samples after which a window ends once it has its least length
 WINDOW_STRETCH = 10  # a window ends after this multiple of WINDOW even if it has fewer than WINDOW_SAMPLES
 FULL_WINDOW = 8  # samples; a window with fewer changes the limit only in proportion to their number
@@ -97,14 +97,14 @@
         self.members = members
         self.copies = copies
         self.update_sharing()
-        # Failure prevented: in a rolling restart each node starts with a higher limit than the others have
-        # adapted to, and the sum of the limits overloads every server.
+        # Otherwise, in a rolling restart, each node starts with a higher limit than the others have adapted
+        # to, and the sum of the limits overloads every server.
         self.limit = max(self.limit, PASS_FLOORS * self.floor if self.passes == 0 else self.floor)
 
     def set_capacity(self, capacity: float) -> None:
         """Sets the servers' capacity, in units of a warm server, and lowers the limit if it decreased.
 
-        Failure prevented: servers leave, all nodes keep limits that fit the larger number, and the remaining
+        Otherwise, if servers leave, all nodes keep limits that fit the larger number, and the remaining
         servers are overloaded before latency shows it. The limit falls faster than the capacity, since the
         calls in flight at the leaving servers will be sent again to the others.
         """
@@ -135,8 +135,8 @@
 
         It is the number of calls in flight if this node shares the servers with no other node, and otherwise
         the mean of that number over a time of up to LEVEL_TIME.
-        Failure prevented: a node with less than one call in flight on average sometimes has two by chance.
-        Two calls here say nothing about the total of all nodes, and refusing one relieves no server.
+        Otherwise a node with less than one call in flight on average may refuse a second one that comes by
+        chance. Two calls here say nothing about the total of all nodes, and refusing one relieves no server.
         """
         if self.sharing == 1:
             self.in_flight += change
@@ -168,7 +168,7 @@
         for klass, samples in enumerate(self.pass_samples):
             if len(samples) >= MIN_LIMIT:
                 self.min_rtt[klass] = percentile(samples, PERCENTILE)
-                # Failure prevented: a min_rtt measured under load lets queues grow beyond the latency target.
+                # Otherwise a min_rtt measured under load lets queues grow beyond the latency target.
                 most = MAX_AIM_SHARE / AIM_SHARE * self.allowance[klass]
                 self.target[klass] = min(max(self.min_rtt[klass] * (1 + BUFFER), self.allowance[klass]), most)
         self.in_pass = False
@@ -183,7 +183,7 @@
         if self.in_pass:
             self.pass_samples[klass].append(latency)
             self.pass_count -= 1
-            # Failure prevented: a pass that ends as soon as it has its samples has measured only short calls.
+            # Otherwise a pass ends as soon as it has its samples, and has measured only short calls.
             if now >= self.pass_until + (0 if self.pass_count <= 0 else 2 * WINDOW * WINDOW_STRETCH):
                 self.end_pass(now)
             return
@@ -210,12 +210,12 @@
         self.window_start = now
         self.gradient = min(GRADIENT_HIGH, max(GRADIENT_LOW, 1.0 / max(self.sample_rtt, 1e-9)))
         limit = self.gradient * self.limit + self.headroom()
-        # Failure prevented: with few calls, one random latency is a window's percentile and halves the limit.
+        # Otherwise, with few calls, one random latency is a window's percentile and halves the limit.
         limit = self.limit + min(1.0, count / FULL_WINDOW) * (limit - self.limit)
         self.update_usual(age, count)
         self.update_sharing()
         self.limit = max(min(limit, self.max_limit(), self.ceiling), self.min_limit(age))
-        # Failure prevented: a pass after each overload, which lowers the limit to `usual`, stops a busy node.
+        # Otherwise a busy node stops for a pass after each overload, which lowers the limit to `usual`.
         self.at_min = self.at_min + 1 if self.limit <= self.floor else 0
         if self.at_min >= WINDOWS_AT_MIN or now >= self.next_pass:
             self.start_pass(now)
@@ -223,9 +223,9 @@
     def update_usual(self, age: int, count: int) -> None:
         """Smooths the number of calls in flight while latency is within target.
 
-        Failure prevented: a node that starts under full traffic refuses half of it for five seconds, since
-        `usual` starts at 0. It is therefore smoothed over RAMP_RTTS until the first window that is above
-        target or does not reach the limit.
+        Otherwise a node that starts under full traffic refuses half of it for five seconds, since `usual`
+        starts at 0. `usual` is therefore smoothed over RAMP_RTTS until the first window that is above target
+        or does not reach the limit.
         """
         carried = self.flight_sum / count
         span = USUAL_TIME
@@ -241,21 +241,21 @@
     def max_limit(self) -> float:
         """The highest value that the limit may grow to.
 
-        Failure prevented: a limit that is never reached grows without bound while traffic is low, and then
-        admits any burst. If each of many nodes had the headroom of a single one, the sum of their limits
-        would overload the servers several times over before latency shows it.
+        Otherwise a limit that is never reached grows without bound while traffic is low, and then admits any
+        burst. If each of many nodes had the headroom of a single one, the sum of their limits would overload
+        the servers several times over before latency shows it.
         """
         return max(CEILING * self.pass_limit, USUAL_MULTIPLE * self.usual + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
         """The lowest value that the limit may fall to: the calls in flight while latency was within target.
 
-        Failure prevented: if all servers are slow for another reason than load, the gradient lowers limits
-        until all nodes refuse nearly everything, which makes no server faster.
+        Otherwise, if all servers are slow for another reason than load, the gradient lowers limits until all
+        nodes refuse nearly everything, which makes no server faster.
         """
         kept = (1 - self.lost) ** 2 if self.lost > MAX_LOSS else 1.0
         if self.sample_rtt > 1 and self.lost > MAX_LOSS:
-            # Failure prevented: servers that slow down under load stay overloaded by as many calls as
-            # they served before. If calls also fail, fewer calls in flight let them recover.
+            # Otherwise servers that slow down under load stay overloaded by as many calls as they served
+            # before. If calls also fail, fewer calls in flight let them recover.
             self.usual -= min(1.0, age / USUAL_FADE) * self.usual
         return max(self.floor, self.usual * kept)
--- a/brackenladder/policy/load_shedding.py
+++ b/brackenladder/policy/load_shedding.py
@@ -69,7 +69,7 @@
     def update_shed(self, ratio: float) -> None:
         """Adapts the refused share of excess traffic to an answer's latency. `ratio`: latency / target.
 
-        Failure prevented: low-value traffic overloads the servers before enough of it is refused.
+        Otherwise low-value traffic overloads the servers before enough of it is refused.
         """
         over = (ratio if ratio < SHED_LATE else SHED_LATE) - SHED_AT
         shed = self.shed + SHED_GAIN * over * (1 + SHED_HASTE * over if over > 0 else 1)
--- a/brackenladder/policy/server.py
+++ b/brackenladder/policy/server.py
@@ -28,7 +28,7 @@
 
 
 class Server:
-    """What this node knows of one server."""
+    """A listed server with this node's measurements of its latency, failures and calls in flight."""
 
     # fmt: off
     __slots__ = (
@@ -63,10 +63,10 @@
         self.cold_until = self.tokens_at = 0
 
     def slowness(self, now: int, mean_rtt: float) -> float:
-        """The expected round trip relative to the mean, by kind of machine, own latency and failures.
+        """The expected round trip relative to the mean, from its kind of machine, own latency and failures.
 
-        Failure prevented: a member once measured as slow is never drawn again, so this is never corrected.
-        Therefore the server's own part of the estimate fades while it has no outcomes.
+        The server's own part of the estimate fades while it has no outcomes. Otherwise a member once measured
+        as slow would never be drawn again, and the estimate never corrected.
         """
         quiet = now - self.quiet_since
         slowness = self.kind_ratio.value
@@ -74,7 +74,7 @@
             own = self.latency_ratio.value * (1 + FAIL_WEIGHT * self.fail_rate)
             slowness *= 1 + (own - 1) * (1 - quiet / FADE)
         if self.in_flight and quiet > mean_rtt:
-            # Failure prevented: a member that has just become slow gets calls until the first ones return.
+            # Otherwise a member that has just become slow gets calls until the first ones return.
             slowness *= quiet / mean_rtt
         return slowness
 
--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -26,11 +26,11 @@
 
     def start_warming(self, now: int, srv: Server, ready_at: int) -> None:
         """Marks the server as cold if it became ready at `ready_at` and cannot be warm yet."""
-        # Failure prevented: the first warm server gets all the calls that cold ones may not take, and fails:
-        # its load is measured over the last `fall_time`, in part of which it was still cold.
+        # Otherwise the first warm server gets all the calls that cold ones may not take, and fails: its load
+        # is measured over the last `fall_time`, in part of which it was still cold.
         cold_until = ready_at + self.settings.cold_time + self.settings.fall_time
         if ready_at > 0 and now < cold_until:
-            # Failure prevented: a restarted server has no calls in flight, so all nodes overload it.
+            # Otherwise all nodes overload a restarted server, since it has no calls in flight.
             if srv.cold_until == 0:
                 srv.tokens_at = now
                 srv.tokens = self.initial_tokens(srv)
@@ -39,8 +39,8 @@
     def initial_tokens(self, srv: Server) -> float:
         """The first fill of this node's bucket for a server; the fills of all nodes are evenly distributed.
 
-        Failure prevented: where many nodes send little each, their empty buckets fill up at the same moment:
-        the cold server is idle for most of its warm-up, and then all nodes send at once.
+        Otherwise, where many nodes send little each, their empty buckets fill up at the same moment: the cold
+        server is idle for most of its warm-up, and then all nodes send at once.
         """
         position = (self.settings.index + srv.id % 65536) * GOLDEN % 1.0
         return position * (1 - 1 / self.settings.instances)
@@ -51,7 +51,7 @@
         left = srv.cold_until - s.fall_time - now
         if left <= 0:
             return 1.0
-        # Failure prevented: a listed start time in the future gives a negative capacity.
+        # Otherwise a listed start time in the future gives a negative capacity.
         return 1 - (1 - s.cold_share) * left / s.cold_time if left < s.cold_time else s.cold_share
 
     def may_send(self, now: int, srv: Server) -> bool:
@@ -60,7 +60,7 @@
         The bucket of a cold server fills at the rate of a warm member, times the server's present capacity,
         times COLD_PART of `fall_multiple`. Most servers can take more; one that cannot gets slow and is
         drawn less. The bucket holds one call, so that this node sends no bursts.
-        Failure prevented: all nodes together overload a cold server.
+        Otherwise all nodes together overload a cold server.
         """
         if srv.cold_until <= now:
             return True
@@ -90,8 +90,8 @@
         if warm:
             rate = self.warm_sent * 1e6 / span / warm
             if late:
-                # Failure prevented: the warm members are overloaded, slow down and take fewer calls, which
-                # lowers the rate allowed to cold ones, so that these stay idle while the overload lasts.
+                # Otherwise overloaded warm members slow down and take fewer calls, which lowers the rate
+                # allowed to cold ones, so that these stay idle while the overload lasts.
                 rate = max(rate, self.warm_rate)
             self.warm_rate = max(0.0, self.warm_rate + min(1.0, span / RATE_TIME) * (rate - self.warm_rate))
         self.warm_sent = 0
--- a/brackenladder/policy/subset.py
+++ b/brackenladder/policy/subset.py
@@ -19,7 +19,7 @@
 CROSSING = 10  # a crossing cost of a tenth of a request's worth is accepted if crossing halves the latency
 SPILL_GAIN = 0.1  # change of `spill` per window and unit of excess of near / far latency over that tolerated
 SPILL_STEP = 0.04  # largest change of `spill`, the share of calls that may leave the zone, per window
-UNVISITED = 0.05  # if a smaller share of calls may leave the zone, other zones get too few for measurements
+UNVISITED = 0.05  # with a smaller `spill`, other zones get too few calls to measure their latency
 BEST_DECAY = 1.001  # factor on the remembered best latency of the zone in each window, to forget it in time
 
 SHUFFLE_ORDER = attrgetter("shuffle_key", "id")
@@ -72,8 +72,8 @@
     def adjust_spill(self) -> None:
         """Adapts the spill, the share of calls that may leave the zone, at the end of a window.
 
-        Failure prevented: one zone's servers are overloaded while another's are idle. Other zones
-        that get too few calls for measurements are assumed to be as fast as this one was at its best.
+        Otherwise one zone's servers may be overloaded while another's are idle. Other zones that get too few
+        calls for measurements are assumed to be as fast as this one was at its best.
         """
         if self.near_ratio < self.best_ratio or self.best_ratio == 0:
             self.best_ratio = self.near_ratio
@@ -88,7 +88,7 @@
     def resize_needed(self, in_flight: int) -> bool:
         """Records the calls in flight; returns whether the subset is much too small or too large for them.
 
-        Failure prevented: a node that suddenly gets a large part of the traffic overloads its few members.
+        Otherwise a node that suddenly gets a large part of the traffic overloads its few members.
         """
         self.mean_in_flight += SMOOTH_FLIGHT * (in_flight - self.mean_in_flight)
         return not self.size / 2 <= self.wanted_size() <= self.size * 1.25
@@ -112,8 +112,8 @@
     def shuffle_slice(self, zone: int) -> list[Server]:
         """This node's slice of the shuffled servers, among which those of each kind are evenly distributed.
 
-        Failure prevented: by chance, all members of a node are machines of a slow kind and are overloaded,
-        while the fast members of other nodes are idle.
+        Otherwise, by chance, all members of a node may be machines of a slow kind and are overloaded, while
+        the fast members of other nodes are idle.
         """
         kinds = self.shuffles.get(zone, {})
         n = sum(map(len, kinds.values()))
@@ -158,7 +158,7 @@
         for srv in self.members:
             srv.member = False
         self.members = []
-        # Failure prevented: a subset over all zones has one member or none in the zone of this node.
+        # Otherwise a subset over all zones may have one member or none in the zone of this node.
         for zone in sorted(self.shuffles) if self.zoned else [0]:
             self.members += self.shuffle_slice(zone)
         for srv in self.members:
@@ -167,7 +167,7 @@
     def update_eligible_members(self) -> int:
         """Recomputes which members are not ejected; returns the change of calls that count against the limit.
 
-        Failure prevented: calls that hang at an ejected, silent member use up the limit for all others.
+        Otherwise calls that hang at an ejected, silent member use up the limit for all others.
         """
         change = 0
         self.eligible = []
@@ -184,8 +184,8 @@
                 m.weight_penalty = most / m.share
         self.eligible_near = [m for m in self.eligible if m.zone == self.settings.zone]
         if self.zoned and self.eligible:
-            # Failure prevented: a zone with few eligible servers takes all calls of the one node in it. If
-            # all nodes send alike, what exceeds the zone's part of the eligible servers must leave the zone.
+            # Otherwise a zone with few eligible servers takes all calls of the one node in it. If all nodes
+            # send alike, what exceeds the zone's part of the eligible servers must leave the zone.
             part = len(self.eligible_near) * self.settings.instances / len(self.eligible)
             self.spill_least = max(0.0, 1 - part)
             self.spill = max(self.spill, self.spill_least)
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -23,7 +23,7 @@
 
     @property
     def shared(self) -> int:
-        """The number of tokens of the longest prefix."""
+        """The tokens of the longest of the prompt's shared prefixes, which contains the others."""
         return sum(self.tokens)
 
     @property
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -17,11 +17,11 @@
 
 INTERVAL = 50_000  # least microseconds between two messages to gateways
 PEER_INTERVAL = 100_000  # least microseconds between two messages to control nodes
-MAX_ACCEPTED = 32  # most notices of one received message that are processed
+MAX_ACCEPTED = 32  # maximum number of notices processed from one received message
 # With these limits a gateway gets up to 160 notices a second, which take 7 KB and 0.4% of a core, and a
 # control node 80.
-MAX_NOTICES = 8  # most notices of one message to a gateway
-MAX_PEER_NOTICES = 8  # most notices of one message to a control node
+MAX_NOTICES = 8  # maximum number of notices in one message to a gateway
+MAX_PEER_NOTICES = 8  # maximum number of notices in one message to a control node
 MAX_PENDING = 256  # most notices that wait for the next message; beyond it, the oldest 128 are dropped
 MAX_SNAPSHOT = 256  # most notices for a gateway that has just subscribed
 
--- a/brackenladder/recovery/startup.py
+++ b/brackenladder/recovery/startup.py
@@ -39,7 +39,7 @@
         """Updates and returns the phase.
 
         `refused`: why the newest state cannot be applied; `unanswered`: number of nodes without an answer.
-        Failure prevented: most nodes start together, get answers from each other first, and agree on having
+        Otherwise, if most nodes start together, they get answers from each other first, and agree on having
         no state before the node that has one answers.
         """
         if not self.peers:
--- a/brackenladder/routing/pools.py
+++ b/brackenladder/routing/pools.py
@@ -71,8 +71,8 @@
 def pool_listing(spec: PoolSpec, listing: Listing) -> Listing:
     """The list for one pool. A server with weight 0 is draining in this pool only.
 
-    In a list of changes, servers that do not belong to the pool are marked as gone. Failure prevented: a
-    server that no longer belongs to the pool because its zone or kind has changed stays in it.
+    In a list of changes, servers that do not belong to the pool are marked as gone. Otherwise a server that
+    no longer belongs to the pool because its zone or kind has changed stays in it.
     """
     lines = []
     for line in listing.lines:
--- a/brackenladder/shares/cold_share.py
+++ b/brackenladder/shares/cold_share.py
@@ -18,7 +18,7 @@
 from brackenladder.policy.subset import mix
 
 US_PER_S = 1_000_000
-SAFE_PART = 0.75  # part of the bound that is used; the rest allows for calls that a slow link delivers late
+SAFE_PART = 0.75  # part of `ColdBound` that is used; the rest is for calls that a slow link delivers late
 LEAST_RATE = 1.0  # calls a second: if equal shares would be smaller, only some gateways send
 CALLS_EACH = 3.0  # calls in any second that each gateway gets if only some send, which sets how many send
 DEVIATIONS = 4.0  # standard deviations above the mean number of random senders, as a safe upper bound
@@ -138,7 +138,7 @@
     def _fill(self, now: int, server: int, rate: float) -> _Bucket:
         bucket = self._buckets.get(server)
         if bucket is None:
-            # Failure prevented: the buckets of all gateways fill at the same moment, and all send at once.
+            # Otherwise the buckets of all gateways fill at the same moment, and all send at once.
             phase = mix(server, self._number) / HASH_RANGE
             bucket = self._buckets[server] = _Bucket(phase, now)
         bucket.tokens = min(1.0, bucket.tokens + rate * (now - bucket.at) / US_PER_S)
--- a/brackenladder/sockets/operator_listener.py
+++ b/brackenladder/sockets/operator_listener.py
@@ -17,7 +17,7 @@
 
 
 class OperatorConnection(AcceptedConnection):
-    """An operator's connection."""
+    """Reads one line from an operator, writes the response, and closes the connection at a timeout."""
 
     def __init__(self, owner: OperatorListener) -> None:
         super().__init__(owner.loop.time())
