--- a/brackenladder/catalog/faults.py
+++ b/brackenladder/catalog/faults.py
@@ -8,7 +8,7 @@
 
 
 class FaultKind(Enum):
-    """The kind of a fault."""
+    """What is wrong with a value in the JSON configuration."""
 
     MALFORMED = "malformed"  # not the expected format, or truncated
     MISSING = "missing"
--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -85,7 +85,7 @@
 
 @frozen
 class Invalid:
-    """The order is rejected because of its content."""
+    """An operator's order is rejected because of its content."""
 
     faults: Faults
 
@@ -111,7 +111,7 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Encodes an order for the log."""
+    """The bytes of an operator's order, as the data of a log entry."""
     return msgpack.packb(_fields(order), unicode_errors="replace")  # type: ignore[no-any-return]
 
 
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -10,7 +10,7 @@
 
 
 class OrderOutcome(IntEnum):
-    """The outcome of an operator's order."""
+    """The outcome of an operator's order: a change of the configuration or of the evacuated zones."""
 
     ACCEPTED = 0  # committed, now or earlier
     INVALID = 1
@@ -40,7 +40,7 @@
 
 @frozen
 class OrderReply:
-    """The leader's answer to `ForwardOrder`."""
+    """The leader's answer to `ForwardOrder`: what became of the operator's order."""
 
     request: int
     outcome: OrderOutcome
@@ -79,7 +79,7 @@
 
 @frozen
 class ReadReply:
-    """The leader's answer to `ForwardRead`."""
+    """The leader's answer to `ForwardRead`: the current revision and, if asked, configuration."""
 
     request: int
     confirmed: bool  # False: the sender could not confirm that it still leads
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -19,7 +19,7 @@
 
 
 class OrderSender:
-    """Splits an order into parts; the sender's side."""
+    """Splits an operator's encoded order into parts; `WINDOW_BYTES` bounds what is unacknowledged."""
 
     def __init__(self, request: int, order: bytes) -> None:
         self._request = request
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -48,7 +48,7 @@
 
 
 class ExchangeContext(Protocol):
-    """The part of the gateway's shared state that a relay needs."""
+    """The part of the gateway's shared state that relaying a response needs."""
 
     @property
     def now(self) -> Callable[[], int]:
--- a/brackenladder/placement/balancer.py
+++ b/brackenladder/placement/balancer.py
@@ -150,7 +150,7 @@
         self.in_flight.stream_ended(now, request)
 
     def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Takes in notices of other gateways about servers of this service."""
+        """Takes in what other gateways report to be cached at servers of this service."""
         self.in_flight.apply_notices(now, notices)
 
     # ---- admission ------------------------------------------------------------------------------------
--- a/brackenladder/prefix_cache/early.py
+++ b/brackenladder/prefix_cache/early.py
@@ -1,4 +1,4 @@
-"""Holds notices about servers that this gateway does not know yet, for example while it starts."""
+"""Holds notices of prefixes cached at servers that this gateway does not know yet, as while it starts."""
 
 from __future__ import annotations
 
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -34,7 +34,7 @@
 
 @frozen
 class PrefixNotices:
-    """The notices of one sender, the oldest first."""
+    """A message with one sender's notices of cached prefixes, the oldest first."""
 
     notices: tuple[PrefixNotice, ...]
 
--- a/brackenladder/prefix_cache/relay_choice.py
+++ b/brackenladder/prefix_cache/relay_choice.py
@@ -10,7 +10,7 @@
 
 @frozen
 class RelayChoice:
-    """Chooses the relay of one gateway. `regions`: region by zone."""
+    """Chooses the control node that relays one gateway's notices. `regions`: region by zone."""
 
     node: str
     zone: str
