--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -99,7 +99,7 @@
 
 @frozen
 class Outdated:
-    """The evacuation of the zone was changed after the order's `seen_revision`.
+    """The order is rejected: the zone's evacuation was changed after the order's `seen_revision`.
 
     Otherwise, if an order is delayed, and the operator repeats it, has it acknowledged and then gives the
     opposite order, the delayed copy arrives last and undoes the opposite order.
--- a/brackenladder/cluster/live_count.py
+++ b/brackenladder/cluster/live_count.py
@@ -39,7 +39,7 @@
             for number, (record, since) in enumerate(zip(view.records, view.since, strict=True))
         )
         present = max(1, present, ceil(MIN_COUNTED_PART * len(view)))
-        # The count doesn't shrink while the view is unreliable. Otherwise an isolated node would take all
-        # others for gone and send as much as the whole fleet.
+        # The count doesn't shrink while what this node knows of the others is unreliable. Otherwise an
+        # isolated node would take all others for gone and send as much as the whole fleet.
         self.number = present if reliable else max(self.number, present)
         return self.number
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -99,7 +99,7 @@
         return True
 
     def take_committed(self) -> tuple[Entry, ...]:
-        """The committed entries that the host hasn't received yet."""
+        """The committed entries that the replica's host, which applies them, hasn't received yet."""
         if self._delivered >= self.commit_index:
             return ()
         entries = tuple(self.log.between(self._delivered + 1, self.commit_index))
--- a/brackenladder/consensus/output.py
+++ b/brackenladder/consensus/output.py
@@ -60,7 +60,7 @@
 
 @define
 class PendingOutput:
-    """Output collected since the host last took it."""
+    """Messages, results of reads, and lost proposals, collected since the host last took them."""
 
     messages: list[Outgoing] = field(factory=list)
     reads: list[ReadReady] = field(factory=list)
--- a/brackenladder/control_plane/control_node.py
+++ b/brackenladder/control_plane/control_node.py
@@ -139,7 +139,7 @@
         self._membership.set_seeds(platform.seed_inner_addresses)
 
     def status(self) -> ControlStatus:
-        """This node's view of itself and of the system."""
+        """The status that this node reports of itself, and of the nodes and servers that it knows."""
         return node_status(self.member, self.host, self.peers, self.soft_state)
 
     # -- PeerListener
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -1,7 +1,6 @@
 """Sends large orders to the leader in parts, with a window of unacknowledged bytes.
 
-Otherwise, if an order of several megabytes is sent as one message, the answers to heartbeats on the same link
-are delayed behind it.
+Otherwise the answers to heartbeats on the same link are delayed behind an order of several megabytes.
 """
 
 from __future__ import annotations
--- a/brackenladder/control_plane/restart_gate.py
+++ b/brackenladder/control_plane/restart_gate.py
@@ -36,7 +36,7 @@
         A report of a later order prevents the confirmation, however old the report is, and even if it is not
         from a member: the member list known here may be outdated.
 
-        Otherwise, if the disk returns the cache long after the peers have reported, a node that was
+        Without this check, if the disk returns the cache long after the peers have reported, a node that was
         disconnected meanwhile publishes a catalog that was the newest only at the time of the reports.
         """
         if any(report.newest_order > revision for report in self._reports.values()):
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -281,8 +281,8 @@
     def _may_publish_catalog(self, now: int) -> bool:
         """Whether this node's catalog is known to have been the newest a moment ago.
 
-        Otherwise a node that is disconnected, has restarted alone or is still catching up sends an old
-        configuration to gateways that have none, and directs clients by outdated home regions.
+        Without this check, a node that is disconnected, has restarted alone or is still catching up sends an
+        old configuration to gateways that have none, and directs clients by outdated home regions.
         """
         confirmed = self._confirmed_at is not None and now - self._confirmed_at <= IN_TOUCH_AGE
         return confirmed or self._state_age.catalog_age() <= IN_TOUCH_AGE
--- a/brackenladder/core/ending.py
+++ b/brackenladder/core/ending.py
@@ -21,7 +21,8 @@
 def handover(classes: Sequence[ClassSettings]) -> float:
     """Seconds after SIGTERM in which open connections still accept calls.
 
-    Otherwise, with short deadlines, the process is killed while clients still send calls to it.
+    It depends on the deadlines: otherwise, if they are short, the process is killed while clients still send
+    calls to it.
     """
     return min(HANDOVER, max(TAKING, (kill_after(classes) - 2 * KILL_MARGIN) / 1e6))
 
--- a/brackenladder/gateway/start_gate.py
+++ b/brackenladder/gateway/start_gate.py
@@ -14,7 +14,7 @@
 
 
 class StartGate:
-    """Closed until the view has a configuration and a ready server for each configured service.
+    """Closed until the gateway knows a configuration and a ready server for each configured service.
 
     After a restart of all processes, clients return some tenths of a second before the control nodes have
     elected a leader. Without the gate, each request would be refused twice within its client's timeout.
@@ -32,7 +32,7 @@
         return self._opened.is_set()
 
     def open(self) -> None:
-        """Open the gate for good: what the view lacks by now is not going to arrive soon."""
+        """Open the gate for good: servers or settings still unknown are not going to arrive soon."""
         self._opened.set()
         self._unsubscribe()
 
--- a/brackenladder/placement/intake.py
+++ b/brackenladder/placement/intake.py
@@ -77,8 +77,8 @@
     def awaits_seeding(self, now: int, server: Server, job: Job) -> bool:
         """Whether a prompt should avoid the server until it has been seeded.
 
-        Otherwise many prompts with one prefix are sent at once to the server that has just joined, and each
-        of them needs a prefill of the prefix.
+        Without this, many prompts with one prefix are sent at once to the server that has just joined, and
+        each of them needs a prefill of the prefix.
         """
         joined_at = self._joined.get(server.id)
         if joined_at is None or now - joined_at >= AWAIT_TIME:
--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -178,7 +178,7 @@
         return until
 
     def close(self) -> None:
-        """Stops following the view; open calls go on."""
+        """Stops following changes of the configuration and servers; open calls go on."""
         self.closed = True
 
     def _read_all(self) -> None:
--- a/brackenladder/placement/regions.py
+++ b/brackenladder/placement/regions.py
@@ -20,9 +20,9 @@
 class RegionTimes:
     """Mean latency of calls by region, relative to the target of their class.
 
-    Otherwise, if all servers of a small region are overloaded alike, none is slow compared with the others,
-    and calls stay there. A region without calls is assumed to be as fast as the fastest region was at its
-    best.
+    Without this, if all servers of a small region are overloaded alike, none is slow compared with the
+    others, and calls stay there. A region without calls is assumed to be as fast as the fastest region was at
+    its best.
     """
 
     def __init__(self) -> None:
--- a/brackenladder/placement/silent_zones.py
+++ b/brackenladder/placement/silent_zones.py
@@ -19,8 +19,8 @@
 class SilentZones:
     """For each zone, the servers that left calls unanswered since any server of the zone last answered.
 
-    Otherwise, if a zone loses power, until the server list is updated each call finds out again, at another
-    server, that nothing answers there. With many gateways each has few calls, and no server fails often
+    Without this, if a zone loses power, each call finds out anew, at another server, that nothing answers
+    there, until the server list is updated. With many gateways each has few calls, and no server fails often
     enough at one gateway to be ejected by itself.
     """
 
--- a/brackenladder/placement/unresponsive.py
+++ b/brackenladder/placement/unresponsive.py
@@ -60,8 +60,8 @@
 
     An answer does not end the suspicion, since a server may answer some calls and not others.
 
-    Otherwise, if servers stop answering while their health checks succeed, each of many gateways has to lose
-    calls of its own to each of them to find out.
+    Without this, if servers stop answering while their health checks succeed, each of many gateways has to
+    lose calls of its own to each of them to find out.
     """
 
     _reports: dict[int, list[_Report]] = field(factory=dict)  # by server
--- a/brackenladder/placement/urgency.py
+++ b/brackenladder/placement/urgency.py
@@ -12,7 +12,7 @@
 def urgency_of(route: Route, prompt_tokens: int, resumed: bool) -> int:
     """The `Priority` that is sent to a server; 0 is the most urgent.
 
-    Otherwise, if a prompt with a prefill of a second is admitted first, short ones, of some 10 ms each, miss
+    Without it, if a prompt with a prefill of a second is admitted first, short ones, of some 10 ms each, miss
     their latency target behind it. A resumed stream, whose client waits in the middle of an answer, comes
     before all others. Length changes the priority by a few steps only, so that long prompts do not starve.
     """
--- a/brackenladder/policy/limit.py
+++ b/brackenladder/policy/limit.py
@@ -135,8 +135,8 @@
 
         It is the number of calls in flight if this node shares the servers with no other node, and otherwise
         the mean of that number over a time of up to LEVEL_TIME.
-        Otherwise a node with less than one call in flight on average may refuse a second one that comes by
-        chance. Two calls here say nothing about the total of all nodes, and refusing one relieves no server.
+        Without the mean, a node that averages less than one call in flight may refuse a second one by chance.
+        Two calls here say nothing about the total of all nodes, and refusing one relieves no server.
         """
         if self.sharing == 1:
             self.in_flight += change
@@ -241,17 +241,17 @@
     def max_limit(self) -> float:
         """The highest value that the limit may grow to.
 
-        Otherwise a limit that is never reached grows without bound while traffic is low, and then admits any
-        burst. If each of many nodes had the headroom of a single one, the sum of their limits would overload
-        the servers several times over before latency shows it.
+        Without this cap, a limit that is never reached grows indefinitely while traffic is low, and then
+        admits any burst. If each of many nodes had the headroom of a single one, the sum of their limits
+        would overload the servers several times over before latency shows it.
         """
         return max(CEILING * self.pass_limit, USUAL_MULTIPLE * self.usual + MIN_LIMIT)
 
     def min_limit(self, age: int) -> float:
         """The lowest value that the limit may fall to: the calls in flight while latency was within target.
 
-        Otherwise, if all servers are slow for another reason than load, the gradient lowers limits until all
-        nodes refuse nearly everything, which makes no server faster.
+        Without this bound, if all servers are slow for another reason than load, the gradient lowers limits
+        until all nodes refuse nearly everything, which makes no server faster.
         """
         kept = (1 - self.lost) ** 2 if self.lost > MAX_LOSS else 1.0
         if self.sample_rtt > 1 and self.lost > MAX_LOSS:
--- a/brackenladder/policy/subset.py
+++ b/brackenladder/policy/subset.py
@@ -72,8 +72,8 @@
     def adjust_spill(self) -> None:
         """Adapts the spill, the share of calls that may leave the zone, at the end of a window.
 
-        Otherwise one zone's servers may be overloaded while another's are idle. Other zones that get too few
-        calls for measurements are assumed to be as fast as this one was at its best.
+        Without this, one zone's servers may be overloaded while another's are idle. Other zones that get too
+        few calls for measurements are assumed to be as fast as this one was at its best.
         """
         if self.near_ratio < self.best_ratio or self.best_ratio == 0:
             self.best_ratio = self.near_ratio
--- a/brackenladder/prefix_cache/relay.py
+++ b/brackenladder/prefix_cache/relay.py
@@ -72,7 +72,7 @@
 
 
 class PrefixRelay:
-    """Decides which notices are sent to whom. The host calls `take` after each notice and periodically."""
+    """Selects which notices go to which nodes. The host calls `take` after each notice and periodically."""
 
     def __init__(self, now: int) -> None:
         self._recent = RecentPrefixes()
