--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -1,7 +1,6 @@
 """Sends large orders to the leader in parts, with a window of unacknowledged bytes.
 
-Failure prevented: an order of several megabytes is sent as one message, and the answers to heartbeats on the
-same link are delayed behind it.
+Otherwise the answers to heartbeats on the same link are delayed behind an order of several megabytes.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class OrderSender:
-    """Splits an order into parts; the sender's side."""
+    """Splits an operator's encoded order into parts; `WINDOW_BYTES` bounds what is unacknowledged."""
 
     def __init__(self, request: int, order: bytes) -> None:
         self._request = request
@@ -72,7 +71,7 @@
     def _evict_oldest(self, newest: int) -> None:
         """Drops the oldest orders while the total is above the limit; their senders will repeat them.
 
-        Failure prevented: orders that were abandoned half-way fill the leader's memory.
+        Otherwise orders that were abandoned half-way fill the leader's memory.
         """
         while sum(len(partial.data) for partial in self._partial.values()) > MAX_PARTIAL_BYTES:
             oldest = next(request for request in self._partial if request != newest)
--- a/brackenladder/prefix_cache/messages.py
+++ b/brackenladder/prefix_cache/messages.py
@@ -23,7 +23,7 @@
 
     @property
     def shared(self) -> int:
-        """The number of tokens of the longest prefix."""
+        """The tokens of the longest of the prompt's shared prefixes, which contains the others."""
         return sum(self.tokens)
 
     @property
@@ -34,7 +34,7 @@
 
 @frozen
 class PrefixNotices:
-    """The notices of one sender, the oldest first."""
+    """A message with one sender's notices of cached prefixes, the oldest first."""
 
     notices: tuple[PrefixNotice, ...]
 
