--- a/brackenladder/cli/members.py
+++ b/brackenladder/cli/members.py
@@ -1,4 +1,4 @@
-"""The command `members`: the nodes of the tier as one node sees them, and its own state."""
+"""The command `members`: what one node knows of the other nodes of its tier, and its own state."""
 
 from __future__ import annotations
 
--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -1,4 +1,4 @@
-"""Plans. A plan is a file with the differences from one state, and may only be applied to that state."""
+"""Plans for changing a node: differences from one state, which may only be applied to that state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 VERSION = 1
 MAX_PLAN_BYTES = 4 << 20  # most bytes in a plan file
-HISTORY = 50  # number of applied changes that are kept
+HISTORY = 50  # how many of the last applied changes are kept
 MAX_NAMED_KEYS = 5  # changed keys listed in the refusal of a stale plan
 
 
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -122,7 +122,7 @@
 
     sequence: int
     number: int
-    settled: bool = True  # False: the control node has just started and may not know all of them yet
+    settled: bool = True  # False: the control node has just started and may not know all gateways yet
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -34,12 +34,12 @@
         self.known = known
 
     def start(self) -> None:
-        """Delivers the list known beforehand, if there is one."""
+        """Passes on the server list known before the start, if there is one."""
         if self.known is not None:
             self.on_listing(self.known)
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """Replaces the list known beforehand by a newer one. Only before `start`."""
+        """Replaces the server list to start with by a newer one. Must be called before `start`."""
         self.known = listing
         self.current_list = CurrentList(listing, self.loop.time())
 
--- a/brackenladder/node/http.py
+++ b/brackenladder/node/http.py
@@ -56,7 +56,9 @@
 def http_front(
     config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, ready: Callable[[], bool], log: Log
 ) -> HttpFront:
-    """Creates the front. Clients may use the half of `config.connections` that servers don't use.
+    """Creates the front, which accepts HTTP clients.
+
+    Clients may use the half of `config.connections` that servers don't use.
 
     `ready` is called to answer `/ready`.
     """
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -113,7 +113,7 @@
         return True
 
     def is_present(self, number: int) -> bool:
-        """Whether the failure detector considers a member alive or suspect."""
+        """Whether the failure detector considers a member alive or suspect, that is, not failed."""
         records = self.detector.view.records
         return number < len(records) and records[number].state <= State.SUSPECT
 
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -107,8 +107,8 @@
         except TooManyHolds:
             return format_answer(False, "too many servers are held back")
         except HoldsError as e:
-            # The hold is in force in this process but couldn't be written to the file. The error reply tells
-            # the operator that a process which takes over at a restart won't know of the hold.
+            # The change is in force in this process but couldn't be written to the file. The error reply
+            # tells the operator that a process which takes over at a restart won't know of it.
             self.log(str(e))
             return format_answer(False, str(e))
         return format_answer(True)
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -35,7 +35,7 @@
         """Starts to pass server lists to the callback."""
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """Sets a newer list to start with. To be called only before `start`."""
+        """Sets a newer server list to start with. Must be called before `start`."""
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Changes the address of the discovery service."""
@@ -49,7 +49,7 @@
 
 
 class NoMessenger:
-    """The messenger of a pool whose settings allow no messages between nodes."""
+    """Drops all messages, for a pool whose settings allow none between nodes."""
 
     def tell(self, peer: int, data: bytes) -> None:
         """Does nothing."""
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -1,4 +1,8 @@
-"""The HTTP pools that operators can configure. Each has its own host; they share upstream and list."""
+"""The HTTP pools that operators can configure.
+
+Each has its own Host, which balances its calls. All share one upstream (the connections to servers) and one
+server list.
+"""
 
 from __future__ import annotations
 
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -33,7 +33,7 @@
 POLL_INTERVAL = 0.05  # seconds between two checks of the progress of recovery
 PING_INTERVAL = 500_000  # microseconds between two rounds of pinging nodes that haven't answered
 MAX_PINGS = 24  # nodes pinged in one round
-COUNTER_LIMIT = 1 << 32  # the counter of a generation is always smaller
+COUNTER_LIMIT = 1 << 32  # every counter of state changes is smaller
 
 
 class Recovery:
@@ -90,7 +90,7 @@
             self.known.forget(number)
         newest = self.known.newest(self.mine)
         if newest.digest == self.mine.digest and newest.counter > self.counter:
-            self.counter = newest.counter  # another node has the same state with a higher counter
+            self.counter = newest.counter  # another node has the same state under a higher counter of changes
             self.save()
         unheard = [n for n in self.members.detector.others if n not in self.known.heard]
         phase = self.startup.update(now, self.mine, self.known, self.refused, len(unheard))
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -70,7 +70,10 @@
 def rpc_front(
     table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, stray_log: Log
 ) -> RpcFront:
-    """Creates the RPC front. Clients may use the half of `table.sockets` that servers don't use."""
+    """Creates the front, which accepts RPC clients.
+
+    Clients may use the half of `table.sockets` that servers don't use.
+    """
     limits = FrontLimits(
         message_limits(table),
         table.client_calls,
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -1,4 +1,4 @@
-"""Servers that operators put on hold (out of service), and the resulting server list. No I/O, no clock.
+"""Servers that operators suspended (put on hold), and the resulting server list. No I/O, no clock.
 
 Times are integer microseconds of Unix time, as are the start times in discovery's list.
 """
@@ -90,12 +90,12 @@
         return line if line.started >= hold.since else replace(line, started=hold.until)
 
     def listing_for(self, servers: Iterable[str], version: int) -> Listing:
-        """Returns the list update to apply after the holds of these servers have changed."""
+        """Returns the list update to apply after suspensions of these servers have begun or ended."""
         lines = tuple(self.apply_hold(self.lines[server]) for server in servers if server in self.lines)
         return Listing(ListKind.CHANGES, version, lines)
 
     def replace_holds(self, holds: Mapping[str, Hold]) -> list[str]:
-        """Adopts the holds saved by this node's other process. Returns the servers whose holds changed."""
+        """Adopts the suspensions saved by this node's other process. Returns the servers affected."""
         changed = [name for name in {**self.holds, **holds} if self.holds.get(name) != holds.get(name)]
         self.holds = dict(holds)
         return changed
--- a/brackenladder/operator_client/control_client.py
+++ b/brackenladder/operator_client/control_client.py
@@ -125,7 +125,7 @@
     async def _call_node(
         self, node: str, method: str, path: str, body: bytes, base: int | None
     ) -> Result[Answer, str]:
-        """Calls one node once. Fails if another node may have a definite answer."""
+        """Calls one node once. Fails if the answer is not definite, so that another node should be asked."""
         headers = {} if base is None else {BASE_VERSION_HEADER: str(base)}
         try:
             async with self._session.request(
--- a/brackenladder/registry/entries.py
+++ b/brackenladder/registry/entries.py
@@ -30,7 +30,7 @@
     heartbeat_seq: int = NO_SEQ
     cold_until: int = NEVER
     ends_at: int = NEVER
-    expired_seq: int = NO_SEQ  # the last seq before the server timed out
+    expired_seq: int = NO_SEQ  # the highest seq known when the server timed out
     deregistered: bool = False
     gone_at: int = NEVER  # when this node learned that the server has ended
     suspected_at: int = NEVER  # the value of `heard_at` for which peers were last asked about the server
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -50,7 +50,7 @@
     """A gateway and the age of its last message, as exchanged between control nodes."""
 
     gateway: GatewayRecord
-    age: int  # microseconds since its last message, at the time of sending
+    age: int  # microseconds from the gateway's last message to the sending of this one
 
 
 @define
--- a/brackenladder/registry/records.py
+++ b/brackenladder/registry/records.py
@@ -46,7 +46,7 @@
 
     id: str
     seq: int
-    age: int  # microseconds since it was received, at the time of sending
+    age: int  # microseconds from receiving the heartbeat to sending this message
     changed_seq: int  # the lowest `seq` known to have reported the same content as the newest record
 
 
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -322,7 +322,7 @@
 
 
 class RpcUpstream:
-    """The servers of the pool, by number, and the connections to them."""
+    """Sends calls to the servers of a pool, over connections that it opens, shares and closes."""
 
     def __init__(
         self,
--- a/brackenladder/storage/__init__.py
+++ b/brackenladder/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files that a node keeps on disk: the replicated log, the saved state, holds and the handover file."""
+"""Files that a node keeps on disk: replicated log, saved state, suspended servers, handover file."""
--- a/brackenladder/storage/holds.py
+++ b/brackenladder/storage/holds.py
@@ -1,4 +1,4 @@
-"""The holds file, in which the processes of one node share which servers operators hold out of service.
+"""The holds file, in which the processes of one node share which servers operators have suspended.
 
 It is in the node's private folder, outlives a process that is replaced, and is removed with the node.
 """
