--- a/brackenladder/control/guard.py
+++ b/brackenladder/control/guard.py
@@ -1,4 +1,4 @@
-"""Checks, from the current server list, whether a configuration change would interrupt a service."""
+"""Checks, from the current server list, whether a change would leave a pool too few ready servers."""
 
 from __future__ import annotations
 
--- a/brackenladder/delivery/publisher.py
+++ b/brackenladder/delivery/publisher.py
@@ -121,7 +121,7 @@
         self._mark_all()
 
     def set_gateways(self, number: int, settled: bool = True) -> None:
-        """Set the number of live gateways; `settled` False: this node may not know all of them yet."""
+        """Set the number of live gateways; `settled` False: this node may not know all gateways yet."""
         if (number, settled) == (self._gateways.number, self._gateways.settled):
             return
         self._gateways = GatewayCount(self._gateways.sequence + 1, number, settled)
--- a/brackenladder/peers/datagrams.py
+++ b/brackenladder/peers/datagrams.py
@@ -27,7 +27,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def set_addresses(self, peers: Sequence[Address], to_all: Address | None) -> None:
-        """Sets the addresses of the nodes, by number, and the one that reaches all of them."""
+        """Sets the nodes' addresses, by number, and `to_all`, the one address that reaches all nodes."""
         self.peers = peers
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.to_all = to_all
--- a/brackenladder/rpc/front.py
+++ b/brackenladder/rpc/front.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class FrontLimits:
-    """Limits of the front. Per client: `calls` open calls, and `unread` bytes of responses not yet sent."""
+    """Limits for RPC clients. Per client: `calls` open calls, `unread` bytes of responses not yet sent."""
 
     message_limits: MessageLimits
     calls: int
@@ -245,7 +245,7 @@
 
     def request(self, client: Client, message: Request) -> None:
         if message.msgid in client.calls:
-            # The first call stays open. Its response is the one sent with this msgid.
+            # The earlier call stays open, and the response sent with this msgid belongs to it.
             self.log(f"rpc client: msgid {message.msgid} used again while its call is open")
             client.send(response(message.msgid, PACK(["failed", "this msgid has a call open"]), NIL))
             return
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -415,7 +415,7 @@
             if len(endpoint.links) < self.limits.connections and self.open < self.limits.all:
                 self.connect(endpoint)
             elif not endpoint.links:
-                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # the limits allow no further connection
+                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # the limits allow no more connections
 
     def connect(self, endpoint: Endpoint) -> None:
         link = Link(self, endpoint)
--- a/brackenladder/storage/wal_check.py
+++ b/brackenladder/storage/wal_check.py
@@ -19,7 +19,7 @@
 HEADER_BYTES = 32
 FRAME_HEADER_BYTES = 24  # header before each page
 SUMMED_HEADER_BYTES = 8  # leading part of a frame's header that its checksums cover, besides the page
-MAX_TORN_COMMITS = 1  # commits that a power loss can leave in one chain, including the torn commit itself
+MAX_TORN_COMMITS = 1  # most commits that a power loss leaves in one checksum chain, the torn one included
 
 _HEADER = Struct(">8I")  # magic, version, page size, sequence, two salts, two checksums
 _FRAME = Struct(">6I")  # page, database size after a commit or 0, two salts, two checksums
--- a/brackenladder/system/soak_command.py
+++ b/brackenladder/system/soak_command.py
@@ -28,7 +28,7 @@
 FAILED_RUNS_FOLDER = Path("found")
 MAX_PRINTED = 6  # violations printed for each rule and seed
 RUN_TIMEOUT_MARGIN_SECONDS = 600.0  # added to the time for faults: for start, recovery and end
-FIRST_NETWORK, LAST_NETWORK = 120, 199  # second byte of the loopback addresses
+FIRST_NETWORK, LAST_NETWORK = 120, 199  # range of the second byte of the seeds' loopback addresses
 
 
 def soak(
--- a/brackenladder/transport/link.py
+++ b/brackenladder/transport/link.py
@@ -42,7 +42,7 @@
     stable_after: int = 1_000_000  # a link open for this long resets the retry pause to `retry_min`
     listen_timeout: int = 10_000_000  # how long binding is retried while the address is in use
     listen_retry: int = 100_000  # pause between two attempts to bind a listener's address
-    close_grace: int = 500_000  # time for the links of a closing transport to send their queued messages
+    close_grace: int = 500_000  # time that links have to send queued messages while their transport closes
 
 
 @frozen
