--- a/brackenladder/delivery/omitted_servers.py
+++ b/brackenladder/delivery/omitted_servers.py
@@ -40,7 +40,7 @@
             self._lists[control_node].add(server_id)
 
     def ended(self, server_id: str) -> None:
-        """Handle the tombstone of a server."""
+        """Forget a server whose end has been reported: it need not be removed as omitted any more."""
         for server_ids in self._lists.values():
             server_ids.discard(server_id)
         for server_ids in self._last_lists.values():
@@ -48,7 +48,7 @@
         self._forget(server_id)
 
     def disconnected(self, now: int, control_node: str, known: Iterable[str]) -> None:
-        """Handle the loss of the link to a control node."""
+        """Keep the last list of a control node whose link is lost, in case it connects again."""
         server_ids = self._lists.pop(control_node, None)
         if server_ids is not None:
             self._last_lists[control_node] = server_ids
--- a/brackenladder/discovery/sources.py
+++ b/brackenladder/discovery/sources.py
@@ -16,7 +16,10 @@
 
 
 class PolledDiscovery(Discovery):
-    """Discovery, called when the decision module asks for the list; starts with the list known beforehand."""
+    """Calls discovery whenever the Balancer, which picks a server for each call, asks for the server list.
+
+    It starts with the list known beforehand.
+    """
 
     def __init__(
         self,
@@ -31,12 +34,12 @@
         self.known = known
 
     def start(self) -> None:
-        """Delivers the list known beforehand, if there is one."""
+        """Passes on the server list known before the start, if there is one."""
         if self.known is not None:
             self.on_listing(self.known)
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """Replaces the list known beforehand by a newer one. Only before `start`."""
+        """Replaces the server list to start with by a newer one. Must be called before `start`."""
         self.known = listing
         self.current_list = CurrentList(listing, self.loop.time())
 
@@ -44,7 +47,7 @@
 class AgentDiscovery(PolledDiscovery):
     """An agent on the node's own host, which answers at once with the list that was pushed to it.
 
-    The node itself watches the agent for as long as the pool runs; the decision module does not ask for it.
+    The node itself watches the agent for as long as the pool runs; the Balancer does not ask for the list.
     """
 
     def __init__(
--- a/brackenladder/node/control_links.py
+++ b/brackenladder/node/control_links.py
@@ -61,7 +61,7 @@
 
     @property
     def has_relay(self) -> bool:
-        """Whether there is a link to the control node that relays prefix notices to other gateways."""
+        """Whether this gateway is linked to the control node that forwards its prefix notices to others."""
         return self._relay in self._links
 
     def announce_presence(self) -> None:
@@ -77,7 +77,7 @@
             link.send(notices)
 
     def tick(self) -> None:
-        """Repeats the presence when it is due and applies changes of the list of control nodes."""
+        """Repeats the presence message when it is due, and applies changes of the list of control nodes."""
         now = self._clock()
         if self._links:
             self._linked_at = now
@@ -89,7 +89,7 @@
         self._choose_relay()
 
     def link_up(self, address: str, link: Link) -> None:
-        """Handles a new link to a control node."""
+        """Registers a new link to a control node and announces this gateway on it."""
         self._links[address] = link
         self._subscriber.connected(self._clock(), address)
         link.send(self._presence.message(self._subscriber.view.revision))
@@ -119,7 +119,7 @@
                 link.send(message)
 
     def link_down(self, address: str, link: Link, reason: LinkClosed) -> None:
-        """Handles the end of a link."""
+        """Forgets a link to a control node that has ended."""
         if self._links.get(address) is not link:
             return
         log.info("link to control node {} closed: {}", address, reason)
@@ -128,7 +128,10 @@
         self._choose_relay()
 
     def _choose_relay(self) -> None:
-        """Chooses the nearest control node as relay once their zones are known, and announces a change."""
+        """Chooses which control node forwards prefix notices: the nearest, once their zones are known.
+
+        A change is announced to the control nodes.
+        """
         zones = self._subscriber.control_zones
         relay = self._relay_choice.nearest(self._links, zones) if zones else ""
         if relay != self._relay:
--- a/brackenladder/node/control_role.py
+++ b/brackenladder/node/control_role.py
@@ -22,7 +22,7 @@
 
 
 class ControlRole:
-    """The `RoleProcess` of a control node."""
+    """Runs a control node in this process, as a `RoleProcess`."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
@@ -51,12 +51,12 @@
             raise RoleError(f"can't listen: {error}") from error
 
     def reload(self, platform: Platform) -> None:
-        """Applies changed settings."""
+        """Applies changed settings to the running node; does nothing before its start."""
         if self.node is not None:
             self.node.reload(platform)
 
     async def stop(self) -> None:
-        """Stops the node in an orderly way."""
+        """Stops the node if it has been started."""
         if self.node is not None:
             await self.node.stop()
 
--- a/brackenladder/node/members.py
+++ b/brackenladder/node/members.py
@@ -21,7 +21,7 @@
 
 MAX_KEYS = 2  # the old and the new key during a key rotation
 KEY_BYTES = (16, 64)
-MAX_FILE_BYTES = 4096  # largest key file
+MAX_FILE_BYTES = 4096  # most bytes in a key file
 COUNT_INTERVAL = 10  # ticks between two counts of the live nodes
 
 
@@ -113,7 +113,7 @@
         return True
 
     def is_present(self, number: int) -> bool:
-        """Whether the failure detector considers a member alive or suspect."""
+        """Whether the failure detector considers a member alive or suspect, that is, not failed."""
         records = self.detector.view.records
         return number < len(records) and records[number].state <= State.SUSPECT
 
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -52,12 +52,12 @@
         pool.admit = self.admit
 
     def start(self, address: Address) -> None:
-        """Applies recorded suspensions and starts the listener. Raises OSError if it can't be bound."""
+        """Applies recorded suspensions and listens for operators. Raises OSError if it can't be bound."""
         self.sync_holds()
         self.operator_listener.start(address)
 
     def end(self) -> None:
-        """Ends the handling of pauses, as the node shuts down. Servers stay suspended."""
+        """Stops updating the stage of a pause, as the node shuts down. Suspended servers stay suspended."""
         self.ended = True
 
     # ---- servers --------------------------------------------------------------------------------------
@@ -67,7 +67,7 @@
         return self.maintenance.process_listing(listing)
 
     def sync_holds(self) -> None:
-        """Applies suspensions that the node's other process has recorded.
+        """Applies the server suspensions that the node's other process has recorded in the file.
 
         Otherwise one process would go on sending to a server that an operator suspended in the other.
         """
@@ -88,7 +88,7 @@
     def hold(self, call: OperatorCall) -> bytes:
         """Suspends or restores a server.
 
-        The hold is written to the file that the node's processes share before the reply is sent.
+        Before the reply is sent, the change is written to the file that the node's processes share.
         """
         maintenance, now = self.maintenance, time_ns() // 1000
         try:
@@ -107,8 +107,8 @@
         except TooManyHolds:
             return format_answer(False, "too many servers are held back")
         except HoldsError as e:
-            # The hold is in force in this process but couldn't be written to the file. The error reply tells
-            # the operator that a process which takes over at a restart won't know of the hold.
+            # The change is in force in this process but couldn't be written to the file. The error reply
+            # tells the operator that a process which takes over at a restart won't know of it.
             self.log(str(e))
             return format_answer(False, str(e))
         return format_answer(True)
@@ -136,7 +136,7 @@
         return format_answer(True)
 
     def update_pause(self) -> None:
-        """Tells the fronts which stage the pause has reached."""
+        """Tells the listeners' fronts, which accept client calls, which stage the pause has reached."""
         if self.pause_timer is not None:
             self.pause_timer.cancel()
             self.pause_timer = None
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -25,17 +25,17 @@
 
 
 class Source(Directory, Protocol):
-    """A source of the server list."""
+    """Fetches a pool's server list from discovery or a file, and passes each new list to the pool."""
 
     @property
     def version(self) -> int | None:
         """The version of the current list."""
 
     def start(self) -> None:
-        """Starts to pass lists to the pool."""
+        """Starts to pass server lists to the callback."""
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """Sets a newer list to start with. To be called only before `start`."""
+        """Sets a newer server list to start with. Must be called before `start`."""
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Changes the address of the discovery service."""
@@ -49,14 +49,17 @@
 
 
 class NoMessenger:
-    """The messenger of a pool whose settings allow no messages between nodes."""
+    """Drops all messages, for a pool whose settings allow none between nodes."""
 
     def tell(self, peer: int, data: bytes) -> None:
         """Does nothing."""
 
 
 class Pool:
-    """One pool of servers. `source` creates the source of its list, which passes listings to a callback."""
+    """Balances calls over one group of servers.
+
+    `source` creates the object that gets the group's server list; it passes each new list to a callback.
+    """
 
     def __init__(
         self,
@@ -84,7 +87,7 @@
         self.distribute: Callable[[Listing], None] | None = None
 
     def start(self) -> None:
-        """Starts the host and the source of the list."""
+        """Starts the pool's host, which runs the balancing policy, and the source of the server list."""
         self.host.start()
         self.source.start()
 
--- a/brackenladder/registry/gateways.py
+++ b/brackenladder/registry/gateways.py
@@ -10,9 +10,10 @@
 OFFER_TIMEOUT = 2_500_000  # microseconds without a message after which clients are not sent to a gateway
 # The same limit for a gateway that is linked to this node: as an idle link sends pings, it can be shorter.
 LINKED_OFFER_TIMEOUT = 1_100_000
-# Microseconds; a gateway counts as linked to this node unless peers have heard it this much later.
+# A gateway counts as linked to this node unless another control node has received a message of it that is at
+# least this many microseconds newer than the last one received here.
 RELAY_DELAY = 1_000_000
-LIVENESS_WINDOW = 20_000_000  # microseconds after its last message for which a gateway counts as alive
+LIVENESS_WINDOW = 20_000_000  # a gateway counts as alive for this many microseconds after its last message
 # Microseconds of silence after which another process of the same node replaces the known one, even with a
 # lower incarnation: the wall clock may have been set back between the two starts.
 SUCCESSION_TIMEOUT = 1_500_000
@@ -29,9 +30,10 @@
 
 @frozen
 class GatewayRecord:
-    """One gateway. Of two records of the same node, the one with the higher (`incarnation`, `seq`) wins.
+    """What a gateway reports of itself.
 
-    Exception: of two incarnations heard at least `SUCCESSION_TIMEOUT` apart, the one heard last wins.
+    Of two records of the same node, the one with the higher (`incarnation`, `seq`) wins. Exception: of
+    two incarnations heard at least `SUCCESSION_TIMEOUT` apart, the one heard last wins.
     """
 
     node: str
@@ -48,7 +50,7 @@
     """A gateway and the age of its last message, as exchanged between control nodes."""
 
     gateway: GatewayRecord
-    age: int  # microseconds since its last message, at the time of sending
+    age: int  # microseconds from the gateway's last message to the sending of this one
 
 
 @define
