--- a/brackenladder/fleet/clients.py
+++ b/brackenladder/fleet/clients.py
@@ -15,7 +15,7 @@
 
 
 class RequestTry:
-    """One try of a request, with its own id."""
+    """A first send or a retry of a request by its client; each try has an id of its own."""
 
     __slots__ = ("clients", "plan", "number", "name", "node", "call", "timer", "sent", "reused", "finished")
 
--- a/brackenladder/fleet/days.py
+++ b/brackenladder/fleet/days.py
@@ -108,7 +108,7 @@
 
 
 def calm(rng: Random, table: Table) -> None:
-    """A surge of 1.5 times the load."""
+    """Adds a surge to 1.5 times the normal client load, for 2.4 to 6 seconds."""
     at, lasts = rng.uniform(6, 14), rng.uniform(2.4, 6)
     table["clients"]["surges"] = [{"at_s": round(at, 1), "for_s": round(lasts, 1), "times": 1.5}]
 
--- a/brackenladder/fleet/detector_network.py
+++ b/brackenladder/fleet/detector_network.py
@@ -74,7 +74,7 @@
         self.clock_skew = [0] * size  # wall clock error of each machine, in seconds
 
     def start(self, number: int) -> DetectorMember:
-        """Starts a new process of a node."""
+        """Starts a node's failure detector anew, with an epoch drawn from its skewed wall clock."""
         self.starts[number] += 1
         wall = WALL_CLOCK_START + (self.queue.now - BEGIN) // MICRO + self.clock_skew[number]
         rng = Random(f"member {self.seed} {number} {self.starts[number]}")
--- a/brackenladder/fleet/discovery.py
+++ b/brackenladder/fleet/discovery.py
@@ -69,7 +69,7 @@
         self.lines_written = 0
 
     def set_initial_lines(self, lines: list[Line]) -> None:
-        """Sets the lines known before the run."""
+        """Sets the server list at the start of the run, one line per server, without a new version."""
         for line in lines:
             self.lines[line.id] = line
             self.changed_in[line.id] = self.version
@@ -333,7 +333,7 @@
         self.watch(True)
 
     def close(self) -> None:
-        """Cancels all calls when the node ends."""
+        """Cancels the open discovery calls when the node ends, and marks the client as closed."""
         self.closed = True
         for call in (self.watching, self.fetching):
             if call is not None:
--- a/brackenladder/fleet/figures.py
+++ b/brackenladder/fleet/figures.py
@@ -159,10 +159,11 @@
 
 
 def series_of(scenario: Scenario, result: Result) -> dict[str, list[float]]:
-    """Values of `SERIES` for each second of the run, together with the samples of the nodes.
+    """The time series named in `SERIES`, one value per second of the run, and the samples of the nodes.
 
-    `offered`: first tries; `goodput`, `worth` (a late answer counts a fifth), `refused` and `attempts`: per
-    first try; `load`: work of the busiest server relative to the mean.
+    `offered` is the number of first tries. The next four are divided by it: `goodput` counts answers in
+    time, `worth` also counts each late answer as a fifth, `refused` counts 503 answers, and `attempts`
+    counts arrivals at servers. `load` is the load of the busiest server divided by the mean load.
     """
     length = -(-result.plan.length // 1_000_000)
     by_id = {}
--- a/brackenladder/fleet/links.py
+++ b/brackenladder/fleet/links.py
@@ -151,7 +151,7 @@
         self.end(Outcome.CONNECT_FAILED)
 
     def connect_timed_out(self) -> None:
-        """The connect timeout has passed."""
+        """Ends the attempt as failed to connect when the connect timeout has passed."""
         self.end(Outcome.CONNECT_FAILED)
 
     def send_request(self, link: Link) -> None:
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -1,4 +1,7 @@
-"""Runs a rehearsal's plan in virtual time, with the same schedule, events and checker as on sockets."""
+"""Runs the plan of a rehearsal (a test of node processes under load and faults) in virtual time.
+
+The schedule, events and checker are those of a rehearsal with real processes and sockets.
+"""
 
 from __future__ import annotations
 
@@ -298,7 +301,7 @@
         self.queue.after(RESTART_DELAY, self.restart_server, plan, at)
 
     def begin_fault(self, step: Step) -> None:
-        """Starts a fault."""
+        """Records the start of a fault and applies it to the target server, node or discovery services."""
         self.record(Fault(self.queue.now, BEGIN + step.end, step.kind, step.target))
         plan = self.plans.get(step.target)
         if plan is not None:
@@ -336,7 +339,7 @@
         self.schedule_listing(plan, State.GONE, plan.born)
 
     def apply_node_fault(self, step: Step, node: Node) -> None:
-        """Starts a fault of a client's node."""
+        """Applies a fault to a node that clients call, for example a kill or unanswered discovery calls."""
         end = BEGIN + step.end
         if step.kind in ("unheard", "silent-watch"):
             for source in self.sources:
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -212,7 +212,7 @@
         self.host.messenger = self
 
     def start(self) -> None:
-        """The process becomes ready."""
+        """Marks the process as ready and gives it the server list that it already knows."""
         self.up = True
         self.context.record(NodeUp(self.queue.now, self.name))
         self.host.start()
@@ -308,7 +308,7 @@
             call.on_broken()
 
     def client_left(self, call: Call) -> None:
-        """A client has disconnected."""
+        """Tells the node that the client of a call has disconnected; ignored while the node is down."""
         if self.up:
             self.schedule_event(self.host.client_left, call)
 
@@ -358,7 +358,7 @@
                 on_result(status == 200)
 
         def on_broken() -> None:
-            """Reports nothing, since a server's node is killed only together with the server."""
+            """Ends the call without a result: its node is killed only together with the server that calls."""
             nonlocal over
             over = True
 
--- a/brackenladder/fleet/queue.py
+++ b/brackenladder/fleet/queue.py
@@ -11,11 +11,11 @@
 
 
 class Standstill(Exception):
-    """Events trigger each other endlessly at one instant; the text names them."""
+    """More than `MAX_EVENTS_PER_INSTANT` events ran at one virtual time; the message names some of them."""
 
 
 class Timer:
-    """A scheduled event."""
+    """Handle of a scheduled event, by which it can be cancelled."""
 
     __slots__ = ("action", "args")
 
@@ -24,7 +24,7 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Cancels the event."""
+        """Prevents the event from running; its action and arguments are released."""
         self.action = None
         self.args = ()
 
--- a/brackenladder/fleet/random_streams.py
+++ b/brackenladder/fleet/random_streams.py
@@ -11,7 +11,7 @@
 
 
 class RandomStreams:
-    """Named random streams of one seed."""
+    """Derives an independent random generator for each component name from one seed."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
--- a/brackenladder/fleet/servers.py
+++ b/brackenladder/fleet/servers.py
@@ -130,7 +130,7 @@
     # ---- processes ------------------------------------------------------------------------------------
 
     def start(self, started_ms: int, cold: bool) -> None:
-        """Starts a new process."""
+        """Starts a new process with no requests in progress; with `cold`, it first has to warm up."""
         self.alive, self.vanished, self.slow = True, False, False
         self.incarnation += 1
         self.cold_since = self.queue.now if cold else -1
--- a/brackenladder/rehearsal/checker/effect.py
+++ b/brackenladder/rehearsal/checker/effect.py
@@ -15,7 +15,7 @@
     """Compares the attempts of each request with what its class allows."""
 
     def check(self) -> None:
-        """Checks every request that was attempted."""
+        """Checks the number, overlap and repeats of each request's attempts, and each refusal."""
         for request in self.history.requests.values():
             if request.sent is None or not request.attempts:
                 continue
--- a/brackenladder/rehearsal/checker/knowledge.py
+++ b/brackenladder/rehearsal/checker/knowledge.py
@@ -8,9 +8,9 @@
 from brackenladder.rehearsal.events import Asked, Changed, Told, Untold
 
 ASK_WITHIN = 10_000_000  # microseconds without a discovery call, after which changes count as told
-FAILED_CALL_FACTOR = 4  # factor for ASK_WITHIN after a call that failed
+FAILED_CALL_FACTOR = 4  # after a failed call, ASK_WITHIN is multiplied by this
 SILENCE_LIMIT = 6_000_000  # microseconds after which changes that a silenced call missed count as told
-WAIT_MARGIN = 2_000_000  # microseconds; not before this time after a silenced call's wait has ended
+WAIT_MARGIN = 2_000_000  # microseconds added to a silenced call's wait before missed changes count as told
 
 
 class Knowledge:
--- a/brackenladder/rehearsal/checker/lost.py
+++ b/brackenladder/rehearsal/checker/lost.py
@@ -8,7 +8,7 @@
 
 
 class LostCheck(RuleCheck):
-    """Compares answers with deadlines."""
+    """Checks that each request gets one answer, within its deadline, that a server made for it."""
 
     def check(self) -> None:
         """Checks every request: one final answer in time, and nothing sent after it."""
--- a/brackenladder/rehearsal/checker/verdicts.py
+++ b/brackenladder/rehearsal/checker/verdicts.py
@@ -33,7 +33,7 @@
     answer: int = 20_000
     slack: int = 50_000
     lag: int = 50_000
-    tries: tuple[Rule, ...] = RULES  # a rule not listed is 'not tried' unless it is broken
+    tries: tuple[Rule, ...] = RULES  # rules to test; others are 'not tried' unless broken
 
 
 class Finding(msgspec.Struct, frozen=True):
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -101,7 +101,7 @@
 
 
 class Run:
-    """One rehearsal."""
+    """Runs one rehearsal: starts the nodes and stand-ins, applies the faults and ends all processes."""
 
     def __init__(
         self, scenario: Scenario, seed: int, command: str, folder: Path, progress: Progress | None
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -244,7 +244,7 @@
 
 
 class Scenario(Table, frozen=True):
-    """The whole file."""
+    """A scenario file: nodes, servers, clients, faults and limits of a rehearsal."""
 
     title: str
     about: str = ""
--- a/brackenladder/rehearsal/standins/clients.py
+++ b/brackenladder/rehearsal/standins/clients.py
@@ -17,7 +17,7 @@
 
 
 class Try:
-    """One try of a request, with its own id."""
+    """A first send or a retry of a request by its client; each try has an id of its own."""
 
     def __init__(self, plan: RequestPlan, number: int, began: int) -> None:
         self.plan = plan
--- a/brackenladder/rehearsal/standins/codecs.py
+++ b/brackenladder/rehearsal/standins/codecs.py
@@ -83,7 +83,7 @@
 
 
 class ServerCodec(Protocol):
-    """The server's side."""
+    """Decodes the requests of one connection and encodes their answers."""
 
     def feed(self, data: bytes) -> list[Request]:
         """The requests that these bytes complete."""
--- a/brackenladder/rehearsal/standins/heartbeats.py
+++ b/brackenladder/rehearsal/standins/heartbeats.py
@@ -30,7 +30,7 @@
         self._due = asyncio.Event()
 
     async def start(self) -> None:
-        """Starts sending heartbeats."""
+        """Opens the HTTP session and starts the task that sends heartbeats until `stop`."""
         timeout = aiohttp.ClientTimeout(total=CALL_SECONDS)
         self._session = aiohttp.ClientSession(timeout=timeout)
         self._task = asyncio.create_task(self._run())
--- a/brackenladder/rehearsal/standins/network.py
+++ b/brackenladder/rehearsal/standins/network.py
@@ -100,7 +100,7 @@
         self.history: list[tuple[int, str, dict[str, Any]]] = []
         # Fault `old-list`: the version and lines to return.
         self.old_list: tuple[int, list[dict[str, Any]]] | None = None
-        self.left_out: set[str] | None = None  # fault `half-list`: ids that full lists omit
+        self.left_out: set[str] | None = None  # fault `half-list`: server ids to omit
         self.waiting: set[Call] = set()
         self.snapshots: list[tuple[int, list[dict[str, Any]]]] = []
 
@@ -282,7 +282,7 @@
             had.lines = ({} if full else had.lines) | {line["id"]: line for line in lines}
 
     def prepare(self) -> None:
-        """Sets up the initial server list and the nodes' datagram addresses from the brief."""
+        """Sets up the initial server list and the nodes' datagram addresses from the runner's first order."""
         for source in self.sources:
             for plan in self.host.plan.servers:
                 if plan.born < 0:
--- a/brackenladder/rehearsal/standins/servers.py
+++ b/brackenladder/rehearsal/standins/servers.py
@@ -15,7 +15,7 @@
 
 
 class Servers:
-    """The role `servers`."""
+    """Runs the simulated servers of this process; their ports stay bound while a server is down."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
--- a/brackenladder/rehearsal/standins/simulated_server.py
+++ b/brackenladder/rehearsal/standins/simulated_server.py
@@ -19,8 +19,10 @@
 DRAIN_TIMEOUT = 3.0  # seconds that a drained server has to finish its requests
 RESET_DELAY = 0.005  # seconds from the first part of an answer to the reset, so that the part is sent
 FILLERS = 8  # connections that fill the backlog
-BACKLOG_SETTLE = 0.1  # seconds after the fault in which accepted connections may have waited
-HOLD_BEFORE_DRAIN = 300_000  # microseconds before `drain-answering` begins in which answers are held
+BACKLOG_SETTLE = 0.1  # seconds; connections accepted this soon after the fault may have waited
+# Answers that are ready up to this many microseconds before the fault `drain-answering` are held until it
+# begins.
+HOLD_BEFORE_DRAIN = 300_000
 
 
 class SimulatedServer:
--- a/brackenladder/simulation/exchange/behaviour.py
+++ b/brackenladder/simulation/exchange/behaviour.py
@@ -84,7 +84,7 @@
 
 
 def draw_answer_kind(random: Random, misbehaves: bool, streaming: bool) -> AnswerKind:
-    """Draws the kind of the next response."""
+    """Weighted draw by whether the server misbehaves; `streaming` allows only `STREAM_ANSWER_KINDS`."""
     weights = MISBEHAVING_WEIGHTS if misbehaves else HEALTHY_WEIGHTS
     if streaming:
         weights = {
--- a/brackenladder/simulation/exchange/faults.py
+++ b/brackenladder/simulation/exchange/faults.py
@@ -107,7 +107,7 @@
 
 
 async def freeze_server(world: World, random: Random) -> None:
-    """Freezes a server's process."""
+    """Freezes the process of a running server for 0.1 to 2.5 seconds."""
     server = _running(world, random)
     if server is None or server.process is None:
         return
@@ -142,7 +142,7 @@
 
 
 async def reset_connections(world: World, random: Random) -> None:
-    """Resets connections to a server."""
+    """Resets connections to a running server one to four times."""
     server = _running(world, random)
     if server is not None:
         world.count_fault("reset")
--- a/brackenladder/simulation/exchange/gateways.py
+++ b/brackenladder/simulation/exchange/gateways.py
@@ -67,7 +67,10 @@
         process.run(self._start)
 
     def kill(self, graceful: bool = False) -> None:
-        """Ends the process by SIGKILL, or with `graceful` after its shutdown, and closes its connections."""
+        """Ends the process at once and closes its connections, as SIGKILL does.
+
+        `graceful`: SIGTERM came first, so that the end counts as a fault only within `LAST_PART`.
+        """
         process, self.process = self.process, None
         if process is None:
             return
--- a/brackenladder/simulation/exchange/history.py
+++ b/brackenladder/simulation/exchange/history.py
@@ -98,11 +98,11 @@
     _open: list[int] = field(factory=list)  # start times of the faults that are active
 
     def begin(self, now: int) -> None:
-        """Records the start of a fault."""
+        """Opens the interval of a fault, which lasts until the matching `end`."""
         self._open.append(now)
 
     def end(self, now: int) -> None:
-        """Records the end of the latest fault."""
+        """Ends the fault that began last; its interval is prolonged by `RECOVERY_TIME`."""
         if self._open:
             self._spans.append((self._open.pop(), now + RECOVERY_TIME))
 
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -186,7 +186,7 @@
         await self._fail_disk(machine, seconds, "disk-hang")
 
     async def fill_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """Makes a disk full for a while."""
+        """Makes writes to a machine's disk fail as on a full disk for `seconds`."""
         await self._fail_disk(machine, seconds, "disk-full")
 
     async def slow_disk(self, machine: ControlMachine, seconds: float) -> None:
@@ -209,7 +209,7 @@
     # -- recovery
 
     async def heal(self) -> None:
-        """Reverts all faults at once."""
+        """Repairs the network and all disks, thaws frozen processes and boots machines that are down."""
         world = self.world
         world.network.heal_all()
         for machine in world.machines:
--- a/brackenladder/simulation/isolation.py
+++ b/brackenladder/simulation/isolation.py
@@ -15,7 +15,7 @@
 class _Span:
     begun: int
     until: int
-    since: int  # the time from which the isolation is counted
+    since: int  # when contact with a majority was lost; LONG_AGO if the process never had it
 
 
 class Isolation:
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -253,14 +253,14 @@
         return self.process is not None and self.process.running
 
     def boot(self) -> None:
-        """Starts the process with an empty view."""
+        """Starts a process that has not yet received any control-plane state."""
         process = Process(f"{self.name}.{self.starts}")
         self.starts += 1
         self.process = self.endpoint.process = process
         process.run(self._start)
 
     def kill(self) -> None:
-        """Kills the process."""
+        """Ends the process, if one runs, and closes its network connections."""
         if self.process is not None:
             self.process.end()
         self.process = self.endpoint.process = None
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -110,16 +110,16 @@
         self._next_port = 30_000
 
     def add_host(self, ip: str, zone: str) -> StreamHost:
-        """Adds a host."""
+        """Adds a machine to the network, on which processes can then listen; `zone` sets its latency."""
         host = self._hosts[ip] = StreamHost(ip, zone)
         return host
 
     def host(self, ip: str) -> StreamHost:
-        """Returns the host with an IP address."""
+        """Looks up a host that `add_host` has added; any other address raises KeyError."""
         return self._hosts[ip]
 
     def listen(self, ip: str, port: int, factory: ProtocolFactory, process: Process) -> StreamListener:
-        """Binds an address for a process."""
+        """Accepts connections to an address for a process; raises OSError if the address is in use."""
         if (ip, port) in self._listeners:
             raise OSError(errno.EADDRINUSE, "address already in use")
         listener = StreamListener(self, self._hosts[ip], port, factory, process)
@@ -127,7 +127,7 @@
         return listener
 
     def unbind(self, listener: StreamListener) -> None:
-        """Releases an address."""
+        """Frees a listener's address, unless another listener has bound the address since."""
         key = (listener.host.ip, listener.port)
         if self._listeners.get(key) is listener:
             del self._listeners[key]
@@ -407,7 +407,7 @@
     # ---- receiving in the system ----------------------------------------------------------------------
 
     def receive_bytes(self, portion: bytes) -> None:
-        """Handles the arrival of data."""
+        """Queues arrived data for the protocol, or answers with a reset if the socket is closed."""
         self.network.portions += 1
         if self._socket_closed:
             self._send(self.peer.receive_reset, ConnectionResetError(errno.ECONNRESET, "reset"))
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -148,7 +148,10 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> TimerHandle:
-        """See `asyncio.AbstractEventLoop`; the callback belongs to the process of its context."""
+        """Schedules the callback at virtual time `when`, in seconds.
+
+        The callback belongs to the simulated process of `context`, or of the caller without one.
+        """
         if self.is_closed():
             return TimerHandle(when, callback, args, self, context)
         process = _current.get() if context is None else context.get(_current)
--- a/brackenladder/soak/actors.py
+++ b/brackenladder/soak/actors.py
@@ -38,7 +38,7 @@
         """Executes an order of the soak runner; returns an awaitable if it takes time."""
 
     async def stop(self) -> None:
-        """Stops the actor."""
+        """Ends the work of the actor and releases its connections; called once, at the end of the soak."""
 
 
 ACTORS: dict[str, Callable[[SoakLayout, str, str, Record], Actor]] = {
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -20,7 +20,9 @@
 DRAIN = round(DEFAULT_BOUNDS.drain_ms * 1000)  # microseconds
 EVACUATE = round(DEFAULT_BOUNDS.evacuate_ms * 1000)
 LOSS_SLACK = round(DEFAULT_BOUNDS.loss_slack_ms * 1000)
-USED_DEADLINE_SHARE = 0.7  # share of a deadline after which a closed connection does not break LOST
+# Rule LOST requires a complete answer to each fully sent request. A connection that closes after this share
+# of the request's deadline does not break the rule.
+USED_DEADLINE_SHARE = 0.7
 SERVED_WINDOW = 3_000_000  # microseconds after the recovery in which each region's clients must get answers
 SERVED_SHARE = 0.25
 T = TypeVar("T")
--- a/brackenladder/soak/schedule.py
+++ b/brackenladder/soak/schedule.py
@@ -16,7 +16,7 @@
 WHOLE_REGION_SHARE = 0.6  # share of removals that take down all gateways of a region
 POWER_LOSS_SHARE = 0.1  # share of kills that hit all eligible machines, like a power loss
 PLANNED_SHARE, STORM_SHARE, LATE_SHARE = 0.3, 0.45, 0.25  # share of the total time that each phase takes
-CALM_SECONDS = 4.5  # fault-free seconds before planned work; longer than ContactMs
+CALM_SECONDS = 4.5  # fault-free seconds before planned work; more than ContactMs (4 s)
 FIRST_SECONDS = 0.5  # seconds from the start of a phase to its first step
 STEP_GAPS = (0.4, 2.0)  # seconds between two steps, shortest and longest
 
--- a/brackenladder/soak/site.py
+++ b/brackenladder/soak/site.py
@@ -35,7 +35,7 @@
 
 
 class Size(Enum):
-    """Size of a soak."""
+    """How many machines, servers and clients a soak has (see `SHAPES`)."""
 
     SMALL = "small"
     LARGE = "large"
