--- a/brackenladder/fleet/__init__.py
+++ b/brackenladder/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Simulates whole fleets in virtual time: the real decision modules in a model of their environment."""
+"""Simulates whole fleets in virtual time: the real code of `policy/` among modelled nodes and servers."""
--- a/brackenladder/fleet/discovery.py
+++ b/brackenladder/fleet/discovery.py
@@ -58,7 +58,7 @@
         self.free_at = 0
         self.version = FIRST_VERSION[number % 2]
         self.lines: dict[str, Line] = {}
-        self.changed_in: dict[str, int] = {}  # version of the last change of each line
+        self.changed_in: dict[str, int] = {}  # version that last changed each server's line
         self.snapshots: list[tuple[int, tuple[Line, ...]]] = []
         self.old_list: tuple[int, tuple[Line, ...]] | None = None  # old list served during an old-list fault
         self.omitted_ids: set[str] | None = None  # ids left out of full lists by a half-list fault
--- a/brackenladder/fleet/experiment.py
+++ b/brackenladder/fleet/experiment.py
@@ -25,7 +25,7 @@
 from brackenladder.fleet.variants import MODULE_POLICY
 from brackenladder.rehearsal.scenario import Scenario, find_contradiction, format_validation_error
 
-LARGEST_FILE = 1 << 20  # bytes
+LARGEST_FILE = 1 << 20  # size limit of an experiment file, in bytes
 MAX_RUNS = 100_000
 MAX_VALUES = 1000  # largest number of values of one grid key
 
@@ -38,7 +38,7 @@
 
 
 class Experiment(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """An experiment file."""
+    """The content of an experiment file: a scenario, the values to vary in it, and the seeds."""
 
     title: str
     scenario: str
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -81,7 +81,10 @@
 
 
 class Fleet:
-    """One run. `module`: policy of each node, which is the Balancer, a variant of it or a baseline."""
+    """One run of nodes, servers and clients.
+
+    `module`: policy of each node, which is the Balancer, a variant of it or a baseline.
+    """
 
     def __init__(self, scenario: Scenario, seed: int, module: Module = Balancer) -> None:
         self.scenario = scenario
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes in virtual time: the core's real Host and Balancer, with simulated processes around them."""
+"""Nodes in virtual time: real request handling (Host) and server selection in simulated processes."""
 
 from __future__ import annotations
 
@@ -329,7 +329,7 @@
         self.context.send_datagram(self, peer, data)
 
     def log(self, text: str) -> None:
-        """Records errors that the host caught as faults of the run."""
+        """Records an error that the node's Host caught; each such error counts as a fault of the run."""
         if "Error" in text or "guard" in text:
             self.faults.append(text)
 
--- a/brackenladder/fleet/queue.py
+++ b/brackenladder/fleet/queue.py
@@ -30,7 +30,10 @@
 
 
 class Queue:
-    """The queue. `call_later` (in seconds) is the part of an event loop that `core.Host` uses."""
+    """Executes events in the order of their times.
+
+    `call_later` (in seconds) is the part of an event loop that `core.Host` uses.
+    """
 
     def __init__(self, now: int = 0) -> None:
         self.now = now
--- a/brackenladder/fleet/rivals/__init__.py
+++ b/brackenladder/fleet/rivals/__init__.py
@@ -1,4 +1,4 @@
-"""Baseline policies with the interface of the decision module; they never repeat unsafe calls."""
+"""Baseline policies to compare `policy/` with, by the same interface; they never repeat unsafe calls."""
 
 from __future__ import annotations
 
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -33,7 +33,7 @@
 
 
 class KnownServer:
-    """What a policy knows of a server."""
+    """A policy's record of a server: list entry, calls in flight, failures in a row and ejections."""
 
     __slots__ = ("entry", "in_flight", "known_since", "consecutive_failures", "ejected_until", "ejections")
 
@@ -47,7 +47,7 @@
 
 
 class OpenRequest:
-    """What a policy knows of an open request."""
+    """A policy's record of an open request: its class, time limit and attempts."""
 
     __slots__ = ("id", "klass", "effect", "until", "attempts", "out", "ran_on", "ran_at", "sent_at")
 
--- a/brackenladder/fleet/schedules.py
+++ b/brackenladder/fleet/schedules.py
@@ -54,7 +54,7 @@
 
 
 def random_schedule(rng: Random) -> Schedule:
-    """Generates a schedule."""
+    """Generates the table of a scenario with random sizes, load and faults."""
     servers, cores, nodes = rng.randint(*SERVERS), rng.choice((1, 2, 4)), rng.randint(*NODES)
     length = round(rng.uniform(*LENGTH_S), 1)
     rate = servers * cores / MEAN_WORK_S * rng.uniform(*LOAD)
--- a/brackenladder/fleet/variants.py
+++ b/brackenladder/fleet/variants.py
@@ -1,4 +1,4 @@
-"""Selects the policy of a run: the decision module of this or another checkout, or a baseline policy."""
+"""Selects the policy of a run: `policy/` of this or another checkout, or a baseline policy."""
 
 from __future__ import annotations
 
--- a/brackenladder/rehearsal/checker/drain.py
+++ b/brackenladder/rehearsal/checker/drain.py
@@ -15,7 +15,7 @@
     """Compares when attempts were sent with what their node knew then."""
 
     def check(self, knowledge: Knowledge) -> None:
-        """Checks each interval in which a node knew that a server is not ready; first bytes decide."""
+        """Checks intervals in which a node knew a server as not ready; attempts count at their first byte."""
         by_pair: defaultdict[tuple[str, str], list[tuple[Attempt, Request]]] = defaultdict(list)
         taken: defaultdict[str, list[int]] = defaultdict(list)
         for request in self.history.requests.values():
--- a/brackenladder/rehearsal/checker/history.py
+++ b/brackenladder/rehearsal/checker/history.py
@@ -95,7 +95,7 @@
         self.index_events(events)
 
     def index_events(self, events: Iterable[AnyEvent]) -> None:
-        """Sorts the events into the indexes."""
+        """Fills the indexes by request, server and node."""
         open_attempts: dict[int, Attempt] = {}
         for event in events:
             self.last = event.t
--- a/brackenladder/rehearsal/events.py
+++ b/brackenladder/rehearsal/events.py
@@ -244,7 +244,7 @@
 
 
 class Viewed(Event, frozen=True, tag="viewed", gc=False):
-    """A node's view of all members, in the order of their numbers; `own`: its view of itself."""
+    """The state of each member as a node sees it, by member number; `own`: that of the node itself."""
 
     node: str
     own: str
--- a/brackenladder/rehearsal/members.py
+++ b/brackenladder/rehearsal/members.py
@@ -1,4 +1,4 @@
-"""Verdicts on the nodes' membership views, judged against the faults that were injected.
+"""Checks which members each node considered alive or dead against the faults that were injected.
 
 Takes events and returns verdicts; no I/O and no clock.
 
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -48,7 +48,7 @@
 
 
 class StandIn:
-    """The process of one stand-in."""
+    """The process of one stand-in (simulated clients, servers or network) and its orders and reports."""
 
     def __init__(self, role: str, name: str) -> None:
         self.role = role
--- a/brackenladder/rehearsal/standins/codecs.py
+++ b/brackenladder/rehearsal/standins/codecs.py
@@ -112,7 +112,7 @@
 
 
 class HttpClient:
-    """HTTP/1.1, client's side; one request at a time."""
+    """Codec of a client's HTTP/1.1 connection, which carries one request at a time."""
 
     calls = 1
 
@@ -186,7 +186,7 @@
 
 
 class HttpServer:
-    """HTTP/1.1, server's side; one request at a time."""
+    """Codec of a server's HTTP/1.1 connection, which carries one request at a time."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
@@ -244,7 +244,7 @@
 
 
 class Stream:
-    """A stream of MessagePack messages."""
+    """Splits the bytes received on a connection into MessagePack messages."""
 
     def __init__(self, largest: int) -> None:
         self.unpacker = msgpack.Unpacker(strict_map_key=False, max_buffer_size=largest)
@@ -270,7 +270,7 @@
 
 
 class RpcClient:
-    """MessagePack-RPC, client's side; answers are matched by msgid and may come in any order."""
+    """Codec of a client's MessagePack-RPC connection; answers match by msgid and come in any order."""
 
     calls = PIPELINE
 
@@ -312,7 +312,7 @@
 
 
 class RpcServer:
-    """MessagePack-RPC, server's side."""
+    """Codec of a server's MessagePack-RPC connection."""
 
     def __init__(self) -> None:
         self.stream = Stream(LARGEST_REQUEST)
--- a/brackenladder/rehearsal/standins/model_server.py
+++ b/brackenladder/rehearsal/standins/model_server.py
@@ -28,7 +28,7 @@
 KEEP_ALIVE_SECONDS = 15.0
 PLAIN_WORK_SECONDS = 0.02
 CLOSE_SECONDS = 0.2
-LARGEST_BODY = 4 * 1024 * 1024  # bytes
+LARGEST_BODY = 4 * 1024 * 1024  # largest request body, in bytes
 
 
 @frozen
--- a/brackenladder/rehearsal/standins/process.py
+++ b/brackenladder/rehearsal/standins/process.py
@@ -35,7 +35,10 @@
 
 
 class Brief(msgspec.Struct, frozen=True):
-    """The first order. `address`: addresses of nodes and other stand-ins, by name."""
+    """The runner's first order to a stand-in process.
+
+    `address`: addresses of nodes and other stand-ins, by name.
+    """
 
     role: str
     name: str
--- a/brackenladder/rehearsal/standins/server_connection.py
+++ b/brackenladder/rehearsal/standins/server_connection.py
@@ -51,7 +51,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """A connection to a server."""
+    """A node's connection to a simulated server: reads requests and writes one answer at a time."""
 
     def __init__(self, server: RequestHandler) -> None:
         self.server = server
--- a/brackenladder/rehearsal/standins/simulated_server.py
+++ b/brackenladder/rehearsal/standins/simulated_server.py
@@ -68,7 +68,7 @@
         await self.listen()
 
     async def listen(self) -> None:
-        """Opens the port."""
+        """Opens the port; accepted connections get a small receive buffer during the fault `reset-early`."""
         self.sock = listener(
             self.context.places[self.plan.place], small=self.fault("reset-early") is not None
         )
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -15,7 +15,7 @@
 from brackenladder.storage.memory_log import MemoryLogStore
 from brackenladder.storage.writer import WriteCallback
 
-SYNC_TIME = 2_000  # microseconds
+SYNC_TIME = 2_000  # microseconds that a healthy disk takes to sync
 HANG_POLL_TIME = 20_000  # microseconds between two checks whether a hanging disk responds again
 
 
--- a/brackenladder/simulation/exchange/behaviour.py
+++ b/brackenladder/simulation/exchange/behaviour.py
@@ -9,7 +9,7 @@
 
 from brackenladder.simulation.exchange.history import Run
 
-LONG_BODY = 150_000  # bytes
+LONG_BODY = 150_000  # bytes of a long response body
 OPEN_BODY = 1_200_000  # bytes; large enough that gateways relay it while they receive it
 KEEP_ALIVE = "Keep-Alive: timeout=2"
 
--- a/brackenladder/simulation/fault_actions.py
+++ b/brackenladder/simulation/fault_actions.py
@@ -146,7 +146,7 @@
 
 
 async def restart_gateway(faults: Faults, random: Random, machine: ControlMachine) -> None:
-    """Restarts a gateway, which then has an empty view."""
+    """Restarts a gateway, which then has to get its state from the control nodes again."""
     faults.restart_gateway(random.choice(faults.world.gateways))
 
 
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -129,7 +129,7 @@
         self._end("throttle", machine)
 
     def restart_gateway(self, gateway: GatewayMachine) -> None:
-        """Ends a gateway's process and restarts it with an empty view."""
+        """Ends a gateway's process and restarts it without the state it got from the control nodes."""
         gateway.kill()
         gateway.boot()
         self.world.record_fault_event("gateway-restart")
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -205,7 +205,10 @@
 
 @frozen
 class ViewSeen:
-    """A gateway's view after a change. Times are in microseconds since the start of the run."""
+    """The control-plane state that a gateway holds after a change.
+
+    Times are in microseconds since the start of the run.
+    """
 
     at: int
     gateway: int
@@ -219,7 +222,7 @@
 
 
 class GatewayMachine:
-    """A machine that runs the control side of a gateway: its links to control nodes and its view."""
+    """Runs the part of a gateway that gets configuration and server state from the control nodes."""
 
     def __init__(
         self,
@@ -332,7 +335,7 @@
 
 
 def _ignore_notices(_notices: PrefixNotices) -> None:
-    """Ignores prefix notices, which are cache hints: no actor sends prompts."""
+    """Ignores hints on cached prompt prefixes, since no actor sends prompts."""
 
 
 def leading_machine(machines: Iterable[ControlMachine]) -> ControlMachine | None:
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -183,7 +183,7 @@
 
 
 class SimulatedTransport(MemoryTransport):
-    """A `MemoryTransport` on a `SimulatedNetwork`."""
+    """A `MemoryTransport` whose links have the latency, bandwidth and cuts of a `SimulatedNetwork`."""
 
     network: SimulatedNetwork
 
--- a/brackenladder/simulation/operators.py
+++ b/brackenladder/simulation/operators.py
@@ -67,7 +67,7 @@
 
 
 class Operator:
-    """An operator that can call every control node."""
+    """Changes and reads the configuration and evacuates zones, by calls to any control node."""
 
     def __init__(
         self,
--- a/brackenladder/simulation/streams.py
+++ b/brackenladder/simulation/streams.py
@@ -80,7 +80,7 @@
 
 
 class StreamServer:
-    """The return value of `create_server`."""
+    """The handle that `create_server` returns, by which its listening address is closed."""
 
     def __init__(self, listener: StreamListener) -> None:
         self.sockets: tuple[StreamListener, ...] = (listener,)
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -64,7 +64,7 @@
             self._deferred.append(call)
 
     def freeze(self) -> None:
-        """Suspends the process."""
+        """Suspends the process: its callbacks and timers wait until `thaw`."""
         if self.state is ProcessState.RUNNING:
             self.state = ProcessState.FROZEN
             self.freezes += 1
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -48,7 +48,7 @@
 
 @frozen
 class Breach:
-    """A violation of a rule."""
+    """A violation of a rule: which rule, when, and what was observed."""
 
     rule: Rule
     at: int  # microseconds of the monotonic clock; 0 if it has no time
--- a/brackenladder/soak/clients.py
+++ b/brackenladder/soak/clients.py
@@ -171,7 +171,7 @@
 
 
 class Clients:
-    """All clients of a region."""
+    """Runs the clients of a region, which send requests until `stop`."""
 
     def __init__(self, layout: SoakLayout, region: str, seed: str, record: Record) -> None:
         self._clients = [
--- a/brackenladder/soak/processes.py
+++ b/brackenladder/soak/processes.py
@@ -208,7 +208,7 @@
             raise OSError(f"{self.name} did not start")
 
     def order(self, do: str, **details: Any) -> None:
-        """Sends an order to the actor."""
+        """Sends an order to the actor as a line on its standard input."""
         if self._process is not None and self._process.stdin is not None:
             with suppress(OSError):
                 self._process.stdin.write(json.dumps({"do": do} | details).encode() + b"\n")
--- a/brackenladder/soak/servers.py
+++ b/brackenladder/soak/servers.py
@@ -125,7 +125,7 @@
             self._leaving.discard(place)
 
     async def stop(self) -> None:
-        """Stops all servers."""
+        """Stops all heartbeats, then ends all servers at once, also while they run requests."""
         for heartbeats in self._heartbeats.values():
             await heartbeats.stop()
         for server in self._servers.values():
