--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -85,7 +85,7 @@
 
 @frozen
 class Invalid:
-    """The order is rejected because of its content."""
+    """An operator's order is rejected because of its content."""
 
     faults: Faults
 
@@ -99,10 +99,10 @@
 
 @frozen
 class Outdated:
-    """The evacuation of the zone was changed after the order's `seen_revision`.
+    """The order is rejected: the zone's evacuation was changed after the order's `seen_revision`.
 
-    Failure prevented: an order is delayed, the operator repeats it and has it acknowledged, then gives the
-    opposite order; the delayed copy arrives last and undoes the opposite order.
+    Otherwise, if an order is delayed, and the operator repeats it, has it acknowledged and then gives the
+    opposite order, the delayed copy arrives last and undoes the opposite order.
     """
 
 
@@ -111,7 +111,7 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Encodes an order for the log."""
+    """The bytes of an operator's order, as the data of a log entry."""
     return msgpack.packb(_fields(order), unicode_errors="replace")  # type: ignore[no-any-return]
 
 
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -34,12 +34,12 @@
 
     @property
     def replica_id(self) -> str:
-        """This replica's id."""
+        """The id by which the other replicas know this one in messages, votes and the member set."""
         return self.member.replica_id
 
     @property
     def members(self) -> Members:
-        """The newest members in the log."""
+        """The member set by the newest entry that sets one, committed or not."""
         return self.log.members
 
     def find(self, replica_id: str) -> Member | None:
@@ -99,7 +99,7 @@
         return True
 
     def take_committed(self) -> tuple[Entry, ...]:
-        """The committed entries that the host hasn't received yet."""
+        """The committed entries that the replica's host, which applies them, hasn't received yet."""
         if self._delivered >= self.commit_index:
             return ()
         entries = tuple(self.log.between(self._delivered + 1, self.commit_index))
--- a/brackenladder/placement/regions.py
+++ b/brackenladder/placement/regions.py
@@ -20,7 +20,7 @@
 class RegionTimes:
     """Mean latency of calls by region, relative to the target of their class.
 
-    Failure prevented: all servers of a small region are overloaded alike, none is slow compared with the
+    Without this, if all servers of a small region are overloaded alike, none is slow compared with the
     others, and calls stay there. A region without calls is assumed to be as fast as the fastest region was at
     its best.
     """
