--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -489,5 +489,5 @@
 
 
 def play(scenario: Scenario, seed: int, module: Module = Balancer) -> Result:
-    """Runs a scenario in virtual time."""
+    """Runs a scenario in virtual time with `module` as the policy of each node; returns the result."""
     return Fleet(scenario, seed, module).run()
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -97,7 +97,7 @@
     def ended(
         self, now: int, open_request: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
     ) -> None:
-        """Called when an attempt has ended."""
+        """Hook for the end of an attempt; does nothing unless a policy overrides it."""
 
     # ---- events ---------------------------------------------------------------------------------------
 
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -246,7 +246,7 @@
 
     @property
     def clients_address(self) -> str:
-        """The address that clients connect to."""
+        """Where clients connect: the RPC address if the node has one, else its HTTP address."""
         return self.rpc or self.listen
 
     async def start(self) -> None:
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -206,7 +206,7 @@
 
 
 class Limits(Table, frozen=True):
-    """Resource limits of a node."""
+    """Limits of a node: attempts per request, sockets, memory, connect time and processor time."""
 
     attempts: Annotated[int, Meta(ge=1, le=9)] = 3
     sockets: Annotated[int, Meta(ge=64)] = 1024
--- a/brackenladder/rehearsal/standins/model_server.py
+++ b/brackenladder/rehearsal/standins/model_server.py
@@ -45,7 +45,7 @@
 
 
 class ModelServer:
-    """One server. `executed`: by request id, how often work on it has begun."""
+    """Serves requests in a limited number of slots. `executed`: how often each request id began to run."""
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
--- a/brackenladder/rehearsal/standins/process.py
+++ b/brackenladder/rehearsal/standins/process.py
@@ -62,7 +62,7 @@
         """Handles an order that follows the first one, the Brief."""
 
     async def finish(self) -> None:
-        """Called at the end of the run."""
+        """Called at the end of the run, before the process exits."""
 
 
 class Host:
--- a/brackenladder/simulation/calls.py
+++ b/brackenladder/simulation/calls.py
@@ -19,7 +19,7 @@
 from brackenladder.simulation.virtual_loop import MICROSECONDS, Process
 from brackenladder.transport.memory_link import Event
 
-HELD_CALL_TOLERANCE = 250_000  # microseconds that a node may take to end a call
+HELD_CALL_TOLERANCE = 250_000  # microseconds from a caller's hang-up until its call must have ended
 
 Answer = TypeVar("Answer")
 Work = Callable[[ControlNode], Awaitable[Answer]]
--- a/brackenladder/simulation/exchange/faults.py
+++ b/brackenladder/simulation/exchange/faults.py
@@ -121,7 +121,7 @@
 
 
 async def make_server_unreachable(world: World, random: Random) -> None:
-    """Makes a server's machine unreachable."""
+    """Makes the machine of a running server unreachable for 0.3 to 6 seconds."""
     server = _running(world, random)
     if server is None:
         return
@@ -151,7 +151,7 @@
 
 
 async def freeze_gateway(world: World, random: Random) -> None:
-    """Freezes a gateway's process."""
+    """Freezes the process of a gateway for 0.05, 0.3 or 1.5 seconds."""
     gateway = _gateway(world, random)
     if gateway is None or gateway.process is None:
         return
@@ -165,7 +165,7 @@
 
 
 async def throttle(world: World, random: Random) -> None:
-    """Limits the processor time of a gateway or a server by a quota."""
+    """Freezes a gateway or a server for a part of each of 5 to 30 quota periods."""
     machine = random.choice((_gateway(world, random), _running(world, random)))
     if machine is None or machine.process is None:
         return
@@ -182,7 +182,7 @@
 
 
 async def kill_gateway(world: World, random: Random) -> None:
-    """Kills a gateway and restarts it."""
+    """Kills a gateway without a shutdown, and restarts it after 0.1 to 1 second."""
     gateway = _gateway(world, random)
     if gateway is None:
         return
@@ -193,7 +193,7 @@
 
 
 async def terminate_gateway(world: World, random: Random) -> None:
-    """Shuts a gateway down with SIGTERM and restarts it."""
+    """Shuts a gateway down with SIGTERM, and restarts it within 0.5 seconds of its end."""
     gateway = _gateway(world, random)
     if gateway is None:
         return
@@ -206,7 +206,7 @@
 
 
 async def sighup_gateway(world: World, random: Random) -> None:
-    """Sends SIGHUP to a gateway."""
+    """Sends SIGHUP to a gateway, which makes it reload its settings."""
     gateway = _gateway(world, random)
     if gateway is not None:
         world.count_fault("hang-up-gateway")
--- a/brackenladder/simulation/exchange/history.py
+++ b/brackenladder/simulation/exchange/history.py
@@ -114,7 +114,7 @@
 
 @define
 class History:
-    """All records of a run."""
+    """The clients' requests, their runs at servers and the configurations recorded in a run."""
 
     requests: dict[str, Request] = field(factory=dict)
     runs: list[Run] = field(factory=list)
--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -73,7 +73,7 @@
 
 @define
 class History:
-    """All records of a run."""
+    """The orders, reads, acknowledgements to servers and gateway states recorded in a run."""
 
     orders: list[OrderRecord] = field(factory=list)
     reads: list[ReadRecord] = field(factory=list)
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -51,7 +51,7 @@
 
 
 class UnansweredChecks:
-    """Health checks that no server answers."""
+    """Stands in for active health checks: a remembered server gets an empty answer."""
 
     async def check_all(self, servers: object) -> list[HealthAnswer]:
         """See `HealthChecks`."""
--- a/brackenladder/simulation/network.py
+++ b/brackenladder/simulation/network.py
@@ -128,12 +128,12 @@
     # -- faults
 
     def heal(self, one: str, other: str) -> None:
-        """Ends the cuts between two endpoints."""
+        """Ends the cuts between two endpoints in both directions; messages held back now travel on."""
         self._cuts -= {(one, other), (other, one)}
         self._release_held_up()
 
     def heal_all(self) -> None:
-        """Ends all cuts."""
+        """Ends all cuts; messages that they held back now travel on."""
         self._cuts.clear()
         self._release_held_up()
 
--- a/brackenladder/simulation/world.py
+++ b/brackenladder/simulation/world.py
@@ -147,7 +147,7 @@
             gateway.boot()
 
     def start_actors(self) -> None:
-        """Starts operators, servers and checks."""
+        """Starts the tasks of the operators, the servers and the periodic checks."""
         self.isolation.update(self.now)
         actors: tuple[Operator | Server, ...] = (*self.operators, *self.servers)
         for actor in actors:
--- a/brackenladder/soak/actors.py
+++ b/brackenladder/soak/actors.py
@@ -32,13 +32,13 @@
     """Behaviour of an actor process."""
 
     async def start(self) -> None:
-        """Starts the actor."""
+        """Begins the work of the actor; once this has returned, the actor counts as ready for orders."""
 
     def order(self, order: Order) -> Awaitable[None] | None:
         """Executes an order of the soak runner; returns an awaitable if it takes time."""
 
     async def stop(self) -> None:
-        """Ends the work of the actor and releases its connections; called once, at the end of the soak."""
+        """Ends the work of the actor; called once, after its last order has ended or was cancelled."""
 
 
 ACTORS: dict[str, Callable[[SoakLayout, str, str, Record], Actor]] = {
--- a/brackenladder/soak/configuration.py
+++ b/brackenladder/soak/configuration.py
@@ -107,14 +107,14 @@
 
 
 def _change_backend(routes: dict[str, Document], random: Random) -> set[str]:
-    """Changes the service that a route sends requests to."""
+    """Switches the route of /flip/ from one of two services to the other."""
     route = routes[f"{PLAIN_HOST}/flip/"]
     route["Backend"] = FORMS if route["Backend"] == CARDS else CARDS
     return {route["Name"]}
 
 
 def _change_split(routes: dict[str, Document], random: Random) -> set[str]:
-    """Changes the weights of a traffic split."""
+    """Draws a new weight for the first of the two services that a route splits its requests over."""
     route = routes[f"{PLAIN_HOST}/split/"]
     weight = random.choice((0, 10, 50, 90, 100))
     route["TrafficSplit"] = _split_parts(weight)
@@ -122,7 +122,7 @@
 
 
 def _move_homes(routes: dict[str, Document], random: Random) -> set[str]:
-    """Changes the home regions of all routes of one host."""
+    """Draws one or two home regions for all routes of `MOVING_HOST`."""
     homes = sorted(random.sample(REGIONS, random.randint(1, 2)))
     names = {name for name, route in routes.items() if route["Hostname"] == MOVING_HOST}
     for name in names:
@@ -131,7 +131,7 @@
 
 
 def _change_timeout(routes: dict[str, Document], random: Random) -> set[str]:
-    """Changes the timeout of a route."""
+    """Draws a timeout of 2.5 to 3.5 seconds for the route of /cards/."""
     route = routes[f"{PLAIN_HOST}/cards/"]
     route["TimeoutMs"] = random.randint(2500, 3500)
     return {route["Name"]}
--- a/brackenladder/soak/events.py
+++ b/brackenladder/soak/events.py
@@ -222,7 +222,7 @@
         self.file: TextIO = path.open("a")
 
     def add(self, event: Event) -> None:
-        """Writes an event."""
+        """Appends an event as one JSON line; it may stay in the file's buffer."""
         self.file.write(encode(event) + "\n")
 
 
--- a/brackenladder/soak/run.py
+++ b/brackenladder/soak/run.py
@@ -21,7 +21,7 @@
 
 @frozen
 class SoakPlan:
-    """Parameters of a soak."""
+    """Seed, length, size, network and folder of a soak."""
 
     seed: int
     seconds: float
