--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -1,4 +1,7 @@
-"""Runs a rehearsal's plan in virtual time, with the same schedule, events and checker as on sockets."""
+"""Runs the plan of a rehearsal (a test of node processes under load and faults) in virtual time.
+
+The schedule, events and checker are those of a rehearsal with real processes and sockets.
+"""
 
 from __future__ import annotations
 
@@ -78,7 +81,10 @@
 
 
 class Fleet:
-    """One run. `module`: policy of each node, which is the Balancer, a variant of it or a baseline."""
+    """One run of nodes, servers and clients.
+
+    `module`: policy of each node, which is the Balancer, a variant of it or a baseline.
+    """
 
     def __init__(self, scenario: Scenario, seed: int, module: Module = Balancer) -> None:
         self.scenario = scenario
@@ -298,7 +304,7 @@
         self.queue.after(RESTART_DELAY, self.restart_server, plan, at)
 
     def begin_fault(self, step: Step) -> None:
-        """Starts a fault."""
+        """Records the start of a fault and applies it to the target server, node or discovery services."""
         self.record(Fault(self.queue.now, BEGIN + step.end, step.kind, step.target))
         plan = self.plans.get(step.target)
         if plan is not None:
@@ -336,7 +342,7 @@
         self.schedule_listing(plan, State.GONE, plan.born)
 
     def apply_node_fault(self, step: Step, node: Node) -> None:
-        """Starts a fault of a client's node."""
+        """Applies a fault to a node that clients call, for example a kill or unanswered discovery calls."""
         end = BEGIN + step.end
         if step.kind in ("unheard", "silent-watch"):
             for source in self.sources:
@@ -483,5 +489,5 @@
 
 
 def play(scenario: Scenario, seed: int, module: Module = Balancer) -> Result:
-    """Runs a scenario in virtual time."""
+    """Runs a scenario in virtual time with `module` as the policy of each node; returns the result."""
     return Fleet(scenario, seed, module).run()
--- a/brackenladder/fleet/rivals/base.py
+++ b/brackenladder/fleet/rivals/base.py
@@ -33,7 +33,7 @@
 
 
 class KnownServer:
-    """What a policy knows of a server."""
+    """A policy's record of a server: list entry, calls in flight, failures in a row and ejections."""
 
     __slots__ = ("entry", "in_flight", "known_since", "consecutive_failures", "ejected_until", "ejections")
 
@@ -47,7 +47,7 @@
 
 
 class OpenRequest:
-    """What a policy knows of an open request."""
+    """A policy's record of an open request: its class, time limit and attempts."""
 
     __slots__ = ("id", "klass", "effect", "until", "attempts", "out", "ran_on", "ran_at", "sent_at")
 
@@ -97,7 +97,7 @@
     def ended(
         self, now: int, open_request: OpenRequest | None, member: KnownServer, outcome: Outcome, latency: int
     ) -> None:
-        """Called when an attempt has ended."""
+        """Hook for the end of an attempt; does nothing unless a policy overrides it."""
 
     # ---- events ---------------------------------------------------------------------------------------
 
--- a/brackenladder/rehearsal/standins/model_server.py
+++ b/brackenladder/rehearsal/standins/model_server.py
@@ -28,7 +28,7 @@
 KEEP_ALIVE_SECONDS = 15.0
 PLAIN_WORK_SECONDS = 0.02
 CLOSE_SECONDS = 0.2
-LARGEST_BODY = 4 * 1024 * 1024  # bytes
+LARGEST_BODY = 4 * 1024 * 1024  # largest request body, in bytes
 
 
 @frozen
@@ -45,7 +45,7 @@
 
 
 class ModelServer:
-    """One server. `executed`: by request id, how often work on it has begun."""
+    """Serves requests in a limited number of slots. `executed`: how often each request id began to run."""
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
--- a/brackenladder/simulation/exchange/behaviour.py
+++ b/brackenladder/simulation/exchange/behaviour.py
@@ -9,7 +9,7 @@
 
 from brackenladder.simulation.exchange.history import Run
 
-LONG_BODY = 150_000  # bytes
+LONG_BODY = 150_000  # bytes of a long response body
 OPEN_BODY = 1_200_000  # bytes; large enough that gateways relay it while they receive it
 KEEP_ALIVE = "Keep-Alive: timeout=2"
 
@@ -84,7 +84,7 @@
 
 
 def draw_answer_kind(random: Random, misbehaves: bool, streaming: bool) -> AnswerKind:
-    """Draws the kind of the next response."""
+    """Weighted draw by whether the server misbehaves; `streaming` allows only `STREAM_ANSWER_KINDS`."""
     weights = MISBEHAVING_WEIGHTS if misbehaves else HEALTHY_WEIGHTS
     if streaming:
         weights = {
--- a/brackenladder/simulation/virtual_loop.py
+++ b/brackenladder/simulation/virtual_loop.py
@@ -64,7 +64,7 @@
             self._deferred.append(call)
 
     def freeze(self) -> None:
-        """Suspends the process."""
+        """Suspends the process: its callbacks and timers wait until `thaw`."""
         if self.state is ProcessState.RUNNING:
             self.state = ProcessState.FROZEN
             self.freezes += 1
@@ -148,7 +148,10 @@
         *args: *Arguments,
         context: Context | None = None,
     ) -> TimerHandle:
-        """See `asyncio.AbstractEventLoop`; the callback belongs to the process of its context."""
+        """Schedules the callback at virtual time `when`, in seconds.
+
+        The callback belongs to the simulated process of `context`, or of the caller without one.
+        """
         if self.is_closed():
             return TimerHandle(when, callback, args, self, context)
         process = _current.get() if context is None else context.get(_current)
