--- a/brackenladder/placement/pool.py
+++ b/brackenladder/placement/pool.py
@@ -113,7 +113,7 @@
 
     @property
     def balancer(self) -> PromptBalancer:
-        """The balancer of this service."""
+        """The balancer that chooses the server of each call of this service; `host` keeps it."""
         module = self.host.balancer
         assert isinstance(module, PromptBalancer)
         return module
@@ -178,7 +178,7 @@
         return until
 
     def close(self) -> None:
-        """Stops following the view; open calls go on."""
+        """Stops following changes of the configuration and servers; open calls go on."""
         self.closed = True
 
     def _read_all(self) -> None:
