--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -52,8 +52,8 @@
 class BeginEvacuation:
     """Stops all requests to the servers of a zone.
 
-    It takes effect only if the zone's evacuation has not changed after `seen_revision`, which was the newest
-    revision at a time when the operator's call was still open.
+    It takes effect only if the zone's evacuation has not changed after `seen_revision`, the newest revision
+    at some time while the operator's call was still open.
     """
 
     zone: str
--- a/brackenladder/cluster/sender.py
+++ b/brackenladder/cluster/sender.py
@@ -119,8 +119,9 @@
     ) -> None:
         """Sends messages in a frame that is filled up with gossip.
 
-        `low_priority`: sends only if at least half of the byte budget is left. If the receiver counts as
-        suspect or dead here, the frame includes its record, so that it can refute it; `about` forces that.
+        `low_priority`: sends only if at least half of the byte budget is left. If this node holds the
+        receiver for suspect or dead, the frame includes the receiver's record, so that the receiver can
+        refute it. Any `about` from 0 up also includes that record, whatever the receiver's state.
         """
         self.byte_budget = min(
             BURST, self.byte_budget + (now - self.budget_updated_at) * BYTES_PER_SECOND / 1e6
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -39,7 +39,7 @@
 
     @property
     def members(self) -> Members:
-        """The member set by the newest entry that sets one, committed or not."""
+        """The members according to the newest log entry that changes them, committed or not."""
         return self.log.members
 
     def find(self, replica_id: str) -> Member | None:
--- a/brackenladder/consensus/pauses.py
+++ b/brackenladder/consensus/pauses.py
@@ -17,7 +17,7 @@
         self._grace_until = now
 
     def tick(self, now: int) -> None:
-        """Handles a tick. A long gap soon after a grace period starts no new one.
+        """Handles a tick. A long gap starts a grace period, except soon after the last one.
 
         Repeated gaps mean that the machine is slow. Granting a grace period for each of them would prevent
         elections.
--- a/brackenladder/consensus/replica.py
+++ b/brackenladder/consensus/replica.py
@@ -112,7 +112,7 @@
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """The newest election term that this replica knows."""
         return self._core.term
 
     @property
--- a/brackenladder/control_plane/directory_api.py
+++ b/brackenladder/control_plane/directory_api.py
@@ -17,7 +17,8 @@
 # If a client's region has no gateway, its directory is probably down too, and each lookup first waits in vain
 # for a second. A longer time to live makes such lookups rarer.
 FAR_TIME_TO_LIVE = 4.0  # seconds, at most; for answers with gateways of other regions
-MAX_HOLD_FACTOR = 3  # a client that can reach a directory replaces an answer within this multiple of its TTL
+# A client that can reach a directory replaces an answer within this multiple of the answer's time to live.
+MAX_HOLD_FACTOR = 3
 MILLISECONDS_PER_SECOND = 1000
 
 Resolve = Callable[[ClientLocation], ResolvedGateways]
--- a/brackenladder/control_plane/membership.py
+++ b/brackenladder/control_plane/membership.py
@@ -117,9 +117,9 @@
     def _publish_addresses(self, members: Members) -> None:
         zones = {member.address: member.zone for member in all_members(members)}
         addresses = tuple(sorted(zones))
+        ordered_zones = tuple(zones[address] for address in addresses)
         # The log's last index serves as the revision of the address list. A newer member list comes with a
         # newer log entry, so on every node its revision is higher than that of the list before.
-        ordered_zones = tuple(zones[address] for address in addresses)
         self._soft_state.control_nodes_changed(self._host.replica.last_index, addresses, ordered_zones)
 
     def _join_if_due(self) -> None:
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -27,7 +27,7 @@
         self._acknowledged = 0
 
     def next_parts(self) -> list[OrderPart]:
-        """The parts that the window allows to send now."""
+        """The parts that may be sent now without exceeding the window."""
         parts = []
         while self._next < len(self._order) and self._next - self._acknowledged < WINDOW_BYTES:
             data = self._order[self._next : self._next + PART_BYTES]
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -35,7 +35,7 @@
 # control node.
 SETTLE_HEARTBEATS = 1.1
 FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks that show that this process was suspended
-IN_TOUCH_AGE = 1_500_000  # microseconds since the last quorum contact for which the node counts as in touch
+IN_TOUCH_AGE = 1_500_000  # microseconds; the node is in touch if its last quorum contact is no older
 
 log = logbook.Logger("registry")
 
--- a/brackenladder/gateway/calls.py
+++ b/brackenladder/gateway/calls.py
@@ -79,7 +79,7 @@
     # ---- attempts -------------------------------------------------------------------------------------
 
     def begin(self, attempt: RunnableAttempt) -> None:
-        """Take an attempt that is to be run next."""
+        """Sets the attempt that is to be run next, and wakes the task that runs it."""
         self._pending = attempt
         self._wake()
 
--- a/brackenladder/gateway/server_protocol.py
+++ b/brackenladder/gateway/server_protocol.py
@@ -12,10 +12,11 @@
 from brackenladder.gateway.framing import AnswerFraming
 from brackenladder.gateway.headers import KEEP_ALIVE, REQUEST_ID
 
-DEFAULT_IDLE_SECONDS = 0.3  # for servers that announce no idle timeout: they close within their first second
+# For servers that announce no idle timeout: they close a connection within its first idle second.
+DEFAULT_IDLE_SECONDS = 0.3
 # Subtracted from the server's idle timeout, so that a request arrives before the close.
 IDLE_MARGIN_SECONDS = 0.7
-LEAST_IDLE_FRACTION = 0.3  # fraction of a short idle timeout that is used, as the margin would leave less
+LEAST_IDLE_FRACTION = 0.3  # fraction of a short idle timeout that is used if the margin would leave less
 MAX_HEAD_FIELD = 65_536  # bytes of a response's status line, or of one header field
 MAX_HEADERS = 256
 READ_BUFFER = 65_536  # bytes; aiohttp's buffer limit for a response's body
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -37,10 +37,10 @@
 
 
 class Records(Protocol):
-    """Looks up the servers that attempts go to."""
+    """Looks up the pool's servers, which attempts go to."""
 
     def record(self, number: int) -> ServerRecord | None:
-        """The server's record; None if the server no longer exists."""
+        """The state and address of the server with this number; None if it no longer exists."""
 
     def region(self, record: ServerRecord) -> str:
         """The region of a server; empty if unknown."""
--- a/brackenladder/http/client_connections.py
+++ b/brackenladder/http/client_connections.py
@@ -303,7 +303,7 @@
         self.discard_partial()
         self.discard_waiting()
         if self.relay is not None and self.open_request is not None:
-            # Part of the response was sent: an error would be taken for the rest of it.
+            # Part of the response was sent: the client would take an error response for the rest of it.
             self.open_request.keep = False
             return
         self.drop_open_request()
@@ -505,8 +505,8 @@
         self.draining = False  # `/ready` answers 503
         self.closing = False  # each connection ends after its next response
         self.refusing_requests = False  # all further requests are refused
-        self.max_held_bytes = max_held_bytes  # bytes of the complete requests that wait or are open
-        self.held_bytes = 0
+        self.max_held_bytes = max_held_bytes  # limit on `held_bytes`
+        self.held_bytes = 0  # bytes of the complete requests that wait or are open
         self.body_budget = BodyBudget(max_large_body_bytes)  # for large bodies
         # Reservations that are not granted yet.
         self.waiting_reservations: dict[BodyReservation, ClientConnection] = {}
--- a/brackenladder/http/server_connection.py
+++ b/brackenladder/http/server_connection.py
@@ -45,7 +45,7 @@
 
 
 class ConnectionPool(Protocol):
-    """The pool that a connection belongs to, as connections and exchanges use it."""
+    """The part of a pool's interface that its connections and exchanges use."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout: float
@@ -88,7 +88,7 @@
         self.open_exchanges = 0  # number of exchanges in progress
 
     def retire(self) -> None:
-        """Sends nothing new to this server; open exchanges may finish."""
+        """Stops new requests to this server and closes idle connections; open exchanges may finish."""
         self.ready = False
         self.close_idle()
 
--- a/brackenladder/membership/stall.py
+++ b/brackenladder/membership/stall.py
@@ -8,7 +8,7 @@
 
 BEAT_INTERVAL = 0.1  # seconds between two calls of `beat` by a timer of the event loop
 STALL_THRESHOLD = 0.2  # a longer gap between beats, in seconds, is a stall; the platform's rule allows 0.25 s
-# Seconds after a stall in which list updates that are already waiting are read before requests.
+# Seconds after a stall in which list updates that are already waiting are read before requests are sent.
 RESUME_GRACE = 0.05
 READ_FIRST_DELAY = 0.002  # seconds for which a request is held back while `must_read_first` returns True
 
--- a/brackenladder/placement/intake.py
+++ b/brackenladder/placement/intake.py
@@ -21,7 +21,7 @@
 FRESH_TIME = 20_000_000  # microseconds after a server joined in which its cache is seeded
 SPREAD_TIME = 1_000_000  # microseconds over which the gateways' delays are distributed
 HASH_RANGE = 2.0**64
-AWAIT_TIME = 3_000_000  # microseconds after joining in which prompts avoid a server that lacks their prefix
+AWAIT_TIME = 3_000_000  # microseconds after a server joined in which prompts avoid it if it lacks the prefix
 LEAST_TOKENS = 500  # shortest prefix, in tokens, that is worth seeding
 US_PER_MS = 1_000
 AIM_PART = 0.6  # part of its latency target that a seeding request may be expected to take
--- a/brackenladder/policy/slow_start.py
+++ b/brackenladder/policy/slow_start.py
@@ -70,7 +70,7 @@
         most = 1.0
         shares = max(1.0, COLD_PART * s.fall_multiple) if now < warm_at else 1.0
         if now >= warm_at:
-            # Warm: the bucket starts half full, so that no window of `fall_time` has more calls than before.
+            # Larger bucket, half full at `warm_at`: no window of `fall_time` has more calls than before it.
             most = 1.0 + self.warm_rate * s.fall_time / 1e6
             if srv.tokens_at < warm_at:
                 srv.tokens_at = warm_at - int(s.fall_time * JUST_WARM)
--- a/brackenladder/routing/routes.py
+++ b/brackenladder/routing/routes.py
@@ -78,8 +78,8 @@
     found: list[CompiledRoute] = []
     for route in routes:
         if (not route.classes or klass in route.classes) and (not route.tenants or tenant in route.tenants):
-            # The default pool is last, so a canary's share starts at 0 and grows at the expense of the
-            # default.
+            # The default pool is last, so a canary's part of the hash range begins at 0 and grows at the
+            # expense of the default.
             order = sorted(route.to, key=lambda name: (name == DEFAULT, name))
             ends = tuple(accumulate(route.to[name] for name in order))
             found.append(CompiledRoute(route.prefix.encode(), tuple(order), ends, route.sticky))
--- a/brackenladder/shares/retry_budget.py
+++ b/brackenladder/shares/retry_budget.py
@@ -14,7 +14,7 @@
 US_PER_S = 1_000_000
 RATIO_PART = 0.5  # part of the ratio that is used, as this sliding window and that of the bound differ
 SLACK_PART = 0.7  # part of the slack used by all gateways together, as some may not know of new gateways yet
-START_SLACK_PART = 0.15  # SLACK_PART in a process's first window, as its predecessor may have used some
+START_SLACK_PART = 0.15  # SLACK_PART for a process's first window, as its predecessor may have used slack
 SLICES = 50  # a window is divided into this many time slices, each with one count of requests
 
 
--- a/brackenladder/transport/memory_link.py
+++ b/brackenladder/transport/memory_link.py
@@ -68,7 +68,7 @@
 
     @property
     def time_since_receive(self) -> int:
-        """Always 0: this transport doesn't measure silence."""
+        """Always 0: what is sent arrives, or the link ends, so there is no silence to measure."""
         return 0
 
     def attach(self, other: MemoryLink, remote: str, version: int) -> None:
