--- a/tests/test_documented_names.py
+++ b/tests/test_documented_names.py
@@ -1,4 +1,4 @@
-"""Tests that names in the documentation exist: files, members of classes, pages and sections.
+"""Tests that names in the documentation exist: files, members of classes, tests, pages and sections.
 
 A rename in the code would otherwise leave pages and comments that refer to something that is gone.
 """
@@ -19,6 +19,8 @@
 CODE = re.compile(r"`([^`\n]+)`")
 # Fields of documents, such as `Bounds.GraceS`, are written in camel case and aren't attributes of a class.
 MEMBER = re.compile(r"(?<![\w.])([A-Z]\w*)\.([a-z_]\w*|[A-Z][A-Z0-9_]*)\b")
+# `test_name_...` and `test_name_*` stand for all tests whose names begin so.
+TEST = re.compile(r"\b(test_\w+?)(_\.\.\.|_\*|(?!\w))")
 PAGE = re.compile(r"\bdocs/[\w/-]+\.md\b")
 SECTION = re.compile(r"\b(docs/[\w/-]+\.md)`?, ['\"]([^'\"]+)['\"]")
 HEADING = re.compile(r"^#+ (.+)$|\*\*(.+?)\*\*", re.MULTILINE)
@@ -97,6 +99,17 @@
     )
 
 
+def names_of_tests() -> set[str]:
+    """The names of the test functions and of the files that contain them."""
+    found = set()
+    for path in (ROOT / "tests").rglob("*.py"):
+        found.add(path.stem)
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef):
+                found.add(node.name)
+    return found
+
+
 def page_lines() -> Iterator[tuple[str, str]]:
     """Each line of each page, with the place that a failure names."""
     for page in PAGES:
@@ -142,6 +155,17 @@
     assert not missing
 
 
+def test_tests_named_in_the_pages_exist() -> None:
+    names = names_of_tests()
+    missing = [
+        f"{place}: {name}{rest}"
+        for place, line in page_lines()
+        for name, rest in TEST.findall(line)
+        if name not in names and not (rest and any(known.startswith(f"{name}_") for known in names))
+    ]
+    assert not missing
+
+
 def test_pages_that_are_referred_to_exist() -> None:
     missing = [
         f"{place}: {page}"
