--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -36,7 +36,9 @@
     state: GatewayState
     seq: int
     have_revision: int = 0  # revision of the catalog that the gateway has
-    relay: bool = False  # the receiver is the nearest control node and relays prefix notices for the gateway
+    # The receiver is the control node nearest to the gateway. It forwards the gateway's prefix notices (which
+    # server has which prompt prefixes cached) to other gateways, and theirs to this one.
+    relay: bool = False
 
     @property
     def gateway(self) -> GatewayRecord:
@@ -78,7 +80,7 @@
 
 @frozen
 class CatalogChange:
-    """The commands that lead from one revision to another, for a gateway that has the first."""
+    """The commands that change one catalog revision into another, for a gateway that has the first."""
 
     from_revision: int
     to_revision: int
@@ -111,7 +113,7 @@
 
     revision: int
     addresses: tuple[str, ...]  # "ip:port"
-    zones: tuple[str, ...] = ()  # of the nodes, in the order of `addresses`; empty if not known
+    zones: tuple[str, ...] = ()  # zones of the nodes at `addresses`, in the same order; empty if not known
 
 
 @frozen
@@ -120,7 +122,7 @@
 
     sequence: int
     number: int
-    settled: bool = True  # False: the control node has just started and may not know all of them yet
+    settled: bool = True  # False: the control node has just started and may not know all gateways yet
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/fleet/discovery.py
+++ b/brackenladder/fleet/discovery.py
@@ -58,7 +58,7 @@
         self.free_at = 0
         self.version = FIRST_VERSION[number % 2]
         self.lines: dict[str, Line] = {}
-        self.changed_in: dict[str, int] = {}  # version of the last change of each line
+        self.changed_in: dict[str, int] = {}  # version that last changed each server's line
         self.snapshots: list[tuple[int, tuple[Line, ...]]] = []
         self.old_list: tuple[int, tuple[Line, ...]] | None = None  # old list served during an old-list fault
         self.omitted_ids: set[str] | None = None  # ids left out of full lists by a half-list fault
@@ -69,7 +69,7 @@
         self.lines_written = 0
 
     def set_initial_lines(self, lines: list[Line]) -> None:
-        """Sets the lines known before the run."""
+        """Sets the server list at the start of the run, one line per server, without a new version."""
         for line in lines:
             self.lines[line.id] = line
             self.changed_in[line.id] = self.version
@@ -333,7 +333,7 @@
         self.watch(True)
 
     def close(self) -> None:
-        """Cancels all calls when the node ends."""
+        """Cancels the open discovery calls when the node ends, and marks the client as closed."""
         self.closed = True
         for call in (self.watching, self.fetching):
             if call is not None:
--- a/brackenladder/fleet/nodes.py
+++ b/brackenladder/fleet/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes in virtual time: the core's real Host and Balancer, with simulated processes around them."""
+"""Nodes in virtual time: real request handling (Host) and server selection in simulated processes."""
 
 from __future__ import annotations
 
@@ -212,7 +212,7 @@
         self.host.messenger = self
 
     def start(self) -> None:
-        """The process becomes ready."""
+        """Marks the process as ready and gives it the server list that it already knows."""
         self.up = True
         self.context.record(NodeUp(self.queue.now, self.name))
         self.host.start()
@@ -308,7 +308,7 @@
             call.on_broken()
 
     def client_left(self, call: Call) -> None:
-        """A client has disconnected."""
+        """Tells the node that the client of a call has disconnected; ignored while the node is down."""
         if self.up:
             self.schedule_event(self.host.client_left, call)
 
@@ -329,7 +329,7 @@
         self.context.send_datagram(self, peer, data)
 
     def log(self, text: str) -> None:
-        """Records errors that the host caught as faults of the run."""
+        """Records an error that the node's Host caught; each such error counts as a fault of the run."""
         if "Error" in text or "guard" in text:
             self.faults.append(text)
 
@@ -358,7 +358,7 @@
                 on_result(status == 200)
 
         def on_broken() -> None:
-            """Reports nothing, since a server's node is killed only together with the server."""
+            """Ends the call without a result: its node is killed only together with the server that calls."""
             nonlocal over
             over = True
 
--- a/brackenladder/node/rpc.py
+++ b/brackenladder/node/rpc.py
@@ -1,4 +1,4 @@
-"""Creates the RPC pool and front from the operator file."""
+"""Creates the RPC pool, and the front that accepts its clients, from the operator file."""
 
 from __future__ import annotations
 
@@ -70,7 +70,10 @@
 def rpc_front(
     table: RpcTable, config: Config, loop: asyncio.AbstractEventLoop, pool: Pool, stray_log: Log
 ) -> RpcFront:
-    """Creates the RPC front. Clients may use the half of `table.sockets` that servers don't use."""
+    """Creates the front, which accepts RPC clients.
+
+    Clients may use the half of `table.sockets` that servers don't use.
+    """
     limits = FrontLimits(
         message_limits(table),
         table.client_calls,
--- a/brackenladder/operations/maintenance.py
+++ b/brackenladder/operations/maintenance.py
@@ -1,4 +1,4 @@
-"""Servers that operators put on hold (out of service), and the resulting server list. No I/O, no clock.
+"""Servers that operators suspended (put on hold), and the resulting server list. No I/O, no clock.
 
 Times are integer microseconds of Unix time, as are the start times in discovery's list.
 """
@@ -11,24 +11,24 @@
 from brackenladder.interface import ListKind, State
 from brackenladder.membership.listing import Line, Listing
 
-MAX_HOLDS = 4096  # limit on servers that are on hold or whose hold is still remembered
-HOLD_RETENTION_US = 300_000_000  # how long a hold is remembered after its end
+MAX_HOLDS = 4096  # most servers that are suspended, or whose suspension has ended but is still remembered
+HOLD_RETENTION_US = 300_000_000  # microseconds for which a suspension is remembered after its end
 
 
 @dataclass(frozen=True)
 class Hold:
-    """A hold on a server from `since` to `until`. `until` is 0 while the hold lasts."""
+    """The time during which an operator keeps a server out of service. `until` is 0 until it ends."""
 
     since: int
     until: int = 0
 
 
 class TooManyHolds(Exception):
-    """No more servers can be put on hold."""
+    """`MAX_HOLDS` servers are already suspended or remembered as such."""
 
 
 class Maintenance:
-    """Applies operators' holds to the server list from discovery.
+    """Applies operators' suspensions of servers (holds) to the server list from discovery.
 
     A server on hold is reported as draining even if the list has it as ready. It may be restarted during the
     hold, which the list may show late. So after the hold, the server counts as started at the end of the
@@ -41,7 +41,7 @@
         self.lines: dict[str, Line] = {}  # discovery's latest list by server, without those that are gone
 
     def is_known(self, server: str) -> bool:
-        """Whether the server is in the list or on hold."""
+        """Whether the server is in discovery's list or is suspended now."""
         return server in self.lines or self.is_held(server)
 
     def is_held(self, server: str) -> bool:
@@ -49,7 +49,7 @@
         return hold is not None and not hold.until
 
     def suspend(self, server: str, now: int) -> None:
-        """Puts a server on hold; a repeated call changes nothing. Raises TooManyHolds at the limit."""
+        """Takes a server out of service; a repeated call changes nothing. May raise TooManyHolds."""
         self.drop_expired_holds(now)
         if self.is_held(server):
             return
@@ -58,7 +58,7 @@
         self.holds[server] = Hold(now)
 
     def restore(self, server: str, now: int) -> None:
-        """Ends the hold on a server, even after several calls of `suspend`. Ignores a server not on hold."""
+        """Ends a server's suspension, even after several calls of `suspend`. Ignores any other server."""
         if self.is_held(server):
             self.holds[server] = replace(self.holds[server], until=now)
 
@@ -69,7 +69,7 @@
             del self.holds[server]
 
     def process_listing(self, listing: Listing) -> Listing:
-        """Records a listing from discovery and returns it with the holds applied."""
+        """Records a server list from discovery and returns it with suspended servers shown as draining."""
         if listing.kind != ListKind.CHANGES:
             self.lines.clear()
         for line in listing.lines:
@@ -90,12 +90,12 @@
         return line if line.started >= hold.since else replace(line, started=hold.until)
 
     def listing_for(self, servers: Iterable[str], version: int) -> Listing:
-        """Returns the list update to apply after the holds of these servers have changed."""
+        """Returns the list update to apply after suspensions of these servers have begun or ended."""
         lines = tuple(self.apply_hold(self.lines[server]) for server in servers if server in self.lines)
         return Listing(ListKind.CHANGES, version, lines)
 
     def replace_holds(self, holds: Mapping[str, Hold]) -> list[str]:
-        """Adopts the holds saved by this node's other process. Returns the servers whose holds changed."""
+        """Adopts the suspensions saved by this node's other process. Returns the servers affected."""
         changed = [name for name in {**self.holds, **holds} if self.holds.get(name) != holds.get(name)]
         self.holds = dict(holds)
         return changed
--- a/brackenladder/rehearsal/runner.py
+++ b/brackenladder/rehearsal/runner.py
@@ -48,7 +48,7 @@
 
 
 class StandIn:
-    """The process of one stand-in."""
+    """The process of one stand-in (simulated clients, servers or network) and its orders and reports."""
 
     def __init__(self, role: str, name: str) -> None:
         self.role = role
@@ -101,7 +101,7 @@
 
 
 class Run:
-    """One rehearsal."""
+    """Runs one rehearsal: starts the nodes and stand-ins, applies the faults and ends all processes."""
 
     def __init__(
         self, scenario: Scenario, seed: int, command: str, folder: Path, progress: Progress | None
--- a/brackenladder/rpc/upstream.py
+++ b/brackenladder/rpc/upstream.py
@@ -48,7 +48,7 @@
         self.started = started
         self.ready = True
         self.links: list[Link] = []
-        self.queue: deque[Exchange] = deque()  # waiting for a connection
+        self.queue: deque[Exchange] = deque()  # calls that wait for a connection to this server
 
     def retire(self) -> None:
         """Stops new calls. Written calls may finish, then the connections close.
@@ -65,7 +65,7 @@
 
 
 class Link(asyncio.Protocol):
-    """A connection to a server."""
+    """A connection to a server, on which several calls may be open."""
 
     def __init__(self, upstream: RpcUpstream, endpoint: Endpoint) -> None:
         self.upstream = upstream
@@ -79,7 +79,7 @@
             int, Exchange | None
         ] = {}  # by msgid; None for a call that was given up, whose msgid stays reserved
         self.silent_since: float | None = None  # when a call was first given up since the last received bytes
-        self.partially_written: Exchange | None = None  # the kernel hasn't taken its write completely
+        self.partially_written: Exchange | None = None  # its write was not taken completely by the kernel
         self.paused = False
         self.last_msgid = 0
         self.last_received = upstream.loop.time()
@@ -266,7 +266,7 @@
 
 
 class Exchange:
-    """One attempt. It ends exactly once."""
+    """One attempt to send a call to a server. It ends exactly once."""
 
     def __init__(self, upstream: RpcUpstream, endpoint: Endpoint, call: RpcCall, done: Done) -> None:
         self.upstream = upstream
@@ -322,7 +322,7 @@
 
 
 class RpcUpstream:
-    """The servers of the pool, by number, and the connections to them."""
+    """Sends calls to the servers of a pool, over connections that it opens, shares and closes."""
 
     def __init__(
         self,
@@ -415,7 +415,7 @@
             if len(endpoint.links) < self.limits.connections and self.open < self.limits.all:
                 self.connect(endpoint)
             elif not endpoint.links:
-                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # the limits allow no further connection
+                endpoint.queue.popleft().end(Outcome.CONNECT_FAILED)  # the limits allow no more connections
 
     def connect(self, endpoint: Endpoint) -> None:
         link = Link(self, endpoint)
@@ -428,7 +428,8 @@
     def on_connection_ended(self, endpoint: Endpoint, failed: bool) -> None:
         """Dispatches waiting calls again after a connection to their server has ended.
 
-        If the connection couldn't be established (`failed`) and no other one is, the calls fail.
+        If it couldn't be established (`failed`) and the server has no other established connection, the
+        waiting calls fail.
         """
         if failed and not any(link.connected for link in endpoint.links):
             queue, endpoint.queue = endpoint.queue, deque()
