--- a/brackenladder/catalog/orders.py
+++ b/brackenladder/catalog/orders.py
@@ -11,7 +11,7 @@
 from brackenladder.catalog.faults import Faults
 
 MAX_BASE_VERSION = 2**63 - 1
-UNFENCED = 2**62  # a `seen_revision` above all real ones: the order always takes effect
+UNFENCED = 2**62  # a `seen_revision` above every log index, with which an order always takes effect
 
 
 class OrderDecodeError(ValueError):
@@ -28,7 +28,7 @@
 
 
 def _bounded(base: int) -> int:
-    """Clamps to an encodable range. No version lies outside of it, so the order conflicts in any case."""
+    """Clamps a base version to the encodable range. A base outside of it conflicts with every version."""
     return min(max(base, -1), MAX_BASE_VERSION)
 
 
@@ -52,8 +52,8 @@
 class BeginEvacuation:
     """Stops all requests to the servers of a zone.
 
-    It takes effect only if the zone's evacuation has not changed after `seen_revision`, which was the newest
-    revision at a time when the operator's call was still open.
+    It takes effect only if the zone's evacuation has not changed after `seen_revision`, the newest revision
+    at some time while the operator's call was still open.
     """
 
     zone: str
@@ -85,24 +85,24 @@
 
 @frozen
 class Invalid:
-    """The order is rejected because of its content."""
+    """An operator's order is rejected because of its content."""
 
     faults: Faults
 
 
 @frozen
 class Conflict:
-    """The order has another base than the current version (0: there is no configuration)."""
+    """The base version of the order is not the current version (0: there is no configuration)."""
 
     current: int
 
 
 @frozen
 class Outdated:
-    """The evacuation of the zone was changed after the order's `seen_revision`.
+    """The order is rejected: the zone's evacuation was changed after the order's `seen_revision`.
 
-    Failure prevented: an order is delayed, the operator repeats it and has it acknowledged, then gives the
-    opposite order; the delayed copy arrives last and undoes that one.
+    Otherwise, if an order is delayed, and the operator repeats it, has it acknowledged and then gives the
+    opposite order, the delayed copy arrives last and undoes the opposite order.
     """
 
 
@@ -111,7 +111,7 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Encodes an order for the log."""
+    """The bytes of an operator's order, as the data of a log entry."""
     return msgpack.packb(_fields(order), unicode_errors="replace")  # type: ignore[no-any-return]
 
 
--- a/brackenladder/cluster/sender.py
+++ b/brackenladder/cluster/sender.py
@@ -27,9 +27,9 @@
 )
 
 FANOUT = 3  # members that a gossip round goes to
-BYTES_PER_SECOND = 3_000  # long-term limit of what a node sends
+BYTES_PER_SECOND = 3_000  # bytes per second that a node may send on average
 BURST = 12_000  # bytes that a node may send at once
-MAX_RANGES_ANSWERED = 4  # per received digest
+MAX_RANGES_ANSWERED = 4  # maximum number of differing ranges that are answered per received digest
 
 T = TypeVar("T")
 
@@ -56,7 +56,8 @@
         self.view = View(size, now)
         self.health = Health(now)
         self.gossip_queue = GossipQueue()
-        self.reported_by: dict[int, int] = {}  # by suspect or dead member: who last reported it
+        # By number of a suspect or dead member: the member that last reported this state.
+        self.reported_by: dict[int, int] = {}
         # Messages of other components that are attached to each ping and ack.
         self.extra_messages: Callable[[], Sequence[Message]] = tuple
         self.counters: Counter[str] = Counter()
@@ -98,7 +99,7 @@
     def handle_digest(self, number: int, theirs: Digest, now: int) -> None:
         """Compares a member's digest with this node's records.
 
-        For each range that differs, sends the records, or digests of smaller ranges if it is large.
+        For each range that differs, sends the records, or digests of smaller ranges if the range is large.
         """
         parts = differing(self.view.records, theirs)
         for low, high in self.sample(parts, MAX_RANGES_ANSWERED):
@@ -118,8 +119,9 @@
     ) -> None:
         """Sends messages in a frame that is filled up with gossip.
 
-        `low_priority`: sends only if at least half of the byte budget is left. If the receiver counts as
-        suspect or dead here, the frame includes its record, so that it can refute it; `about` forces that.
+        `low_priority`: sends only if at least half of the byte budget is left. If this node holds the
+        receiver for suspect or dead, the frame includes the receiver's record, so that the receiver can
+        refute it. Any `about` from 0 up also includes that record, whatever the receiver's state.
         """
         self.byte_budget = min(
             BURST, self.byte_budget + (now - self.budget_updated_at) * BYTES_PER_SECOND / 1e6
--- a/brackenladder/consensus/core.py
+++ b/brackenladder/consensus/core.py
@@ -34,16 +34,16 @@
 
     @property
     def replica_id(self) -> str:
-        """This replica's id."""
+        """The id by which the other replicas know this one in messages, votes and the member set."""
         return self.member.replica_id
 
     @property
     def members(self) -> Members:
-        """The newest members in the log."""
+        """The members according to the newest log entry that changes them, committed or not."""
         return self.log.members
 
     def find(self, replica_id: str) -> Member | None:
-        """The member with this id."""
+        """The member with this id in the newest member set; None if there is none."""
         return find_member(self.log.members, replica_id)
 
     def set_term(self, term: int, voted_for: str = "") -> None:
@@ -81,7 +81,8 @@
     def compact(self, index: int, data: bytes, held_after: int | None = None) -> None:
         """Replaces the log up to `index` by the state machine's state after the entry at `index`.
 
-        `held_after`: the entries after this index stay in memory, up to `Timing.held_bytes`.
+        `held_after`: the entries after this index stay in memory, up to `Timing.held_bytes`, because a
+        follower still needs them.
         """
         term = self.log.term(index)
         if index <= self.log.snapshot_index or index > self.commit_index or term is None:
@@ -98,7 +99,7 @@
         return True
 
     def take_committed(self) -> tuple[Entry, ...]:
-        """The committed entries that the host hasn't received yet."""
+        """The committed entries that the replica's host, which applies them, hasn't received yet."""
         if self._delivered >= self.commit_index:
             return ()
         entries = tuple(self.log.between(self._delivered + 1, self.commit_index))
--- a/brackenladder/control/plan.py
+++ b/brackenladder/control/plan.py
@@ -1,4 +1,4 @@
-"""Plans. A plan is a file with the differences from one state, and may only be applied to that state."""
+"""Plans for changing a node: differences from one state, which may only be applied to that state."""
 
 from __future__ import annotations
 
@@ -13,13 +13,16 @@
 from brackenladder.membership.listing import Line
 
 VERSION = 1
-MAX_PLAN_BYTES = 4 << 20  # bytes
-HISTORY = 50  # number of applied changes that are kept
-MAX_NAMED_KEYS = 5  # keys listed in a refusal
+MAX_PLAN_BYTES = 4 << 20  # most bytes in a plan file
+HISTORY = 50  # how many of the last applied changes are kept
+MAX_NAMED_KEYS = 5  # changed keys listed in the refusal of a stale plan
 
 
 class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A plan. `base`, `result`: digests of the state before and after; `seal`: digest of the other fields."""
+    """The differences from one state, which may only be applied to that state.
+
+    `base`, `result`: digests of the state before and after; `seal`: digest of the other fields.
+    """
 
     version: int = VERSION
     base: str
@@ -32,7 +35,7 @@
 
 
 class AppliedChange(msgspec.Struct, frozen=True):
-    """A change that a node has applied. `at`: Unix time in seconds; `by`: the user id."""
+    """A change that a node has applied. `at`: Unix time in seconds; `by`: the operator's user id."""
 
     at: float
     by: int
@@ -53,7 +56,7 @@
 
 
 class PlanRefused(Exception):
-    """A plan may not be applied. The text says why."""
+    """The plan must not be applied. The text says why."""
 
 
 def compute_seal(plan: Plan) -> str:
--- a/brackenladder/control_plane/health_checks.py
+++ b/brackenladder/control_plane/health_checks.py
@@ -13,14 +13,16 @@
 
 INSTANCE_ID = "X-Brackenladder-Instance-Id"
 COLD_REMAINING = "X-Brackenladder-Cold-Remaining-Ms"
-CHECK_TIMEOUT_SECONDS = 1.0  # longest check; heartbeats arrive at about that interval
+# Time limit of a check; a longer one is of little use, since a live server sends a heartbeat about every
+# second.
+CHECK_TIMEOUT_SECONDS = 1.0
 MAX_CONCURRENT_CHECKS = 32
 MICROSECONDS_PER_MILLISECOND = 1000
 UNKNOWN = HealthAnswer("")
 
 
 class HealthChecks(Protocol):
-    """Checks the health of servers."""
+    """Checks the health of servers that were read from the restart cache."""
 
     async def check_all(self, servers: Sequence[RememberedServer]) -> list[HealthAnswer]:
         """The answers of the servers, in the same order; `UNKNOWN` for one that is unhealthy or silent."""
--- a/brackenladder/control_plane/messages.py
+++ b/brackenladder/control_plane/messages.py
@@ -6,15 +6,15 @@
 
 from attrs import frozen
 
-UNKNOWN_ORDER = 1 << 62  # sent by a node of an earlier version, which does not report its newest order
+UNKNOWN_ORDER = 1 << 62  # in place of a log index, from nodes of earlier versions that report none
 
 
 class OrderOutcome(IntEnum):
-    """The outcome of an operator's order."""
+    """The outcome of an operator's order: a change of the configuration or of the evacuated zones."""
 
     ACCEPTED = 0  # committed, now or earlier
     INVALID = 1
-    CONFLICT = 2  # its base is not the current version
+    CONFLICT = 2  # the base version of the order is not the current version
     UNAVAILABLE = 3  # unknown: it may or may not have been committed
 
 
@@ -40,7 +40,7 @@
 
 @frozen
 class OrderReply:
-    """The leader's answer to `ForwardOrder`."""
+    """The leader's answer to `ForwardOrder`: what became of the operator's order."""
 
     request: int
     outcome: OrderOutcome
@@ -71,18 +71,21 @@
     """Asks the leader for its newest catalog revision and, if `document` is set, the configuration."""
 
     request: int
-    revision: int  # of the sender's catalog
-    document: bool = True  # whether the reply must include a newer document; this version sends False
+    revision: int  # revision of the sender's catalog
+    # Whether the reply must include the configuration if its revision differs from `revision`; this program
+    # version always sends False.
+    document: bool = True
 
 
 @frozen
 class ReadReply:
-    """The leader's answer to `ForwardRead`."""
+    """The leader's answer to `ForwardRead`: the current revision and, if asked, configuration."""
 
     request: int
     confirmed: bool  # False: the sender could not confirm that it still leads
     revision: int = 0
-    document: bytes = b""  # empty if not asked for, or if the asking node already has it
+    # The configuration; empty if it was not requested, or if the requesting node already has it.
+    document: bytes = b""
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/control_plane/order_parts.py
+++ b/brackenladder/control_plane/order_parts.py
@@ -1,7 +1,6 @@
 """Sends large orders to the leader in parts, with a window of unacknowledged bytes.
 
-Failure prevented: an order of several megabytes is sent as one message, and the answers to heartbeats on the
-same link are delayed behind it.
+Otherwise the answers to heartbeats on the same link are delayed behind an order of several megabytes.
 """
 
 from __future__ import annotations
@@ -13,12 +12,13 @@
 PART_BYTES = 48 * 1024
 WINDOW_BYTES = 192 * 1024
 MAX_ORDER_BYTES = 9 * 1024 * 1024
-MAX_PARTIAL_ORDERS = 16  # orders received at the same time over one link
-MAX_PARTIAL_BYTES = 2 * MAX_ORDER_BYTES  # of these orders together; a control node has 128 MB of memory
+MAX_PARTIAL_ORDERS = 16  # maximum number of partly received orders per link
+# Limit on the bytes of all partly received orders of a link; a control node has 128 MB of memory.
+MAX_PARTIAL_BYTES = 2 * MAX_ORDER_BYTES
 
 
 class OrderSender:
-    """Splits an order into parts; the sender's side."""
+    """Splits an operator's encoded order into parts; `WINDOW_BYTES` bounds what is unacknowledged."""
 
     def __init__(self, request: int, order: bytes) -> None:
         self._request = request
@@ -27,7 +27,7 @@
         self._acknowledged = 0
 
     def next_parts(self) -> list[OrderPart]:
-        """The parts that the window allows to send now."""
+        """The parts that may be sent now without exceeding the window."""
         parts = []
         while self._next < len(self._order) and self._next - self._acknowledged < WINDOW_BYTES:
             data = self._order[self._next : self._next + PART_BYTES]
@@ -71,7 +71,7 @@
     def _evict_oldest(self, newest: int) -> None:
         """Drops the oldest orders while the total is above the limit; their senders will repeat them.
 
-        Failure prevented: orders that were abandoned half-way fill the leader's memory.
+        Otherwise orders that were abandoned half-way fill the leader's memory.
         """
         while sum(len(partial.data) for partial in self._partial.values()) > MAX_PARTIAL_BYTES:
             oldest = next(request for request in self._partial if request != newest)
--- a/brackenladder/control_plane/soft_state.py
+++ b/brackenladder/control_plane/soft_state.py
@@ -31,9 +31,11 @@
 
 TICK_SECONDS = 0.1
 SILENT_HEARTBEATS = 4  # missed heartbeats after which a server counts as gone
-SETTLE_HEARTBEATS = 1.1  # heartbeat intervals from the start until every live server has called some node
+# After this many heartbeat intervals from this node's start, every live server has sent a heartbeat to some
+# control node.
+SETTLE_HEARTBEATS = 1.1
 FREEZE_THRESHOLD = 1_000_000  # microseconds between two ticks that show that this process was suspended
-IN_TOUCH_AGE = 1_500_000  # microseconds since the last quorum contact for which the node counts as in touch
+IN_TOUCH_AGE = 1_500_000  # microseconds; the node is in touch if its last quorum contact is no older
 
 log = logbook.Logger("registry")
 
@@ -45,7 +47,7 @@
         """The time since the last contact with a quorum."""
 
     def catalog_age(self) -> int:
-        """An upper bound on how stale the catalog is: all that was committed before is applied."""
+        """An upper bound on how stale the catalog is: all entries committed that long ago are applied."""
 
     def lacks_committed(self) -> bool:
         """Whether an entry known to be committed is not applied yet."""
@@ -91,14 +93,14 @@
     # -- calls of servers and clients
 
     def heartbeat(self, record: ServerRecord) -> bool:
-        """Records a heartbeat, even without quorum contact; returns whether the node is in touch."""
+        """Records a heartbeat, even without quorum contact; returns `in_touch`."""
         if self._servers.heartbeat(self._clock(), record):
             log.debug("server {} {} {}", record.id, record.state.name, record.address)
             self.flush()
         return self._in_touch()
 
     def deregister(self, server_id: str) -> bool:
-        """Removes a server; returns whether the node is in touch."""
+        """Removes a server; returns `in_touch`."""
         if self._servers.deregister(self._clock(), server_id):
             log.debug("server {} deregistered", server_id)
             self.flush()
@@ -145,8 +147,8 @@
     def peer_connected(self, replica_id: str) -> None:
         """A link to a control node is up.
 
-        Updates for a node use the same link as consensus: `OrderService.reaches_quorum` relies on the common
-        sequence of both.
+        Updates for a node use the same link as consensus: `OrderService.reaches_quorum` relies on both being
+        received in the order in which they were sent.
         """
         if replica_id not in self._update_links:
             self._start_updates(replica_id)
@@ -159,7 +161,7 @@
         return self._update_links.get(replica_id)
 
     def peer_received(self, replica_id: str, message: object) -> bool:
-        """Handles a message of a control node; False if the message is for another part."""
+        """Handles a message of a control node; False if the message is for another component."""
         if isinstance(message, PrefixNotices):
             self._relay.from_peer(self._clock(), message)
             self._relay_notices()
@@ -222,7 +224,7 @@
         self._relay.restore(self._clock(), notices)
 
     def prefixes(self) -> tuple[PrefixNotice, ...]:
-        """The prefixes that carry the most traffic."""
+        """Notices of the cached prompt prefixes that carry the most traffic."""
         return self._relay.heaviest(self._clock())
 
     def control_nodes_changed(
@@ -264,7 +266,7 @@
                 subscriber.close()
 
     def _relay_notices(self) -> None:
-        """Sends the pending prefix notices. They are hints, and are dropped if a link's queue is full."""
+        """Sends the pending notices of cached prefixes: hints, dropped if a link's queue is full."""
         for notice in self._relay.take(self._clock()):
             if notice.receiver is Receiver.PEERS:
                 self._peers.broadcast(notice.message)
@@ -279,7 +281,7 @@
     def _may_publish_catalog(self, now: int) -> bool:
         """Whether this node's catalog is known to have been the newest a moment ago.
 
-        Failure prevented: a node that is disconnected, has restarted alone or is still catching up sends an
+        Without this check, a node that is disconnected, has restarted alone or is still catching up sends an
         old configuration to gateways that have none, and directs clients by outdated home regions.
         """
         confirmed = self._confirmed_at is not None and now - self._confirmed_at <= IN_TOUCH_AGE
@@ -291,8 +293,9 @@
     def _send_known_prefixes(self, link: Link, name: str | None, message: Subscribe) -> None:
         """Sends the known prefixes to a gateway that subscribes first, before it has requests to place.
 
-        Failure prevented: after a restart of all nodes, gateways send their held requests before a relay for
-        notices is chosen, and prompts cached on one server are processed again on another.
+        Otherwise, after a restart of all nodes, gateways send their held requests before they have chosen the
+        control node that relays prefix notices to them, and prompts cached on one server are processed again
+        on another.
         """
         notices = self.prefixes() if name is None and message.region == self._region else ()
         if notices:
@@ -301,7 +304,7 @@
     def _subscribed(self, link: Link, name: str, message: Subscribe) -> None:
         """Records a gateway's presence. Only the control node chosen as its relay reports it to the peers.
 
-        Failure prevented: all five control nodes report every gateway to each of the others every second.
+        Otherwise all five control nodes report every gateway to each of the others every second.
         """
         self._publisher.subscribed(name, message)
         self._relay.set_subscribed(name, message.relay)
--- a/brackenladder/delivery/messages.py
+++ b/brackenladder/delivery/messages.py
@@ -11,7 +11,7 @@
 from brackenladder.registry.messages import GatewaysTold, ServersHeard, ServersTold, ServersWanted
 from brackenladder.registry.records import ServerRecord
 
-UNKNOWN_AGE = 1 << 62  # microseconds; there was no contact with the leader yet
+UNKNOWN_AGE = 1 << 62  # microseconds; means that the time since the last leader contact is not known
 FRESH_AGE = 1_000_000  # microseconds since leader contact up to which a control node's data counts as fresh
 
 
@@ -36,7 +36,9 @@
     state: GatewayState
     seq: int
     have_revision: int = 0  # revision of the catalog that the gateway has
-    relay: bool = False  # the receiver is the nearest control node and relays prefix notices for the gateway
+    # The receiver is the control node nearest to the gateway. It forwards the gateway's prefix notices (which
+    # server has which prompt prefixes cached) to other gateways, and theirs to this one.
+    relay: bool = False
 
     @property
     def gateway(self) -> GatewayRecord:
@@ -71,14 +73,14 @@
     revision: int  # log index of the last change; 0: there was none
     document_revision: int  # revision at which the document last changed
     document: bytes = b""
-    compressed: bool = False  # with zlib
+    compressed: bool = False  # whether `document` is compressed with zlib
     evacuated: tuple[str, ...] = ()
-    leader_contact_age: int = UNKNOWN_AGE  # microseconds, at the time of sending
+    leader_contact_age: int = UNKNOWN_AGE  # microseconds since leader contact, at the time of sending
 
 
 @frozen
 class CatalogChange:
-    """The commands that lead from one revision to another, for a gateway that has the first."""
+    """The commands that change one catalog revision into another, for a gateway that has the first."""
 
     from_revision: int
     to_revision: int
@@ -111,7 +113,7 @@
 
     revision: int
     addresses: tuple[str, ...]  # "ip:port"
-    zones: tuple[str, ...] = ()  # by address; empty if the sender does not know them
+    zones: tuple[str, ...] = ()  # zones of the nodes at `addresses`, in the same order; empty if not known
 
 
 @frozen
@@ -120,7 +122,7 @@
 
     sequence: int
     number: int
-    settled: bool = True  # False: the control node has just started and may not know all of them yet
+    settled: bool = True  # False: the control node has just started and may not know all gateways yet
 
 
 MESSAGE_TYPES: tuple[type, ...] = (
--- a/brackenladder/discovery/watch.py
+++ b/brackenladder/discovery/watch.py
@@ -88,7 +88,7 @@
         self.transport.write(self.request)
 
     def start_timeout(self, time: float) -> None:
-        """Starts the timeout of the step that begins now, in seconds."""
+        """Starts a timeout of `time` seconds for the step that begins now, in place of the last step's."""
         if self.timer is not None:
             self.timer.cancel()
         self.deadline = self.loop.time() + time
@@ -97,8 +97,8 @@
     def expire(self) -> None:
         """Handles a timeout; after a pause of this process, the socket is read first.
 
-        Failure prevented: the answer is waiting in the socket, the call is abandoned unread, and requests go
-        to a server that the answer withdraws.
+        Otherwise the call would be abandoned while its answer waits unread in the socket, and requests would
+        go to a server that this answer withdraws.
         """
         if self.loop.time() - self.deadline > STALL_THRESHOLD:
             self.start_timeout(RESUME_GRACE)
@@ -133,7 +133,7 @@
 
     def on_message_complete(self) -> None:
         self.complete = True
-        # Only available here: the parser is reset afterwards.
+        # This has to be read here, as the parser is reset afterwards.
         self.keep_alive = self.parser.should_keep_alive()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -193,7 +193,7 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the current list."""
+        """The version of the newest server list that was received, or None."""
         return self.current_list.version
 
     def watch(self, on: bool) -> None:
@@ -216,8 +216,8 @@
     def change_address(self, address: tuple[str, int]) -> None:
         """Switches to another address; answers from the old one are ignored.
 
-        Failure prevented: the new address numbers its versions differently, so a watch that continues from
-        the old version misses changes, or the new list is taken for an old one.
+        The new address numbers its versions differently. A watch that continued from the old version would
+        miss changes, or the new list would be taken for an old one.
         """
         self.close()
         self.address = address
@@ -236,7 +236,8 @@
     def on_watch_answer(self, call: DiscoveryCall, body: bytes | None) -> None:
         listing = self.parse_answer(body)
         if listing is None:
-            # Ended before the failure is reported, since the module may respond with a new watch.
+            # The call is ended before its failure is reported, since on the report the Balancer may start a
+            # new watch at once.
             call.end()
             self.watch_call = None
             pause = self.watch_retry.failed(call.timed_out, self.random.random())
@@ -278,7 +279,7 @@
         return changes
 
     def close(self) -> None:
-        """Ends all calls."""
+        """Ends all open calls to the discovery service."""
         self.cancel_retry()
         for call in (self.watch_call, self.fetch_call):
             if call is not None:
--- a/brackenladder/fleet/model.py
+++ b/brackenladder/fleet/model.py
@@ -1,4 +1,7 @@
-"""Runs a rehearsal's plan in virtual time, with the same schedule, events and checker as on sockets."""
+"""Runs the plan of a rehearsal (a test of node processes under load and faults) in virtual time.
+
+The schedule, events and checker are those of a rehearsal with real processes and sockets.
+"""
 
 from __future__ import annotations
 
@@ -40,17 +43,17 @@
 from brackenladder.rehearsal.scenario import Clients as ClientsTable
 from brackenladder.settings import parse_settings
 
-BEGIN = 1_000_000_000_000_000  # start of the run: a Unix time, since lists hold start times
+BEGIN = 1_000_000_000_000_000  # start of the run in Unix microseconds, since lists hold start times
 MAX_MEMORY = 4 << 30  # bytes; a run that is estimated to need more is refused
-BYTES_PER_SERVER = 900  # per server at each node, measured
-BYTES_PER_REQUEST = 6_000  # per request of a run, measured
-PERCENTILES = (10, 50, 90)  # sampled over the nodes
+BYTES_PER_SERVER = 900  # estimated memory for each server at each node
+BYTES_PER_REQUEST = 6_000  # estimated memory for each request of a run
+PERCENTILES = (10, 50, 90)  # percentiles of the nodes' values that are sampled
 UNAVAILABLE_WAIT = 1 << 60  # microseconds reported as the wait at a server that is gone
-SETTLE = 10 * MICRO  # after the schedule's end, for open requests to finish
-RESTART_DELAY = 2 * MICRO  # from a server's crash by overload to its restart
+SETTLE = 10 * MICRO  # time after the schedule's end in which open requests may finish
+RESTART_DELAY = 2 * MICRO  # time from a server's crash by overload to its restart
 DATAGRAM_DELAY = (1_000, 10_000)  # microseconds of delay of a datagram
-LATE_DATAGRAM_DELAY = 500_000  # of a late one
-SWAPPED_DATAGRAM_DELAY = 50_000  # of one that others overtake
+LATE_DATAGRAM_DELAY = 500_000  # microseconds of delay of a late datagram
+SWAPPED_DATAGRAM_DELAY = 50_000  # microseconds of delay of a datagram that later ones overtake
 
 DEATH_KNOWN_AFTER = 2_850_000  # microseconds until a death is known: median in `benchmarks/members.py`
 MEMBER_COUNT_INTERVAL = 500_000  # microseconds between two counts of live members
@@ -78,7 +81,10 @@
 
 
 class Fleet:
-    """One run. `module`: policy of each node, which is the Balancer, a variant of it or a baseline."""
+    """One run of nodes, servers and clients.
+
+    `module`: policy of each node, which is the Balancer, a variant of it or a baseline.
+    """
 
     def __init__(self, scenario: Scenario, seed: int, module: Module = Balancer) -> None:
         self.scenario = scenario
@@ -254,7 +260,7 @@
     # ---- servers --------------------------------------------------------------------------------------
 
     def list_line(self, plan: ServerPlan, state: State, born: int) -> Line:
-        """A list line. `born`: start of the process in the plan's time; -1: before the run."""
+        """A server's line in the list. `born`: start of its process in plan time; -1: before the run."""
         started = 0 if born < 0 else BEGIN + born
         return Line(plan.id, "model", 1, plan.zone, "std", plan.cell, state, 1.0, started // 1000 * 1000)
 
@@ -298,7 +304,7 @@
         self.queue.after(RESTART_DELAY, self.restart_server, plan, at)
 
     def begin_fault(self, step: Step) -> None:
-        """Starts a fault."""
+        """Records the start of a fault and applies it to the target server, node or discovery services."""
         self.record(Fault(self.queue.now, BEGIN + step.end, step.kind, step.target))
         plan = self.plans.get(step.target)
         if plan is not None:
@@ -331,12 +337,12 @@
             server.reset_idle()
 
     def finish_drain(self, plan: ServerPlan) -> None:
-        """Ends a drained server; its node gets no new calls and finishes the open ones."""
+        """Ends a drained server; the node beside it gets no new calls and finishes its open ones."""
         self.servers_by_id[plan.id].stop_accepting()
         self.schedule_listing(plan, State.GONE, plan.born)
 
     def apply_node_fault(self, step: Step, node: Node) -> None:
-        """Starts a fault of a client's node."""
+        """Applies a fault to a node that clients call, for example a kill or unanswered discovery calls."""
         end = BEGIN + step.end
         if step.kind in ("unheard", "silent-watch"):
             for source in self.sources:
@@ -361,7 +367,7 @@
             node.terminate(ended)
 
     def stop_new_connections(self, node: str) -> None:
-        """The load balancer in front stops giving a node new connections."""
+        """Makes the load balancer in front of the nodes give a node no new connections."""
         self.clients.accepting[node] = False
 
     def restart_node(self, node: Node) -> None:
@@ -432,7 +438,7 @@
         self.remaining_requests = iter(self.plan.requests)
         self.schedule_next_request()
         collects = gc.isenabled()
-        gc.disable()  # a run keeps its events, and its garbage has no cycles
+        gc.disable()  # useless here: a run keeps all events, and what it frees has no cycles
         try:
             self.queue.run(BEGIN + self.plan.length + SETTLE + EXPIRY_DELAY)
         finally:
@@ -483,5 +489,5 @@
 
 
 def play(scenario: Scenario, seed: int, module: Module = Balancer) -> Result:
-    """Runs a scenario in virtual time."""
+    """Runs a scenario in virtual time with `module` as the policy of each node; returns the result."""
     return Fleet(scenario, seed, module).run()
--- a/brackenladder/gateway/contracts.py
+++ b/brackenladder/gateway/contracts.py
@@ -27,7 +27,7 @@
 
 
 class RunnableAttempt(Protocol):
-    """An attempt as its call sees it; the call runs it in the task of the client's request."""
+    """The interface of an attempt for its call, which runs it in the task of the client's request."""
 
     @property
     def record(self) -> ServerRecord:
@@ -41,14 +41,14 @@
         """Run the attempt; returns after its end has been reported."""
 
     def stop(self, outcome: Outcome) -> None:
-        """Cancel the attempt with this outcome."""
+        """Cancel the attempt, which then ends with this outcome."""
 
     def drop(self) -> None:
         """Discard the attempt before it has started."""
 
 
 class ExchangeContext(Protocol):
-    """The part of the gateway's shared state that a relay needs."""
+    """The part of the gateway's shared state that relaying a response needs."""
 
     @property
     def now(self) -> Callable[[], int]:
@@ -60,7 +60,7 @@
 
 
 class ClientExchange(Protocol):
-    """A client's request, as its calls, its attempts and the relay see it."""
+    """The interface of a client's request for its calls, its attempts and the relay of its response."""
 
     @property
     def context(self) -> ExchangeContext:
--- a/brackenladder/gateway/pools.py
+++ b/brackenladder/gateway/pools.py
@@ -47,7 +47,7 @@
 
 
 class ServicePools:
-    """The pools of all services, kept in line with the view's configuration."""
+    """One pool of servers per service; pools are created, updated and closed as the configuration changes."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         # Pools of services that were removed from the configuration, kept until their calls and streams have
         # ended. They still follow the view's list of servers.
         self._leaving: list[ServicePool] = []
-        self._splits: dict[str, TrafficSplit] = {}  # by route name
+        self._splits: dict[str, TrafficSplit] = {}  # by name of a route with several targets
         self._early = EarlyNotices()
         self._read_configuration()
         self._unsubscribe = view.subscribe(self._changed)
@@ -93,7 +93,7 @@
         return self._pools.get(split.choose(self._point(route, parts)).service)
 
     def receive_prefix_notices(self, now: int, notices: Sequence[PrefixNotice]) -> None:
-        """Pass prefix notices to the pools, and keep those about still unknown servers for a moment."""
+        """Pass notices of cached prefixes to the pools; keep those about unknown servers for a moment."""
         for pool in self._pools.values():
             pool.receive_prefix_notices(now, notices)
         self._early.add(now, [notice for notice in notices if not self._is_known(notice.server)])
--- a/brackenladder/gateway/upstream.py
+++ b/brackenladder/gateway/upstream.py
@@ -29,7 +29,7 @@
 
 EVENT_STREAM = "text/event-stream"
 MAX_BUFFERED_BODY = 1024 * 1024  # bytes; a larger body is relayed as it arrives
-LEAST_CONNECTIONS = 4  # allowed to each server, however small this gateway's share is
+LEAST_CONNECTIONS = 4  # connections allowed to each server, however small this gateway's share is
 CONNECTION_SHARE = 0.8  # the fraction of `MaxConnections` that all gateways together use
 MICROSECONDS_PER_SECOND = 1e6
 END_OF_LINE = b"\r\n"
@@ -37,10 +37,10 @@
 
 
 class Records(Protocol):
-    """Looks up the servers that attempts go to."""
+    """Looks up the pool's servers, which attempts go to."""
 
     def record(self, number: int) -> ServerRecord | None:
-        """The server's record; None if the server no longer exists."""
+        """The state and address of the server with this number; None if it no longer exists."""
 
     def region(self, record: ServerRecord) -> str:
         """The region of a server; empty if unknown."""
@@ -65,7 +65,7 @@
         self.records: Records | None = None  # the pool, set after its creation
 
     def record(self, server: int) -> ServerRecord | None:
-        """The record of a server, if it may still be used."""
+        """The state and address of a server; None if the server is gone or there is no pool yet."""
         return None if self.records is None else self.records.record(server)
 
     def usable(self, server: int, server_id: str, traits: CallTraits) -> bool:
@@ -98,7 +98,10 @@
 
 
 def _check_homes(call: GatewayCall, record: ServerRecord) -> None:
-    """Check, just before writing, that the server is in a home region, by the platform's own zone table."""
+    """Check, just before writing, that the server is in one of the home regions of the call's routes.
+
+    Its region is looked up in the platform's zone table; a route without home regions allows all of them.
+    """
     region = call.pool.platform.region_of(record.zone)
     for route in (call.exchange.route, call.exchange.newest_route()):
         if route is not None and route.homes and region not in route.homes:
@@ -127,7 +130,7 @@
 
 
 class ServerAttempt:
-    """One attempt. It runs in the task of the client's request."""
+    """Sends a call to one server and reports the end of it. It runs in the task of the client's request."""
 
     def __init__(
         self,
--- a/brackenladder/invariants.py
+++ b/brackenladder/invariants.py
@@ -22,16 +22,16 @@
 
 
 class Invariant(Enum):
-    """Conditions that must always hold. "Home regions" are the only regions that may serve a route."""
+    """Conditions that must always hold. A route's home regions are the only ones that may serve it."""
 
-    DIRECTORY_KEEPS_HOMES = "directory-keeps-homes"  # clients are only sent to home regions of their host
+    DIRECTORY_KEEPS_HOMES = "directory-keeps-homes"  # clients are only directed to their host's home regions
     SERVER_KEEPS_HOMES = "server-keeps-homes"  # requests only go to servers in the route's home regions
-    SERVER_TAKES_REQUESTS = "server-takes-requests"  # none goes to a draining, removed or evacuated server
+    SERVER_TAKES_REQUESTS = "server-takes-requests"  # no request to a draining, removed or evacuated server
     CALL_ENDS_IN_TIME = "call-ends-in-time"  # no call lasts more than a second past its time limit
 
 
 class InvariantChecks:
-    """Counts violations. Thread-safe."""
+    """Counts the violations of each invariant. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = Lock()
@@ -55,7 +55,7 @@
 
     @property
     def total(self) -> int:
-        """The number of all violations."""
+        """The sum of the violations of all invariants."""
         return sum(self.violations().values())
 
     @contextmanager
--- a/brackenladder/membership/watch_retry.py
+++ b/brackenladder/membership/watch_retry.py
@@ -7,15 +7,16 @@
 
 from __future__ import annotations
 
-ANSWER_TIMEOUT = 0.6  # seconds after the end of its wait in which a watch has to be answered
+ANSWER_TIMEOUT = 0.6  # seconds after the end of a watch's wait within which discovery has to answer
 # Seconds in which the response with a full list has to begin. Discovery closes calls that have waited 1 s for
 # their turn.
 FIRST_BYTE_TIMEOUT = 1.2
-READ_TIMEOUT = 1.0  # seconds without another byte after which a partial response is given up
+READ_TIMEOUT = 1.0  # seconds without a further byte after which a partly received response is abandoned
 BODY_TIMEOUT = 3.0  # seconds for a whole response
-MAX_RETRIES = 4  # retries of a silent call that are made without asking the decision module
-MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # seconds before each retry except the first, chosen at random
-JITTER = 0.1  # random part by which a wait is shortened, so that watches of a fleet don't end together
+MAX_RETRIES = 4  # retries of a silent call that are made before the load balancer is told of the failure
+MIN_PAUSE, MAX_PAUSE = 0.1, 0.3  # bounds, in seconds, of the random pause before each retry except the first
+# Largest fraction by which a wait is shortened at random, so that the watches of a fleet don't end together.
+JITTER = 0.1
 
 
 def jittered_wait_ms(longest: int, chance: float) -> int:
@@ -37,10 +38,11 @@
         self.tries = 0
 
     def failed(self, silent: bool, chance: float) -> float | None:
-        """Seconds until a failed call is retried, or None if the decision module decides when.
+        """Seconds until a failed call is retried, or None if the load balancer decides when.
 
         `silent`: nothing was received in time; other failures count as a response. A silent watch is retried
-        quickly because its news count as delivered from a fixed time on, which a longer backoff would miss.
+        quickly: after a fixed time, every watcher is assumed to have the changes of the server list, and a
+        longer backoff would exceed that time.
         """
         if silent and not self.tries:
             self.tries = 1
--- a/brackenladder/node/handover.py
+++ b/brackenladder/node/handover.py
@@ -12,12 +12,15 @@
 from brackenladder.operations.maintenance import Maintenance
 from brackenladder.storage.handover import HandoverError, read_handover, write_handover
 
-WRITE_INTERVAL = 1.0  # seconds
+WRITE_INTERVAL = 1.0  # seconds between two writes of the list
 MAX_SERVERS = 1000  # writing a longer list would block the event loop; the successor then asks discovery
 
 
 class Handover:
-    """Writes and reads the list. `maintenance` has it as discovery sent it, without operators' changes."""
+    """Writes the server list for a successor process and reads a predecessor's.
+
+    What is written is discovery's list as `maintenance` has it, without operators' suspensions.
+    """
 
     def __init__(
         self,
@@ -59,6 +62,6 @@
         self.timer = self.loop.call_later(WRITE_INTERVAL, self.write)
 
     def stop(self) -> None:
-        """Stops writing, as the successor now writes newer lists."""
+        """Stops writing. Called when this process shuts down: its successor now writes newer lists."""
         if self.timer is not None:
             self.timer.cancel()
--- a/brackenladder/node/listener.py
+++ b/brackenladder/node/listener.py
@@ -18,7 +18,7 @@
         """Listens on an inherited socket, given as a descriptor. Raises OSError if it isn't a socket."""
 
     def set_service_stage(self, service: ServiceStage) -> None:
-        """Applies the state that an operator's pause has reached. Called repeatedly during a pause."""
+        """Applies the stage that an operator's pause has reached. Called repeatedly during a pause."""
 
     async def drain(self) -> None:
         """Shuts down after answering the accepted requests."""
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Listener:
-    """A front and its address or inherited socket."""
+    """A server for client connections, and the address or inherited socket on which it listens."""
 
     front: Front
     address: tuple[str, int]
--- a/brackenladder/node/node.py
+++ b/brackenladder/node/node.py
@@ -30,11 +30,14 @@
 
 LIST_TIMEOUT = 3.0  # seconds to wait for the server list before accepting clients on an inherited socket
 LIST_POLL_INTERVAL = 0.01
-RELOADED = ("discovery", "filed_discovery", "peers", "peers_all")  # fields that a reload changes
+RELOADED = ("discovery", "filed_discovery", "peers", "peers_all")  # fields of `Config` that a reload changes
 
 
 class Node:
-    """Creates and connects the parts. Parts that the operator file doesn't configure are not imported."""
+    """Creates and connects what the operator file configures: pools, listeners, membership and recovery.
+
+    Modules of what it doesn't configure are not imported.
+    """
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, operator: Operator | None = None
@@ -114,7 +117,7 @@
         self.control.recovery = self.recovery.status
 
     def set_live_count(self, number: int) -> None:
-        """Sets the number of live nodes of the tier."""
+        """Passes on the number of live nodes among which this tier's limits are divided."""
         for host in self.control.pools.hosts() if self.control is not None else [self.http.host]:
             host.set_instances(number)
 
@@ -178,7 +181,8 @@
         if self.handover is not None:
             self.handover.start()
         if self.config.passed is not None:
-            # Without a server list yet, it would accept requests that its predecessor can still serve.
+            # Without a server list yet, this process would accept requests that it can't serve but that its
+            # predecessor, which still listens, can.
             deadline = self.loop.time() + LIST_TIMEOUT
             while not self.ready() and self.loop.time() < deadline:
                 await asyncio.sleep(LIST_POLL_INTERVAL)
@@ -191,7 +195,7 @@
         self.listening = True
 
     def reload(self, config: Config, operator: Operator | None = None) -> None:
-        """Applies a new configuration. Connections, requests and the learned state stay.
+        """Applies a new configuration. Connections, requests and what was learned about servers stay.
 
         Changes that need a restart are logged. `known` and `seed` are ignored, as only a start uses them.
         """
@@ -221,7 +225,7 @@
         self.log.line(f"reload: discovery {config.discovery[0]}:{config.discovery[1]}")
 
     def reload_operator(self, old: Operator, new: Operator) -> list[str]:
-        """Applies a changed address of RPC's discovery. Returns the changed keys that need a restart."""
+        """Applies a changed `rpc.discovery`. Returns the changed keys that only a restart applies."""
         if old.rpc is None or new.rpc is None or old.rpc.discovery is None or new.rpc.discovery is None:
             return ["rpc"] if old.rpc != new.rpc else []
         not_applied = [
--- a/brackenladder/node/operations.py
+++ b/brackenladder/node/operations.py
@@ -52,12 +52,12 @@
         pool.admit = self.admit
 
     def start(self, address: Address) -> None:
-        """Applies recorded suspensions and starts the listener. Raises OSError if it can't be bound."""
+        """Applies recorded suspensions and listens for operators. Raises OSError if it can't be bound."""
         self.sync_holds()
         self.operator_listener.start(address)
 
     def end(self) -> None:
-        """Ends the handling of pauses, as the node shuts down. Servers stay suspended."""
+        """Stops updating the stage of a pause, as the node shuts down. Suspended servers stay suspended."""
         self.ended = True
 
     # ---- servers --------------------------------------------------------------------------------------
@@ -67,7 +67,7 @@
         return self.maintenance.process_listing(listing)
 
     def sync_holds(self) -> None:
-        """Applies suspensions that the node's other process has recorded.
+        """Applies the server suspensions that the node's other process has recorded in the file.
 
         Otherwise one process would go on sending to a server that an operator suspended in the other.
         """
@@ -86,7 +86,10 @@
             self.pool.roster.apply_listing(self.maintenance.listing_for(servers, 0))
 
     def hold(self, call: OperatorCall) -> bytes:
-        """Suspends or restores a server. The other process's file is written before the reply."""
+        """Suspends or restores a server.
+
+        Before the reply is sent, the change is written to the file that the node's processes share.
+        """
         maintenance, now = self.maintenance, time_ns() // 1000
         try:
             with self.file.locked() if self.file is not None else nullcontext():
@@ -104,7 +107,8 @@
         except TooManyHolds:
             return format_answer(False, "too many servers are held back")
         except HoldsError as e:
-            # It is applied in this process. The reply tells the operator that a successor won't know of it.
+            # The change is in force in this process but couldn't be written to the file. The error reply
+            # tells the operator that a process which takes over at a restart won't know of it.
             self.log(str(e))
             return format_answer(False, str(e))
         return format_answer(True)
@@ -132,7 +136,7 @@
         return format_answer(True)
 
     def update_pause(self) -> None:
-        """Passes the state that the pause has reached to the fronts."""
+        """Tells the listeners' fronts, which accept client calls, which stage the pause has reached."""
         if self.pause_timer is not None:
             self.pause_timer.cancel()
             self.pause_timer = None
--- a/brackenladder/node/pool.py
+++ b/brackenladder/node/pool.py
@@ -2,7 +2,7 @@
 
     Listener: client's bytes --Call--> Host (asks the Balancer) --attempt--> upstream --> a server's bytes
                                          ^
-                        source --Listing--> Roster (numbers for names), which updates upstream and Host
+                        source --Listing--> Roster (maps names to numbers), which updates upstream and Host
 
 Several listeners may use one pool. The Host ends each call once: as served, refused or failed.
 """
@@ -25,23 +25,23 @@
 
 
 class Source(Directory, Protocol):
-    """A source of the server list."""
+    """Fetches a pool's server list from discovery or a file, and passes each new list to the pool."""
 
     @property
     def version(self) -> int | None:
         """The version of the current list."""
 
     def start(self) -> None:
-        """Starts to pass lists to the pool."""
+        """Starts to pass server lists to the callback."""
 
     def set_initial_listing(self, listing: Listing) -> None:
-        """Sets a newer list to start with. To be called only before `start`."""
+        """Sets a newer server list to start with. Must be called before `start`."""
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Changes the address of discovery."""
+        """Changes the address of the discovery service."""
 
     def close(self) -> None:
-        """Cancels open requests to discovery."""
+        """Cancels open requests to the discovery service."""
 
 
 class PoolUpstream(Upstream, ServerListConsumer, Protocol):
@@ -49,14 +49,17 @@
 
 
 class NoMessenger:
-    """The messenger of a pool whose settings allow no messages between nodes."""
+    """Drops all messages, for a pool whose settings allow none between nodes."""
 
     def tell(self, peer: int, data: bytes) -> None:
         """Does nothing."""
 
 
 class Pool:
-    """One pool of servers. `source` creates the source of its list from a callback for listings."""
+    """Balances calls over one group of servers.
+
+    `source` creates the object that gets the group's server list; it passes each new list to a callback.
+    """
 
     def __init__(
         self,
@@ -80,12 +83,11 @@
         self.host.messenger = messenger
         self.has_listing = False  # whether a server list has arrived
         self.admit: Callable[[Listing], Listing] | None = None  # applies operators' suspensions to a list
-        self.distribute: Callable[[Listing], None] | None = (
-            None  # hands it to several pools in place of this one
-        )
+        # Passes a listing to all HTTP pools. None: a listing is applied to this pool only.
+        self.distribute: Callable[[Listing], None] | None = None
 
     def start(self) -> None:
-        """Starts the host and the source of the list."""
+        """Starts the pool's host, which runs the balancing policy, and the source of the server list."""
         self.host.start()
         self.source.start()
 
@@ -100,5 +102,5 @@
             self.roster.apply_listing(listing)
 
     def begin_shutdown(self) -> None:
-        """Limits new calls to the time that is left until the node is killed, as it shuts down."""
+        """Called at the start of a shutdown: limits new calls to the time left until the node is killed."""
         self.host.conclude_by = last_moment(self.host.now(), self.settings.classes)
--- a/brackenladder/node/pools.py
+++ b/brackenladder/node/pools.py
@@ -1,4 +1,8 @@
-"""The HTTP pools that operators can configure. Each has its own host; they share upstream and list."""
+"""The HTTP pools that operators can configure.
+
+Each has its own Host, which balances its calls. All share one upstream (the connections to servers) and one
+server list.
+"""
 
 from __future__ import annotations
 
@@ -30,23 +34,23 @@
 
 
 class NullDirectory:
-    """The directory and list consumer of pools other than the default one.
+    """Stands in for the server list's source and for the upstream in pools other than the default one.
 
     Only the default pool requests the server list, and `Pools.distribute` updates the upstream for all pools.
     """
 
     def watch(self, on: bool) -> None:
-        """Does nothing: the default pool watches."""
+        """Does nothing: the default pool watches the server list."""
 
     def fetch(self) -> None:
-        """Does nothing: the default pool fetches."""
+        """Does nothing: the default pool requests the server list."""
 
     def update(self, kind: ListKind, latest: Mapping[int, Line]) -> None:
         """Does nothing: `Pools.distribute` has updated the upstream."""
 
 
 class RoutedPool(Roster):
-    """One pool: its host, and the roster of the servers that match its specification."""
+    """One pool: the Host that balances its calls, and the numbered list of servers that match the pool."""
 
     def __init__(self, name: str, spec: PoolSpec, host: Host, config: Config, pools: Pools) -> None:
         super().__init__(host, NullDirectory(), config.zones, config.kinds)
@@ -64,7 +68,7 @@
 
 
 def selector(spec: PoolSpec) -> PoolSpec:
-    """Returns the part of a pool's specification that selects its servers."""
+    """Returns the fields of a pool's specification that decide which servers belong to it."""
     return msgspec.structs.replace(spec, weights={}, limit=0)
 
 
@@ -89,12 +93,13 @@
         self.state = DEFAULT_STATE
         self.latest_list: LatestList | None = None
         self.history: tuple[AppliedChange, ...] = ()
-        self.pools_per_server: dict[str, int] = {}  # by server id; empty if there is only one pool
+        # Number of pools by server id; empty if there is only one pool.
+        self.pools_per_server: dict[str, int] = {}
         self.routed_pools = {DEFAULT: RoutedPool(DEFAULT, PoolSpec(), first.host, config, self)}
         self.changed: Callable[[], None] = lambda: None  # called after each applied plan
-        self.closed = False  # every request is refused at once
-        self.draining: list[RoutedPool] = []  # removed pools, until their last call has ended
-        self.random_fraction = random.random  # splits traffic; needs no secure or seeded source
+        self.closed = False  # while true, every request is refused at once
+        self.draining: list[RoutedPool] = []  # removed pools that still have open calls
+        self.random_fraction = random.random  # for splitting traffic; needn't be secure or reproducible
         self.router = Router((), config.classes, config.tenants)
         first.distribute = self.distribute
 
@@ -114,7 +119,7 @@
                 )
 
     def distribute(self, listing: Listing) -> None:
-        """Passes a listing to the upstream first and then to every pool."""
+        """Passes a server list to the upstream first and then to every pool."""
         if self.latest_list is None:
             self.latest_list = LatestList(listing)
         else:
@@ -131,11 +136,11 @@
     # ---- requests -------------------------------------------------------------------------------------
 
     def hosts(self) -> list[Host]:
-        """The hosts of all pools."""
+        """For each pool, the Host that asks its Balancer for a server for each call."""
         return [pool.host for pool in self.routed_pools.values()]
 
     def route(self, klass: int, tenant: int, target: bytes, name: bytes) -> Host:
-        """Returns the host that handles a request. `name` is the tenant's name."""
+        """Returns the Host of the pool that serves a request. `name` is the tenant's name."""
         path, _, query = target.partition(b"?")
         sticky_by = self.router.sticky(klass, tenant, path)
         key = ""
@@ -217,7 +222,7 @@
             if selectors_before != {name: selector(spec) for name, spec in desired.pools.items()}:
                 self.pools_per_server.clear()
                 self.count_pools(whole.lines)
-                before = {}  # the number of a server's pools may have changed, so update all pools
+                before = {}  # a server may now be in more or fewer pools, so update all pools
             for name, pool in self.routed_pools.items():
                 if before.get(name) != pool.spec:
                     pool.apply_pool_listing(whole)
@@ -225,6 +230,6 @@
         self.front.route = self.route if desired.routes else None
 
     def begin_shutdown(self) -> None:
-        """Limits new calls of all pools to the time that is left until the node is killed."""
+        """Called at the start of a shutdown: limits all pools' new calls to the time left until the kill."""
         for pool in (*self.routed_pools.values(), *self.draining):
             pool.host.conclude_by = last_moment(pool.host.now(), self.config.settings.classes)
--- a/brackenladder/node/recovery.py
+++ b/brackenladder/node/recovery.py
@@ -30,17 +30,17 @@
 from brackenladder.recovery.startup import Phase, StartupRecovery
 from brackenladder.storage.state_store import SavedState, StateStore
 
-POLL_INTERVAL = 0.05  # seconds
+POLL_INTERVAL = 0.05  # seconds between two checks of the progress of recovery
 PING_INTERVAL = 500_000  # microseconds between two rounds of pinging nodes that haven't answered
-MAX_PINGS = 24  # pinged nodes per round
-COUNTER_LIMIT = 1 << 32  # counters of generations are below it
+MAX_PINGS = 24  # nodes pinged in one round
+COUNTER_LIMIT = 1 << 32  # every counter of state changes is smaller
 
 
 class Recovery:
     """Recovers the state of `pools` and keeps it saved.
 
-    `members` carries the messages to and from other nodes. `store` is None without `[state]`. `serve_alone`:
-    serve even if no other node answers.
+    `members` carries the messages to and from other nodes. `store` is None if the operator file has no
+    `[state]`. `serve_alone`: whether to serve even if no other node answers.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.counter = 0
         self.fetch: StateFetch | None = None
         self.refused = ""  # why the newest state was not accepted
-        self.phases: list[tuple[Phase, int]] = []  # each with the time at which it began
+        self.phases: list[tuple[Phase, int]] = []  # the phases so far, with the time at which each began
         self.startup = StartupRecovery(members.now(), len(members.detector.view) - 1, serve_alone)
         self.timer: asyncio.TimerHandle | None = None
         self.writing: asyncio.Future[bool] | None = None
@@ -90,7 +90,7 @@
             self.known.forget(number)
         newest = self.known.newest(self.mine)
         if newest.digest == self.mine.digest and newest.counter > self.counter:
-            self.counter = newest.counter  # the same state with a higher counter
+            self.counter = newest.counter  # another node has the same state under a higher counter of changes
             self.save()
         unheard = [n for n in self.members.detector.others if n not in self.known.heard]
         phase = self.startup.update(now, self.mine, self.known, self.refused, len(unheard))
@@ -141,7 +141,7 @@
         return ""
 
     def on_plan_applied(self) -> None:
-        """Starts a new generation after an operator's plan was applied here."""
+        """Numbers the state anew (a new generation) after an operator's plan changed it here."""
         self.counter = max(self.counter, self.known.newest(self.mine).counter) + 1
         self.refused = ""
         self.save()
--- a/brackenladder/operations/pause.py
+++ b/brackenladder/operations/pause.py
@@ -4,8 +4,11 @@
 
 from enum import IntEnum
 
-CLOSING_AFTER = 0.6  # the proxy in front notices a pause within 0.1 s and opens connections for 0.2 s more
-REFUSING_AFTER = 1.8  # 2 s after a pause begins, no later request may be open and no connection idle
+# From here on, each connection is closed after its current answer. The proxy in front of the node opens no
+# more by then: it notices a pause within 0.1 s and may open connections for 0.2 s more.
+CLOSING_AFTER = 0.6
+# From 2 s after the start of a pause, no newer request may be open and no connection may be idle.
+REFUSING_AFTER = 1.8
 ENDING_AFTER = 3.0
 
 
@@ -20,7 +23,7 @@
 
 
 class Pause:
-    """The pause of a node, if any, and its stage."""
+    """Whether an operator has paused the node, and which stage the pause has reached."""
 
     def __init__(self) -> None:
         self.since: float | None = None
--- a/brackenladder/platform_settings.py
+++ b/brackenladder/platform_settings.py
@@ -62,8 +62,8 @@
 class ProcessLimits:
     """The resources that the process may use."""
 
-    cpu_share: PositiveFloat = named("CpuShare", 1.0)  # of one core
-    cores: PositiveFloat = named("Cores", 1)  # the speed of that core as a multiple of a normal one
+    cpu_share: PositiveFloat = named("CpuShare", 1.0)  # share of one core that the process may use
+    cores: PositiveFloat = named("Cores", 1)  # speed of the core, as a multiple of a reference core
     memory_mb: NonNegativeInt = named("MemoryMb", 256)
     max_fds: NonNegativeInt = named("MaxFds", 1024)
     link_mbps: NonNegativeFloat = named("LinkMbps", 1000.0)
@@ -81,7 +81,9 @@
 
 @frozen
 class Bounds:
-    """The platform's numeric bounds, each in the unit of its name. A missing one has its default."""
+    """The table `[Bounds]` of the settings file: times (names in S or s: seconds; in Ms or ms: milliseconds),
+    ratios and counts. A missing key takes the default given here.
+    """
 
     seed_lag_s: NonNegativeFloat = named("SeedLagS", 3)
     reuse_after_s: NonNegativeFloat = named("ReuseAfterS", 2)
@@ -115,7 +117,7 @@
 
 @frozen
 class Platform:
-    """The checked settings of a process."""
+    """The settings that the platform gives a process, after all checks."""
 
     node_name: str
     role: str
@@ -125,7 +127,7 @@
     zone: str
     region: str
     ports: PortRange
-    seeds: tuple[str, ...] = ()  # `Control` addresses, as `ip:port`
+    seeds: tuple[str, ...] = ()  # `Control` addresses (`ip:port`) of the control nodes to contact first
     bootstrap: bool = False  # set at the very first start of the system, when all disks are empty
     counts_for_quorum: bool = False
     data_dir: str = ""  # empty: the process has no disk
--- a/brackenladder/prefix_cache/early.py
+++ b/brackenladder/prefix_cache/early.py
@@ -1,4 +1,4 @@
-"""Holds notices about servers that this gateway does not know yet, for example while it starts."""
+"""Holds notices of prefixes cached at servers that this gateway does not know yet, as while it starts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from brackenladder.prefix_cache.messages import PrefixNotice
 
-HOLD_TIME = 3_000_000  # microseconds that a notice waits for its server to become known
+HOLD_TIME = 3_000_000  # microseconds for which a notice is held until its server becomes known
 MAX_HELD = 512
 
 
@@ -28,7 +28,7 @@
         return bool(self._held)
 
     def add(self, now: int, notices: Iterable[PrefixNotice]) -> None:
-        """Adds notices; if there are too many, the oldest are dropped."""
+        """Adds notices; the oldest are dropped if there are more than MAX_HELD."""
         self._held.extend(_Early(notice, now) for notice in notices)
         del self._held[:-MAX_HELD]
 
--- a/brackenladder/registry/remembered_servers.py
+++ b/brackenladder/registry/remembered_servers.py
@@ -13,7 +13,7 @@
 
 from brackenladder.registry.records import ServerRecord, ServerState
 
-MAX_SERVERS = 1_024  # in the list
+MAX_SERVERS = 1_024  # servers in the list on disk
 
 
 @frozen
@@ -35,8 +35,8 @@
 def verify(server: RememberedServer, answer: HealthAnswer) -> ServerRecord | None:
     """Return the record of a server that answered as itself and is warm; None: wait for its heartbeat.
 
-    Failure prevented: after a restart, gateways do not know yet how many they are and so cannot divide a cold
-    server's load limit among them; together they would overload it.
+    A cold server is left out because, after a restart, gateways do not know yet how many they are and so
+    cannot divide the server's load limit among them; together they would overload it.
     """
     if answer.server_id != server.record.id or answer.cold_for > 0:
         return None
@@ -47,7 +47,8 @@
     """Selects the servers to remember, and tracks which are in the list that was written last."""
 
     def __init__(self) -> None:
-        self._written: frozenset[tuple[str, str]] = frozenset()  # ids and addresses
+        # Ids and addresses in the list that was written last.
+        self._written: frozenset[tuple[str, str]] = frozenset()
 
     def select(
         self, servers: Iterable[ServerRecord], health_paths: Mapping[str, str]
--- a/brackenladder/rehearsal/checker/history.py
+++ b/brackenladder/rehearsal/checker/history.py
@@ -28,7 +28,7 @@
     Up,
 )
 
-NEVER = 1 << 62  # stands for a time after the end of every run
+NEVER = 1 << 62  # a time later than any in a run
 
 
 class Attempt:
@@ -76,7 +76,7 @@
 
 
 class History:
-    """The indexed events. `worst`: the largest lag that a stand-in reported."""
+    """The events of a run, indexed. `worst`: the largest lag that a stand-in reported, in microseconds."""
 
     def __init__(self, events: Iterable[AnyEvent]) -> None:
         self.requests: defaultdict[str, Request] = defaultdict(Request)
@@ -84,20 +84,18 @@
         self.told: defaultdict[str, list[Told]] = defaultdict(list)
         self.calls: defaultdict[str, list[Asked | Told | Untold]] = defaultdict(list)
         self.pauses: defaultdict[str, list[tuple[int, int]]] = defaultdict(list)
-        self.hushed: defaultdict[str, dict[int, int]] = defaultdict(
-            dict
-        )  # by node and call: when a fault silenced it
+        # When a fault silenced each call, by node and call number.
+        self.hushed: defaultdict[str, dict[int, int]] = defaultdict(dict)
         self.changed: list[Changed] = []
-        self.ends: defaultdict[str, list[tuple[int, str]]] = defaultdict(
-            list
-        )  # by node: (time, signal or "ended")
+        # By node: (time, signal or "ended").
+        self.ends: defaultdict[str, list[tuple[int, str]]] = defaultdict(list)
         self.began: defaultdict[str, list[int]] = defaultdict(list)
         self.worst = Lag(0, "", 0)
         self.last = 0
         self.index_events(events)
 
     def index_events(self, events: Iterable[AnyEvent]) -> None:
-        """Sorts the events into the indexes."""
+        """Fills the indexes by request, server and node."""
         open_attempts: dict[int, Attempt] = {}
         for event in events:
             self.last = event.t
@@ -154,7 +152,7 @@
         return any(kind == "kill" and start <= t <= end for t, kind in self.ends[node])
 
     def paused(self, node: str, start: int, end: int) -> bool:
-        """Whether the node's process was paused, so could not answer, at some time in this interval."""
+        """Whether the node's process was paused, and so unable to answer, at some time in this interval."""
         return any(begin <= end and start <= over for begin, over in self.pauses[node])
 
     def ending(self, request: Request) -> int:
--- a/brackenladder/rehearsal/nodes.py
+++ b/brackenladder/rehearsal/nodes.py
@@ -34,7 +34,7 @@
     "stop": signal.SIGSTOP,
     "cont": signal.SIGCONT,
 }
-ENDING_SIGNALS = ("kill", "term")  # those of SIGNALS that end the process
+ENDING_SIGNALS = ("kill", "term")  # the SIGNALS that end the process
 MEMBERS_POLL = 0.25  # seconds between two queries of a node's membership view
 MEMBERS_TIMEOUT = 1.0  # seconds; a paused node does not answer
 
@@ -161,7 +161,7 @@
             try:
                 sock.bind((host, 0))
             except OSError:
-                break  # the system has only 127.0.0.1
+                break  # the system has no loopback address other than 127.0.0.1
             return host
     return "127.0.0.1"
 
@@ -201,20 +201,17 @@
         self.unused_address = f"{host}:{free_port(host, socket.SOCK_STREAM)}"
         self.discovery: list[str] = []
         self.peers: list[str] = []
-        self.known: dict[str, Any] = {}  # the initial server list in its configuration
+        self.known: dict[str, Any] = {}  # the server list in the configuration with which the process starts
         self.source = 0
-        self.on_process_change: Callable[[int, bool], None] = lambda pid, runs: (
-            None
-        )  # called with each pid at its start and end
+        # Called with each pid at the start and at the end of its process.
+        self.on_process_change: Callable[[int, bool], None] = lambda pid, runs: None
         self.process: asyncio.subprocess.Process | None = None
         self.signalled = ""
-        self.crashed: list[int] = []  # exit codes of ends that the runner did not cause
+        self.crashed: list[int] = []  # exit codes of processes that the runner did not end
         self.starts = 0
         # The run's folder may have a longer path than a Unix socket allows.
         self.control = str(Path(tempfile.gettempdir()) / f"lb-{os.getpid()}-{rng.getrandbits(32):08x}")
-        self.last_transition = (
-            -1
-        )  # time of the newest transition recorded, by the clock of the current process
+        self.last_transition = -1  # time of the newest recorded view change, by the process's clock
 
     def write(self) -> Path:
         """Writes the configuration file, and the operator file if the node needs one; returns the first."""
@@ -249,7 +246,7 @@
 
     @property
     def clients_address(self) -> str:
-        """The address that clients connect to."""
+        """Where clients connect: the RPC address if the node has one, else its HTTP address."""
         return self.rpc or self.listen
 
     async def start(self) -> None:
--- a/brackenladder/rehearsal/scenario.py
+++ b/brackenladder/rehearsal/scenario.py
@@ -14,9 +14,9 @@
 import msgspec
 from msgspec import Meta
 
-LARGEST_FILE = 1 << 20  # bytes of a scenario file
-MOST_REQUESTS = 2_000_000  # in one run: rate times length
-MOST_NODES, MOST_SERVERS = 40, 200  # in a run with processes on one machine
+LARGEST_FILE = 1 << 20  # size limit of a scenario file, in bytes
+MOST_REQUESTS = 2_000_000  # limit of the requests in one run, computed as rate times length
+MOST_NODES, MOST_SERVERS = 40, 200  # limits of a run with real processes on one machine
 
 Effect = Literal["safe", "keyed", "unsafe"]
 Group = Literal["all", "zone", "pod"]
@@ -123,17 +123,17 @@
     count: Annotated[int, Meta(ge=1, le=10_000)] = 4
     pod: Annotated[int, Meta(ge=1)] = 2  # servers in a pod, which share the idempotency keys seen
     cores: Annotated[int, Meta(ge=1, le=64)] = 2
-    speed: Span = (0.85, 1.1)  # of a core, relative to the standard core
+    speed: Span = (0.85, 1.1)  # range of a core's speed, relative to the standard core
     queue: Annotated[int, Meta(ge=0)] = 64  # requests that can wait; more are rejected
     connections: Annotated[int, Meta(ge=1)] = 512
-    idle_s: Positive = 5.0  # after which idle connections are closed
+    idle_s: Positive = 5.0  # idle time after which a server closes a connection
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.12
     warm_s: AtLeastZero = 24.0
     report_ms: Span = (330.0, 1500.0)  # interval at which load reports are refreshed
     processes: Annotated[int, Meta(ge=1, le=16)] = 1  # stand-in processes that host the servers
     falls: bool = False  # a cold server that is overloaded beyond `rules` crashes and starts again
-    slow_queue: Annotated[int, Meta(ge=0)] = 0  # waiting requests that make a server slow; 0: none do
-    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # share of its speed until none waits
+    slow_queue: Annotated[int, Meta(ge=0)] = 0  # number of waiting requests that slows a server; 0: none
+    slow_speed: Annotated[float, Meta(gt=0, le=1)] = 0.5  # factor on the speed, until no request waits
     slots: Annotated[int, Meta(ge=0)] = (
         0  # requests in work, which release their core while calling the next tier; 0: they hold it
     )
@@ -145,15 +145,15 @@
     """Service discovery: `ask` (nodes fetch and watch the list) or `push` (an agent that answers at once)."""
 
     how: Literal["ask", "push"] = "ask"
-    late_ms: Span = (500.0, 1500.0)  # from a change until discovery knows of it
+    late_ms: Span = (500.0, 1500.0)  # time from a change of a server until discovery knows of it
     lines_per_s: AtLeastZero = 0.0  # server lines that it can send to all nodes together; 0: unlimited
 
 
 class Network(Table, frozen=True):
     """One-way delay between two machines; used by the simulation model only."""
 
-    near_ms: AtLeastZero = 0.1  # within a zone
-    far_ms: AtLeastZero = 0.1  # between zones
+    near_ms: AtLeastZero = 0.1  # delay within a zone
+    far_ms: AtLeastZero = 0.1  # delay between zones
 
 
 class Surge(Table, frozen=True):
@@ -169,12 +169,12 @@
 
     rate: Positive = 60.0  # first tries a second, over all nodes
     retries: Annotated[int, Meta(ge=0, le=5)] = 2
-    wait_ms: Span = (0.0, 200.0)  # before a retry, if the answer has no Retry-After
+    wait_ms: Span = (0.0, 200.0)  # pause before a retry, if the answer has no Retry-After
     budget: Span = (0.42, 1.0)  # time for a try, as a share of the class's deadline
     leave: Share = 0.0  # share of clients that disconnect before their time is over
     drop: Share = 0.02  # share of answers after which the client closes the connection
     body_bytes: Annotated[int, Meta(ge=0, le=65536)] = 200
-    notice_s: AtLeastZero = 1.0  # until clients stop using a dead node
+    notice_s: AtLeastZero = 1.0  # time from a node's end until clients stop using it
     hot: Share = 0.0  # share of requests that all go to the first node; the rest is spread evenly
     tenants: tuple[Positive, ...] = ()  # weight of each tenant's requests; empty: equal
     quotas: tuple[
@@ -206,14 +206,14 @@
 
 
 class Limits(Table, frozen=True):
-    """Resource limits of a node."""
+    """Limits of a node: attempts per request, sockets, memory, connect time and processor time."""
 
     attempts: Annotated[int, Meta(ge=1, le=9)] = 3
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=16)] = 128
     connect_ms: Positive = 250.0
-    event_us: AtLeastZero = 0.0  # core time of a node for each event; in the model only
-    line_us: AtLeastZero = 0.0  # and for each known server at each change of the list
+    event_us: AtLeastZero = 0.0  # core time of a node for each event; simulation model only
+    line_us: AtLeastZero = 0.0  # additional core time for each known server at each change of the list
 
 
 class Rules(Table, frozen=True):
@@ -222,7 +222,7 @@
     drain_ms: Positive = 250.0
     fall_multiple: Positive = 2.5
     fall_s: Positive = 3.0
-    answer_ms: AtLeastZero = 20.0  # after the client's deadline, within which an answer counts as in time
+    answer_ms: AtLeastZero = 20.0  # an answer this long after the client's deadline counts as in time
     slack_ms: Positive = 50.0  # added to each time limit, for delays on sockets
     lag_ms: Positive = 50.0  # a stand-in that runs later than this makes the run not valid
 
@@ -235,8 +235,8 @@
     for_s: AtLeastZero = 1.0
     pick: Annotated[float, Meta(gt=0)] | Literal["all"] = 1
     zone: str = ""  # only targets of this zone
-    jitter_s: AtLeastZero = 0.0  # the seed delays the fault by up to so much
-    share: Share = 1.0  # of the answers, lines or datagrams that the fault affects
+    jitter_s: AtLeastZero = 0.0  # largest random delay of the fault
+    share: Share = 1.0  # share of the answers, lines or datagrams that the fault affects
     count: Annotated[int, Meta(ge=1, le=2000)] = 200  # connections that silent clients open
     waves: Annotated[int, Meta(ge=1, le=1000)] = 1  # groups that are hit one after another
     spread_s: AtLeastZero = 0.0  # time over which the waves are spread
@@ -244,12 +244,12 @@
 
 
 class Scenario(Table, frozen=True):
-    """The whole file."""
+    """A scenario file: nodes, servers, clients, faults and limits of a rehearsal."""
 
     title: str
     about: str = ""
     length_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
-    transport: Transport = "http"  # with rpc, the nodes' HTTP side is unused
+    transport: Transport = "http"  # rpc: MessagePack-RPC; the nodes' HTTP port is then unused
     nodes: Annotated[int, Meta(ge=1, le=2_000)] = 2
     members: bool = False  # the nodes run the membership protocol ([members] in their operator files)
     recovery: Literal["", "peers", "store"] = ""  # how nodes recover state at a start; store: also from disk
@@ -263,7 +263,7 @@
     classes: Annotated[tuple[Class, ...], Meta(min_length=1)] = CLASSES
     limits: Limits = Limits()
     rules: Rules = Rules()
-    tries: tuple[Rule, ...] = ("lost", "effect", "drain", "cold")  # the rules that every run of it exercises
+    tries: tuple[Rule, ...] = ("lost", "effect", "drain", "cold")  # the rules that every run exercises
     faults: tuple[FaultTable, ...] = ()
 
 
@@ -278,11 +278,11 @@
 
 
 def too_large(s: Scenario) -> str:
-    """Why a scenario can only run in the model, as `key: reason`; empty if it can run on sockets."""
+    """Why a scenario can only run in the simulation model, as `key: reason`; empty if sockets can run it."""
     if s.nodes > MOST_NODES:
-        return f"nodes: {s.nodes}, and sockets take {MOST_NODES}: play it with --in model"
+        return f"nodes: {s.nodes}, but sockets allow {MOST_NODES}: run it with --in model"
     if s.servers.count > MOST_SERVERS:
-        return f"servers.count: {s.servers.count}, and sockets take {MOST_SERVERS}: play it with --in model"
+        return f"servers.count: {s.servers.count}, but sockets allow {MOST_SERVERS}: run it with --in model"
     return ""
 
 
@@ -395,7 +395,7 @@
         ("tenants", list(s.tenants)),
     ):
         if len(set(names)) < len(names):
-            return f"{key}: a name stands twice"
+            return f"{key}: duplicate name"
     for i, fault in enumerate(s.faults):
         if s.transport == "rpc" and fault.kind in DATAGRAM_FAULTS:
             return f"faults[{i}].kind: there are no datagrams between nodes over rpc"
--- a/brackenladder/rpc/methods.py
+++ b/brackenladder/rpc/methods.py
@@ -8,8 +8,8 @@
 
 from brackenladder.interface import ClassSettings, Effect
 
-MAX_STEPS = 8  # steps of a path
-MAX_BUDGET = 3_600_000  # milliseconds
+MAX_STEPS = 8  # longest path, in array indexes and map names
+MAX_BUDGET = 3_600_000  # longest budget that a call may give, in milliseconds
 
 Path = tuple[int | str, ...]
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class FailurePattern:
-    """Matches errors that mean a server failure: with `value` at `path` (empty: the error itself)."""
+    """Matches errors that mean a server failure: those with `value` at `path` (empty: the whole error)."""
 
     path: Path
     value: Any
@@ -28,9 +28,10 @@
 
 @dataclass(frozen=True)
 class Method:
-    """A method: its class, and the paths of other values in the params (empty: not given).
+    """A method: its class, and the paths in the params of the tenant, the budget and the idempotency key.
 
-    `failures` match the errors that mean a server failure and aren't an application's response.
+    An empty path means that calls don't give the value. `failures` match the errors that mean a server
+    failure; any other error is a response of the application.
     """
 
     klass: int
@@ -41,7 +42,7 @@
     failures: tuple[FailurePattern, ...] = ()
 
     def fails(self, error: Any) -> bool:
-        """Whether this error means that the server failed. The call may have run."""
+        """Whether this error means that the server failed. Even then the call may have run."""
         return any(matches(value_at(error, pattern.path), pattern.value) for pattern in self.failures)
 
 
@@ -85,7 +86,7 @@
 
 
 def matches(value: Any, wanted: Any) -> bool:
-    """Whether a value equals the operator's: 1 equals 1.0 but not true, and bytes are compared as text."""
+    """Whether a value equals the configured one: 1 equals 1.0 but not true; bytes are compared as text."""
     if isinstance(value, bytes):
         value = value.decode(errors="replace")
     if isinstance(value, list) and isinstance(wanted, list):
@@ -107,7 +108,7 @@
 
 
 class Methods:
-    """All methods of the operator file."""
+    """The methods configured in the operator file."""
 
     def __init__(
         self,
@@ -120,14 +121,17 @@
         self.table = dict(table)
         self.classes = classes
         self.tenants = {name: i for i, name in enumerate(tenants)}
-        self.tenant = self.tenants.get(tenant, len(tenants))  # for calls without one
-        self.budget = budget  # microseconds, for calls without one
+        self.tenant = self.tenants.get(tenant, len(tenants))  # the tenant of calls that name none
+        self.budget = budget  # microseconds that a call may take if it gives no budget
 
     def get(self, name: str) -> Method | None:
         return self.table.get(name)
 
     def may_notify(self, method: Method) -> bool:
-        """Whether the method may be notified. The sender doesn't learn whether it ran, and may repeat it."""
+        """Whether clients may call the method by notification.
+
+        The sender of a notification doesn't learn whether it ran, and may send it again.
+        """
         return method.notify or self.classes[method.klass].effect == Effect.SAFE
 
     def read_parameters(self, method: Method, params: Sequence[Any]) -> CallParameters | str:
--- a/brackenladder/simulation/disk.py
+++ b/brackenladder/simulation/disk.py
@@ -15,7 +15,7 @@
 from brackenladder.storage.memory_log import MemoryLogStore
 from brackenladder.storage.writer import WriteCallback
 
-SYNC_TIME = 2_000  # microseconds
+SYNC_TIME = 2_000  # microseconds that a healthy disk takes to sync
 HANG_POLL_TIME = 20_000  # microseconds between two checks whether a hanging disk responds again
 
 
@@ -30,7 +30,7 @@
         self.sync_time = SYNC_TIME
         self.hangs = False
         self.full = False
-        self.written = 0  # writes that became durable
+        self.written = 0  # number of writes that became durable
         self.created_at = loop.microseconds
 
     @property
--- a/brackenladder/simulation/exchange/faults.py
+++ b/brackenladder/simulation/exchange/faults.py
@@ -13,7 +13,7 @@
 
 FaultAction = Callable[[World, Random], Awaitable[None]]
 QUOTA_SECONDS = 0.1  # the period of a processor quota, as cgroups have by default
-REUSE_SECONDS = 0.5  # from the end of a server until its address is reused
+REUSE_SECONDS = 0.5  # seconds from the end of a server until its address is reused
 
 
 def _running(world: World, random: Random) -> Server | None:
@@ -36,7 +36,7 @@
     if random.random() < 0.5:
         server.forget_idle()  # clients of idle connections are not notified
     server.crash()
-    detection_delay = random.choice((0.0, 0.3, 1.5))  # until the control side notices
+    detection_delay = random.choice((0.0, 0.3, 1.5))  # seconds until the control side notices the crash
     downtime = random.choice((0.0, REUSE_SECONDS, 2.0))
     await asyncio.sleep(min(detection_delay, downtime))
     if downtime < detection_delay:
@@ -107,7 +107,7 @@
 
 
 async def freeze_server(world: World, random: Random) -> None:
-    """Freezes a server's process."""
+    """Freezes the process of a running server for 0.1 to 2.5 seconds."""
     server = _running(world, random)
     if server is None or server.process is None:
         return
@@ -121,7 +121,7 @@
 
 
 async def make_server_unreachable(world: World, random: Random) -> None:
-    """Makes a server's machine unreachable."""
+    """Makes the machine of a running server unreachable for 0.3 to 6 seconds."""
     server = _running(world, random)
     if server is None:
         return
@@ -142,7 +142,7 @@
 
 
 async def reset_connections(world: World, random: Random) -> None:
-    """Resets connections to a server."""
+    """Resets connections to a running server one to four times."""
     server = _running(world, random)
     if server is not None:
         world.count_fault("reset")
@@ -151,7 +151,7 @@
 
 
 async def freeze_gateway(world: World, random: Random) -> None:
-    """Freezes a gateway's process."""
+    """Freezes the process of a gateway for 0.05, 0.3 or 1.5 seconds."""
     gateway = _gateway(world, random)
     if gateway is None or gateway.process is None:
         return
@@ -165,7 +165,7 @@
 
 
 async def throttle(world: World, random: Random) -> None:
-    """Limits the processor time of a gateway or a server by a quota."""
+    """Freezes a gateway or a server for a part of each of 5 to 30 quota periods."""
     machine = random.choice((_gateway(world, random), _running(world, random)))
     if machine is None or machine.process is None:
         return
@@ -182,7 +182,7 @@
 
 
 async def kill_gateway(world: World, random: Random) -> None:
-    """Kills a gateway and restarts it."""
+    """Kills a gateway without a shutdown, and restarts it after 0.1 to 1 second."""
     gateway = _gateway(world, random)
     if gateway is None:
         return
@@ -193,7 +193,7 @@
 
 
 async def terminate_gateway(world: World, random: Random) -> None:
-    """Shuts a gateway down with SIGTERM and restarts it."""
+    """Shuts a gateway down with SIGTERM, and restarts it within 0.5 seconds of its end."""
     gateway = _gateway(world, random)
     if gateway is None:
         return
@@ -206,7 +206,7 @@
 
 
 async def sighup_gateway(world: World, random: Random) -> None:
-    """Sends SIGHUP to a gateway."""
+    """Sends SIGHUP to a gateway, which makes it reload its settings."""
     gateway = _gateway(world, random)
     if gateway is not None:
         world.count_fault("hang-up-gateway")
--- a/brackenladder/simulation/faults.py
+++ b/brackenladder/simulation/faults.py
@@ -17,7 +17,7 @@
 
 
 class Faults:
-    """Injects faults into a world. Never wipes more disks at a time than the members can tolerate."""
+    """Injects faults into a world. Never wipes more disks at a time than the cluster tolerates to lose."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -129,7 +129,7 @@
         self._end("throttle", machine)
 
     def restart_gateway(self, gateway: GatewayMachine) -> None:
-        """Ends a gateway's process and restarts it with an empty view."""
+        """Ends a gateway's process and restarts it without the state it got from the control nodes."""
         gateway.kill()
         gateway.boot()
         self.world.record_fault_event("gateway-restart")
@@ -186,7 +186,7 @@
         await self._fail_disk(machine, seconds, "disk-hang")
 
     async def fill_disk(self, machine: ControlMachine, seconds: float) -> None:
-        """Makes a disk full for a while."""
+        """Makes writes to a machine's disk fail as on a full disk for `seconds`."""
         await self._fail_disk(machine, seconds, "disk-full")
 
     async def slow_disk(self, machine: ControlMachine, seconds: float) -> None:
@@ -209,7 +209,7 @@
     # -- recovery
 
     async def heal(self) -> None:
-        """Reverts all faults at once."""
+        """Repairs the network and all disks, thaws frozen processes and boots machines that are down."""
         world = self.world
         world.network.heal_all()
         for machine in world.machines:
--- a/brackenladder/simulation/history.py
+++ b/brackenladder/simulation/history.py
@@ -33,7 +33,7 @@
     ended_at: int | None = None
     reply_version: int = 0  # the version in the reply
     answered_by: str = ""
-    answered_at: int = 0  # when the node decided on its reply
+    answered_at: int = 0  # time at which the node decided on its reply
     calls: int = 0
 
     @property
@@ -73,7 +73,7 @@
 
 @define
 class History:
-    """All records of a run."""
+    """The orders, reads, acknowledgements to servers and gateway states recorded in a run."""
 
     orders: list[OrderRecord] = field(factory=list)
     reads: list[ReadRecord] = field(factory=list)
--- a/brackenladder/simulation/machines.py
+++ b/brackenladder/simulation/machines.py
@@ -51,7 +51,7 @@
 
 
 class UnansweredChecks:
-    """Health checks that no server answers."""
+    """Stands in for active health checks: a remembered server gets an empty answer."""
 
     async def check_all(self, servers: object) -> list[HealthAnswer]:
         """See `HealthChecks`."""
@@ -83,7 +83,7 @@
         tolerated: int,
         site: Site,
     ) -> None:
-        """`seeds`: returns the seed addresses for its settings; `tolerated`: machines that may be lost."""
+        """`seeds`: returns the seed addresses for the settings; `tolerated`: machines that can be lost."""
         self.number = number
         self.name = f"control-{number}"
         self.zone = tuple(ZONES)[number % len(ZONES)]
@@ -205,21 +205,24 @@
 
 @frozen
 class ViewSeen:
-    """A gateway's view after a change. Times are in microseconds since the start of the run."""
+    """The control-plane state that a gateway holds after a change.
+
+    Times are in microseconds since the start of the run.
+    """
 
     at: int
     gateway: int
-    start: int  # counts the starts of the gateway's process
+    start: int  # number of the start of the gateway's process
     revision: int
-    version: int  # of the configuration; 0 if there is none
+    version: int  # version of the configuration; 0 if there is none
     order: int  # the order that made the configuration, read from its marker route; 0 if there is none
     evacuated: frozenset[str]
     told_by: str  # peer address of the control node that sent the change
-    first: bool  # the gateway had no catalog since its start
+    first: bool  # whether it is the gateway's first catalog since its start
 
 
 class GatewayMachine:
-    """A machine that runs the control side of a gateway: its links to control nodes and its view."""
+    """Runs the part of a gateway that gets configuration and server state from the control nodes."""
 
     def __init__(
         self,
@@ -253,14 +256,14 @@
         return self.process is not None and self.process.running
 
     def boot(self) -> None:
-        """Starts the process with an empty view."""
+        """Starts a process that has not yet received any control-plane state."""
         process = Process(f"{self.name}.{self.starts}")
         self.starts += 1
         self.process = self.endpoint.process = process
         process.run(self._start)
 
     def kill(self) -> None:
-        """Kills the process."""
+        """Ends the process, if one runs, and closes its network connections."""
         if self.process is not None:
             self.process.end()
         self.process = self.endpoint.process = None
@@ -332,7 +335,7 @@
 
 
 def _ignore_notices(_notices: PrefixNotices) -> None:
-    """Ignores prefix notices, which are cache hints: no actor sends prompts."""
+    """Ignores hints on cached prompt prefixes, since no actor sends prompts."""
 
 
 def leading_machine(machines: Iterable[ControlMachine]) -> ControlMachine | None:
--- a/brackenladder/soak/actors.py
+++ b/brackenladder/soak/actors.py
@@ -32,13 +32,13 @@
     """Behaviour of an actor process."""
 
     async def start(self) -> None:
-        """Starts the actor."""
+        """Begins the work of the actor; once this has returned, the actor counts as ready for orders."""
 
     def order(self, order: Order) -> Awaitable[None] | None:
         """Executes an order of the soak runner; returns an awaitable if it takes time."""
 
     async def stop(self) -> None:
-        """Stops the actor."""
+        """Ends the work of the actor; called once, after its last order has ended or was cancelled."""
 
 
 ACTORS: dict[str, Callable[[SoakLayout, str, str, Record], Actor]] = {
@@ -88,7 +88,7 @@
 
 
 async def _record_lags(name: str, journal: Journal) -> None:
-    """Records periods in which this process was not scheduled; flushes the journal regularly."""
+    """Records periods in which the kernel did not schedule this process; also flushes the journal."""
     flushed = before = now()
     while True:
         await asyncio.sleep(LAG_CHECK_SECONDS)
--- a/brackenladder/soak/checker.py
+++ b/brackenladder/soak/checker.py
@@ -20,8 +20,10 @@
 DRAIN = round(DEFAULT_BOUNDS.drain_ms * 1000)  # microseconds
 EVACUATE = round(DEFAULT_BOUNDS.evacuate_ms * 1000)
 LOSS_SLACK = round(DEFAULT_BOUNDS.loss_slack_ms * 1000)
-USED_DEADLINE_SHARE = 0.7  # of a deadline; a connection closed after that is not blamed on planned work
-SERVED_WINDOW = 3_000_000  # microseconds after a recovery in which clients must be served
+# Rule LOST requires a complete answer to each fully sent request. A connection that closes after this share
+# of the request's deadline does not break the rule.
+USED_DEADLINE_SHARE = 0.7
+SERVED_WINDOW = 3_000_000  # microseconds after the recovery in which each region's clients must get answers
 SERVED_SHARE = 0.25
 T = TypeVar("T")
 
@@ -46,7 +48,7 @@
 
 @frozen
 class Breach:
-    """A violation of a rule."""
+    """A violation of a rule: which rule, when, and what was observed."""
 
     rule: Rule
     at: int  # microseconds of the monotonic clock; 0 if it has no time
@@ -68,7 +70,7 @@
 
     @property
     def held(self) -> bool:
-        """Whether no rule was violated."""
+        """Whether all rules held."""
         return not self.breaches
 
     def add(self, rule: Rule, at: int, detail: str) -> None:
@@ -239,7 +241,8 @@
     def _late(self, rule: Rule, arrival: seen.Arrived, detail: str) -> None:
         """Adds a violation for a late arrival.
 
-        Excused if the gateway was out of contact or the server's actor was delayed.
+        Excused if the gateway was out of contact with the control plane, or if the server's actor may have
+        recorded the arrival too late.
         """
         if self._refusals.get((arrival.request, arrival.server)) == HTTPStatus.MISDIRECTED_REQUEST:
             return
@@ -271,7 +274,7 @@
     # -- planned work
 
     def _check_losses(self) -> None:
-        """LOST: a completely sent request gets a complete answer unless unplanned faults are near."""
+        """LOST: a fully sent request gets a complete answer unless an unplanned fault is active or recent."""
         for tried in self._tries.values():
             if not tried.read:
                 continue
--- a/brackenladder/sockets/listener.py
+++ b/brackenladder/sockets/listener.py
@@ -45,7 +45,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def is_busy(self) -> bool:
-        """Whether requests are open or wait, or nothing more is read."""
+        """Whether a request is open or waiting, or reading has stopped."""
         raise NotImplementedError
 
     def has_partial_request(self) -> bool:
@@ -64,7 +64,7 @@
         return bool(self.transport is not None and self.transport.get_write_buffer_size())
 
     def gone(self) -> bool:
-        """Whether the client has closed the connection, which may not have been read from the socket yet."""
+        """Whether the client has closed the connection, even if the event loop has not reported it yet."""
         if self.transport is None or self.transport.is_closing():
             return True
         poll = select.poll()
@@ -97,7 +97,8 @@
         self.sock: socket.socket | None = None
         self.shared = False  # the socket is also used by the predecessor process and the successor
         self.accepting = False
-        self.recheck_timer: asyncio.TimerHandle | None = None  # until a connection may have become evictable
+        # Calls `recheck` when a connection may have become evictable.
+        self.recheck_timer: asyncio.TimerHandle | None = None
         self.attach_tasks: set[asyncio.Task[None]] = set()
 
     def start(self, address: Address) -> None:
@@ -140,10 +141,11 @@
         self.listen()
 
     def find_evictable(self) -> AcceptedConnection | None:
-        """The connection to close in favour of a new one: without any request, else idle, else stalled.
+        """The connection to close for a new one: preferably without any request, else idle, else stalled.
 
-        Among those of a kind, the one that has been inactive longest. Hundreds of clients that send nothing,
-        or half a request, must not push out clients that are served or have just been accepted.
+        Of several such connections, the one that has been inactive longest is closed. Hundreds of clients
+        that send nothing, or half a request, must not push out clients that are served or have just been
+        accepted.
         """
         now = self.loop.time()
         evictable = [
@@ -206,7 +208,8 @@
         connection = self.make_connection()
         self.connections.add(connection)
         task = self.loop.create_task(self.attach(connection, accepted))
-        # The loop holds only a weak reference, so that the task could be collected before its end.
+        # The loop holds only a weak reference to the task, which could otherwise be garbage-collected while
+        # it runs.
         self.attach_tasks.add(task)
         task.add_done_callback(self.attach_tasks.discard)
 
--- a/brackenladder/sockets/operator_listener.py
+++ b/brackenladder/sockets/operator_listener.py
@@ -17,7 +17,7 @@
 
 
 class OperatorConnection(AcceptedConnection):
-    """An operator's connection."""
+    """Reads one line from an operator, writes the response, and closes the connection at a timeout."""
 
     def __init__(self, owner: OperatorListener) -> None:
         super().__init__(owner.loop.time())
@@ -47,7 +47,7 @@
             self.respond(self.owner.answer(line))
 
     def eof_received(self) -> bool:
-        """The end of the client's sending also ends the line."""
+        """Treats the end of the client's input as the end of its line."""
         if not self.answered:
             self.respond(self.owner.answer(self.line))
         return True
--- a/brackenladder/storage/handover.py
+++ b/brackenladder/storage/handover.py
@@ -1,6 +1,7 @@
 """The handover file, in which a process leaves the server list for the process that replaces it.
 
-It is in the same folder as the holds file, is rewritten about once a second, and is used only while fresh.
+It is in the same folder as the file of suspended servers and is rewritten about once a second. A file older
+than `MAX_AGE` is ignored.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 FILE_NAME = "brackenladder-handover.json"
 FORMAT = 1
-MAX_FILE_BYTES = 4 << 20  # bytes
+MAX_FILE_BYTES = 4 << 20  # larger handover files are rejected
 MAX_AGE = 10_000_000  # microseconds; an older file is ignored
 
 
--- a/brackenladder/storage/holds.py
+++ b/brackenladder/storage/holds.py
@@ -1,4 +1,4 @@
-"""The holds file, in which the processes of one node share which servers operators hold out of service.
+"""The holds file, in which the processes of one node share which servers operators have suspended.
 
 It is in the node's private folder, outlives a process that is replaced, and is removed with the node.
 """
@@ -15,19 +15,20 @@
 
 FILE_NAME = "brackenladder-holds.json"
 FORMAT = 1
-MAX_FILE_BYTES = 1 << 20  # bytes
+MAX_FILE_BYTES = 1 << 20  # larger files are rejected
 
 
 class HoldsError(Exception):
-    """The file cannot be read or written. The message is one line."""
+    """The file of suspended servers cannot be read or written. The message is one line."""
 
 
 class HoldsFile:
-    """The holds file in `folder`."""
+    """The file in `folder` that records the servers suspended by operators (holds)."""
 
     def __init__(self, folder: str) -> None:
         self.path = os.path.join(folder, FILE_NAME)
-        self.last_stamp: tuple[int, int, int] | None = None  # of the file as last read or written here
+        # Identifies the version of the file that this process last read or wrote.
+        self.last_stamp: tuple[int, int, int] | None = None
 
     @contextmanager
     def locked(self) -> Iterator[None]:
@@ -54,7 +55,7 @@
         return self.stamp() != self.last_stamp
 
     def read(self) -> dict[str, Hold]:
-        """Returns the holds by server; empty if there is no file. Raises HoldsError for an invalid file."""
+        """Returns the suspensions by server id; none without a file. Raises HoldsError if it is invalid."""
         self.last_stamp = self.stamp()
         if self.last_stamp is None:
             return {}
@@ -73,7 +74,7 @@
             raise HoldsError("holds: not a valid holds file") from None
 
     def write(self, holds: Mapping[str, Hold]) -> None:
-        """Writes the holds atomically. Raises HoldsError if that fails; the file is then unchanged."""
+        """Writes the suspensions atomically. Raises HoldsError if that fails; the file is then unchanged."""
         table = {
             "format": FORMAT,
             "holds": {server: [hold.since, hold.until] for server, hold in holds.items()},
--- a/brackenladder/system/store_report.py
+++ b/brackenladder/system/store_report.py
@@ -29,11 +29,11 @@
     format: int
     term: int
     voted_for: str
-    snapshot_index: int  # 0 if there is no snapshot
+    snapshot_index: int  # index of the last log entry in the snapshot; 0 if there is none
     snapshot_bytes: int
     first_index: int
     last_index: int
-    entries: dict[str, int]  # by kind
+    entries: dict[str, int]  # number of log entries by kind
     entry_bytes: int
     members: Members
     revision: int
@@ -63,7 +63,7 @@
         }
 
     def lines(self) -> list[str]:
-        """Returns the readable lines."""
+        """Returns the lines that are printed without `--json`."""
         kinds = ", ".join(f"{count} {kind}" for kind, count in self.entries.items()) or "none"
         snapshot = f"at {self.snapshot_index}, {self.snapshot_bytes} bytes" if self.snapshot_index else "none"
         return [
@@ -125,7 +125,7 @@
             members = decode_members(entry.data)
         command = assembler.take(entry)
         if command is not None:
-            decode_order(command)  # raises for an unknown order, which `apply` would only count as invalid
+            decode_order(command)  # raises for an unknown command, which `apply` would only count as invalid
             catalog.apply(entry.index, command)
     return members
 
--- a/brackenladder/transport/memory_link.py
+++ b/brackenladder/transport/memory_link.py
@@ -17,16 +17,16 @@
 class Event:
     """An event that happens when the test delivers it. Cuts don't delay events from a node to itself."""
 
-    sender: str  # name of the node that sent it
-    receiver: str  # name of the node where it takes effect
+    sender: str  # name of the node that caused the event
+    receiver: str  # name of the node where the event takes effect
 
     @property
     def direction(self) -> tuple[str, str]:
-        """Sender and receiver. Events of one direction happen in the order in which they were queued."""
+        """Sender and receiver of the event. Events with the same two happen in the order they were queued."""
         return self.sender, self.receiver
 
     def happen(self) -> None:
-        """Applies the event."""
+        """Called when the test network delivers the event, to carry out its effect."""
         raise NotImplementedError
 
 
@@ -56,7 +56,7 @@
         self.peer = ""
         self.version = 0
         self.opened = False
-        self.was_reset = False  # messages that it sent and that are still in transit are lost
+        self.was_reset = False  # if true, messages in transit from this end are lost
         self.queued_bytes = 0
         self._codec = codec
         self._limits = limits
@@ -68,7 +68,7 @@
 
     @property
     def time_since_receive(self) -> int:
-        """Always 0: this transport doesn't measure silence."""
+        """Always 0: what is sent arrives, or the link ends, so there is no silence to measure."""
         return 0
 
     def attach(self, other: MemoryLink, remote: str, version: int) -> None:
@@ -80,7 +80,7 @@
 
     @property
     def other(self) -> MemoryLink:
-        """The other end."""
+        """The end of this link at the other node."""
         assert self._other is not None
         return self._other
 
@@ -163,7 +163,7 @@
 
 @frozen(eq=False)
 class Opening(Event):
-    """The completion of the handshake at one end, `link`."""
+    """The handshake is complete at `link`, one of the two ends."""
 
     link: MemoryLink
 
@@ -174,7 +174,7 @@
 
 @frozen(eq=False)
 class Delivery(Event):
-    """The arrival of a message from `source` at the other end."""
+    """A message sent by the end `source` arrives at the other end."""
 
     source: MemoryLink
     payload: object
@@ -189,7 +189,7 @@
 
 @frozen(eq=False)
 class Ending(Event):
-    """The end of a link at one end, `link`."""
+    """The link closes at `link`, one of the two ends."""
 
     link: MemoryLink
     reason: LinkClosed
--- a/tests/fleet/test_model.py
+++ b/tests/fleet/test_model.py
@@ -125,8 +125,8 @@
 def test_scenarios_that_are_too_large_are_rejected(tmp_path, capsys):
     file = tmp_path / "large.toml"
     for where, size, wrong in (
-        ("sockets", "nodes = 41", "nodes: 41, and sockets take 40: play it with --in model"),
-        ("sockets", "[servers]\ncount = 201", "servers.count: 201, and sockets take 200"),
+        ("sockets", "nodes = 41", "nodes: 41, but sockets allow 40: run it with --in model"),
+        ("sockets", "[servers]\ncount = 201", "servers.count: 201, but sockets allow 200"),
         ("model", "nodes = 2000\n[servers]\ncount = 10000", "servers they would take 17 GB"),
         ("model", "length_s = 3000\n[clients]\nrate = 600", "clients.rate: one run would take 10 GB"),
     ):
