--- a/brackenladder/cli/__init__.py
+++ b/brackenladder/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `python -m brackenladder`; one file a command."""
+"""The commands of `python -m brackenladder`."""
--- a/brackenladder/cli/control.py
+++ b/brackenladder/cli/control.py
@@ -1,4 +1,4 @@
-"""`show`, `plan` and `apply`: a running node's state, what a file would change, and the change."""
+"""The commands `show`, `plan` and `apply`: show a node's state, plan a change, and apply the plan."""
 
 from __future__ import annotations
 
@@ -17,42 +17,42 @@
 from brackenladder.control.plan import LARGEST_PLAN, Live, Plan, Refused, planned, read, written
 from brackenladder.control.state import LARGEST_FILE, StateError, parse, warnings
 
-VERSION = 1
-PATIENCE = 20.0  # seconds for a node to answer
-LARGEST_ANSWER = 64 << 20  # bytes
-NOTHING, FAILED, CHANGES = 0, 1, 2  # exit codes of `plan`
+PROTOCOL_VERSION = 1
+ANSWER_TIMEOUT_SECONDS = 20.0
+MAX_ANSWER_BYTES = 64 << 20
+SUCCESS, FAILED, CHANGES_FOUND = 0, 1, 2  # exit codes; the last one only of `plan`
 COLOURS = {"+": "green", "-": "red", "~": "yellow"}
 
 nodes_option = click.option(
-    "--node", "nodes", multiple=True, required=True, help="A node's control socket; several times."
+    "--node", "nodes", multiple=True, required=True, help="Control socket of a node. May be repeated."
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="Prints JSON.")
 
 
 class NodeError(Exception):
-    """A node did not answer, or refused; the text is one line."""
+    """A node did not answer or refused the call. The text is one line."""
 
 
-def call_node(node: str, do: str, plan: str = "") -> dict[str, Any]:
-    """One line to a node's socket and its answer."""
-    line = msgspec.json.encode({"version": VERSION, "do": do, "plan": plan}) + b"\n"
+def call_node(node: str, action: str, plan: str = "") -> dict[str, Any]:
+    """Sends one line to a node's control socket and returns the answer."""
+    line = msgspec.json.encode({"version": PROTOCOL_VERSION, "do": action, "plan": plan}) + b"\n"
     data = bytearray()
     try:
-        with socket.socket(socket.AF_UNIX) as sock:
-            sock.settimeout(PATIENCE)
-            sock.connect(node)
-            sock.sendall(line)
-            while not data.endswith(b"\n") and len(data) <= LARGEST_ANSWER:
-                piece = sock.recv(1 << 16)
-                if not piece:
+        with socket.socket(socket.AF_UNIX) as connection:
+            connection.settimeout(ANSWER_TIMEOUT_SECONDS)
+            connection.connect(node)
+            connection.sendall(line)
+            while not data.endswith(b"\n") and len(data) <= MAX_ANSWER_BYTES:
+                chunk = connection.recv(1 << 16)
+                if not chunk:
                     break
-                data += piece
+                data += chunk
     except OSError as e:
         raise NodeError(f"{node}: {e.strerror or e}") from None
     try:
         answer: dict[str, Any] = msgspec.json.decode(bytes(data))
     except msgspec.DecodeError:
-        raise NodeError(f"{node}: no whole answer") from None
+        raise NodeError(f"{node}: incomplete answer") from None
     if not answer.pop("ok", False):
         raise NodeError(f"{node}: {answer.get('why', 'refused')}")
     return answer
@@ -62,10 +62,10 @@
     try:
         return msgspec.convert(call_node(node, "live")["live"], Live)
     except msgspec.ValidationError as e:
-        raise NodeError(f"{node}: not this build's answer: {e}") from None
+        raise NodeError(f"{node}: the answer of another build: {e}") from None
 
 
-def lines_of(changes: Any) -> Text:
+def format_changes(changes: Any) -> Text:
     text = Text()
     for change in changes:
         line = change.line()
@@ -76,9 +76,9 @@
 @click.command()
 @nodes_option
 @json_option
-@click.option("--history", is_flag=True, help="The changes that were applied since the node's start.")
+@click.option("--history", is_flag=True, help="Also prints the changes applied since the node's start.")
 def show(nodes: tuple[str, ...], as_json: bool, history: bool) -> int:
-    """The running state of nodes: pools, routes, and what is open."""
+    """Prints the running state of nodes: pools, routes and open calls."""
     console = Console(highlight=False)
     for node in nodes:
         try:
@@ -103,98 +103,104 @@
                 markup=False,
                 soft_wrap=True,
             )
-    return NOTHING
+    return SUCCESS
 
 
 @click.command()
 @click.argument("file")
 @nodes_option
-@click.option("--out", help="Writes the plan here, for `apply`.")
-@click.option("--allow-empty", multiple=True, metavar="POOL", help="A pool that may have no server.")
+@click.option("--out", help="Writes the plan to this file, for `apply`.")
+@click.option("--allow-empty", multiple=True, metavar="POOL", help="A pool that may have no servers.")
 @json_option
 def plan(
     file: str, nodes: tuple[str, ...], out: str | None, allow_empty: tuple[str, ...], as_json: bool
 ) -> int:
-    """Every difference between FILE and running nodes, and what it would do to service.
+    """Lists all differences between FILE and running nodes, and their effect on service.
 
-    Exit code 0: nothing to change. 2: changes. 1: an error, or a change that a node would refuse.
+    Exit code 0: no changes. 2: changes. 1: an error, or a change that a node would refuse.
     """
     try:
-        with open(file, "rb") as opened:
-            desired = parse(opened.read(LARGEST_FILE + 1))
-        lives = {node: fetch_live(node) for node in nodes}
-        first, *others = lives
+        with open(file, "rb") as input_file:
+            desired = parse(input_file.read(LARGEST_FILE + 1))
+        live_states = {node: fetch_live(node) for node in nodes}
+        first, *others = live_states
         for node in others:
-            apart = differences(lives[first].state, lives[node].state)
-            if apart:
-                keys = ", ".join(".".join(change.key) for change in apart[:5])
-                raise NodeError(f"{node} differs from {first}: {keys}: one plan cannot fit both")
-        plans = {node: planned(live, desired, allow_empty) for node, live in lives.items()}
+            differing = differences(live_states[first].state, live_states[node].state)
+            if differing:
+                keys = ", ".join(".".join(change.key) for change in differing[:5])
+                raise NodeError(f"{node} differs from {first}: {keys}: one plan cannot apply to both")
+        plans = {node: planned(live, desired, allow_empty) for node, live in live_states.items()}
     except (StateError, NodeError) as e:
-        return wrong("plan", f"{file}: {e}" if isinstance(e, StateError) else str(e))
+        return report_error("plan", f"{file}: {e}" if isinstance(e, StateError) else str(e))
     except OSError as e:
-        return wrong("plan", f"{file}: {e.strerror}")
-    # One for all: of the verdicts the worst stands in it.
-    found = next((made for made in plans.values() if made.findings), plans[first])
+        return report_error("plan", f"{file}: {e.strerror}")
+    # One plan is reported for all nodes: one with findings, if any node has findings.
+    chosen_plan = next((node_plan for node_plan in plans.values() if node_plan.findings), plans[first])
     if as_json:
-        click.echo(written(found).decode().rstrip())
+        click.echo(written(chosen_plan).decode().rstrip())
     else:
         console = Console(highlight=False)
         for text in warnings(desired):
             console.print(f"warning: {text}", markup=False)
-        console.print(f"state {found.base} to {found.result}: {len(found.changes)} differences", markup=False)
-        console.print(lines_of(found.changes), end="", soft_wrap=True)
-        for name in found.allow_empty:
+        console.print(
+            f"state {chosen_plan.base} to {chosen_plan.result}: {len(chosen_plan.changes)} differences",
+            markup=False,
+        )
+        console.print(format_changes(chosen_plan.changes), end="", soft_wrap=True)
+        for name in chosen_plan.allow_empty:
             console.print(f"  pool {name} may be empty", markup=False)
-        for finding in found.findings:
+        for finding in chosen_plan.findings:
             console.print(f"refused: {finding.text}", markup=False, soft_wrap=True)
-    if out and not found.findings:
+    if out and not chosen_plan.findings:
         try:
-            Path(out).write_bytes(written(found))
+            Path(out).write_bytes(written(chosen_plan))
         except OSError as e:
-            return wrong("plan", f"{out}: {e.strerror}")
-    if found.findings:
+            return report_error("plan", f"{out}: {e.strerror}")
+    if chosen_plan.findings:
         return FAILED
-    return CHANGES if found.changes else NOTHING
+    return CHANGES_FOUND if chosen_plan.changes else SUCCESS
 
 
 @click.command()
 @click.argument("file")
 @nodes_option
-@click.option("--yes", is_flag=True, help="Does not ask.")
+@click.option("--yes", is_flag=True, help="Does not ask for confirmation.")
 def apply(file: str, nodes: tuple[str, ...], yes: bool) -> int:
-    """Does exactly what the plan FILE says, at one node after the other; the first refusal ends it.
+    """Applies the plan FILE at one node after the other, until the first refusal.
 
-    Exit code 0: done at all nodes. 1: refused; what was done and what was not is said.
+    Exit code 0: applied at all nodes. 1: refused; the nodes done and not tried are printed.
     """
     try:
-        with open(file, "rb") as opened:
-            data = opened.read(LARGEST_PLAN + 1)
-        made: Plan = read(data)
+        with open(file, "rb") as input_file:
+            data = input_file.read(LARGEST_PLAN + 1)
+        change_plan: Plan = read(data)
     except OSError as e:
-        return wrong("apply", f"{file}: {e.strerror}")
+        return report_error("apply", f"{file}: {e.strerror}")
     except Refused as e:
-        return wrong("apply", f"{file}: {e}")
+        return report_error("apply", f"{file}: {e}")
     console = Console(highlight=False)
-    console.print(lines_of(made.changes), end="", soft_wrap=True)
+    console.print(format_changes(change_plan.changes), end="", soft_wrap=True)
     if not yes:
         if not sys.stdin.isatty():
-            return wrong("apply", "not on a terminal: --yes says that nobody is to be asked")
-        click.confirm(f"Apply {len(made.changes)} differences at {len(nodes)} nodes?", abort=True)
-    done: list[str] = []
+            return report_error("apply", "not on a terminal to ask for confirmation: give --yes")
+        click.confirm(f"Apply {len(change_plan.changes)} differences at {len(nodes)} nodes?", abort=True)
+    finished: list[str] = []
     for node in nodes:
         try:
             answer = call_node(node, "apply", data.decode())
         except NodeError as e:
             click.echo(f"brackenladder: apply: {e}", err=True)
-            left = nodes[len(done) + 1 :]
-            click.echo(f"done: {', '.join(done) or 'none'}; not tried: {', '.join(left) or 'none'}", err=True)
+            not_tried = nodes[len(finished) + 1 :]
+            click.echo(
+                f"done: {', '.join(finished) or 'none'}; not tried: {', '.join(not_tried) or 'none'}",
+                err=True,
+            )
             return FAILED
-        done.append(node)
+        finished.append(node)
         console.print(f"{node}: state {answer['digest']}", markup=False)
-    return NOTHING
+    return SUCCESS
 
 
-def wrong(command: str, text: str) -> int:
+def report_error(command: str, text: str) -> int:
     click.echo(f"brackenladder: {command}: {text}", err=True)
     return FAILED
--- a/brackenladder/cli/demo.py
+++ b/brackenladder/cli/demo.py
@@ -1,4 +1,4 @@
-"""`demo`: one node before four stand-in servers, until Ctrl-C."""
+"""The command `demo`: one node in front of four stand-in servers, until Ctrl-C."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 
 
 @click.command()
-@click.option("--node", "command", default="", help="The command of the node, in place of this build's own.")
+@click.option(
+    "--node", "command", default="", help="The command that starts the node, instead of this build's own."
+)
 def demo(command: str) -> int:
-    """Runs one node before four stand-in servers until Ctrl-C, and prints a line to try."""
+    """Runs one node in front of four stand-in servers until Ctrl-C, and prints a command to try."""
 
-    def told(address: str) -> None:
-        click.echo(f"a node listens at {address}, with four servers behind it; try:\n")
+    def print_hint(address: str) -> None:
+        click.echo(f"a node listens on {address}, with four servers behind it; try:\n")
         click.echo(
             "  curl -i -H \"X-Call-Id: $(od -An -N8 -tx8 /dev/urandom | tr -d ' ')\" -H 'X-Caller: acme'"
             f" -H 'X-Budget-Ms: 3000' 'http://{address}/view?obj=7f'\n"
@@ -31,7 +33,7 @@
 
     with tempfile.TemporaryDirectory(prefix="demo-") as folder, suppress(KeyboardInterrupt):
         try:
-            asyncio.run(stand(SCENARIO, command, Path(folder), told))
+            asyncio.run(stand(SCENARIO, command, Path(folder), print_hint))
         except (NodeError, RunError) as e:
             click.echo(f"brackenladder: demo: {e}", err=True)
             return 1
--- a/brackenladder/cli/gate.py
+++ b/brackenladder/cli/gate.py
@@ -1,4 +1,4 @@
-"""`gate`: the days of the standing fleet test in virtual time, and whether a version passes."""
+"""The command `gate`: the days of the standing fleet test in virtual time, and whether this build passes."""
 
 from __future__ import annotations
 
@@ -23,38 +23,41 @@
 from brackenladder.fleet.variants import OWN, files_of, policies
 from brackenladder.rehearsal.checker import RULES
 
-MOST_SEEDS = 10_000  # of one call
-MOST_NODES = 2_000
+MAX_SEEDS = 10_000  # in one range
+MAX_NODES = 2_000
 
 
-def seeds_of(text: str) -> list[int]:
-    """`3`, `1-50` or `1-3,7`. A ClickException if it is none of these."""
+def parse_seeds(text: str) -> list[int]:
+    """Parses `3`, `1-50` or `1-3,7`. Raises ClickException for anything else."""
     found: list[int] = []
     for part in text.split(","):
         match = re.fullmatch(r"(\d{1,9})(?:-(\d{1,9}))?", part.strip())
         first, last = (int(match[1]), int(match[2] or match[1])) if match else (1, 0)
-        if last < first or last - first >= MOST_SEEDS:
+        if last < first or last - first >= MAX_SEEDS:
             raise click.ClickException(
-                f"--seeds: '{part}' is no seed and no range, as 1-50, of {MOST_SEEDS} at most"
+                f"--seeds: '{part}' is neither a seed nor a range such as 1-50 of at most {MAX_SEEDS}"
             )
         found += range(first, last + 1)
     return sorted(set(found))
 
 
 @click.command()
-@click.option("--seeds", default="1-5", help="As 1-50, or 3,7.")
-@click.option("--nodes", type=click.IntRange(LEAST_NODES, MOST_NODES), default=200, help="Of all tiers.")
-@click.option("--day", "days", multiple=True, type=click.Choice(DAYS), help="One day only; several times.")
-@click.option("--policy", type=click.Choice(policies()), default=OWN, help="Who decides in the nodes.")
-@click.option("--jobs", type=click.IntRange(min=1, max=256), default=None, help="Runs at a time; all cores.")
-@click.option("--results", default="", help="An SQLite file that is continued if it is there.")
+@click.option("--seeds", default="1-5", help="Such as 1-50, or 3,7.")
 @click.option(
-    "--shrink", "folder", default="", help="A folder: makes each schedule that broke a rule smaller."
+    "--nodes", type=click.IntRange(LEAST_NODES, MAX_NODES), default=200, help="Number of nodes in all tiers."
 )
+@click.option("--day", "days", multiple=True, type=click.Choice(DAYS), help="Only this day. May be repeated.")
+@click.option("--policy", type=click.Choice(policies()), default=OWN, help="The policy that the nodes use.")
 @click.option(
-    "--write", default="", help="A folder: writes the days as scenarios for `rehearse`; plays nothing."
+    "--jobs",
+    type=click.IntRange(min=1, max=256),
+    default=None,
+    help="Parallel runs. Default: one for each core.",
 )
-@click.option("--json", "json_file", type=click.Path(dir_okay=False), help="Writes all that was found.")
+@click.option("--results", default="", help="SQLite file for results. An existing one is continued.")
+@click.option("--shrink", "folder", default="", help="Folder for a minimised schedule of each broken rule.")
+@click.option("--write", default="", help="Only writes the days to this folder, as scenarios for `rehearse`.")
+@click.option("--json", "json_file", type=click.Path(dir_okay=False), help="Writes all results to this file.")
 def gate(
     seeds: str,
     nodes: int,
@@ -66,45 +69,50 @@
     write: str,
     json_file: str | None,
 ) -> int:
-    """Plays the days of the standing fleet test over SEEDS and says whether this build passes.
+    """Runs the days of the standing fleet test with all seeds, and reports whether this build passes.
 
-    Exit code 0: passed. 1: failed. 2: it cannot be run.
+    Exit code 0: passed. 1: failed. 2: invalid input.
     """
-    numbers = seeds_of(seeds)
+    seed_numbers = parse_seeds(seeds)
     if json_file and not Path(json_file).absolute().parent.is_dir():
         raise click.ClickException(f"{json_file}: no such folder")
     console = Console(highlight=False)
     names = [name for name in DAYS if name in days or not days]
     if write:
-        return written(write, names, numbers, nodes)
-    beside = dict.fromkeys((policy, LATE, PLAIN))
-    todo: list[tuple[Cell, Run, int]] = [
-        ((("day", name), ("policy", who)), Run(day(name, seed, nodes), who, "", {}), seed)
-        for seed in numbers
+        return write_scenarios(write, names, seed_numbers, nodes)
+    compared_policies = dict.fromkeys((policy, LATE, PLAIN))
+    planned_runs: list[tuple[Cell, Run, int]] = [
+        ((("day", name), ("policy", policy_name)), Run(day(name, seed, nodes), policy_name, "", {}), seed)
+        for seed in seed_numbers
         for name in names
-        for who in beside
-        if who != PLAIN or name == "calm" or who == policy
+        for policy_name in compared_policies
+        if policy_name != PLAIN or name == "calm" or policy_name == policy
     ]
     try:
-        kept = Results(results or ":memory:")
-        kept.claim(
+        stored = Results(results or ":memory:")
+        stored.claim(
             f"gate at {nodes} nodes",
             digest_of(day(DAYS[0], 0, nodes), [path.read_bytes() for path in files_of("")]),
         )
-        go(console, kept, [job for job in todo if not kept.has(job[0], job[2])], jobs or 0)
+        run_missing(
+            console, stored, [run for run in planned_runs if not stored.has(run[0], run[2])], jobs or 0
+        )
         rows = {
-            (dict(cell)["day"], dict(cell)["policy"], seed): read(f, v) for cell, seed, f, v in kept.rows()
+            (dict(cell)["day"], dict(cell)["policy"], seed): restore_run(values, rules)
+            for cell, seed, values, rules in stored.rows()
         }
     except ResultsError as e:
         raise click.ClickException(str(e)) from None
-    kept.close()
+    stored.close()
     verdicts: dict[tuple[str, int], Judged] = {}
     for name in names:
-        for seed in numbers:
-            others = {who: rows[name, who, seed] for who in (LATE, PLAIN) if (name, who, seed) in rows}
+        for seed in seed_numbers:
+            others = {
+                other: rows[name, other, seed] for other in (LATE, PLAIN) if (name, other, seed) in rows
+            }
             verdicts[name, seed] = judge(name, rows[name, policy, seed], others)
-            line(console, name, seed, rows[name, policy, seed], verdicts[name, seed])
-    summary(console, names, numbers, verdicts)
+            print_run(console, name, seed, rows[name, policy, seed], verdicts[name, seed])
+    print_summary(console, names, seed_numbers, verdicts)
     if json_file:
         table = [
             {"day": name, "seed": seed, "judged": judged, "played": rows[name, policy, seed]}
@@ -114,18 +122,18 @@
             Path(json_file).write_bytes(msgspec.json.format(msgspec.json.encode(table), indent=1) + b"\n")
         except OSError as e:
             raise click.ClickException(f"{json_file}: {e.strerror}") from None
-    failed = [(name, seed, wrong) for (name, seed), judged in verdicts.items() for wrong in judged.wrong]
+    failed = [(name, seed, problem) for (name, seed), judged in verdicts.items() for problem in judged.wrong]
     if folder:
-        shrink(console, folder, failed, nodes, policy)
-    for name, seed, wrong in failed:
-        console.print(f"GATE failed: {wrong}, standing-{name}, seed {seed}", soft_wrap=True)
+        write_minimised(console, folder, failed, nodes, policy)
+    for name, seed, problem in failed:
+        console.print(f"GATE failed: {problem}, standing-{name}, seed {seed}", soft_wrap=True)
     if not failed:
         console.print("GATE passed")
     return 1 if failed else 0
 
 
-def written(folder: str, names: list[str], seeds: list[int], nodes: int) -> int:
-    """The days as scenario files; each is played as here with its seed."""
+def write_scenarios(folder: str, names: list[str], seeds: list[int], nodes: int) -> int:
+    """Writes the days as scenario files, and prints the command that runs each with its seed."""
     try:
         corpus = Corpus(folder)
         for name in names:
@@ -137,33 +145,35 @@
     return 0
 
 
-def go(console: Console, kept: Results, missing: list[tuple[Cell, Run, int]], workers: int) -> None:
-    """Plays what is missing; each run is kept as it ends."""
+def run_missing(
+    console: Console, stored: Results, missing: list[tuple[Cell, Run, int]], worker_count: int
+) -> None:
+    """Runs what has no stored result yet, and stores each run as it ends."""
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn())
     with Progress(*columns, console=console, disable=not console.is_terminal) as progress:
         task = progress.add_task("gate", total=len(missing))
         jobs: Iterator[tuple[Cell, Run, int]] = iter(missing)
-        for done in played(jobs, workers) if missing else ():
-            kept.add(done.cell, done.seed, figures(done), {}, done.verdicts, done.seconds)
+        for done in played(jobs, worker_count) if missing else ():
+            stored.add(done.cell, done.seed, stored_figures(done), {}, done.verdicts, done.seconds)
             progress.advance(task)
 
 
-def figures(done: Done) -> dict[str, float]:
-    """A run's figures as they are kept."""
-    table = {"faults": float(done.faults), "nearest": done.figures["cold"]}
+def stored_figures(done: Done) -> dict[str, float]:
+    """Returns the figures of a run in the form in which they are stored."""
+    values = {"faults": float(done.faults), "nearest": done.figures["cold"]}
     for name, (share, weight) in done.worths.items():
-        table |= {f"worth {name}": share, f"weight {name}": weight}
-    return table
+        values |= {f"worth {name}": share, f"weight {name}": weight}
+    return values
 
 
-def read(kept: dict[str, float], verdicts: dict[str, str]) -> Played:
-    """The run that was kept so."""
-    names = [key.removeprefix("worth ") for key in kept if key.startswith("worth ")]
-    worths = {name: (kept[f"worth {name}"], kept[f"weight {name}"]) for name in names}
-    return Played(worths, verdicts, kept["nearest"], int(kept["faults"]))
+def restore_run(values: dict[str, float], verdicts: dict[str, str]) -> Played:
+    """Returns the run that `stored_figures` was given, from its stored form."""
+    names = [key.removeprefix("worth ") for key in values if key.startswith("worth ")]
+    worths = {name: (values[f"worth {name}"], values[f"weight {name}"]) for name in names}
+    return Played(worths, verdicts, values["nearest"], int(values["faults"]))
 
 
-def line(console: Console, name: str, seed: int, run: Played, judged: Judged) -> None:
+def print_run(console: Console, name: str, seed: int, run: Played, judged: Judged) -> None:
     rules = ", ".join(f"{rule} {run.verdicts[rule]}" for rule in RULES)
     console.print(
         f"{name:5s} {seed:4d}  served {judged.served:.3f} (gate {judged.wanted:.3f})  {rules},"
@@ -172,39 +182,39 @@
     )
 
 
-def summary(
+def print_summary(
     console: Console, names: list[str], seeds: list[int], verdicts: dict[tuple[str, int], Judged]
 ) -> None:
     table = Table(title=f"{len(verdicts)} days", title_justify="left")
     for heading in ("day", "seeds", "served, mean", "least", "least above its gate", "failed"):
         table.add_column(heading, justify="left" if heading == "day" else "right")
     for name in names:
-        found = [verdicts[name, seed] for seed in seeds]
-        served = [judged.served for judged in found]
+        judged_days = [verdicts[name, seed] for seed in seeds]
+        served = [judged.served for judged in judged_days]
         table.add_row(
             name,
-            str(len(found)),
+            str(len(judged_days)),
             f"{np.mean(served):.3f}",
             f"{min(served):.3f}",
-            f"{min(judged.served - judged.wanted for judged in found):+.3f}",
-            str(sum(bool(judged.wrong) for judged in found)),
+            f"{min(judged.served - judged.wanted for judged in judged_days):+.3f}",
+            str(sum(bool(judged.wrong) for judged in judged_days)),
         )
     console.print(table)
 
 
-def shrink(
+def write_minimised(
     console: Console, folder: str, failed: list[tuple[str, int, str]], nodes: int, policy: str
 ) -> None:
-    """The smallest schedule that still breaks the rule, for each rule once."""
+    """Writes the smallest schedule found that still breaks a rule, one for each broken rule."""
     try:
         corpus = Corpus(folder)
         for rule in RULES:
-            first = next(((n, s) for n, s, wrong in failed if wrong == f"{rule} broke"), None)
+            first = next(((name, seed) for name, seed, problem in failed if problem == f"{rule} broke"), None)
             if first is None:
                 continue
             schedule = msgspec.to_builtins(day(first[0], first[1], nodes))
-            least = smallest(schedule, rule, policy, first[1])
-            path = corpus.keep(f"break-{rule}-{digest(least.schedule)}", least.schedule)
-            console.print(f"{rule}: seed {first[1]}, after {least.tried} tries: {path}", soft_wrap=True)
+            minimised = smallest(schedule, rule, policy, first[1])
+            path = corpus.keep(f"break-{rule}-{digest(minimised.schedule)}", minimised.schedule)
+            console.print(f"{rule}: seed {first[1]}, after {minimised.tried} tries: {path}", soft_wrap=True)
     except OSError as e:
         raise click.ClickException(f"{e.filename or folder}: {e.strerror}") from None
--- a/brackenladder/cli/hunt.py
+++ b/brackenladder/cli/hunt.py
@@ -1,4 +1,4 @@
-"""`hunt`: looks for schedules of faults and load that break a rule, in virtual time."""
+"""The command `hunt`: searches for schedules of faults and load that break a rule, in virtual time."""
 
 from __future__ import annotations
 
@@ -14,21 +14,33 @@
 
 
 @click.command()
-@click.option("--for", "seconds", type=click.FloatRange(min=1), default=60.0, help="Seconds that it lasts.")
-@click.option("--corpus", default="hunt", help="The folder that it goes on from and keeps its finds in.")
-@click.option("--jobs", type=click.IntRange(min=1, max=256), default=None, help="Runs at a time; all cores.")
-@click.option("--seed", type=click.IntRange(min=0), default=None, help="Of what is drawn; else by the clock.")
-@click.option("--policy", type=click.Choice(policies()), default="module", help="Who decides in the nodes.")
+@click.option("--for", "seconds", type=click.FloatRange(min=1), default=60.0, help="Duration in seconds.")
+@click.option("--corpus", default="hunt", help="Folder of known schedules, to which new ones are added.")
+@click.option(
+    "--jobs",
+    type=click.IntRange(min=1, max=256),
+    default=None,
+    help="Parallel runs. Default: one for each core.",
+)
+@click.option(
+    "--seed",
+    type=click.IntRange(min=0),
+    default=None,
+    help="Seed of the random choices. Default: from the clock.",
+)
+@click.option(
+    "--policy", type=click.Choice(policies()), default="module", help="The policy that the nodes use."
+)
 def hunt(seconds: float, corpus: str, jobs: int | None, seed: int | None, policy: str) -> int:
-    """Draws, plays and changes schedules; a break is shrunk and kept as a scenario file.
+    """Generates, runs and mutates schedules. One that breaks a rule is minimised and kept as a scenario file.
 
-    Exit code 0: no rule broke. 1: one did. 2: the corpus cannot be used.
+    Exit code 0: no rule was broken. 1: one was. 2: the corpus cannot be used.
     """
     console = Console(highlight=False)
     status = console.status("drawing")
 
-    def told(found: Break, path: Path) -> None:
-        kinds = ", ".join(f["kind"] for f in found.schedule["faults"]) or "no fault"
+    def report_break(found: Break, path: Path) -> None:
+        kinds = ", ".join(fault["kind"] for fault in found.schedule["faults"]) or "no fault"
         console.print(
             f"{found.rule} broke: {kinds}; {found.schedule['nodes']} nodes,"
             f" {found.schedule['servers']['count']} servers, {found.schedule['length_s']:g} s,"
@@ -37,12 +49,12 @@
             soft_wrap=True,
         )
 
-    def progress(played: int, near: float, left: float) -> None:
-        status.update(f"{played} schedules, nearest {near:.2f}, {max(0.0, left):.0f} s left")
+    def progress(played: int, nearest: float, seconds_left: float) -> None:
+        status.update(f"{played} schedules, nearest {nearest:.2f}, {max(0.0, seconds_left):.0f} s left")
 
-    number = int(monotonic() * 1000) if seed is None else seed
+    actual_seed = int(monotonic() * 1000) if seed is None else seed
     try:
-        hunting = Hunt(Corpus(corpus), number, policy, told, progress)
+        hunting = Hunt(Corpus(corpus), actual_seed, policy, report_break, progress)
         if console.is_terminal:
             status.start()
         hunting.go(seconds, jobs or 0)
@@ -52,10 +64,10 @@
         raise click.ClickException(f"{e.filename or corpus}: {e.strerror}") from None
     finally:
         status.stop()
-    nearest = max((j.near for j in hunting.population), default=0.0)
+    nearest = max((judged.near for judged in hunting.population), default=0.0)
     console.print(
-        f"{hunting.played} schedules, {hunting.invalid} that were none; cold came as near as {nearest:.2f}"
-        f" without a break; seed {number}",
+        f"{hunting.played} schedules, {hunting.invalid} invalid;"
+        f" nearest to breaking cold without breaking it {nearest:.2f}; seed {actual_seed}",
         soft_wrap=True,
     )
     for rule, count in sorted(hunting.broken.items()):
--- a/brackenladder/cli/main.py
+++ b/brackenladder/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: which command it is, and how errors end."""
+"""Command line: registers the commands and turns errors into one line and an exit code."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from brackenladder.cli.members import members
 from brackenladder.cli.rehearse import rehearse
 
-UNUSABLE = 2
+USAGE_ERROR = 2
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def commands() -> None:
-    """brackenladder: with no command, a node as its environment says."""
+    """brackenladder: without a command, runs a node as configured by its environment."""
 
 
 commands.add_command(apply)
@@ -34,12 +34,12 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs a command; its exit code. What cannot be used is one line and code 2."""
+    """Runs a command and returns its exit code. Invalid input is reported in one line, with code 2."""
     try:
         result = commands.main(list(arguments), prog_name="brackenladder", standalone_mode=False)
     except click.ClickException as e:
         click.echo(f"brackenladder: {e.format_message()}", err=True)
-        return UNUSABLE
+        return USAGE_ERROR
     except click.Abort:
         click.echo("brackenladder: interrupted", err=True)
         return 1
--- a/brackenladder/cli/members.py
+++ b/brackenladder/cli/members.py
@@ -1,4 +1,4 @@
-"""`members`: who is there, as one node sees it, and how it stands with that node itself."""
+"""The command `members`: the nodes of the tier as one node sees them, and its own state."""
 
 from __future__ import annotations
 
@@ -12,58 +12,66 @@
 
 from brackenladder.cli.control import FAILED, NodeError, call_node
 
-EVERY = 1.0  # seconds between two looks with --follow
+POLL_INTERVAL_SECONDS = 1.0  # between two queries with --follow
 STYLES = {"alive": "green", "suspect": "yellow", "dead": "red", "left": "dim"}
 
 
 @click.command()
-@click.option("--node", required=True, help="A node's control socket.")
+@click.option("--node", required=True, help="Control socket of a node.")
 @click.option("--json", "as_json", is_flag=True, help="Prints JSON.")
-@click.option("--follow", is_flag=True, help="Prints each transition as it comes, until Ctrl-C.")
+@click.option("--follow", is_flag=True, help="Prints each transition as it occurs, until Ctrl-C.")
 def members(node: str, as_json: bool, follow: bool) -> int:
-    """The tier's nodes as one of them sees them: states with their ages, its own health, what it sends."""
+    """Prints the nodes of the tier as one of them sees them, with its own health and counters."""
     console = Console(highlight=False)
-    last = -1
+    last_at_us = -1
     while True:
         try:
-            told = call_node(node, "members")
+            view = call_node(node, "members")
         except NodeError as e:
             click.echo(f"brackenladder: members: {e}", err=True)
             return FAILED
         if follow:
-            for change in told["transitions"]:
-                if change["at_us"] > last:
-                    click.echo(msgspec.json.encode(change).decode() if as_json else line_of(change, told))
-                    last = change["at_us"]
-            time.sleep(EVERY)
+            for transition in view["transitions"]:
+                if transition["at_us"] > last_at_us:
+                    click.echo(
+                        msgspec.json.encode(transition).decode()
+                        if as_json
+                        else format_transition(transition, view)
+                    )
+                    last_at_us = transition["at_us"]
+            time.sleep(POLL_INTERVAL_SECONDS)
             continue
         if as_json:
-            click.echo(msgspec.json.encode(told).decode())
+            click.echo(msgspec.json.encode(view).decode())
         else:
-            written(console, told)
+            print_view(console, view)
         return 0
 
 
-def line_of(change: dict[str, Any], told: dict[str, Any]) -> str:
-    who = "this node" if change["number"] == told["self"]["number"] else f"node {change['number']}"
-    change_of = f"{change['before']} to {change['after']}: {change['reason']}"
-    return f"{change['ago_ms'] / 1000:8.1f} s ago  {who}: {change_of}"
+def format_transition(transition: dict[str, Any], view: dict[str, Any]) -> str:
+    subject = (
+        "this node" if transition["number"] == view["self"]["number"] else f"node {transition['number']}"
+    )
+    description = f"{transition['before']} to {transition['after']}: {transition['reason']}"
+    return f"{transition['ago_ms'] / 1000:8.1f} s ago  {subject}: {description}"
 
 
-def written(console: Console, told: dict[str, Any]) -> None:
-    """The view as a table, and the last transitions."""
-    own, counters = told["self"], told["counters"]
+def print_view(console: Console, view: dict[str, Any]) -> None:
+    """Prints the view as a table, and the latest transitions."""
+    own, counters = view["self"], view["counters"]
     console.print(
         f"node {own['number']}: {own['state']}, health score {own['score']}, {own['living']} nodes share"
         f"{'' if own['shares'] else ' (not used: share = false)'}, {own['pauses']} pauses"
     )
     table = Table("node", "address", "state", "for s", "heard s ago", "incarnation")
-    for one in told["members"]:
-        heard = "" if one["heard_ms"] is None else f"{one['heard_ms'] / 1000:.1f}"
-        state = f"[{STYLES[one['state']]}]{one['state']}[/]"
-        since = f"{one['since_ms'] / 1000:.0f}"
-        table.add_row(str(one["number"]), one["name"], state, since, heard, str(one["incarnation"]))
+    for member in view["members"]:
+        heard_s = "" if member["heard_ms"] is None else f"{member['heard_ms'] / 1000:.1f}"
+        state = f"[{STYLES[member['state']]}]{member['state']}[/]"
+        since = f"{member['since_ms'] / 1000:.0f}"
+        table.add_row(
+            str(member["number"]), member["name"], state, since, heard_s, str(member["incarnation"])
+        )
     console.print(table)
     console.print(", ".join(f"{name} {count}" for name, count in sorted(counters.items())))
-    for change in told["transitions"][-10:]:
-        console.print(line_of(change, told), markup=False)
+    for transition in view["transitions"][-10:]:
+        console.print(format_transition(transition, view), markup=False)
